--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -55,7 +55,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	u, ok := g.table.Refused(now, c)
+	u, ok := g.table.Quarantined(now, c)
 	if !ok {
 		return nil
 	}
@@ -72,21 +72,21 @@
 	case fault.Has(err, fault.NotStarted), fault.Has(err, fault.ServerRefused):
 		return
 	}
-	e := quarantine.Silent
+	e := quarantine.NoAnswer
 	if port.BrokeOff(err) {
-		e = quarantine.Closed
+		e = quarantine.ConnectionLost
 	}
 	c := n()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.table.Broke(time.Now(), c, s, e)
+	g.table.RecordFailure(time.Now(), c, s, e)
 }
 
 // Ended notes that a server has ended without notice.
 func (g *Guard) Ended(s api.ServerName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.table.Ended(time.Now(), s)
+	g.table.RecordServerEnd(time.Now(), s)
 }
 
 // Answered notes that a server has survived a request.
@@ -94,7 +94,7 @@
 	c := n()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.table.Answered(time.Now(), c)
+	g.table.RecordAnswer(time.Now(), c)
 }
 
 // MayGoOn reports whether a run that broke off may be taken to a further server.
@@ -102,7 +102,7 @@
 	c := n()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.table.MayGoOn(c)
+	return g.table.MayResume(c)
 }
 
 // Step refuses the contents that have come to be confirmed, and gives them.
@@ -112,7 +112,7 @@
 	g.mutex.Unlock()
 	for _, v := range l {
 		g.metrics.Add(metric.Quarantined, 1)
-		g.log.Emit(event.ContentQuarantined, zap.String("content", string(v.Content)), zap.Any("servers", v.Servers), zap.Bool("own", v.Own), zap.Time("until", v.Until))
+		g.log.Emit(event.ContentQuarantined, zap.String("content", string(v.Content)), zap.Any("servers", v.Servers), zap.Bool("own", v.Local), zap.Time("until", v.Until))
 	}
 	return l
 }
@@ -123,7 +123,7 @@
 // Verify asks the servers that may have ended whether they still listen, side by side.
 func (g *Guard) Verify(d *duty.Group, connect Connect) {
 	g.mutex.Lock()
-	l := g.table.Unconfirmed(time.Now())
+	l := g.table.NextProbes(time.Now())
 	g.mutex.Unlock()
 	for _, s := range l {
 		d.Go(func(ctx context.Context) error {
@@ -141,7 +141,7 @@
 func (g *Guard) Refused(c api.ContentHash) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	_, ok := g.table.Refused(time.Now(), c)
+	_, ok := g.table.Quarantined(time.Now(), c)
 	return ok
 }
 
@@ -149,14 +149,14 @@
 func (g *Guard) Declare(e api.Era, l []quarantine.Entry) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.table.Declare(time.Now(), e, l)
+	g.table.ApplySnapshot(time.Now(), e, l)
 }
 
 // Correct gives what has to be put right on the platform after it came back from a copy.
 func (g *Guard) Correct() quarantine.Correction {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.table.Correct(time.Now())
+	return g.table.TakeCorrection(time.Now())
 }
 
 // Expired lists the contents that the platform keeps beyond their time.
@@ -170,7 +170,7 @@
 func (g *Guard) Recent() []api.ContentReport {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.table.Recent(time.Now())
+	return g.table.RecentReports(time.Now())
 }
 
 // All gives these reports and, for peers without a platform that keeps them, those of contents that
@@ -178,7 +178,7 @@
 func (g *Guard) All() []api.ContentReport {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.table.All(time.Now())
+	return g.table.AllReports(time.Now())
 }
 
 // Merge takes the reports of a peer.
--- a/internal/decide/quarantine/answers.go
+++ b/internal/decide/quarantine/answers.go
@@ -9,35 +9,35 @@
 // answers remembers which contents were answered whole, for trustTime at least and twice
 // that at most: of two maps the older one is dropped as a whole.
 type answers struct {
-	newer, older map[api.ContentHash]time.Time
-	// turned is when the newer map was begun.
-	turned time.Time
+	recent, previous map[api.ContentHash]time.Time
+	// rotated is when the newer map was begun.
+	rotated time.Time
 }
 
 func newAnswers() answers {
-	return answers{newer: map[api.ContentHash]time.Time{}, older: map[api.ContentHash]time.Time{}}
+	return answers{recent: map[api.ContentHash]time.Time{}, previous: map[api.ContentHash]time.Time{}}
 }
 
-// note remembers an answer, unless there are too many.
-func (a *answers) note(now time.Time, c api.ContentHash) {
-	if now.Sub(a.turned) > trustTime {
-		a.older = a.newer
-		if now.Sub(a.turned) > 2*trustTime {
-			a.older = nil
+// record remembers an answer, unless there are too many.
+func (a *answers) record(now time.Time, c api.ContentHash) {
+	if now.Sub(a.rotated) > answerTrustTime {
+		a.previous = a.recent
+		if now.Sub(a.rotated) > 2*answerTrustTime {
+			a.previous = nil
 		}
-		a.newer = make(map[api.ContentHash]time.Time, len(a.older))
-		a.turned = now
+		a.recent = make(map[api.ContentHash]time.Time, len(a.previous))
+		a.rotated = now
 	}
-	if _, ok := a.newer[c]; ok || len(a.newer) < answersMost {
-		a.newer[c] = now
+	if _, ok := a.recent[c]; ok || len(a.recent) < maxAnswers {
+		a.recent[c] = now
 	}
 }
 
 // last gives the last answer of a content that is remembered.
 func (a *answers) last(c api.ContentHash) (time.Time, bool) {
-	if t, ok := a.newer[c]; ok {
+	if t, ok := a.recent[c]; ok {
 		return t, true
 	}
-	t, ok := a.older[c]
+	t, ok := a.previous[c]
 	return t, ok
 }
--- a/internal/decide/quarantine/hash.go
+++ b/internal/decide/quarantine/hash.go
@@ -8,9 +8,9 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// hashBytes is the length of a hash: no caller can find a second content with the hash
+// hashSize is the length of a hash: no caller can find a second content with the hash
 // of another workspace's request.
-const hashBytes = 16
+const hashSize = 16
 
 // Hash names the content of a request: what a workspace sends, whatever the caller's id
 // of the attempt.
@@ -22,5 +22,5 @@
 		h.Write([]byte(s))
 	}
 	h.Write(body)
-	return api.ContentHash(hex.EncodeToString(h.Sum(nil)[:hashBytes]))
+	return api.ContentHash(hex.EncodeToString(h.Sum(nil)[:hashSize]))
 }
--- a/internal/decide/quarantine/judge.go
+++ b/internal/decide/quarantine/judge.go
@@ -9,10 +9,10 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// confirmed gives the breaks whose servers ended, the first one first.
-func (x *content) confirmed() []time.Time {
+// confirmedCrashes gives the breaks whose servers ended, the first one first.
+func (x *content) confirmedCrashes() []time.Time {
 	var l []time.Time
-	for _, r := range x.crashes {
+	for _, r := range x.failures {
 		if r.confirmed {
 			l = append(l, r.at)
 		}
@@ -21,15 +21,15 @@
 	return l
 }
 
-// due reports whether breaks make a content one that is refused.
-func due(now time.Time, l []time.Time) bool {
+// enoughCrashes reports whether breaks make a content one that is refused.
+func enoughCrashes(now time.Time, l []time.Time) bool {
 	switch {
-	case len(l) < crashesMost:
+	case len(l) < maxCrashes:
 		return false
-	case len(l) >= crashesClear:
+	case len(l) >= immediateCrashes:
 		return true
 	default:
-		return now.Sub(l[crashesMost-1]) >= confirmTime
+		return now.Sub(l[maxCrashes-1]) >= verdictDelay
 	}
 }
 
@@ -38,8 +38,8 @@
 	Entry
 	// Servers ended under it.
 	Servers []api.ServerName
-	// Own is set where this entry VM saw one of the crashes.
-	Own bool
+	// Local is set where this entry VM saw one of the crashes.
+	Local bool
 }
 
 // Step judges contents, and forgets what is over.
@@ -49,52 +49,52 @@
 		if v, ok := t.judge(now, c, x); ok {
 			l = append(l, v)
 		}
-		if t.over(now, x) {
+		if t.prune(now, x) {
 			delete(t.contents, c)
 		}
 	}
 	for s, at := range t.ended {
-		if now.Sub(at) > rememberTime {
+		if now.Sub(at) > failureRetention {
 			delete(t.ended, s)
 		}
 	}
-	maps.DeleteFunc(t.platform.released, func(_ api.ContentHash, at time.Time) bool { return now.Sub(at) > keepTime })
+	maps.DeleteFunc(t.platform.released, func(_ api.ContentHash, at time.Time) bool { return now.Sub(at) > quarantineTime })
 	slices.SortFunc(l, func(a, b Verdict) int { return cmp.Compare(a.Content, b.Content) })
 	return l
 }
 
-// Unconfirmed lists the servers that are to be probed for whether they still listen: those of
+// NextProbes lists the servers that are to be probed for whether they still listen: those of
 // contents that broke off at as many as they may end, of which this entry VM saw one. Most
 // servers that end are found out by other requests; where these are rare, the lapse of an
 // entry takes four seconds, in which a content that comes again ends further ones.
-func (t *Table) Unconfirmed(now time.Time) []api.ServerName {
+func (t *Table) NextProbes(now time.Time) []api.ServerName {
 	var l []api.ServerName
 	for _, x := range t.contents {
-		if x.own && x.until.IsZero() && x.reported() >= crashesMost {
-			l = append(l, x.unconfirmed(now)...)
+		if x.local && x.until.IsZero() && x.reportableFailures() >= maxCrashes {
+			l = append(l, x.nextProbes(now)...)
 		}
 	}
 	slices.Sort(l)
 	l = slices.Compact(l)
-	return l[:min(len(l), probeServers)]
+	return l[:min(len(l), maxProbedServers)]
 }
 
-// reported counts the breaks that are reported to peers.
-func (x *content) reported() int {
+// reportableFailures counts the breaks that are reportableFailures to peers.
+func (x *content) reportableFailures() int {
 	n := 0
-	for _, r := range x.crashes {
-		if r.reported() {
+	for _, r := range x.failures {
+		if r.reportable() {
 			n++
 		}
 	}
 	return n
 }
 
-// unconfirmed lists the servers of a content that are to be probed, and counts that.
-func (x *content) unconfirmed(now time.Time) []api.ServerName {
+// nextProbes lists the servers of a content that are to be probed, and counts that.
+func (x *content) nextProbes(now time.Time) []api.ServerName {
 	var l []api.ServerName
-	for s, r := range x.crashes {
-		if r.confirmed || r.silent || r.probes == probesMost || now.Sub(r.probed) < probePause {
+	for s, r := range x.failures {
+		if r.confirmed || r.noAnswer || r.probes == maxProbes || now.Sub(r.probed) < probeInterval {
 			continue
 		}
 		r.probed = now
@@ -106,13 +106,13 @@
 
 // judge reports whether a content is refused from now on.
 func (t *Table) judge(now time.Time, c api.ContentHash, x *content) (Verdict, bool) {
-	l := x.confirmed()
-	if !x.until.IsZero() || !due(now, l) {
+	l := x.confirmedCrashes()
+	if !x.until.IsZero() || !enoughCrashes(now, l) {
 		return Verdict{}, false
 	}
-	x.until = l[len(l)-1].Add(keepTime)
-	v := Verdict{Entry: Entry{Content: c, Until: x.until}, Own: x.own}
-	for s, r := range x.crashes {
+	x.until = l[len(l)-1].Add(quarantineTime)
+	v := Verdict{Entry: Entry{Content: c, Until: x.until}, Local: x.local}
+	for s, r := range x.failures {
 		if r.confirmed {
 			v.Servers = append(v.Servers, s)
 		}
@@ -121,15 +121,15 @@
 	return v, true
 }
 
-// over reports whether a content is forgotten.
-func (t *Table) over(now time.Time, x *content) bool {
+// prune reports whether a content is forgotten.
+func (t *Table) prune(now time.Time, x *content) bool {
 	if !x.until.IsZero() {
 		return now.After(x.until)
 	}
-	for s, r := range x.crashes {
-		if now.Sub(r.at) > rememberTime {
-			delete(x.crashes, s)
+	for s, r := range x.failures {
+		if now.Sub(r.at) > failureRetention {
+			delete(x.failures, s)
 		}
 	}
-	return len(x.crashes) == 0 && now.Sub(x.learned) > answeredTime
+	return len(x.failures) == 0 && now.Sub(x.updated) > answerRetention
 }
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -13,92 +13,92 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// crashed is a server that a content ends at a time, which is known at once.
-func crashed(t *quarantine.Table, ms int, c api.ContentHash, s api.ServerName) {
-	t.Broke(at(ms), c, s, quarantine.Closed)
-	t.Ended(at(ms), s)
+// recordCrash is a server that a content ends at a time, which is known at once.
+func recordCrash(t *quarantine.Table, ms int, c api.ContentHash, s api.ServerName) {
+	t.RecordFailure(at(ms), c, s, quarantine.ConnectionLost)
+	t.RecordServerEnd(at(ms), s)
 }
 
-func TestRefused(t *testing.T) {
+func TestQuarantined(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(t *quarantine.Table)
 		want bool
 	}{
 		{"two servers ended", func(t *quarantine.Table) {
-			crashed(t, 0, "c", "a")
-			crashed(t, 10, "c", "b")
+			recordCrash(t, 0, "c", "a")
+			recordCrash(t, 10, "c", "b")
 		}, true},
 		{"one server ended", func(t *quarantine.Table) {
-			crashed(t, 0, "c", "a")
-			t.Broke(at(10), "c", "a", quarantine.Closed)
+			recordCrash(t, 0, "c", "a")
+			t.RecordFailure(at(10), "c", "a", quarantine.ConnectionLost)
 		}, false},
 		{"two breaks at servers that live on", func(t *quarantine.Table) {
-			t.Broke(at(0), "c", "a", quarantine.Closed)
-			t.Broke(at(10), "c", "b", quarantine.Closed)
+			t.RecordFailure(at(0), "c", "a", quarantine.ConnectionLost)
+			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
 		}, false},
 		{"servers that ended long after the breaks", func(t *quarantine.Table) {
-			t.Broke(at(0), "c", "a", quarantine.Closed)
-			t.Broke(at(10), "c", "b", quarantine.Closed)
-			t.Ended(at(30000), "a")
-			t.Ended(at(30000), "b")
+			t.RecordFailure(at(0), "c", "a", quarantine.ConnectionLost)
+			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
+			t.RecordServerEnd(at(30000), "a")
+			t.RecordServerEnd(at(30000), "b")
 		}, false},
 		{"two servers that fell silent and had ended", func(t *quarantine.Table) {
-			t.Broke(at(0), "c", "a", quarantine.Silent)
-			t.Broke(at(10), "c", "b", quarantine.Silent)
-			t.Ended(at(4000), "a")
-			t.Ended(at(4000), "b")
+			t.RecordFailure(at(0), "c", "a", quarantine.NoAnswer)
+			t.RecordFailure(at(10), "c", "b", quarantine.NoAnswer)
+			t.RecordServerEnd(at(4000), "a")
+			t.RecordServerEnd(at(4000), "b")
 		}, true},
 		{"ends that are known before the breaks", func(t *quarantine.Table) {
-			t.Ended(at(0), "a")
-			t.Ended(at(0), "b")
-			t.Broke(at(5), "c", "a", quarantine.Closed)
-			t.Broke(at(10), "c", "b", quarantine.Closed)
+			t.RecordServerEnd(at(0), "a")
+			t.RecordServerEnd(at(0), "b")
+			t.RecordFailure(at(5), "c", "a", quarantine.ConnectionLost)
+			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
 		}, true},
 		{"two contents with a server each", func(t *quarantine.Table) {
-			crashed(t, 0, "c", "a")
-			crashed(t, 10, "d", "b")
+			recordCrash(t, 0, "c", "a")
+			recordCrash(t, 10, "d", "b")
 		}, false},
 		{"answered in between", func(t *quarantine.Table) {
-			crashed(t, 0, "c", "a")
-			t.Answered(at(5), "c")
-			crashed(t, 10, "c", "b")
+			recordCrash(t, 0, "c", "a")
+			t.RecordAnswer(at(5), "c")
+			recordCrash(t, 10, "c", "b")
 		}, false},
 		{"answered elsewhere just after", func(t *quarantine.Table) {
-			crashed(t, 0, "c", "a")
-			crashed(t, 10, "c", "b")
+			recordCrash(t, 0, "c", "a")
+			recordCrash(t, 10, "c", "b")
 			t.Merge(at(800), []api.ContentReport{{Content: "c", AgeMS: 100}})
 		}, false},
 		{"answered elsewhere just before", func(t *quarantine.Table) {
-			crashed(t, 1000, "c", "a")
-			crashed(t, 1010, "c", "b")
+			recordCrash(t, 1000, "c", "a")
+			recordCrash(t, 1010, "c", "b")
 			t.Merge(at(1020), []api.ContentReport{{Content: "c", AgeMS: 500}})
 		}, false},
 		{"answered elsewhere long before", func(t *quarantine.Table) {
-			crashed(t, 20000, "c", "a")
-			crashed(t, 20010, "c", "b")
+			recordCrash(t, 20000, "c", "a")
+			recordCrash(t, 20010, "c", "b")
 			t.Merge(at(20020), []api.ContentReport{{Content: "c", AgeMS: 15000}})
 		}, true},
 		{"answered here just before", func(t *quarantine.Table) {
-			t.Answered(at(0), "c")
-			crashed(t, 1000, "c", "a")
-			crashed(t, 1010, "c", "b")
+			t.RecordAnswer(at(0), "c")
+			recordCrash(t, 1000, "c", "a")
+			recordCrash(t, 1010, "c", "b")
 		}, false},
 		{"answered here long before", func(t *quarantine.Table) {
-			t.Answered(at(0), "c")
-			crashed(t, 11000, "c", "a")
-			crashed(t, 11010, "c", "b")
+			t.RecordAnswer(at(0), "c")
+			recordCrash(t, 11000, "c", "a")
+			recordCrash(t, 11010, "c", "b")
 		}, true},
 		{"one crash here and one elsewhere", func(t *quarantine.Table) {
-			crashed(t, 0, "c", "a")
+			recordCrash(t, 0, "c", "a")
 			t.Merge(at(10), []api.ContentReport{{Content: "c", Server: "b", Ended: true, AgeMS: 5}})
 		}, true},
 		{"the same crash seen by two", func(t *quarantine.Table) {
-			crashed(t, 0, "c", "a")
+			recordCrash(t, 0, "c", "a")
 			t.Merge(at(10), []api.ContentReport{{Content: "c", Server: "a", Ended: true, AgeMS: 5}})
 		}, false},
 		{"reports that say nothing", func(t *quarantine.Table) {
-			crashed(t, 0, "c", "a")
+			recordCrash(t, 0, "c", "a")
 			t.Merge(at(10), []api.ContentReport{{Content: "c", Server: "b", Ended: true, AgeMS: -5}, {Server: "b", Ended: true}})
 		}, false},
 	}
@@ -107,7 +107,7 @@
 			q := quarantine.New()
 			c.do(q)
 			l := q.Step(at(32000))
-			if _, got := q.Refused(at(32000), "c"); got != c.want {
+			if _, got := q.Quarantined(at(32000), "c"); got != c.want {
 				t.Errorf("got refused %v, want %v", got, c.want)
 			}
 			if got := len(l) == 1; got != c.want {
@@ -123,79 +123,79 @@
 // A verdict waits until a whole answer elsewhere would be known here.
 func TestVerdictWaitsForAnswersElsewhere(t *testing.T) {
 	q := quarantine.New()
-	crashed(q, 0, "c", "a")
-	crashed(q, 10, "c", "b")
+	recordCrash(q, 0, "c", "a")
+	recordCrash(q, 10, "c", "b")
 	if l := q.Step(at(900)); len(l) != 0 {
 		t.Errorf("got %+v after 0.9 s, want no verdict yet", l)
 	}
-	if q.MayGoOn("c") {
+	if q.MayResume("c") {
 		t.Error("a run that broke off: got it may go on, want it stopped at once")
 	}
-	if l := q.Step(at(1010)); len(l) != 1 || len(l[0].Servers) != 2 || !l[0].Own {
+	if l := q.Step(at(1010)); len(l) != 1 || len(l[0].Servers) != 2 || !l[0].Local {
 		t.Errorf("got %+v, want a verdict with both servers", l)
 	}
 }
 
 // What one entry VM reports another one knows, and it is not reported for ever.
-func TestReportsBetweenEntryVMs(t *testing.T) {
+func TestReportsReachPeersAndExpire(t *testing.T) {
 	a, b := quarantine.New(), quarantine.New()
-	crashed(a, 0, "c", "x")
-	b.Merge(at(100), a.Recent(at(100)))
-	crashed(b, 200, "c", "y")
-	a.Merge(at(300), b.Recent(at(300)))
+	recordCrash(a, 0, "c", "x")
+	b.Merge(at(100), a.RecentReports(at(100)))
+	recordCrash(b, 200, "c", "y")
+	a.Merge(at(300), b.RecentReports(at(300)))
 	a.Step(at(2000))
 	b.Step(at(2000))
 	for i, q := range []*quarantine.Table{a, b} {
-		if _, got := q.Refused(at(2000), "c"); !got {
+		if _, got := q.Quarantined(at(2000), "c"); !got {
 			t.Errorf("entry VM %d: got the content let in, want it refused", i)
 		}
-		if l := q.Recent(at(9000)); len(l) != 0 {
+		if l := q.RecentReports(at(9000)); len(l) != 0 {
 			t.Errorf("entry VM %d after 9 s: got reports %+v, want none", i, l)
 		}
 	}
 }
 
 // Requests that were given up under load are not reported until their server is known to have ended.
-func TestSilentServersAreNotReported(t *testing.T) {
+func TestUnansweredRunsAreReportedOnceConfirmed(t *testing.T) {
 	q := quarantine.New()
-	q.Broke(at(0), "c", "a", quarantine.Silent)
-	if l := q.Recent(at(10)); len(l) != 0 {
+	q.RecordFailure(at(0), "c", "a", quarantine.NoAnswer)
+	if l := q.RecentReports(at(10)); len(l) != 0 {
 		t.Errorf("got %+v, want nothing to report", l)
 	}
-	q.Ended(at(3000), "a")
-	if l := q.Recent(at(3010)); len(l) != 1 || !l[0].Ended {
+	q.RecordServerEnd(at(3000), "a")
+	if l := q.RecentReports(at(3010)); len(l) != 1 || !l[0].Ended {
 		t.Errorf("after its end: got %+v, want the crash", l)
 	}
 }
 
-func TestAnswersAreReportedOnHearingOfABreak(t *testing.T) {
+func TestAnswerIsReportedOnPeerFailureReport(t *testing.T) {
 	a, b := quarantine.New(), quarantine.New()
-	b.Answered(at(0), "c")
-	crashed(a, 100, "c", "x")
-	crashed(a, 110, "c", "y")
-	b.Merge(at(400), a.Recent(at(400)))
-	a.Merge(at(700), b.Recent(at(700)))
+	b.RecordAnswer(at(0), "c")
+	recordCrash(a, 100, "c", "x")
+	recordCrash(a, 110, "c", "y")
+	b.Merge(at(400), a.RecentReports(at(400)))
+	a.Merge(at(700), b.RecentReports(at(700)))
 	if l := a.Step(at(2000)); len(l) != 0 {
 		t.Errorf("got %+v, want nothing refused", l)
 	}
 }
 
 // In a wave of crashes all are reported, in turns.
-func TestManyReportsTakeTurns(t *testing.T) {
+func TestManyReportsAreSplitOverMessages(t *testing.T) {
 	a, b := quarantine.New(), quarantine.New()
 	const n = 100
 	for i := range n {
-		crashed(a, 0, api.ContentHash(fmt.Sprint(i)), "x")
+		recordCrash(a, 0, api.ContentHash(fmt.Sprint(i)), "x")
 	}
 	for i := range 6 {
-		l := a.Recent(at(100 * i))
+		l := a.RecentReports(at(100 * i))
 		if len(l) > 24 {
 			t.Errorf("got a message of %d reports, want at most 24", len(l))
 		}
 		b.Merge(at(100*i), l)
 	}
 	for i := range n {
-		crashed(b, 700, api.ContentHash(fmt.Sprint(i)), "y")
+		recordCrash(b, 700, api.ContentHash(fmt.Sprint(i)), "y")
 	}
 	if got := len(b.Step(at(2000))); got != n {
 		t.Errorf("got %d contents known, want %d", got, n)
@@ -204,26 +204,26 @@
 
 func TestQuarantineEndsAndIsReleased(t *testing.T) {
 	refused := func(q *quarantine.Table, ms int) bool {
-		_, ok := q.Refused(at(ms), "c")
+		_, ok := q.Quarantined(at(ms), "c")
 		return ok
 	}
 	q := quarantine.New()
-	crashed(q, 0, "c", "a")
-	crashed(q, 10, "c", "b")
+	recordCrash(q, 0, "c", "a")
+	recordCrash(q, 10, "c", "b")
 	l := q.Step(at(2000))
-	q.Answered(at(2500), "c")
+	q.RecordAnswer(at(2500), "c")
 	if !refused(q, 3000) {
 		t.Error("after a late answer: got it let in, want it refused")
 	}
 	e := []quarantine.Entry{l[0].Entry}
-	q.Declare(at(0), 1, e)
-	q.Declare(at(0), 1, nil)
+	q.ApplySnapshot(at(0), 1, e)
+	q.ApplySnapshot(at(0), 1, nil)
 	if refused(q, 4000) {
 		t.Error("after operators released it: got it refused, want it let in")
 	}
 	// Another entry VM knows it from the platform alone.
 	o := quarantine.New()
-	o.Declare(at(0), 1, e)
+	o.ApplySnapshot(at(0), 1, e)
 	// An hour from the last break.
 	hour := 3600*1000 + 10
 	if !refused(o, hour-100) || refused(o, hour+100) {
@@ -240,18 +240,18 @@
 	f.Add("", "", false, int64(-1), 5000)
 	f.Fuzz(func(t *testing.T, c, s string, ended bool, age int64, n int) {
 		q := quarantine.New()
-		crashed(q, 0, "confirmed", "a")
-		crashed(q, 0, "confirmed", "b")
+		recordCrash(q, 0, "confirmed", "a")
+		recordCrash(q, 0, "confirmed", "b")
 		q.Step(at(1500))
 		for i := range min(max(n, 0), 3000) {
 			q.Merge(at(1500), []api.ContentReport{{Content: api.ContentHash(fmt.Sprint(c, i)), Server: api.ServerName(s), Ended: ended, AgeMS: api.Milliseconds(age)}})
 		}
 		q.Merge(at(1600), []api.ContentReport{{Content: "confirmed", AgeMS: 0}})
 		q.Step(at(1700))
-		if _, ok := q.Refused(at(1700), "confirmed"); !ok {
+		if _, ok := q.Quarantined(at(1700), "confirmed"); !ok {
 			t.Error("a content that was confirmed: got it let in, want it refused")
 		}
-		if got := len(q.Recent(at(1700))); got > 24 {
+		if got := len(q.RecentReports(at(1700))); got > 24 {
 			t.Errorf("got %d reports, want at most 24", got)
 		}
 	})
@@ -259,15 +259,15 @@
 
 func TestServersAreProbed(t *testing.T) {
 	q := quarantine.New()
-	q.Broke(at(0), "c", "a", quarantine.Closed)
-	if l := q.Unconfirmed(at(10)); len(l) != 0 {
+	q.RecordFailure(at(0), "c", "a", quarantine.ConnectionLost)
+	if l := q.NextProbes(at(10)); len(l) != 0 {
 		t.Errorf("after one break: got %v, want none", l)
 	}
-	q.Broke(at(20), "c", "b", quarantine.Closed)
-	q.Ended(at(30), "a")
+	q.RecordFailure(at(20), "c", "b", quarantine.ConnectionLost)
+	q.RecordServerEnd(at(30), "a")
 	probed := 0
 	for ms := 40; ms < 5000; ms += 100 {
-		l := q.Unconfirmed(at(ms))
+		l := q.NextProbes(at(ms))
 		if len(l) > 1 || len(l) == 1 && l[0] != "b" {
 			t.Fatalf("got %v, want the server that is not known to have ended", l)
 		}
@@ -277,8 +277,8 @@
 		t.Errorf("got it probed %d times, want 5", probed)
 	}
 	o := quarantine.New()
-	o.Merge(at(100), q.Recent(at(100)))
-	if l := o.Unconfirmed(at(110)); len(l) != 0 {
+	o.Merge(at(100), q.RecentReports(at(100)))
+	if l := o.NextProbes(at(110)); len(l) != 0 {
 		t.Errorf("who saw neither break: got %v, want none", l)
 	}
 }
@@ -288,9 +288,9 @@
 func BenchmarkRecentNothing(b *testing.B) {
 	q := quarantine.New()
 	for i := range 1000 {
-		crashed(q, 0, api.ContentHash(fmt.Sprint(i)), "x")
+		recordCrash(q, 0, api.ContentHash(fmt.Sprint(i)), "x")
 	}
 	for range b.N {
-		q.Recent(at(10000))
+		q.RecentReports(at(10000))
 	}
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -124,7 +124,7 @@
 	case fault.Has(err, fault.CallerGone):
 		return answer.Next{Move: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
 	}
-	if time.Since(t.begun) < quarantine.Beginning {
+	if time.Since(t.begun) < quarantine.SuspectWindow {
 		t.server.Contents.Broke(t.chat.content, t.engine, err)
 	}
 	return t.broke(answer.Broken)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -34,7 +34,7 @@
 // them: an entry VM that peers don't reach, or that starts later, learns of them there.
 func (g *Gateway) judge() {
 	for _, v := range g.Contents.Step() {
-		if v.Own && g.Quarantines != nil {
+		if v.Local && g.Quarantines != nil {
 			g.Group.Go(func(ctx context.Context) error {
 				g.keepEntry(ctx, v.Entry)
 				return nil
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -77,7 +77,7 @@
 func (r *run) young(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.pace.here.IsZero() || now.Sub(r.pace.here) < quarantine.Beginning
+	return r.pace.here.IsZero() || now.Sub(r.pace.here) < quarantine.SuspectWindow
 }
 
 // unprotect gives up a copy that the run may not go on from.
