--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -120,12 +120,12 @@
 
 // Members sets the number of entry VMs that share the limits of servers.
 func (s *Servers) Members(now time.Time, n int) {
-	s.fleet.Note(now, n)
+	s.fleet.Observe(now, n)
 }
 
 // Limited takes the limit in an answer, or that it names none, and reports whether that is new.
 func (s *Servers) Limited(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
-	return s.limits.Note(now, sent, n, l)
+	return s.limits.Record(now, sent, n, l)
 }
 
 // Limits lists what servers have named, for peers.
@@ -171,7 +171,7 @@
 		return Choice{Wait: wait}
 	}
 	b.active++
-	s.pacer.Sent(now, best)
+	s.pacer.RecordSend(now, best)
 	return Choice{Name: best}
 }
 
@@ -181,8 +181,8 @@
 	if !ok {
 		return 0
 	}
-	t := throttle.Terms{Rate: r, Part: throttle.Equal, Members: s.fleet.Most()}
-	return s.pacer.Next(now, n, t).Sub(now)
+	t := throttle.Quota{Rate: r, Share: throttle.Equal, Members: s.fleet.Peak()}
+	return s.pacer.NextSlot(now, n, t).Sub(now)
 }
 
 func (x *state) before(y *state, now time.Time) bool {
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -175,19 +175,19 @@
 		// Who paces the server is asked once it is chosen.
 		return true
 	default:
-		return !p.Pacer.Next(now, m.Name, l.terms(m, r)).After(now)
+		return !p.Pacer.NextSlot(now, m.Name, l.terms(m, r)).After(now)
 	}
 }
 
 // terms are those of an engine that has named a limit.
-func (l Pool) terms(m roster.Member, r throttle.Rate) throttle.Terms {
-	t := throttle.Terms{Rate: r, Part: throttle.Alone, Members: l.Warmup.Choosers}
+func (l Pool) terms(m roster.Member, r throttle.Rate) throttle.Quota {
+	t := throttle.Quota{Rate: r, Share: throttle.Alone, Members: l.Warmup.Choosers}
 	switch {
 	case !l.Exact || m.Domain != l.Domain:
 	case l.Standby:
-		t.Part = throttle.Standby
+		t.Share = throttle.Standby
 	default:
-		t.Part = throttle.Whole
+		t.Share = throttle.Whole
 	}
 	return t
 }
@@ -195,7 +195,7 @@
 // Sent notes a request that is sent to a server, or granted to another entry VM.
 func (p *Picker) Sent(now time.Time, n api.ServerName) {
 	p.Sends.Note(now, n)
-	p.Pacer.Sent(now, n)
+	p.Pacer.RecordSend(now, n)
 }
 
 // Forget drops what is known of servers that are gone.
--- a/internal/decide/throttle/limits.go
+++ b/internal/decide/throttle/limits.go
@@ -18,56 +18,56 @@
 	Rate  Rate
 }
 
-// word is the newest word on one server's limit.
-type word struct {
+// notice is the newest notice on one server's limit.
+type notice struct {
 	Limit
-	// since and at are between which times the server said so: alike where it said so to this
+	// earliest and latest are between which times the server said so: alike where it said so to this
 	// entry VM, apart by the way of the word where it came from a peer.
-	since, at time.Time
+	earliest, latest time.Time
 }
 
 // Limits keeps the limits that servers have named.
 type Limits struct {
-	words map[api.ServerName]word
+	notices map[api.ServerName]notice
 }
 
 // NewLimits makes a record of no limits.
 func NewLimits() *Limits {
-	return &Limits{words: map[api.ServerName]word{}}
+	return &Limits{notices: map[api.ServerName]notice{}}
 }
 
-// Note takes what an answer says that came now to a request sent at a time, and reports
+// Record takes what an answer says that came now to a request sent at a time, and reports
 // whether that is new. Answers overtake one another: one without a limit takes a limit back
 // only where its request was sent after the limit was last named.
-func (l *Limits) Note(now, sent time.Time, n api.ServerName, x Limit) bool {
-	w, ok := l.words[n]
-	if !x.Named && (!ok || !w.Named || !sent.After(w.at)) {
+func (l *Limits) Record(now, sent time.Time, n api.ServerName, x Limit) bool {
+	w, ok := l.notices[n]
+	if !x.Named && (!ok || !w.Named || !sent.After(w.latest)) {
 		return false
 	}
-	l.words[n] = word{Limit: x, since: now, at: now}
+	l.notices[n] = notice{Limit: x, earliest: now, latest: now}
 	return w.Limit != x
 }
 
 // Find gives the limit that a server has in force.
 func (l *Limits) Find(n api.ServerName) (Rate, bool) {
-	w := l.words[n]
+	w := l.notices[n]
 	return w.Rate, w.Named
 }
 
 const (
-	// wayTime is the most that a peer's word was on its way.
-	wayTime = 600 * time.Millisecond
-	// liftTime is how long peers are told that a limit was taken back.
-	liftTime = 10 * time.Second
+	// maxReportDelay is the most that a peer's word was on its way.
+	maxReportDelay = 600 * time.Millisecond
+	// removalReportTime is how long peers are told that a limit was taken back.
+	removalReportTime = 10 * time.Second
 )
 
 // Reports gives what peers are to know, in order.
 func (l *Limits) Reports(now time.Time) []api.ServerLimit {
 	var r []api.ServerLimit
-	for n, w := range l.words {
-		if age := now.Sub(w.at); w.Named || age < liftTime {
+	for n, w := range l.notices {
+		if age := now.Sub(w.latest); w.Named || age < removalReportTime {
 			r = append(r, api.ServerLimit{
-				Server: n, Named: w.Named, PerSecond: float64(w.Rate), AgeMS: api.ToMilliseconds(age), OldestMS: api.ToMilliseconds(now.Sub(w.since)),
+				Server: n, Named: w.Named, PerSecond: float64(w.Rate), AgeMS: api.ToMilliseconds(age), OldestMS: api.ToMilliseconds(now.Sub(w.earliest)),
 			})
 		}
 	}
@@ -79,25 +79,25 @@
 // known, and reports whether it is new.
 func (l *Limits) Merge(now time.Time, r api.ServerLimit) bool {
 	x := Limit{Named: r.Named, Rate: Rate(r.PerSecond)}
-	w, ok := l.words[r.Server]
-	since := now.Add(-r.OldestMS.Duration() - wayTime)
+	w, ok := l.notices[r.Server]
+	since := now.Add(-r.OldestMS.Duration() - maxReportDelay)
 	switch {
 	case r.AgeMS < 0 || r.OldestMS < r.AgeMS || r.PerSecond < 0:
 		return false
 	case !x.Named && !ok:
 		return false
-	case ok && !since.After(w.at):
+	case ok && !since.After(w.latest):
 		return false
 	}
-	l.words[r.Server] = word{Limit: x, since: since, at: now.Add(-r.AgeMS.Duration())}
+	l.notices[r.Server] = notice{Limit: x, earliest: since, latest: now.Add(-r.AgeMS.Duration())}
 	return w.Limit != x
 }
 
 // Forget drops what servers that are gone have named.
 func (l *Limits) Forget(keep func(n api.ServerName) bool) {
-	for n := range l.words {
+	for n := range l.notices {
 		if !keep(n) {
-			delete(l.words, n)
+			delete(l.notices, n)
 		}
 	}
 }
--- a/internal/decide/throttle/limits_test.go
+++ b/internal/decide/throttle/limits_test.go
@@ -17,7 +17,7 @@
 	limit      throttle.Limit
 }
 
-func TestNewestWordHolds(t *testing.T) {
+func TestNewestAnswerWins(t *testing.T) {
 	two, three, none := throttle.Limit{Named: true, Rate: 2}, throttle.Limit{Named: true, Rate: 3}, throttle.Limit{}
 	tests := []struct {
 		name    string
@@ -39,7 +39,7 @@
 			l := throttle.NewLimits()
 			changes := 0
 			for _, a := range c.answers {
-				if l.Note(at(a.came), at(a.sent), "s", a.limit) {
+				if l.Record(at(a.came), at(a.sent), "s", a.limit) {
 					changes++
 				}
 			}
--- a/internal/decide/throttle/pacer_test.go
+++ b/internal/decide/throttle/pacer_test.go
@@ -16,8 +16,8 @@
 	return throttle.NewPacer(rand.New(rand.NewPCG(1, 2)))
 }
 
-// most is the most of some times within a span.
-func most(l []time.Time, span time.Duration) int {
+// maxInWindow is the maxInWindow of some times within a span.
+func maxInWindow(l []time.Time, span time.Duration) int {
 	slices.SortFunc(l, time.Time.Compare)
 	n := 0
 	for i, t := range l {
@@ -30,24 +30,24 @@
 	return n
 }
 
-func TestTurnsAreSpaced(t *testing.T) {
+func TestSlotsAreSpaced(t *testing.T) {
 	tests := []struct {
 		name  string
-		terms throttle.Terms
+		quota throttle.Quota
 		// seconds are asked for each 10 ms.
 		seconds, want int
 	}{
-		{"whole", throttle.Terms{Rate: 4, Members: 9}, 10, 40},
-		{"standby", throttle.Terms{Rate: 5, Part: throttle.Standby, Members: 9}, 10, 20},
-		{"a figure below one", throttle.Terms{Rate: 0.5}, 10, 5},
-		{"none at all, to learn of more", throttle.Terms{}, 40, 4},
-		{"alone", throttle.Terms{Rate: 10, Part: throttle.Alone, Members: 4}, 40, 10},
+		{"whole", throttle.Quota{Rate: 4, Members: 9}, 10, 40},
+		{"standby", throttle.Quota{Rate: 5, Share: throttle.Standby, Members: 9}, 10, 20},
+		{"a figure below one", throttle.Quota{Rate: 0.5}, 10, 5},
+		{"none at all, to learn of more", throttle.Quota{}, 40, 4},
+		{"alone", throttle.Quota{Rate: 10, Share: throttle.Alone, Members: 4}, 40, 10},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			p, got := newPacer(), 0
 			for ms := 0; ms < 1000*c.seconds; ms += 10 {
-				if _, ok := p.Take(at(ms), "s", c.terms, 0); ok {
+				if _, ok := p.Reserve(at(ms), "s", c.quota, 0); ok {
 					got++
 				}
 			}
@@ -58,65 +58,65 @@
 	}
 }
 
-func TestTurnIsWaitedFor(t *testing.T) {
-	p, x := newPacer(), throttle.Terms{Rate: 2}
-	p.Take(at(0), "s", x, 0)
-	if next, ok := p.Take(at(100), "s", x, 300*time.Millisecond); ok || !next.Equal(at(500)) {
+func TestReserveWaitsForNextSlot(t *testing.T) {
+	p, x := newPacer(), throttle.Quota{Rate: 2}
+	p.Reserve(at(0), "s", x, 0)
+	if next, ok := p.Reserve(at(100), "s", x, 300*time.Millisecond); ok || !next.Equal(at(500)) {
 		t.Errorf("too long: got %v and %v, want none, and the next at %v", ok, next, at(500))
 	}
-	if next, ok := p.Take(at(100), "s", x, 400*time.Millisecond); !ok || !next.Equal(at(500)) {
+	if next, ok := p.Reserve(at(100), "s", x, 400*time.Millisecond); !ok || !next.Equal(at(500)) {
 		t.Errorf("in time: got %v and %v, want it at %v", ok, next, at(500))
 	}
-	if next := p.Next(at(100), "s", x); !next.Equal(at(1000)) {
+	if next := p.NextSlot(at(100), "s", x); !next.Equal(at(1000)) {
 		t.Errorf("after it: got %v, want %v", next, at(1000))
 	}
-	p.Sent(at(1200), "s")
-	if next := p.Next(at(1210), "s", x); !next.Equal(at(1700)) {
+	p.RecordSend(at(1200), "s")
+	if next := p.NextSlot(at(1210), "s", x); !next.Equal(at(1700)) {
 		t.Errorf("after one that was not asked for: got %v, want %v", next, at(1700))
 	}
 }
 
-func TestTwoPacersKeepTheLimit(t *testing.T) {
+func TestTwoPacersStayWithinBurstBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 50).Draw(t, "rate")
-		parts := []throttle.Part{throttle.Whole, throttle.Standby}
+		parts := []throttle.Share{throttle.Whole, throttle.Standby}
 		pacers := []*throttle.Pacer{newPacer(), newPacer()}
 		var sent []time.Time
 		now := 0
 		for range 400 {
 			now += rapid.IntRange(0, 60).Draw(t, "pause")
 			i := rapid.IntRange(0, 1).Draw(t, "pacer")
-			x := throttle.Terms{Rate: throttle.Rate(rate), Part: parts[i]}
-			if next, ok := pacers[i].Take(at(now), "s", x, 75*time.Millisecond); ok {
+			x := throttle.Quota{Rate: throttle.Rate(rate), Share: parts[i]}
+			if next, ok := pacers[i].Reserve(at(now), "s", x, 75*time.Millisecond); ok {
 				sent = append(sent, next)
 			}
 		}
 		span := 4 * time.Second
-		if got, want := most(sent, span), int(1.5*rate*span.Seconds())+5; got > want {
+		if got, want := maxInWindow(sent, span), int(1.5*rate*span.Seconds())+5; got > want {
 			t.Fatalf("in %v at %.2f a second: got %d, want at most %d", span, rate, got, want)
 		}
 	})
 }
 
 // Entry VMs that reach nobody don't begin all at once.
-func TestThoseAloneAreSpread(t *testing.T) {
+func TestIsolatedVMsSpreadTheirSends(t *testing.T) {
 	const members = 60
-	x := throttle.Terms{Rate: 10, Part: throttle.Alone, Members: members}
+	x := throttle.Quota{Rate: 10, Share: throttle.Alone, Members: members}
 	var sent []time.Time
 	for i := range members {
 		p := throttle.NewPacer(rand.New(rand.NewPCG(uint64(i), 2)))
 		for ms := 0; ms < 60_000; ms += 50 {
-			if next, ok := p.Take(at(ms), "s", x, 0); ok {
+			if next, ok := p.Reserve(at(ms), "s", x, 0); ok {
 				sent = append(sent, next)
 			}
 		}
 	}
-	if got, want := most(sent, 4*time.Second), 65; got > want {
+	if got, want := maxInWindow(sent, 4*time.Second), 65; got > want {
 		t.Errorf("in 4 s: got %d, want at most %d", got, want)
 	}
 }
 
-func TestSplit(t *testing.T) {
+func TestPartitioned(t *testing.T) {
 	tests := []struct {
 		name string
 		// heard are the entry VMs heard each ten seconds.
@@ -135,9 +135,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			var f throttle.Fleet
 			for i, n := range c.heard {
-				f.Note(at(10_000*i), n)
+				f.Observe(at(10_000*i), n)
 			}
-			if got := f.Split(); got != c.want {
+			if got := f.Partitioned(); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
@@ -145,7 +145,7 @@
 }
 
 // What peers tell counts where it is newer for certain.
-func TestPeersTellLimits(t *testing.T) {
+func TestMergeTakesOnlyNewerReports(t *testing.T) {
 	two, none := throttle.Limit{Named: true, Rate: 2}, throttle.Limit{}
 	tests := []struct {
 		name string
@@ -169,7 +169,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := throttle.NewLimits()
 			if c.own != nil {
-				l.Note(at(10000), at(9990), "s", *c.own)
+				l.Record(at(10000), at(9990), "s", *c.own)
 			}
 			c.peer.Server = "s"
 			if c.peer.OldestMS == 0 {
@@ -185,9 +185,9 @@
 }
 
 // A word that goes back and forth between two entry VMs does not grow younger.
-func TestWordsOfPeersAge(t *testing.T) {
+func TestExchangedReportsKeepTheirAge(t *testing.T) {
 	a, b := throttle.NewLimits(), throttle.NewLimits()
-	a.Note(at(0), at(-10), "s", throttle.Limit{Named: true, Rate: 2})
+	a.Record(at(0), at(-10), "s", throttle.Limit{Named: true, Rate: 2})
 	for ms := 100; ms < 60_000; ms += 250 {
 		for _, r := range a.Reports(at(ms)) {
 			b.Merge(at(ms+200), r)
@@ -196,7 +196,7 @@
 			a.Merge(at(ms+240), r)
 		}
 	}
-	if !a.Note(at(60_000), at(1000), "s", throttle.Limit{}) {
+	if !a.Record(at(60_000), at(1000), "s", throttle.Limit{}) {
 		t.Error("an answer to a later request: got the limit kept, want it taken back")
 	}
 }
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -130,7 +130,7 @@
 // turn asks for a turn at once, unless it is known that there is none yet.
 func (g *Gateway) turn(ctx context.Context, x placement.Choice) permit {
 	g.mutex.Lock()
-	until, ok := g.picker.Pacer.Denied(time.Now(), x.Name)
+	until, ok := g.picker.Pacer.DeniedUntil(time.Now(), x.Name)
 	g.mutex.Unlock()
 	if ok {
 		return permit{at: until}
@@ -162,8 +162,8 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	t := throttle.Terms{Rate: r, Part: throttle.Alone, Members: g.picker.Table.Members(now)}
-	at, ok := g.picker.Pacer.Take(now, x.Name, t, patience)
+	t := throttle.Quota{Rate: r, Share: throttle.Alone, Members: g.picker.Table.Members(now)}
+	at, ok := g.picker.Pacer.Reserve(now, x.Name, t, patience)
 	return permit{granted: ok, at: at}
 }
 
@@ -192,14 +192,14 @@
 		// What is sent to a server is remembered only while it is known.
 		return permit{at: time.Now().Add(unknownWait)}
 	}
-	t := throttle.Terms{Rate: throttle.Rate(a.PerSecond), Part: throttle.Whole}
+	t := throttle.Quota{Rate: throttle.Rate(a.PerSecond), Share: throttle.Whole}
 	if r, ok := g.picker.Limits.Find(a.Server); ok {
 		t.Rate = min(t.Rate, r)
 	}
-	if a.Standby || g.fleet.Split() {
-		t.Part = throttle.Standby
+	if a.Standby || g.fleet.Partitioned() {
+		t.Share = throttle.Standby
 	}
-	at, ok := g.picker.Pacer.Take(time.Now(), a.Server, t, min(patience, patienceMost))
+	at, ok := g.picker.Pacer.Reserve(time.Now(), a.Server, t, min(patience, patienceMost))
 	return permit{granted: ok, at: at}
 }
 
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -51,7 +51,7 @@
 	g.picker.Engines.Expire(now)
 	n := g.picker.Table.Members(now)
 	g.Retries.Members(n)
-	g.fleet.Note(now, n)
+	g.fleet.Observe(now, n)
 	g.mutex.Unlock()
 	g.reopen(now)
 	g.judge()
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -104,7 +104,7 @@
 // noteAnswerLimit takes the limit in an answer, or that it names none.
 func (g *Gateway) noteAnswerLimit(sent time.Time, s roster.Server, l throttle.Limit) {
 	g.mutex.Lock()
-	changed := g.picker.Limits.Note(time.Now(), sent, s.Name, l)
+	changed := g.picker.Limits.Record(time.Now(), sent, s.Name, l)
 	g.mutex.Unlock()
 	if changed {
 		g.noteLimit(s.Name, l.Named, float64(l.Rate), false)
