--- a/internal/decide/throttle/doc.go
+++ b/internal/decide/throttle/doc.go
@@ -1,3 +1,3 @@
-// Package throttle keeps what backend servers themselves say of how much they take: limits
-// that hold over all entry VMs, and who may send under them when.
+// Package throttle keeps the rate limits that backend servers announce and spaces the requests
+// sent to them. A limit applies to all entry VMs together.
 package throttle
--- a/internal/decide/throttle/fleet.go
+++ b/internal/decide/throttle/fleet.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// peakWindow is how long the most entry VMs that were heard count. VMs that ended are replaced
-// sooner, and cuts between them seldom last longer.
+// peakWindow is how long the highest number of entry VMs counts. VMs that end are replaced
+// sooner, and network partitions between them seldom last longer.
 const peakWindow = time.Minute
 
-// Fleet knows how many entry VMs were heard lately.
+// Fleet tracks the current and the recent peak number of reachable entry VMs.
 type Fleet struct {
 	current int
 	peak    int
-	// peakSeen is when the most were last heard.
+	// peakSeen is when the peak was last observed.
 	peakSeen time.Time
 }
 
-// Observe takes the number of entry VMs that are heard, this one among them.
+// Observe records the number of reachable entry VMs, including this one.
 func (f *Fleet) Observe(now time.Time, members int) {
 	f.current = members
 	if members >= f.peak || now.Sub(f.peakSeen) > peakWindow {
@@ -22,14 +22,14 @@
 	}
 }
 
-// Peak is the most entry VMs that were heard lately: one that is cut off from the others has to
-// share with them all the same.
+// Peak returns the highest number of entry VMs reachable lately, at least one. An entry VM
+// that is cut off from the others still has to share limits with them.
 func (f *Fleet) Peak() int {
 	return max(1, f.peak)
 }
 
-// Partitioned reports whether half of the fleet or more is not heard, which may go on by itself
-// behind a cut.
+// Partitioned reports whether half of the fleet or more is unreachable and may be running by
+// itself on the other side of a network partition.
 func (f *Fleet) Partitioned() bool {
 	return f.peak > 1 && 2*f.current <= f.peak
 }
--- a/internal/decide/throttle/limits.go
+++ b/internal/decide/throttle/limits.go
@@ -8,37 +8,39 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Rate is in requests a second.
+// Rate is a number of requests per second.
 type Rate float64
 
-// Limit is what one answer of a server says: the rate that it takes from all entry VMs
-// together, or that it names none.
+// Limit is what one answer of a server announces: the rate that it accepts from all entry VMs
+// together, or no limit.
 type Limit struct {
+	// Named is set if the answer announces a limit.
 	Named bool
 	Rate  Rate
 }
 
-// notice is the newest notice on one server's limit.
+// notice is the newest announcement of one server's limit.
 type notice struct {
 	Limit
-	// earliest and latest are between which times the server said so: alike where it said so to this
-	// entry VM, apart by the way of the word where it came from a peer.
+	// earliest and latest are the times between which the server made the announcement. They
+	// are equal if it was made to this entry VM, and differ by the time in transit if a peer
+	// reported it.
 	earliest, latest time.Time
 }
 
-// Limits keeps the limits that servers have named.
+// Limits holds the limits that servers have announced.
 type Limits struct {
 	notices map[api.ServerName]notice
 }
 
-// NewLimits makes a record of no limits.
+// NewLimits creates an empty record of limits.
 func NewLimits() *Limits {
 	return &Limits{notices: map[api.ServerName]notice{}}
 }
 
-// Record takes what an answer says that came now to a request sent at a time, and reports
-// whether that is new. Answers overtake one another: one without a limit takes a limit back
-// only where its request was sent after the limit was last named.
+// Record applies the limit in an answer that arrived now to a request sent at a time, and
+// reports whether the limit changed. Answers may arrive out of order: an answer without a
+// limit removes one only if its request was sent after the limit was last announced.
 func (l *Limits) Record(now, sent time.Time, n api.ServerName, x Limit) bool {
 	w, ok := l.notices[n]
 	if !x.Named && (!ok || !w.Named || !sent.After(w.latest)) {
@@ -48,20 +50,20 @@
 	return w.Limit != x
 }
 
-// Find gives the limit that a server has in force.
+// Find returns the limit that a server has in force.
 func (l *Limits) Find(n api.ServerName) (Rate, bool) {
 	w := l.notices[n]
 	return w.Rate, w.Named
 }
 
 const (
-	// maxReportDelay is the most that a peer's word was on its way.
+	// maxReportDelay is the longest time that a peer's report is in transit.
 	maxReportDelay = 600 * time.Millisecond
-	// removalReportTime is how long peers are told that a limit was taken back.
+	// removalReportTime is how long the removal of a limit is reported to peers.
 	removalReportTime = 10 * time.Second
 )
 
-// Reports gives what peers are to know, in order.
+// Reports returns the limits and recent removals to report to peers, ordered by server.
 func (l *Limits) Reports(now time.Time) []api.ServerLimit {
 	var r []api.ServerLimit
 	for n, w := range l.notices {
@@ -75,8 +77,8 @@
 	return r
 }
 
-// Merge takes what a peer tells of a server, where that is newer for certain than what is
-// known, and reports whether it is new.
+// Merge applies a peer's report if it is certainly newer than what is known, and reports
+// whether the limit changed.
 func (l *Limits) Merge(now time.Time, r api.ServerLimit) bool {
 	x := Limit{Named: r.Named, Rate: Rate(r.PerSecond)}
 	w, ok := l.notices[r.Server]
@@ -93,7 +95,7 @@
 	return w.Limit != x
 }
 
-// Forget drops what servers that are gone have named.
+// Forget drops the limits of servers for which keep returns false.
 func (l *Limits) Forget(keep func(n api.ServerName) bool) {
 	for n := range l.notices {
 		if !keep(n) {
--- a/internal/decide/throttle/limits_test.go
+++ b/internal/decide/throttle/limits_test.go
@@ -11,10 +11,11 @@
 	return time.UnixMilli(1_000_000).Add(time.Duration(ms) * time.Millisecond)
 }
 
-// answer is one answer: when its request was sent, when it came, and what it says.
+// answer is an answer of a server: when its request was sent, when it arrived, and the limit
+// it announces.
 type answer struct {
-	sent, came int
-	limit      throttle.Limit
+	sent, arrived int
+	limit         throttle.Limit
 }
 
 func TestNewestAnswerWins(t *testing.T) {
@@ -23,23 +24,23 @@
 		name    string
 		answers []answer
 		want    throttle.Limit
-		// changes is how many of the answers say something new.
+		// changes is how many of the answers change the limit.
 		changes int
 	}{
-		{"none was ever named", []answer{{0, 10, none}}, none, 0},
-		{"named", []answer{{0, 10, two}, {5, 20, two}}, two, 1},
-		{"another figure", []answer{{0, 10, two}, {5, 20, three}}, three, 2},
-		{"taken back", []answer{{0, 10, two}, {20, 30, none}}, none, 2},
-		{"an answer that was on its way takes nothing back", []answer{{0, 10, two}, {5, 30, none}}, two, 1},
-		{"named again", []answer{{0, 10, two}, {20, 30, none}, {35, 40, two}}, two, 3},
-		{"of zero", []answer{{0, 10, throttle.Limit{Named: true}}}, throttle.Limit{Named: true}, 1},
+		{"no limit announced", []answer{{0, 10, none}}, none, 0},
+		{"announced", []answer{{0, 10, two}, {5, 20, two}}, two, 1},
+		{"different rate", []answer{{0, 10, two}, {5, 20, three}}, three, 2},
+		{"removed", []answer{{0, 10, two}, {20, 30, none}}, none, 2},
+		{"answer to an earlier request does not remove the limit", []answer{{0, 10, two}, {5, 30, none}}, two, 1},
+		{"announced again", []answer{{0, 10, two}, {20, 30, none}, {35, 40, two}}, two, 3},
+		{"limit of zero", []answer{{0, 10, throttle.Limit{Named: true}}}, throttle.Limit{Named: true}, 1},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			l := throttle.NewLimits()
 			changes := 0
 			for _, a := range c.answers {
-				if l.Record(at(a.came), at(a.sent), "s", a.limit) {
+				if l.Record(at(a.arrived), at(a.sent), "s", a.limit) {
 					changes++
 				}
 			}
--- a/internal/decide/throttle/pacer_test.go
+++ b/internal/decide/throttle/pacer_test.go
@@ -16,7 +16,7 @@
 	return throttle.NewPacer(rand.New(rand.NewPCG(1, 2)))
 }
 
-// maxInWindow is the maxInWindow of some times within a span.
+// maxInWindow returns the largest number of the given times that fall within one span.
 func maxInWindow(l []time.Time, span time.Duration) int {
 	slices.SortFunc(l, time.Time.Compare)
 	n := 0
@@ -34,13 +34,13 @@
 	tests := []struct {
 		name  string
 		quota throttle.Quota
-		// seconds are asked for each 10 ms.
+		// A slot is requested every 10 ms for some seconds.
 		seconds, want int
 	}{
 		{"whole", throttle.Quota{Rate: 4, Members: 9}, 10, 40},
 		{"standby", throttle.Quota{Rate: 5, Share: throttle.Standby, Members: 9}, 10, 20},
-		{"a figure below one", throttle.Quota{Rate: 0.5}, 10, 5},
-		{"none at all, to learn of more", throttle.Quota{}, 40, 4},
+		{"limit below one per second", throttle.Quota{Rate: 0.5}, 10, 5},
+		{"limit of zero, probed for its removal", throttle.Quota{}, 40, 4},
 		{"alone", throttle.Quota{Rate: 10, Share: throttle.Alone, Members: 4}, 40, 10},
 	}
 	for _, c := range tests {
@@ -52,7 +52,7 @@
 				}
 			}
 			if got < c.want-1 || got > c.want+1 {
-				t.Errorf("turns in %d s: got %d, want %d", c.seconds, got, c.want)
+				t.Errorf("slots in %d s: got %d, want %d", c.seconds, got, c.want)
 			}
 		})
 	}
@@ -62,31 +62,31 @@
 	p, x := newPacer(), throttle.Quota{Rate: 2}
 	p.Reserve(at(0), "s", x, 0)
 	if next, ok := p.Reserve(at(100), "s", x, 300*time.Millisecond); ok || !next.Equal(at(500)) {
-		t.Errorf("too long: got %v and %v, want none, and the next at %v", ok, next, at(500))
+		t.Errorf("wait too long: got reserved %v, next %v, want false, next %v", ok, next, at(500))
 	}
 	if next, ok := p.Reserve(at(100), "s", x, 400*time.Millisecond); !ok || !next.Equal(at(500)) {
-		t.Errorf("in time: got %v and %v, want it at %v", ok, next, at(500))
+		t.Errorf("wait within bound: got reserved %v, slot %v, want true, slot %v", ok, next, at(500))
 	}
 	if next := p.NextSlot(at(100), "s", x); !next.Equal(at(1000)) {
-		t.Errorf("after it: got %v, want %v", next, at(1000))
+		t.Errorf("next slot after the reserved one: got %v, want %v", next, at(1000))
 	}
 	p.RecordSend(at(1200), "s")
 	if next := p.NextSlot(at(1210), "s", x); !next.Equal(at(1700)) {
-		t.Errorf("after one that was not asked for: got %v, want %v", next, at(1700))
+		t.Errorf("next slot after a send without a slot: got %v, want %v", next, at(1700))
 	}
 }
 
 func TestTwoPacersStayWithinBurstBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 50).Draw(t, "rate")
-		parts := []throttle.Share{throttle.Whole, throttle.Standby}
+		shares := []throttle.Share{throttle.Whole, throttle.Standby}
 		pacers := []*throttle.Pacer{newPacer(), newPacer()}
 		var sent []time.Time
 		now := 0
 		for range 400 {
 			now += rapid.IntRange(0, 60).Draw(t, "pause")
 			i := rapid.IntRange(0, 1).Draw(t, "pacer")
-			x := throttle.Quota{Rate: throttle.Rate(rate), Share: parts[i]}
+			x := throttle.Quota{Rate: throttle.Rate(rate), Share: shares[i]}
 			if next, ok := pacers[i].Reserve(at(now), "s", x, 75*time.Millisecond); ok {
 				sent = append(sent, next)
 			}
@@ -98,7 +98,7 @@
 	})
 }
 
-// Entry VMs that reach nobody don't begin all at once.
+// Isolated entry VMs must not all send their first request at once.
 func TestIsolatedVMsSpreadTheirSends(t *testing.T) {
 	const members = 60
 	x := throttle.Quota{Rate: 10, Share: throttle.Alone, Members: members}
@@ -119,22 +119,22 @@
 func TestPartitioned(t *testing.T) {
 	tests := []struct {
 		name string
-		// heard are the entry VMs heard each ten seconds.
-		heard []int
-		want  bool
+		// reachable is the number of reachable entry VMs, observed every ten seconds.
+		reachable []int
+		want      bool
 	}{
-		{"one alone", []int{1}, false},
-		{"all", []int{1, 3, 6}, false},
-		{"few gone", []int{6, 4}, false},
-		{"half", []int{6, 3}, true},
+		{"only one", []int{1}, false},
+		{"growing", []int{1, 3, 6}, false},
+		{"few lost", []int{6, 4}, false},
+		{"half lost", []int{6, 3}, true},
 		{"cut off", []int{6, 1}, true},
-		{"back", []int{6, 1, 5}, false},
-		{"gone for good", []int{6, 2, 2, 2, 2, 2, 2, 2, 2}, false},
+		{"reachable again", []int{6, 1, 5}, false},
+		{"lost for good", []int{6, 2, 2, 2, 2, 2, 2, 2, 2}, false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			var f throttle.Fleet
-			for i, n := range c.heard {
+			for i, n := range c.reachable {
 				f.Observe(at(10_000*i), n)
 			}
 			if got := f.Partitioned(); got != c.want {
@@ -144,32 +144,32 @@
 	}
 }
 
-// What peers tell counts where it is newer for certain.
+// A peer's report is applied only if it is certainly newer than what is known.
 func TestMergeTakesOnlyNewerReports(t *testing.T) {
 	two, none := throttle.Limit{Named: true, Rate: 2}, throttle.Limit{}
 	tests := []struct {
 		name string
-		// own comes at 10,000 ms, nil for nothing; the peer's word at 20,000 ms.
-		own  *throttle.Limit
-		peer api.ServerLimit
-		want throttle.Limit
+		// local is recorded at 10,000 ms, unless nil; the peer's report arrives at 20,000 ms.
+		local *throttle.Limit
+		peer  api.ServerLimit
+		want  throttle.Limit
 	}{
 		{"nothing known", nil, api.ServerLimit{Named: true, PerSecond: 2, AgeMS: 60000}, two},
-		{"nothing known, taken back", nil, api.ServerLimit{}, none},
+		{"nothing known, removed", nil, api.ServerLimit{}, none},
 		{"newer", &two, api.ServerLimit{Named: true, PerSecond: 5, AgeMS: 5000}, throttle.Limit{Named: true, Rate: 5}},
-		{"newer and taken back", &two, api.ServerLimit{AgeMS: 5000}, none},
+		{"newer and removed", &two, api.ServerLimit{AgeMS: 5000}, none},
 		{"older", &two, api.ServerLimit{AgeMS: 15000}, two},
-		{"perhaps older by its way before", &two, api.ServerLimit{AgeMS: 5000, OldestMS: 9600}, two},
-		{"younger than its youngest time", &two, api.ServerLimit{AgeMS: 5000, OldestMS: 4000}, two},
-		{"perhaps older", &two, api.ServerLimit{AgeMS: 9900}, two},
-		{"a time that can't be", &two, api.ServerLimit{AgeMS: -5000}, two},
-		{"a figure that can't be", nil, api.ServerLimit{Named: true, PerSecond: -1}, none},
+		{"possibly older, given its earlier transit", &two, api.ServerLimit{AgeMS: 5000, OldestMS: 9600}, two},
+		{"oldest age below the youngest", &two, api.ServerLimit{AgeMS: 5000, OldestMS: 4000}, two},
+		{"possibly older, given its own transit", &two, api.ServerLimit{AgeMS: 9900}, two},
+		{"negative age", &two, api.ServerLimit{AgeMS: -5000}, two},
+		{"negative rate", nil, api.ServerLimit{Named: true, PerSecond: -1}, none},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			l := throttle.NewLimits()
-			if c.own != nil {
-				l.Record(at(10000), at(9990), "s", *c.own)
+			if c.local != nil {
+				l.Record(at(10000), at(9990), "s", *c.local)
 			}
 			c.peer.Server = "s"
 			if c.peer.OldestMS == 0 {
@@ -184,7 +184,8 @@
 	}
 }
 
-// A word that goes back and forth between two entry VMs does not grow younger.
+// A report that two entry VMs send to each other again and again must keep its age. If it
+// seemed newer each time, an answer that removes the limit would be taken for out of date.
 func TestExchangedReportsKeepTheirAge(t *testing.T) {
 	a, b := throttle.NewLimits(), throttle.NewLimits()
 	a.Record(at(0), at(-10), "s", throttle.Limit{Named: true, Rate: 2})
@@ -197,6 +198,6 @@
 		}
 	}
 	if !a.Record(at(60_000), at(1000), "s", throttle.Limit{}) {
-		t.Error("an answer to a later request: got the limit kept, want it taken back")
+		t.Error("answer to a later request: got the limit kept, want it removed")
 	}
 }
