--- a/internal/decide/silence/silence.go
+++ b/internal/decide/silence/silence.go
@@ -7,110 +7,110 @@
 )
 
 const (
-	// waitShare is the part of the longest good pause after which a silent
+	// waitFraction is the part of the longest good pause after which a silent
 	// stream's server is asked, and askShare the part that its answer may take;
 	// the rest is left to go on elsewhere.
-	waitShare = 0.5
-	askShare  = 0.25
-	// gapDefault is the longest good pause where a route names none: what a
+	waitFraction         = 0.5
+	queryTimeoutFraction = 0.25
+	// defaultGap is the longest good pause where a route names none: what a
 	// reader notices.
-	gapDefault = time.Second
-	// askLeast bounds the answer's time from below: a new connection and a
+	defaultGap = time.Second
+	// minQueryTimeout bounds the answer's time from below: a new connection and a
 	// question within a region take a few ms, and a loaded VM as much again.
-	askLeast = 30 * time.Millisecond
-	// waitMost bounds the pauses between questions, which double.
-	waitMost = 2 * time.Second
+	minQueryTimeout = 30 * time.Millisecond
+	// maxQueryDelay bounds the pauses between questions, which double.
+	maxQueryDelay = 2 * time.Second
 )
 
 // Watch is how long one stream may be silent.
 type Watch struct {
-	gap   time.Duration
-	asked int
+	maxGap  time.Duration
+	queries int
 }
 
 // NewWatch watches a stream whose pauses are good up to a time, zero for not
 // known.
 func NewWatch(gap time.Duration) *Watch {
 	if gap <= 0 {
-		gap = gapDefault
+		gap = defaultGap
 	}
-	return &Watch{gap: gap}
+	return &Watch{maxGap: gap}
 }
 
-// Heard notes an event.
-func (w *Watch) Heard() {
-	w.asked = 0
+// RecordEvent notes an event.
+func (w *Watch) RecordEvent() {
+	w.queries = 0
 }
 
-// Asked notes that the server was asked and that the stream is to wait on.
-func (w *Watch) Asked() {
-	w.asked++
+// RecordQuery notes that the server was asked and that the stream is to wait on.
+func (w *Watch) RecordQuery() {
+	w.queries++
 }
 
-// Wait is the time from now on until the server is asked, if no event comes.
-func (w *Watch) Wait() time.Duration {
-	d := time.Duration(waitShare * float64(w.gap))
-	return min(d<<min(w.asked, 8), waitMost)
+// QueryDelay is the time from now on until the server is asked, if no event comes.
+func (w *Watch) QueryDelay() time.Duration {
+	d := time.Duration(waitFraction * float64(w.maxGap))
+	return min(d<<min(w.queries, 8), maxQueryDelay)
 }
 
-// Bound is the time that the server's answer may take.
-func (w *Watch) Bound() time.Duration {
-	return max(askLeast, time.Duration(askShare*float64(w.gap)))
+// QueryTimeout is the time that the server's answer may take.
+func (w *Watch) QueryTimeout() time.Duration {
+	return max(minQueryTimeout, time.Duration(queryTimeoutFraction*float64(w.maxGap)))
 }
 
-// hedgeShare is the part of the bound after which a server that has not answered
+// hedgeFraction is the part of the bound after which a server that has not answered
 // is asked a second time: most answers take less.
-const hedgeShare = 0.3
+const hedgeFraction = 0.3
 
-// Hedge is when a server is asked a second time within a bound.
-func Hedge(bound time.Duration) time.Duration {
-	return time.Duration(hedgeShare * float64(bound))
+// HedgeDelay is when a server is asked a second time within a bound.
+func HedgeDelay(timeout time.Duration) time.Duration {
+	return time.Duration(hedgeFraction * float64(timeout))
 }
 
 const (
-	// holderShare is the part of the bound in which the server that holds a copy
+	// backupFraction is the part of the bound in which the server that holds a copy
 	// has to answer, to show that servers can be reached now: most answers take
 	// less than a tenth.
-	holderShare = 0.3
-	// holderLeast bounds that time from below, for VMs that are slow themselves.
-	holderLeast = 12 * time.Millisecond
+	backupFraction = 0.3
+	// minBackupTimeout bounds that time from below, for VMs that are slow themselves.
+	minBackupTimeout = 12 * time.Millisecond
 )
 
-// HolderBound is the time in which the server that holds a copy has to answer.
-func (w *Watch) HolderBound() time.Duration {
-	return max(holderLeast, time.Duration(holderShare*float64(w.Bound())))
+// BackupTimeout is the time in which the server that holds a copy has to answer.
+func (w *Watch) BackupTimeout() time.Duration {
+	return max(minBackupTimeout, time.Duration(backupFraction*float64(w.QueryTimeout())))
 }
 
-// Answer is what a server said, or did not say, when it was asked about its
+// QueryResult is what a server said, or did not say, when it was asked about its
 // runs.
-type Answer struct {
+type QueryResult struct {
 	At time.Time
-	// Reached is unset where no answer came within the bound.
-	Reached bool
-	// Late is by how much the question itself ran over its time: this process
+	// Answered is unset where no answer came within the bound.
+	Answered bool
+	// Overrun is by how much the question itself ran over its time: this process
 	// did not run, which says nothing of the server.
-	Late time.Duration
-	// Made is the number of events of each run that the server told of; its
+	Overrun time.Duration
+	// Produced is the number of events of each run that the server told of; its
 	// figures are some hundred ms old.
-	Made map[api.RequestID]int
+	Produced map[api.RequestID]int
 }
 
-// Dark reports whether the server did not answer in time, and not because this
+// Unresponsive reports whether the server did not answer in time, and not because this
 // process did not run.
-func (a Answer) Dark() bool {
-	return !a.Reached && !Late(a.Late)
+func (a QueryResult) Unresponsive() bool {
+	return !a.Answered && !ProcessStalled(a.Overrun)
 }
 
 // Stream is what is known here of a silent stream.
 type Stream struct {
 	Request api.RequestID
-	// Events is how many were passed on, and Silent how long none came.
-	Events int
-	Silent time.Duration
-	// Copy is set where a copy of the run is held by a server that answers at
+	// Delivered is how many were passed on, and Silent how long none came.
+	Delivered int
+	SilentFor time.Duration
+	// HasBackup is set where a copy of the run is held by a server that answers at
 	// once. If that one is silent too, it is this process, its links or all
 	// servers that are slow, and a run that is alive must not be given up.
-	Copy bool
+	HasBackup bool
 }
 
 // Verdict is what to do.
@@ -133,44 +133,44 @@
 }
 
 const (
-	// fetchAfter is the silence from which a run that goes on at its server
+	// minFetchSilence is the silence from which a run that goes on at its server
 	// counts as cut off: a lost packet is sent again after 200 to 400 ms, and is
 	// waited for.
-	fetchAfter = 600 * time.Millisecond
-	// fetchAhead is how many events more than arrived here the server has to
+	minFetchSilence = 600 * time.Millisecond
+	// minFetchLead is how many events more than arrived here the server has to
 	// have made; one may be on its way.
-	fetchAhead = 2
-	// lateMost is by how much own timers may be late before what they tell is
+	minFetchLead = 2
+	// maxTimerLateness is by how much own timers may be late before what they tell is
 	// not trusted: the usual lateness is below 5 ms.
-	lateMost = 20 * time.Millisecond
+	maxTimerLateness = 20 * time.Millisecond
 )
 
-// Late reports whether own timers are so late that this process hardly runs, and
+// ProcessStalled reports whether own timers are so late that this process hardly runs, and
 // what they tell is not trusted.
-func Late(d time.Duration) bool {
-	return d > lateMost
+func ProcessStalled(d time.Duration) bool {
+	return d > maxTimerLateness
 }
 
-// sweepMost is how late a stream may be looked into where this process runs as
+// maxInspectionDelay is how late a stream may be looked into where this process runs as
 // it should: the pause of the clock that does so at the latest, 250 ms, and a
 // little more.
-const sweepMost = 300 * time.Millisecond
+const maxInspectionDelay = 300 * time.Millisecond
 
-// Behind reports whether it is this process that is behind, so that a question
+// ProcessBehind reports whether it is this process that is behind, so that a question
 // would only make it slower: a stream is looked into long after its time, or
 // bytes wait unread on its connection.
-func Behind(late time.Duration, waiting bool) bool {
-	return late > sweepMost || waiting
+func ProcessBehind(late time.Duration, unread bool) bool {
+	return late > maxInspectionDelay || unread
 }
 
-// Judge decides on a silent stream by its server's answer.
-func Judge(s Stream, a Answer) Verdict {
+// Decide decides on a silent stream by its server's answer.
+func Decide(s Stream, a QueryResult) Verdict {
 	switch {
-	case Late(a.Late):
+	case ProcessStalled(a.Overrun):
 		return Wait
-	case a.Dark() && s.Copy:
+	case a.Unresponsive() && s.HasBackup:
 		return Abandon
-	case a.Reached && s.Silent >= fetchAfter && a.Made[s.Request] >= s.Events+fetchAhead:
+	case a.Answered && s.SilentFor >= minFetchSilence && a.Produced[s.Request] >= s.Delivered+minFetchLead:
 		return Fetch
 	default:
 		return Wait
@@ -178,44 +178,44 @@
 }
 
 const (
-	// reachedFor is how long an answer stands for other streams of the server,
+	// answeredTTL is how long an answer stands for other streams of the server,
 	// whose own figures are that old anyway.
-	reachedFor = 300 * time.Millisecond
-	// silentFor is how long a missing answer stands: the streams of a server
+	answeredTTL = 300 * time.Millisecond
+	// unansweredTTL is how long a missing answer stands: the streams of a server
 	// that ends fall silent within one step.
-	silentFor = 100 * time.Millisecond
+	unansweredTTL = 100 * time.Millisecond
 )
 
-// Answers keeps the newest answer of each server.
-type Answers struct {
-	byServer map[api.ServerName]Answer
+// ResultCache keeps the newest answer of each server.
+type ResultCache struct {
+	byServer map[api.ServerName]QueryResult
 }
 
-// NewAnswers keeps none yet.
-func NewAnswers() *Answers {
-	return &Answers{byServer: map[api.ServerName]Answer{}}
+// NewResultCache keeps none yet.
+func NewResultCache() *ResultCache {
+	return &ResultCache{byServer: map[api.ServerName]QueryResult{}}
 }
 
-// Note keeps an answer.
-func (k *Answers) Note(n api.ServerName, a Answer) {
+// Put keeps an answer.
+func (k *ResultCache) Put(n api.ServerName, a QueryResult) {
 	k.byServer[n] = a
 }
 
-// Recent gives the newest answer of a server while it stands.
-func (k *Answers) Recent(now time.Time, n api.ServerName) (Answer, bool) {
+// Get gives the newest answer of a server while it stands.
+func (k *ResultCache) Get(now time.Time, n api.ServerName) (QueryResult, bool) {
 	a, ok := k.byServer[n]
 	if !ok {
 		return a, false
 	}
-	d := silentFor
-	if a.Reached {
-		d = reachedFor
+	d := unansweredTTL
+	if a.Answered {
+		d = answeredTTL
 	}
 	return a, now.Sub(a.At) < d
 }
 
 // Forget drops the answers of servers that are gone.
-func (k *Answers) Forget(keep func(n api.ServerName) bool) {
+func (k *ResultCache) Forget(keep func(n api.ServerName) bool) {
 	for n := range k.byServer {
 		if !keep(n) {
 			delete(k.byServer, n)
--- a/internal/decide/silence/silence_test.go
+++ b/internal/decide/silence/silence_test.go
@@ -10,39 +10,39 @@
 
 const gap = 180 * time.Millisecond
 
-func TestWait(t *testing.T) {
+func TestQueryDelay(t *testing.T) {
 	w := silence.NewWatch(gap)
-	if got, want := w.Wait(), gap/2; got != want {
+	if got, want := w.QueryDelay(), gap/2; got != want {
 		t.Errorf("at first: got %v, want %v", got, want)
 	}
-	if got := w.Wait() + w.Bound(); got >= gap {
+	if got := w.QueryDelay() + w.QueryTimeout(); got >= gap {
 		t.Errorf("until the answer is due: got %v, want time left to go on within %v", got, gap)
 	}
-	w.Asked()
-	if got, want := w.Wait(), gap; got != want {
+	w.RecordQuery()
+	if got, want := w.QueryDelay(), gap; got != want {
 		t.Errorf("after a question: got %v, want %v", got, want)
 	}
 	for range 100 {
-		w.Asked()
+		w.RecordQuery()
 	}
-	if got, want := w.Wait(), 2*time.Second; got != want {
+	if got, want := w.QueryDelay(), 2*time.Second; got != want {
 		t.Errorf("after a hundred questions: got %v, want %v", got, want)
 	}
-	w.Heard()
-	if got, want := w.Wait(), gap/2; got != want {
+	w.RecordEvent()
+	if got, want := w.QueryDelay(), gap/2; got != want {
 		t.Errorf("after an event: got %v, want %v", got, want)
 	}
-	if got := silence.NewWatch(0).Wait(); got <= 0 || got > time.Second {
+	if got := silence.NewWatch(0).QueryDelay(); got <= 0 || got > time.Second {
 		t.Errorf("without an aim: got %v, want a time that readers notice", got)
 	}
 }
 
-func TestJudge(t *testing.T) {
-	made := func(n int) silence.Answer {
-		return silence.Answer{Reached: true, Made: map[api.RequestID]int{"r": n}}
+func TestDecide(t *testing.T) {
+	made := func(n int) silence.QueryResult {
+		return silence.QueryResult{Answered: true, Produced: map[api.RequestID]int{"r": n}}
 	}
-	none := silence.Answer{}
-	stream := silence.Stream{Request: "r", Events: 10, Silent: time.Second, Copy: true}
+	none := silence.QueryResult{}
+	stream := silence.Stream{Request: "r", Delivered: 10, SilentFor: time.Second, HasBackup: true}
 	with := func(change func(s *silence.Stream)) silence.Stream {
 		s := stream
 		change(&s)
@@ -51,33 +51,33 @@
 	for _, c := range []struct {
 		name   string
 		stream silence.Stream
-		answer silence.Answer
+		answer silence.QueryResult
 		want   silence.Verdict
 	}{
 		{"no answer, a copy elsewhere", stream, none, silence.Abandon},
-		{"no answer, no copy", with(func(s *silence.Stream) { s.Copy = false }), none, silence.Wait},
-		{"the question ran over its time", stream, silence.Answer{Late: time.Second}, silence.Wait},
+		{"no answer, no copy", with(func(s *silence.Stream) { s.HasBackup = false }), none, silence.Wait},
+		{"the question ran over its time", stream, silence.QueryResult{Overrun: time.Second}, silence.Wait},
 		{"the server is slow", stream, made(10), silence.Wait},
 		{"one event on its way", stream, made(11), silence.Wait},
 		{"events are made and don't arrive", stream, made(30), silence.Fetch},
-		{"the same, not for long", with(func(s *silence.Stream) { s.Silent = gap }), made(30), silence.Wait},
-		{"the run is not told of", stream, silence.Answer{Reached: true}, silence.Wait},
+		{"the same, not for long", with(func(s *silence.Stream) { s.SilentFor = gap }), made(30), silence.Wait},
+		{"the run is not told of", stream, silence.QueryResult{Answered: true}, silence.Wait},
 	} {
-		if got := silence.Judge(c.stream, c.answer); got != c.want {
+		if got := silence.Decide(c.stream, c.answer); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestLate(t *testing.T) {
+func TestProcessStalled(t *testing.T) {
 	for d, want := range map[time.Duration]bool{-time.Second: false, 5 * time.Millisecond: false, 50 * time.Millisecond: true} {
-		if got := silence.Late(d); got != want {
+		if got := silence.ProcessStalled(d); got != want {
 			t.Errorf("%v: got %v, want %v", d, got, want)
 		}
 	}
 }
 
-func TestBehind(t *testing.T) {
+func TestProcessBehind(t *testing.T) {
 	for _, c := range []struct {
 		late    time.Duration
 		waiting bool
@@ -88,17 +88,17 @@
 		{time.Second, false, true},
 		{0, true, true},
 	} {
-		if got := silence.Behind(c.late, c.waiting); got != c.want {
+		if got := silence.ProcessBehind(c.late, c.waiting); got != c.want {
 			t.Errorf("late %v, bytes waiting %v: got %v, want %v", c.late, c.waiting, got, c.want)
 		}
 	}
 }
 
-func TestAnswersStandForAWhile(t *testing.T) {
+func TestCachedResultsExpire(t *testing.T) {
 	now := time.Now()
-	k := silence.NewAnswers()
-	k.Note("up", silence.Answer{At: now, Reached: true})
-	k.Note("down", silence.Answer{At: now})
+	k := silence.NewResultCache()
+	k.Put("up", silence.QueryResult{At: now, Answered: true})
+	k.Put("down", silence.QueryResult{At: now})
 	for _, c := range []struct {
 		server api.ServerName
 		after  time.Duration
@@ -110,12 +110,12 @@
 		{"down", 200 * time.Millisecond, false},
 		{"unknown", 0, false},
 	} {
-		if _, got := k.Recent(now.Add(c.after), c.server); got != c.want {
+		if _, got := k.Get(now.Add(c.after), c.server); got != c.want {
 			t.Errorf("%s after %v: got %v, want %v", c.server, c.after, got, c.want)
 		}
 	}
 	k.Forget(func(n api.ServerName) bool { return n == "down" })
-	if _, got := k.Recent(now, "up"); got {
+	if _, got := k.Get(now, "up"); got {
 		t.Error("a server that is gone: got its answer, want none")
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -95,7 +95,7 @@
 	observations *holder.Observations
 	// answers are what servers of silent streams said; inquiries lets one
 	// question serve all streams of a server.
-	answers   *silence.Answers
+	answers   *silence.ResultCache
 	inquiries singleflight.Group
 	watchdog  *watchdog
 }
@@ -115,7 +115,7 @@
 		domains: placement.NewDomains(), contacts: holder.NewContacts(), reports: holder.NewReports(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
 		Parts: p, roster: roster.New(), picker: placement.NewPicker(rand.NewPCG(p.Seed, 0)),
 		runs: map[api.ServerName]map[*run]bool{}, admissions: map[api.ServiceName]*admission{},
-		answers: silence.NewAnswers(), watchdog: newWatchdog(),
+		answers: silence.NewResultCache(), watchdog: newWatchdog(),
 	}
 	g.Backends = observed{p.Backends, g}
 	return g
--- a/internal/gateway/inquiry.go
+++ b/internal/gateway/inquiry.go
@@ -13,32 +13,32 @@
 
 // inquire asks a server about its runs, once for all streams that are silent at
 // the same time.
-func (g *Gateway) inquire(ctx context.Context, s roster.Server, bound time.Duration) silence.Answer {
+func (g *Gateway) inquire(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
 	x, _, _ := g.inquiries.Do(string(s.Name), func() (any, error) {
 		g.mutex.Lock()
-		a, ok := g.answers.Recent(time.Now(), s.Name)
+		a, ok := g.answers.Get(time.Now(), s.Name)
 		g.mutex.Unlock()
 		if ok {
 			return a, nil
 		}
 		return g.question(ctx, s, bound), nil
 	})
-	return x.(silence.Answer)
+	return x.(silence.QueryResult)
 }
 
 // question is inquire without an answer in hand.
-func (g *Gateway) question(ctx context.Context, s roster.Server, bound time.Duration) silence.Answer {
+func (g *Gateway) question(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
 	began := time.Now()
 	p, err := g.report(ctx, s, bound)
 	now := time.Now()
-	a := silence.Answer{At: now, Reached: err == nil, Late: now.Sub(began) - bound, Made: p.Made}
+	a := silence.QueryResult{At: now, Answered: err == nil, Overrun: now.Sub(began) - bound, Produced: p.Made}
 	g.mutex.Lock()
-	g.answers.Note(s.Name, a)
+	g.answers.Put(s.Name, a)
 	g.mutex.Unlock()
 	if port.Refused(err) {
 		g.Contents.Ended(s.Name)
 	}
-	if a.Dark() {
+	if a.Unresponsive() {
 		g.note(s, placement.Lost)
 	}
 	g.told(s, p, err)
@@ -51,7 +51,7 @@
 	c, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	replies := make(chan reply, 2)
-	for _, after := range []time.Duration{0, silence.Hedge(bound)} {
+	for _, after := range []time.Duration{0, silence.HedgeDelay(bound)} {
 		g.Group.Go(func(context.Context) error {
 			replies <- g.reportAfter(c, s, after)
 			return nil
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -49,7 +49,7 @@
 	l.waits++
 	l.waiting = true
 	l.since = time.Now()
-	l.due = l.since.Add(l.watch.Wait())
+	l.due = l.since.Add(l.watch.QueryDelay())
 }
 
 // heard ends a wait.
@@ -57,7 +57,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.waiting = false
-	l.watch.Heard()
+	l.watch.RecordEvent()
 }
 
 // left is the time until the stream is to be looked into.
@@ -65,7 +65,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !l.waiting || l.inspecting {
-		return l.watch.Wait()
+		return l.watch.QueryDelay()
 	}
 	return l.due.Sub(now)
 }
@@ -74,7 +74,7 @@
 func (l *listener) pause() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.watch.Wait()
+	return l.watch.QueryDelay()
 }
 
 // begin looks into a wait that has become long.
@@ -97,26 +97,26 @@
 // meanwhile.
 func (l *listener) inspect(ctx context.Context, late time.Duration) {
 	l.mutex.Lock()
-	wait, bound := l.waits, l.watch.Bound()
+	wait, bound := l.waits, l.watch.QueryTimeout()
 	waiting := l.waiting
 	l.mutex.Unlock()
 	if !waiting {
 		return
 	}
-	if silence.Behind(late, l.stream.Waiting()) {
+	if silence.ProcessBehind(late, l.stream.Waiting()) {
 		l.again(wait)
 		return
 	}
 	a := l.gateway.inquire(ctx, l.server, bound)
-	copied := a.Dark() && l.holderAnswers(ctx)
+	copied := a.Unresponsive() && l.holderAnswers(ctx)
 	s, ok := l.state(wait)
 	if !ok {
 		return
 	}
-	s.Copy = copied
-	v := silence.Judge(s, a)
+	s.HasBackup = copied
+	v := silence.Decide(s, a)
 	l.gateway.Metrics.Add(metric.SilentStreams, 1)
-	l.gateway.Log.Emit(event.StreamSilent, zap.String("request", string(s.Request)), zap.String("server", string(l.server.Name)), zap.Int("events", s.Events), zap.Duration("silent", s.Silent), zap.Bool("reached", a.Reached), zap.Int("made", a.Made[s.Request]), zap.String("verdict", v.String()))
+	l.gateway.Log.Emit(event.StreamSilent, zap.String("request", string(s.Request)), zap.String("server", string(l.server.Name)), zap.Int("events", s.Delivered), zap.Duration("silent", s.SilentFor), zap.Bool("reached", a.Answered), zap.Int("made", a.Produced[s.Request]), zap.String("verdict", v.String()))
 	if v == silence.Abandon || v == silence.Fetch && l.gateway.fetch(ctx, l.run, l.server) {
 		l.stream.Close()
 		return
@@ -132,7 +132,7 @@
 		return false
 	}
 	l.mutex.Lock()
-	bound := l.watch.HolderBound()
+	bound := l.watch.BackupTimeout()
 	l.mutex.Unlock()
 	c, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
@@ -143,10 +143,10 @@
 // state describes the stream in a wait; it reports false once that is over.
 func (l *listener) state(wait int) (silence.Stream, bool) {
 	_, n := l.run.progress()
-	s := silence.Stream{Request: l.run.request.ID, Events: n}
+	s := silence.Stream{Request: l.run.request.ID, Delivered: n}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	s.Silent = time.Since(l.since)
+	s.SilentFor = time.Since(l.since)
 	return s, l.waiting && l.waits == wait
 }
 
@@ -155,8 +155,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.waiting && l.waits == wait {
-		l.watch.Asked()
-		l.due = time.Now().Add(l.watch.Wait())
+		l.watch.RecordQuery()
+		l.due = time.Now().Add(l.watch.QueryDelay())
 	}
 }
 
