--- a/internal/decide/silence/doc.go
+++ b/internal/decide/silence/doc.go
@@ -1,3 +1,3 @@
-// Package silence decides what becomes of a stream whose server says nothing:
-// wait, go on from a copy of the run, or stop the run and fetch it.
+// Package silence decides what to do with a stream that no longer receives events from its
+// server: wait, resume from a backup copy of the run, or stop the run and fetch its state.
 package silence
--- a/internal/decide/silence/silence.go
+++ b/internal/decide/silence/silence.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// waitFraction is the part of the longest good pause after which a silent
-	// stream's server is asked, and askShare the part that its answer may take;
-	// the rest is left to go on elsewhere.
+	// waitFraction is the part of the longest acceptable pause after which the server of a
+	// silent stream is queried, and queryTimeoutFraction the part that its answer may take.
+	// The remainder is left for resuming elsewhere.
 	waitFraction         = 0.5
 	queryTimeoutFraction = 0.25
-	// defaultGap is the longest good pause where a route names none: what a
-	// reader notices.
+	// defaultGap is the longest acceptable pause if the route sets none: a pause that a reader
+	// notices.
 	defaultGap = time.Second
-	// minQueryTimeout bounds the answer's time from below: a new connection and a
-	// question within a region take a few ms, and a loaded VM as much again.
+	// minQueryTimeout is the minimum time allowed for an answer. A new connection and a query
+	// within a region take a few ms, and as much again on a loaded VM.
 	minQueryTimeout = 30 * time.Millisecond
-	// maxQueryDelay bounds the pauses between questions, which double.
+	// maxQueryDelay bounds the pauses between queries, which double.
 	maxQueryDelay = 2 * time.Second
 )
 
-// Watch is how long one stream may be silent.
+// Watch determines when the server of one silent stream is queried.
 type Watch struct {
-	maxGap  time.Duration
+	maxGap time.Duration
+	// queries counts the queries since the last event.
 	queries int
 }
 
-// NewWatch watches a stream whose pauses are good up to a time, zero for not
-// known.
+// NewWatch creates a watch for a stream whose pauses are acceptable up to gap; zero means the
+// default.
 func NewWatch(gap time.Duration) *Watch {
 	if gap <= 0 {
 		gap = defaultGap
@@ -37,133 +38,132 @@
 	return &Watch{maxGap: gap}
 }
 
-// RecordEvent notes an event.
+// RecordEvent records that the stream received an event.
 func (w *Watch) RecordEvent() {
 	w.queries = 0
 }
 
-// RecordQuery notes that the server was asked and that the stream is to wait on.
+// RecordQuery records that the server was queried and that the stream continues to wait.
 func (w *Watch) RecordQuery() {
 	w.queries++
 }
 
-// QueryDelay is the time from now on until the server is asked, if no event comes.
+// QueryDelay returns the time from now until the server is queried if no event arrives.
 func (w *Watch) QueryDelay() time.Duration {
 	d := time.Duration(waitFraction * float64(w.maxGap))
 	return min(d<<min(w.queries, 8), maxQueryDelay)
 }
 
-// QueryTimeout is the time that the server's answer may take.
+// QueryTimeout returns the time that the server's answer may take.
 func (w *Watch) QueryTimeout() time.Duration {
 	return max(minQueryTimeout, time.Duration(queryTimeoutFraction*float64(w.maxGap)))
 }
 
-// hedgeFraction is the part of the bound after which a server that has not answered
-// is asked a second time: most answers take less.
+// hedgeFraction is the part of the query timeout after which a server that has not answered is
+// queried a second time: most answers take less.
 const hedgeFraction = 0.3
 
-// HedgeDelay is when a server is asked a second time within a bound.
+// HedgeDelay returns when a server is queried a second time within a query timeout.
 func HedgeDelay(timeout time.Duration) time.Duration {
 	return time.Duration(hedgeFraction * float64(timeout))
 }
 
 const (
-	// backupFraction is the part of the bound in which the server that holds a copy
-	// has to answer, to show that servers can be reached now: most answers take
-	// less than a tenth.
+	// backupFraction is the part of the query timeout in which the backup server has to
+	// answer, to show that servers are reachable at present: most answers take less than a
+	// tenth.
 	backupFraction = 0.3
-	// minBackupTimeout bounds that time from below, for VMs that are slow themselves.
+	// minBackupTimeout is the minimum for that time, for VMs that are slow themselves.
 	minBackupTimeout = 12 * time.Millisecond
 )
 
-// BackupTimeout is the time in which the server that holds a copy has to answer.
+// BackupTimeout returns the time in which the backup server, which holds a copy of the run,
+// has to answer.
 func (w *Watch) BackupTimeout() time.Duration {
 	return max(minBackupTimeout, time.Duration(backupFraction*float64(w.QueryTimeout())))
 }
 
-// QueryResult is what a server said, or did not say, when it was asked about its
-// runs.
+// QueryResult is the outcome of a query to a server about its runs.
 type QueryResult struct {
 	At time.Time
-	// Answered is unset where no answer came within the bound.
+	// Answered is set if an answer arrived within the timeout.
 	Answered bool
-	// Overrun is by how much the question itself ran over its time: this process
-	// did not run, which says nothing of the server.
+	// Overrun is how far the query itself exceeded its timeout. A large overrun means that
+	// this process was not running, which says nothing about the server.
 	Overrun time.Duration
-	// Produced is the number of events of each run that the server told of; its
-	// figures are some hundred ms old.
+	// Produced is the number of events that the server reports for each run, as of some
+	// hundred ms ago.
 	Produced map[api.RequestID]int
 }
 
-// Unresponsive reports whether the server did not answer in time, and not because this
-// process did not run.
+// Unresponsive reports whether the server did not answer in time for another reason than that
+// this process was not running.
 func (a QueryResult) Unresponsive() bool {
 	return !a.Answered && !ProcessStalled(a.Overrun)
 }
 
-// Stream is what is known here of a silent stream.
+// Stream describes a silent stream.
 type Stream struct {
 	Request api.RequestID
-	// Delivered is how many were passed on, and Silent how long none came.
+	// Delivered is the number of events passed on to the caller, and SilentFor the time since
+	// the current wait for an event began.
 	Delivered int
 	SilentFor time.Duration
-	// HasBackup is set where a copy of the run is held by a server that answers at
-	// once. If that one is silent too, it is this process, its links or all
-	// servers that are slow, and a run that is alive must not be given up.
+	// HasBackup is set if a copy of the run is held by a server that answers promptly. If that
+	// server is silent too, this process, its links or all servers are slow, and a run that is
+	// alive must not be abandoned.
 	HasBackup bool
 }
 
-// Verdict is what to do.
+// Verdict is the decision on a silent stream.
 type Verdict int
 
 // Verdicts on a silent stream.
 const (
-	// Wait leaves it.
+	// Wait leaves the stream as it is.
 	Wait Verdict = iota
-	// Abandon closes the stream and goes on from the copy.
+	// Abandon closes the stream and resumes from the backup copy.
 	Abandon
-	// Fetch stops the run at its server, which goes on making events that don't
-	// arrive, and goes on elsewhere.
+	// Fetch stops the run at its server, where it still produces events that don't arrive, and
+	// resumes it elsewhere.
 	Fetch
 )
 
-// String names the verdict for logs.
+// String returns the verdict's name in logs.
 func (v Verdict) String() string {
 	return [...]string{"wait", "abandon", "fetch"}[v]
 }
 
 const (
-	// minFetchSilence is the silence from which a run that goes on at its server
-	// counts as cut off: a lost packet is sent again after 200 to 400 ms, and is
-	// waited for.
+	// minFetchSilence is the silence after which a run that continues at its server counts as
+	// cut off. It leaves time for a lost packet, which is retransmitted after 200 to 400 ms.
 	minFetchSilence = 600 * time.Millisecond
-	// minFetchLead is how many events more than arrived here the server has to
-	// have made; one may be on its way.
+	// minFetchLead is how many more events than were delivered the server must have produced
+	// for a fetch; one event may be in transit.
 	minFetchLead = 2
-	// maxTimerLateness is by how much own timers may be late before what they tell is
-	// not trusted: the usual lateness is below 5 ms.
+	// maxTimerLateness is how late this process's timers may fire before their readings are
+	// ignored: the usual lateness is below 5 ms.
 	maxTimerLateness = 20 * time.Millisecond
 )
 
-// ProcessStalled reports whether own timers are so late that this process hardly runs, and
-// what they tell is not trusted.
+// ProcessStalled reports whether this process's timers fire so late that it hardly runs and
+// their readings have to be ignored.
 func ProcessStalled(d time.Duration) bool {
 	return d > maxTimerLateness
 }
 
-// maxInspectionDelay is how late a stream may be looked into where this process runs as
-// it should: the pause of the clock that does so at the latest, 250 ms, and a
-// little more.
+// maxInspectionDelay is how late a stream is inspected at most while this process runs
+// normally: the longest pause of the timer that inspects streams, 250 ms, plus a margin.
 const maxInspectionDelay = 300 * time.Millisecond
 
-// ProcessBehind reports whether it is this process that is behind, so that a question
-// would only make it slower: a stream is looked into long after its time, or
-// bytes wait unread on its connection.
+// ProcessBehind reports whether this process itself is behind, so that a query would only slow
+// it down further: a stream is inspected long after it was due, or its connection has unread
+// bytes.
 func ProcessBehind(late time.Duration, unread bool) bool {
 	return late > maxInspectionDelay || unread
 }
 
-// Decide decides on a silent stream by its server's answer.
+// Decide returns the verdict on a silent stream, given the result of the query to its server.
 func Decide(s Stream, a QueryResult) Verdict {
 	switch {
 	case ProcessStalled(a.Overrun):
@@ -178,30 +178,30 @@
 }
 
 const (
-	// answeredTTL is how long an answer stands for other streams of the server,
-	// whose own figures are that old anyway.
+	// answeredTTL is how long an answer applies to other streams of the server. The server's
+	// own figures are that old anyway.
 	answeredTTL = 300 * time.Millisecond
-	// unansweredTTL is how long a missing answer stands: the streams of a server
-	// that ends fall silent within one step.
+	// unansweredTTL is how long a missing answer applies: the streams of a server that ends
+	// fall silent within one step.
 	unansweredTTL = 100 * time.Millisecond
 )
 
-// ResultCache keeps the newest answer of each server.
+// ResultCache holds the newest query result of each server.
 type ResultCache struct {
 	byServer map[api.ServerName]QueryResult
 }
 
-// NewResultCache keeps none yet.
+// NewResultCache creates an empty cache.
 func NewResultCache() *ResultCache {
 	return &ResultCache{byServer: map[api.ServerName]QueryResult{}}
 }
 
-// Put keeps an answer.
+// Put stores a query result of a server.
 func (k *ResultCache) Put(n api.ServerName, a QueryResult) {
 	k.byServer[n] = a
 }
 
-// Get gives the newest answer of a server while it stands.
+// Get returns the newest query result of a server, and whether it still applies.
 func (k *ResultCache) Get(now time.Time, n api.ServerName) (QueryResult, bool) {
 	a, ok := k.byServer[n]
 	if !ok {
@@ -214,7 +214,7 @@
 	return a, now.Sub(a.At) < d
 }
 
-// Forget drops the answers of servers that are gone.
+// Forget drops the results of servers for which keep returns false.
 func (k *ResultCache) Forget(keep func(n api.ServerName) bool) {
 	for n := range k.byServer {
 		if !keep(n) {
--- a/internal/decide/silence/silence_test.go
+++ b/internal/decide/silence/silence_test.go
@@ -13,32 +13,32 @@
 func TestQueryDelay(t *testing.T) {
 	w := silence.NewWatch(gap)
 	if got, want := w.QueryDelay(), gap/2; got != want {
-		t.Errorf("at first: got %v, want %v", got, want)
+		t.Errorf("first delay: got %v, want %v", got, want)
 	}
 	if got := w.QueryDelay() + w.QueryTimeout(); got >= gap {
-		t.Errorf("until the answer is due: got %v, want time left to go on within %v", got, gap)
+		t.Errorf("delay and timeout: got %v, want time left to resume within %v", got, gap)
 	}
 	w.RecordQuery()
 	if got, want := w.QueryDelay(), gap; got != want {
-		t.Errorf("after a question: got %v, want %v", got, want)
+		t.Errorf("delay after a query: got %v, want %v", got, want)
 	}
 	for range 100 {
 		w.RecordQuery()
 	}
 	if got, want := w.QueryDelay(), 2*time.Second; got != want {
-		t.Errorf("after a hundred questions: got %v, want %v", got, want)
+		t.Errorf("delay after a hundred queries: got %v, want %v", got, want)
 	}
 	w.RecordEvent()
 	if got, want := w.QueryDelay(), gap/2; got != want {
-		t.Errorf("after an event: got %v, want %v", got, want)
+		t.Errorf("delay after an event: got %v, want %v", got, want)
 	}
 	if got := silence.NewWatch(0).QueryDelay(); got <= 0 || got > time.Second {
-		t.Errorf("without an aim: got %v, want a time that readers notice", got)
+		t.Errorf("delay without a gap: got %v, want more than 0 and at most 1 s", got)
 	}
 }
 
 func TestDecide(t *testing.T) {
-	made := func(n int) silence.QueryResult {
+	produced := func(n int) silence.QueryResult {
 		return silence.QueryResult{Answered: true, Produced: map[api.RequestID]int{"r": n}}
 	}
 	none := silence.QueryResult{}
@@ -54,14 +54,14 @@
 		answer silence.QueryResult
 		want   silence.Verdict
 	}{
-		{"no answer, a copy elsewhere", stream, none, silence.Abandon},
-		{"no answer, no copy", with(func(s *silence.Stream) { s.HasBackup = false }), none, silence.Wait},
-		{"the question ran over its time", stream, silence.QueryResult{Overrun: time.Second}, silence.Wait},
-		{"the server is slow", stream, made(10), silence.Wait},
-		{"one event on its way", stream, made(11), silence.Wait},
-		{"events are made and don't arrive", stream, made(30), silence.Fetch},
-		{"the same, not for long", with(func(s *silence.Stream) { s.SilentFor = gap }), made(30), silence.Wait},
-		{"the run is not told of", stream, silence.QueryResult{Answered: true}, silence.Wait},
+		{"no answer, backup copy", stream, none, silence.Abandon},
+		{"no answer, no backup copy", with(func(s *silence.Stream) { s.HasBackup = false }), none, silence.Wait},
+		{"query exceeded its timeout", stream, silence.QueryResult{Overrun: time.Second}, silence.Wait},
+		{"slow server", stream, produced(10), silence.Wait},
+		{"one event in transit", stream, produced(11), silence.Wait},
+		{"events are produced but don't arrive", stream, produced(30), silence.Fetch},
+		{"events don't arrive, short silence", with(func(s *silence.Stream) { s.SilentFor = gap }), produced(30), silence.Wait},
+		{"run missing in the answer", stream, silence.QueryResult{Answered: true}, silence.Wait},
 	} {
 		if got := silence.Decide(c.stream, c.answer); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
@@ -72,24 +72,24 @@
 func TestProcessStalled(t *testing.T) {
 	for d, want := range map[time.Duration]bool{-time.Second: false, 5 * time.Millisecond: false, 50 * time.Millisecond: true} {
 		if got := silence.ProcessStalled(d); got != want {
-			t.Errorf("%v: got %v, want %v", d, got, want)
+			t.Errorf("late %v: got %v, want %v", d, got, want)
 		}
 	}
 }
 
 func TestProcessBehind(t *testing.T) {
 	for _, c := range []struct {
-		late    time.Duration
-		waiting bool
-		want    bool
+		late   time.Duration
+		unread bool
+		want   bool
 	}{
 		{0, false, false},
 		{250 * time.Millisecond, false, false},
 		{time.Second, false, true},
 		{0, true, true},
 	} {
-		if got := silence.ProcessBehind(c.late, c.waiting); got != c.want {
-			t.Errorf("late %v, bytes waiting %v: got %v, want %v", c.late, c.waiting, got, c.want)
+		if got := silence.ProcessBehind(c.late, c.unread); got != c.want {
+			t.Errorf("late %v, unread bytes %v: got %v, want %v", c.late, c.unread, got, c.want)
 		}
 	}
 }
@@ -116,6 +116,6 @@
 	}
 	k.Forget(func(n api.ServerName) bool { return n == "down" })
 	if _, got := k.Get(now, "up"); got {
-		t.Error("a server that is gone: got its answer, want none")
+		t.Error("server that was forgotten: got a result, want none")
 	}
 }
