--- a/internal/decide/evacuate/evacuate.go
+++ b/internal/decide/evacuate/evacuate.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// retryTime is the pause before a run that has not begun, or whose copy is
+	// retryDelay is the pause before a run that has not begun, or whose copy is
 	// under way, is asked for again: a few steps of an engine.
-	retryTime = 50 * time.Millisecond
-	// convergedTime is the time of one copy below which the links have no queue
+	retryDelay = 50 * time.Millisecond
+	// convergedCopyTime is the time of one copy below which the links have no queue
 	// left, so that the last copy is short.
-	convergedTime = 60 * time.Millisecond
-	// againTime is the pause between copies of a run while the links are busy.
-	againTime = 20 * time.Millisecond
-	// targetsMost bounds the servers that are tried as destinations.
-	targetsMost = 4
-	// limitTime bounds the whole: the server is gone by then.
-	limitTime = 4 * time.Second
+	convergedCopyTime = 60 * time.Millisecond
+	// recopyDelay is the pause between copies of a run while the links are busy.
+	recopyDelay = 20 * time.Millisecond
+	// maxTargets bounds the servers that are tried as destinations.
+	maxTargets = 4
+	// moveTimeout bounds the whole: the server is gone by then.
+	moveTimeout = 4 * time.Second
 )
 
 // Kind names a step.
@@ -42,9 +42,9 @@
 // Action is the next step, to be taken after a pause.
 type Action struct {
 	Kind  Kind
-	After time.Duration
-	// Elsewhere asks for another target than the one before.
-	Elsewhere bool
+	Delay time.Duration
+	// NewTarget asks for another target than the one before.
+	NewTarget bool
 }
 
 // Outcome is what became of a step.
@@ -60,8 +60,8 @@
 	Busy
 	// Full targets have no room, or can't be reached from the source.
 	Full
-	// Silent sources gave no usable answer.
-	Silent
+	// NoAnswer sources gave no usable answer.
+	NoAnswer
 	// NoTarget means that there is no server to go to.
 	NoTarget
 )
@@ -79,29 +79,29 @@
 
 // Move is the state of one run's move.
 type Move struct {
-	began   time.Time
+	start   time.Time
 	copies  int
-	targets int
+	tried   int
 	stopped bool
 }
 
 // New begins a move at the notice that the source is leaving.
 func New(now time.Time) *Move {
-	return &Move{began: now, targets: 1}
+	return &Move{start: now, tried: 1}
 }
 
 // NewFetch begins a move of a run whose events don't arrive from its source:
 // nothing is gained by letting it go on there.
 func NewFetch(now time.Time) *Move {
-	return &Move{began: now, targets: 1, stopped: true}
+	return &Move{start: now, tried: 1, stopped: true}
 }
 
 // First is the first step.
 func (m *Move) First() Action {
 	if m.stopped {
-		return Action{Kind: Stop, Elsewhere: true}
+		return Action{Kind: Stop, NewTarget: true}
 	}
-	return Action{Kind: Copy, Elsewhere: true}
+	return Action{Kind: Copy, NewTarget: true}
 }
 
 // Next gives the step after a result.
@@ -109,42 +109,42 @@
 	if m.stopped {
 		return m.afterStop(r)
 	}
-	if now.Sub(m.began) > limitTime {
+	if now.Sub(m.start) > moveTimeout {
 		return Action{Kind: GiveUp}
 	}
 	switch r.Outcome {
 	case Copied:
 		m.copies++
-		if r.Took <= convergedTime {
+		if r.Took <= convergedCopyTime {
 			m.stopped = true
 			return Action{Kind: Stop}
 		}
 		// A stop now would wait behind the copies of others, and its caller with
 		// it. If the server ends first, the copy that is there is gone on from.
-		return Action{Kind: Copy, After: againTime}
+		return Action{Kind: Copy, Delay: recopyDelay}
 	case Missing, Busy:
-		return Action{Kind: Copy, After: retryTime}
+		return Action{Kind: Copy, Delay: retryDelay}
 	case Full:
 		if m.copies > 0 {
 			// What the target has already is worth more than a new target.
-			return Action{Kind: Copy, After: retryTime}
+			return Action{Kind: Copy, Delay: retryDelay}
 		}
-		return m.elsewhere(Copy)
+		return m.tryNewTarget(Copy)
 	case NoTarget:
-		return Action{Kind: Copy, After: retryTime, Elsewhere: true}
+		return Action{Kind: Copy, Delay: retryDelay, NewTarget: true}
 	default:
 		return Action{Kind: GiveUp}
 	}
 }
 
-// elsewhere tries the step with another target while there are some.
-func (m *Move) elsewhere(k Kind) Action {
-	m.targets++
-	if m.targets > targetsMost {
-		m.targets = 0
-		return Action{Kind: k, After: retryTime, Elsewhere: true}
+// tryNewTarget tries the step with another target while there are some.
+func (m *Move) tryNewTarget(k Kind) Action {
+	m.tried++
+	if m.tried > maxTargets {
+		m.tried = 0
+		return Action{Kind: k, Delay: retryDelay, NewTarget: true}
 	}
-	return Action{Kind: k, Elsewhere: true}
+	return Action{Kind: k, NewTarget: true}
 }
 
 // afterStop goes on wherever the run's memory is.
@@ -155,7 +155,7 @@
 	case Full:
 		return Action{Kind: Return}
 	case Busy:
-		return Action{Kind: Stop, After: retryTime}
+		return Action{Kind: Stop, Delay: retryDelay}
 	default:
 		// The run is over, or the source is: what was copied before may do.
 		return Action{Kind: GiveUp}
--- a/internal/decide/evacuate/evacuate_test.go
+++ b/internal/decide/evacuate/evacuate_test.go
@@ -16,7 +16,7 @@
 	tookMS  int
 }
 
-func play(l []result) (evacuate.Action, *evacuate.Move) {
+func applyResults(l []result) (evacuate.Action, *evacuate.Move) {
 	m := evacuate.New(begin)
 	a := m.First()
 	for _, r := range l {
@@ -30,7 +30,7 @@
 		name      string
 		results   []result
 		want      evacuate.Kind
-		elsewhere bool
+		newTarget bool
 	}{
 		{"first copy behind a queue", []result{{900, evacuate.Copied, 900}}, evacuate.Copy, false},
 		{"copy on free links", []result{{900, evacuate.Copied, 900}, {920, evacuate.Copied, 15}}, evacuate.Stop, false},
@@ -41,18 +41,18 @@
 		{"target without room", []result{{5, evacuate.Full, 5}}, evacuate.Copy, true},
 		{"target that holds a copy has no room for more", []result{{300, evacuate.Copied, 300}, {310, evacuate.Full, 5}}, evacuate.Copy, false},
 		{"no target", []result{{5, evacuate.NoTarget, 0}}, evacuate.Copy, true},
-		{"source is silent", []result{{1500, evacuate.Silent, 1500}}, evacuate.GiveUp, false},
+		{"source is silent", []result{{1500, evacuate.NoAnswer, 1500}}, evacuate.GiveUp, false},
 		{"stopped without room", []result{{300, evacuate.Copied, 20}, {305, evacuate.Full, 5}}, evacuate.Return, false},
 		{"stopped while a copy is under way", []result{{300, evacuate.Copied, 20}, {305, evacuate.Busy, 5}}, evacuate.Stop, false},
 		{"run was over before the stop", []result{{300, evacuate.Copied, 20}, {305, evacuate.Missing, 5}}, evacuate.GiveUp, false},
-		{"source died at the stop", []result{{300, evacuate.Copied, 20}, {3305, evacuate.Silent, 3000}}, evacuate.GiveUp, false},
+		{"source died at the stop", []result{{300, evacuate.Copied, 20}, {3305, evacuate.NoAnswer, 3000}}, evacuate.GiveUp, false},
 		{"nothing helped for too long", []result{{5000, evacuate.Missing, 5}}, evacuate.GiveUp, false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			got, _ := play(c.results)
-			if got.Kind != c.want || got.Elsewhere != c.elsewhere {
-				t.Errorf("got %v elsewhere %v, want %v elsewhere %v", got.Kind, got.Elsewhere, c.want, c.elsewhere)
+			got, _ := applyResults(c.results)
+			if got.Kind != c.want || got.NewTarget != c.newTarget {
+				t.Errorf("got %v elsewhere %v, want %v elsewhere %v", got.Kind, got.NewTarget, c.want, c.newTarget)
 			}
 		})
 	}
@@ -60,12 +60,12 @@
 
 // A move that finds no room anywhere must not turn round and round without a
 // pause.
-func TestFullTargetsArePaced(t *testing.T) {
+func TestRetriesOfFullTargetsPause(t *testing.T) {
 	m := evacuate.New(begin)
 	paused := 0
 	for i := range 40 {
 		a := m.Next(begin.Add(time.Duration(i)*time.Millisecond), evacuate.Result{Outcome: evacuate.Full})
-		if a.After > 0 {
+		if a.Delay > 0 {
 			paused++
 		}
 	}
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -111,7 +111,7 @@
 	m.gateway.Metrics.Add(metric.MovesBegun, 1)
 	a := m.move.First()
 	for a.Kind == evacuate.Copy || a.Kind == evacuate.Stop {
-		if a.After > 0 && !duty.Sleep(ctx, a.After) {
+		if a.Delay > 0 && !duty.Sleep(ctx, a.Delay) {
 			break
 		}
 		if m.ended() {
@@ -133,7 +133,7 @@
 
 // step makes one copy.
 func (m *mover) step(ctx context.Context, a evacuate.Action) evacuate.Result {
-	if (a.Elsewhere || m.gateway.turnsAway(m.target)) && !m.choose(ctx) {
+	if (a.NewTarget || m.gateway.turnsAway(m.target)) && !m.choose(ctx) {
 		return evacuate.Result{Outcome: evacuate.NoTarget}
 	}
 	if a.Kind == evacuate.Stop && !m.halt() {
@@ -251,7 +251,7 @@
 	case fault.Has(err, fault.ServerRefused):
 		return evacuate.Full
 	default:
-		return evacuate.Silent
+		return evacuate.NoAnswer
 	}
 }
 
--- a/spec/move.go
+++ b/spec/move.go
@@ -186,18 +186,18 @@
 		n.moving = false
 		return []step[moveState]{{"the mover ends", n}}
 	}
-	if s.action.Elsewhere {
+	if s.action.NewTarget {
 		s.target = 1 + (s.target+moveServers)%(moveServers-1)
-		s.action.Elsewhere = false
+		s.action.NewTarget = false
 	}
 	s.halted = s.halted || s.action.Kind == evacuate.Stop
 	s.steps++
 	if !s.alive[0] || s.steps > moveStepsMost {
-		return []step[moveState]{{"the source is silent", s.result(evacuate.Silent, 0)}}
+		return []step[moveState]{{"the source is silent", s.result(evacuate.NoAnswer, 0)}}
 	}
 	var l []step[moveState]
 	add := func(name string, n moveState) { l = append(l, step[moveState]{name, n}) }
-	add("the source is silent", s.result(evacuate.Silent, 0))
+	add("the source is silent", s.result(evacuate.NoAnswer, 0))
 	if !s.runs[0] && !s.halted {
 		add("no such run", s.result(evacuate.Missing, 0))
 		return l
@@ -206,7 +206,7 @@
 	n := s
 	if s.action.Kind == evacuate.Stop {
 		n.runs[0] = false
-		add("the run stops, the answer is lost", n.result(evacuate.Silent, 0))
+		add("the run stops, the answer is lost", n.result(evacuate.NoAnswer, 0))
 		f := n
 		f.copies[0], f.held = n.made, 0
 		add("the run stops, no room for the rest", f.result(evacuate.Full, 0))
@@ -225,6 +225,6 @@
 // result asks the real decision for the next step.
 func (s moveState) result(o evacuate.Outcome, took time.Duration) moveState {
 	s.action = s.move.Next(at(0), evacuate.Result{Outcome: o, Took: took})
-	s.action.After = 0
+	s.action.Delay = 0
 	return s
 }
