--- a/internal/decide/evacuate/doc.go
+++ b/internal/decide/evacuate/doc.go
@@ -1,4 +1,4 @@
-// Package evacuate decides the steps that take a running generation off a
-// server that is about to end: copy while it runs, stop, copy the rest, go on
-// elsewhere.
+// Package evacuate decides the steps that move a running generation off a server that is about
+// to end: copy its memory while it runs, stop it, copy the remainder, and resume it on another
+// server.
 package evacuate
--- a/internal/decide/evacuate/evacuate.go
+++ b/internal/decide/evacuate/evacuate.go
@@ -3,81 +3,81 @@
 import "time"
 
 const (
-	// retryDelay is the pause before a run that has not begun, or whose copy is
-	// under way, is asked for again: a few steps of an engine.
+	// retryDelay is the pause before another attempt to copy a run that has not started or has
+	// a copy in progress: a few steps of an engine.
 	retryDelay = 50 * time.Millisecond
-	// convergedCopyTime is the time of one copy below which the links have no queue
-	// left, so that the last copy is short.
+	// convergedCopyTime is the duration of a copy at or below which the links have no queue
+	// left, so that the final copy is short.
 	convergedCopyTime = 60 * time.Millisecond
 	// recopyDelay is the pause between copies of a run while the links are busy.
 	recopyDelay = 20 * time.Millisecond
-	// maxTargets bounds the servers that are tried as destinations.
+	// maxTargets is the number of targets that are tried in a row before a pause.
 	maxTargets = 4
-	// moveTimeout bounds the whole: the server is gone by then.
+	// moveTimeout bounds the time until the run is stopped. The source is gone by then.
 	moveTimeout = 4 * time.Second
 )
 
-// Kind names a step.
+// Kind is the kind of a step.
 type Kind int
 
-// Steps of a move.
+// Kinds of steps in a move.
 const (
-	// Copy copies the run's memory while it goes on.
+	// Copy copies the run's memory to the target while the run continues.
 	Copy Kind = iota
-	// Stop ends the run at the source and copies the rest.
+	// Stop stops the run at the source and copies the remainder.
 	Stop
-	// Resume goes on at the target.
+	// Resume continues the run at the target.
 	Resume
-	// Return goes on at the source, which keeps the memory of a stopped run.
+	// Return continues the run at the source, which retains the memory of a stopped run.
 	Return
 	// GiveUp leaves the run where it is.
 	GiveUp
 )
 
-// String names the step for logs.
+// String returns the step's name in logs.
 func (k Kind) String() string {
 	return [...]string{"copy", "stop", "resume", "return", "give up"}[k]
 }
 
-// Action is the next step, to be taken after a pause.
+// Action is the next step of a move, to be taken after a delay.
 type Action struct {
 	Kind  Kind
 	Delay time.Duration
-	// NewTarget asks for another target than the one before.
+	// NewTarget requests a different target from the previous one.
 	NewTarget bool
 }
 
-// Outcome is what became of a step.
+// Outcome is the result of a copy or stop step.
 type Outcome int
 
-// Outcomes of copies.
+// Outcomes of copy and stop steps.
 const (
-	// Copied steps gave a handle.
+	// Copied means that the step returned a handle to the copied memory.
 	Copied Outcome = iota
-	// Missing runs are not known to the source: not begun, or over.
+	// Missing means that the source does not know the run: it has not started or is over.
 	Missing
-	// Busy runs have a copy under way already.
+	// Busy means that a copy of the run is already in progress.
 	Busy
-	// Full targets have no room, or can't be reached from the source.
+	// Full means that the target has no free memory or is unreachable from the source.
 	Full
-	// NoAnswer sources gave no usable answer.
+	// NoAnswer means that the source gave no usable answer.
 	NoAnswer
-	// NoTarget means that there is no server to go to.
+	// NoTarget means that no server is available as a target.
 	NoTarget
 )
 
-// String names the outcome for logs.
+// String returns the outcome's name in logs.
 func (o Outcome) String() string {
 	return [...]string{"copied", "missing", "busy", "full", "silent", "no target"}[o]
 }
 
-// Result is what a step brought.
+// Result is the outcome of a step and the time it took.
 type Result struct {
 	Outcome Outcome
 	Took    time.Duration
 }
 
-// Move is the state of one run's move.
+// Move is the state of the move of one run.
 type Move struct {
 	start   time.Time
 	copies  int
@@ -85,18 +85,18 @@
 	stopped bool
 }
 
-// New begins a move at the notice that the source is leaving.
+// New starts a move on the notice that the source is leaving.
 func New(now time.Time) *Move {
 	return &Move{start: now, tried: 1}
 }
 
-// NewFetch begins a move of a run whose events don't arrive from its source:
-// nothing is gained by letting it go on there.
+// NewFetch starts a move of a run whose events don't arrive from its source. It stops the run
+// at once, since nothing is gained by letting it continue there.
 func NewFetch(now time.Time) *Move {
 	return &Move{start: now, tried: 1, stopped: true}
 }
 
-// First is the first step.
+// First returns the first step.
 func (m *Move) First() Action {
 	if m.stopped {
 		return Action{Kind: Stop, NewTarget: true}
@@ -104,7 +104,7 @@
 	return Action{Kind: Copy, NewTarget: true}
 }
 
-// Next gives the step after a result.
+// Next returns the step that follows a result.
 func (m *Move) Next(now time.Time, r Result) Action {
 	if m.stopped {
 		return m.afterStop(r)
@@ -119,14 +119,15 @@
 			m.stopped = true
 			return Action{Kind: Stop}
 		}
-		// A stop now would wait behind the copies of others, and its caller with
-		// it. If the server ends first, the copy that is there is gone on from.
+		// A stop now would have to queue behind the copies of other runs while the caller
+		// waits. If the server ends first, the run resumes from the existing copy.
 		return Action{Kind: Copy, Delay: recopyDelay}
 	case Missing, Busy:
 		return Action{Kind: Copy, Delay: retryDelay}
 	case Full:
 		if m.copies > 0 {
-			// What the target has already is worth more than a new target.
+			// The part of the memory that the target already holds is worth more than a new
+			// target.
 			return Action{Kind: Copy, Delay: retryDelay}
 		}
 		return m.tryNewTarget(Copy)
@@ -137,7 +138,8 @@
 	}
 }
 
-// tryNewTarget tries the step with another target while there are some.
+// tryNewTarget repeats the step with a new target, with a pause after every maxTargets
+// targets.
 func (m *Move) tryNewTarget(k Kind) Action {
 	m.tried++
 	if m.tried > maxTargets {
@@ -147,7 +149,7 @@
 	return Action{Kind: k, NewTarget: true}
 }
 
-// afterStop goes on wherever the run's memory is.
+// afterStop returns the step after a stop: the run resumes wherever its memory is.
 func (m *Move) afterStop(r Result) Action {
 	switch r.Outcome {
 	case Copied:
@@ -157,7 +159,8 @@
 	case Busy:
 		return Action{Kind: Stop, Delay: retryDelay}
 	default:
-		// The run is over, or the source is: what was copied before may do.
+		// The run is over or its source has ended. An earlier copy may still serve to resume
+		// it.
 		return Action{Kind: GiveUp}
 	}
 }
--- a/internal/decide/evacuate/evacuate_test.go
+++ b/internal/decide/evacuate/evacuate_test.go
@@ -9,7 +9,7 @@
 
 var begin = time.Unix(100, 0)
 
-// result is a result and when it came, in ms after the notice.
+// result is the result of a step and when it arrived, in ms after the notice.
 type result struct {
 	ms      int
 	outcome evacuate.Outcome
@@ -32,34 +32,33 @@
 		want      evacuate.Kind
 		newTarget bool
 	}{
-		{"first copy behind a queue", []result{{900, evacuate.Copied, 900}}, evacuate.Copy, false},
+		{"first copy on busy links", []result{{900, evacuate.Copied, 900}}, evacuate.Copy, false},
 		{"copy on free links", []result{{900, evacuate.Copied, 900}, {920, evacuate.Copied, 15}}, evacuate.Stop, false},
-		{"no stop while links are busy, however late", []result{{900, evacuate.Copied, 900}, {1400, evacuate.Copied, 500}}, evacuate.Copy, false},
-		{"rest copied after the stop", []result{{300, evacuate.Copied, 20}, {320, evacuate.Copied, 15}}, evacuate.Resume, false},
-		{"run that has not begun", []result{{5, evacuate.Missing, 5}}, evacuate.Copy, false},
-		{"copy under way", []result{{5, evacuate.Busy, 5}}, evacuate.Copy, false},
-		{"target without room", []result{{5, evacuate.Full, 5}}, evacuate.Copy, true},
-		{"target that holds a copy has no room for more", []result{{300, evacuate.Copied, 300}, {310, evacuate.Full, 5}}, evacuate.Copy, false},
+		{"no stop while links are busy, however late in the move", []result{{900, evacuate.Copied, 900}, {1400, evacuate.Copied, 500}}, evacuate.Copy, false},
+		{"remainder copied after the stop", []result{{300, evacuate.Copied, 20}, {320, evacuate.Copied, 15}}, evacuate.Resume, false},
+		{"run that has not started", []result{{5, evacuate.Missing, 5}}, evacuate.Copy, false},
+		{"copy in progress", []result{{5, evacuate.Busy, 5}}, evacuate.Copy, false},
+		{"target without free memory", []result{{5, evacuate.Full, 5}}, evacuate.Copy, true},
+		{"target that holds a copy has no memory for more", []result{{300, evacuate.Copied, 300}, {310, evacuate.Full, 5}}, evacuate.Copy, false},
 		{"no target", []result{{5, evacuate.NoTarget, 0}}, evacuate.Copy, true},
-		{"source is silent", []result{{1500, evacuate.NoAnswer, 1500}}, evacuate.GiveUp, false},
-		{"stopped without room", []result{{300, evacuate.Copied, 20}, {305, evacuate.Full, 5}}, evacuate.Return, false},
-		{"stopped while a copy is under way", []result{{300, evacuate.Copied, 20}, {305, evacuate.Busy, 5}}, evacuate.Stop, false},
-		{"run was over before the stop", []result{{300, evacuate.Copied, 20}, {305, evacuate.Missing, 5}}, evacuate.GiveUp, false},
-		{"source died at the stop", []result{{300, evacuate.Copied, 20}, {3305, evacuate.NoAnswer, 3000}}, evacuate.GiveUp, false},
-		{"nothing helped for too long", []result{{5000, evacuate.Missing, 5}}, evacuate.GiveUp, false},
+		{"no answer from the source", []result{{1500, evacuate.NoAnswer, 1500}}, evacuate.GiveUp, false},
+		{"stopped, target without free memory", []result{{300, evacuate.Copied, 20}, {305, evacuate.Full, 5}}, evacuate.Return, false},
+		{"stopped while a copy is in progress", []result{{300, evacuate.Copied, 20}, {305, evacuate.Busy, 5}}, evacuate.Stop, false},
+		{"run over before the stop", []result{{300, evacuate.Copied, 20}, {305, evacuate.Missing, 5}}, evacuate.GiveUp, false},
+		{"source ended at the stop", []result{{300, evacuate.Copied, 20}, {3305, evacuate.NoAnswer, 3000}}, evacuate.GiveUp, false},
+		{"no copy before the timeout", []result{{5000, evacuate.Missing, 5}}, evacuate.GiveUp, false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			got, _ := applyResults(c.results)
 			if got.Kind != c.want || got.NewTarget != c.newTarget {
-				t.Errorf("got %v elsewhere %v, want %v elsewhere %v", got.Kind, got.NewTarget, c.want, c.newTarget)
+				t.Errorf("got %v with new target %v, want %v with new target %v", got.Kind, got.NewTarget, c.want, c.newTarget)
 			}
 		})
 	}
 }
 
-// A move that finds no room anywhere must not turn round and round without a
-// pause.
+// A move that finds no target with free memory must not retry in a busy loop.
 func TestRetriesOfFullTargetsPause(t *testing.T) {
 	m := evacuate.New(begin)
 	paused := 0
@@ -70,6 +69,6 @@
 		}
 	}
 	if paused < 8 {
-		t.Errorf("pauses in 40 refusals: got %d, want 8 or more", paused)
+		t.Errorf("pauses in 40 refusals: got %d, want at least 8", paused)
 	}
 }
