--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -138,14 +138,14 @@
 	d := decide.New(c.once)
 	for {
 		if f := s.Contents.Check(c.content); f != nil {
-			return nil, d.Withheld(f)
+			return nil, d.Refusal(f)
 		}
 		x := s.pick(c)
 		n := x.Name
 		switch {
 		case n == "" && x.Wait > 0:
 			s.Metrics.Add(metric.ServersBusy, 1)
-			return nil, d.NoneYet(x.Wait)
+			return nil, d.AllBusy(x.Wait)
 		case n == "":
 			return nil, d.NoServer()
 		}
@@ -160,7 +160,7 @@
 		s.Contents.Broke(c.content, n, err)
 		s.note(c.request, "failed", string(n)+": "+err.Error())
 		o := outcome(err)
-		if m, f := d.Failed(o, err, ctx.Err() != nil, s.again); m == decide.Fail {
+		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.again); m == decide.Fail {
 			return nil, f
 		}
 		if o == decide.Unsent && c.permit != nil {
@@ -176,9 +176,9 @@
 	case fault.Has(err, fault.NotStarted):
 		return decide.Unsent
 	case fault.Has(err, fault.ClaimHeld):
-		return decide.Taken
+		return decide.ClaimLost
 	default:
-		return decide.Broken
+		return decide.Incomplete
 	}
 }
 
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -113,7 +113,7 @@
 		}
 		if f := g.Contents.Check(q.content); f != nil {
 			p.end()
-			return settle(failed, c.Withheld(f))
+			return settle(failed, c.Refusal(f))
 		}
 		s, b := p.choice.Server, p.backup
 		q.choices = append(q.choices, chosen(q, p.choice))
@@ -133,7 +133,7 @@
 			g.noteBreak(q, s, err)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(q.ID)), zap.String("server", string(s.Name)), zap.String("content", string(q.content())), zap.Error(err))
-		m, f := c.Failed(outcome(err), err, ctx.Err() != nil, again)
+		m, f := c.AttemptFailed(outcome(err), err, ctx.Err() != nil, again)
 		if m == call.Fail {
 			if errors.Is(context.Cause(ctx), context.Canceled) {
 				f = fault.Wrap(fault.CallerGone, err, "the caller closed its connection")
@@ -201,7 +201,7 @@
 		return port.Answer{}, fault.New(fault.NotStarted, "the deadline passed before the send")
 	}
 	a := q.attempt(s, b)
-	a.Left, a.Connect = left, call.ConnectTime(q.route.Aim)
+	a.Left, a.Connect = left, call.ConnectTimeout(q.route.Aim)
 	return g.Backends.Send(ctx, a)
 }
 
@@ -225,7 +225,7 @@
 			return call.Unsent
 		}
 	}
-	return call.Broken
+	return call.Incomplete
 }
 
 // met types an attempt's failure for the server's record.
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -101,7 +101,7 @@
 // noneYet is the refusal of a request that no server takes for so long.
 func (g *Gateway) noneYet(c *call.Call, wait time.Duration) *fault.Error {
 	g.Metrics.Add(metric.ServersBusy, 1)
-	return c.NoneYet(wait)
+	return c.AllBusy(wait)
 }
 
 // limit is what a server has named.
