--- a/internal/decide/call/call.go
+++ b/internal/decide/call/call.go
@@ -7,47 +7,48 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Outcome is what became of one attempt.
+// Outcome is the result of a failed attempt.
 type Outcome int
 
-// Outcomes of an attempt.
+// Outcomes of a failed attempt.
 const (
-	// Unsent means that no connection was made.
+	// Unsent means that the call was provably not run, for example because no connection was
+	// made.
 	Unsent Outcome = iota
-	// ClaimLost means that another attempt took the claim over before the send.
+	// ClaimLost means that another attempt took over the claim before the call was sent.
 	ClaimLost
-	// Incomplete means that the call was sent and no whole answer of its own came.
+	// Incomplete means that the call was sent and no complete answer arrived.
 	Incomplete
 )
 
-// Action is what to do next.
+// Action is what to do after a failed attempt.
 type Action int
 
-// Moves after a failed attempt.
+// Actions after a failed attempt.
 const (
 	// Retry tries another server.
 	Retry Action = iota
-	// Fail answers with the fault.
+	// Fail answers the caller with the fault.
 	Fail
 )
 
-// retryAfter is when a caller may ask again.
+// retryAfter is the time after which a refused caller may retry.
 const retryAfter = time.Second
 
-// Call is what is known of one call's attempts.
+// Call is the state of one call over its attempts.
 type Call struct {
 	notRepeatable bool
 	mayHaveRun    bool
 }
 
-// New starts a call; once tells that it runs at most once.
+// New starts a call; notRepeatable is set if it may run at most once.
 func New(notRepeatable bool) *Call {
 	return &Call{notRepeatable: notRepeatable}
 }
 
-// AttemptFailed decides after a failed attempt. The cause is the attempt's failure,
-// over tells that the deadline passed or the caller left, and budget takes a
-// retry out of its budget.
+// AttemptFailed decides what to do after an attempt failed with a cause. expired is set if the
+// deadline has passed or the caller has left. takeRetry takes a retry out of the retry budget
+// and reports whether there was one.
 func (c *Call) AttemptFailed(o Outcome, cause error, expired bool, takeRetry func() bool) (Action, *fault.Error) {
 	c.mayHaveRun = c.mayHaveRun || o == Incomplete
 	switch {
@@ -56,7 +57,7 @@
 	case expired:
 		return Fail, c.Fault(fault.DeadlinePassed, cause, "the deadline passed or the caller left")
 	case o == Incomplete && c.notRepeatable:
-		return Fail, c.Fault(fault.OutcomeUnknown, cause, "the call was sent and no whole answer came back")
+		return Fail, c.Fault(fault.OutcomeUnknown, cause, "the call was sent and no complete answer came back")
 	case !takeRetry():
 		return Fail, c.Fault(fault.NoServer, cause, "the attempt failed and the retry budget is spent").After(retryAfter)
 	default:
@@ -64,18 +65,19 @@
 	}
 }
 
-// NoServer is the failure of a call that no server takes.
+// NoServer returns the fault of a call that no server of the service accepts.
 func (c *Call) NoServer() *fault.Error {
-	return c.Fault(fault.NoServer, nil, "no server of the service takes work").After(retryAfter)
+	return c.Fault(fault.NoServer, nil, "no server of the service accepts requests").After(retryAfter)
 }
 
-// AllBusy is the failure of a call that no server takes for so long, since each is at the limit
-// that it has named or has asked for rest.
+// AllBusy returns the fault of a call that no server accepts for at least the given time,
+// because each is at the limit that it announced or in backoff.
 func (c *Call) AllBusy(wait time.Duration) *fault.Error {
 	return c.Fault(fault.NoServer, nil, "all servers of the service are at their limits or rest").After(max(wait, retryAfter))
 }
 
-// Refusal is a refusal in place of a further attempt.
+// Refusal returns the fault for refusing a further attempt, marked as of unknown outcome if an
+// earlier attempt may have run.
 func (c *Call) Refusal(f *fault.Error) *fault.Error {
 	if c.mayHaveRun {
 		return f.WithRan(api.RanUnknown)
@@ -83,7 +85,7 @@
 	return f
 }
 
-// Fault types a failure with what is known of the call's own attempts.
+// Fault creates a fault that tells whether an earlier attempt of this call may have run.
 func (c *Call) Fault(code fault.Code, cause error, detail string) *fault.Error {
 	r := api.RanNo
 	if c.mayHaveRun {
--- a/internal/decide/call/call_test.go
+++ b/internal/decide/call/call_test.go
@@ -20,18 +20,18 @@
 	}{
 		{"unsent", true, call.Unsent, false, true, call.Retry, 0, ""},
 		{"unsent, no budget", true, call.Unsent, false, false, call.Fail, fault.NoServer, api.RanNo},
-		{"unsent, over", true, call.Unsent, true, true, call.Fail, fault.DeadlinePassed, api.RanNo},
-		{"claim taken over", true, call.ClaimLost, false, true, call.Fail, fault.ClaimHeld, api.RanNo},
-		{"once, broken", true, call.Incomplete, false, true, call.Fail, fault.OutcomeUnknown, api.RanUnknown},
-		{"repeatable, broken", false, call.Incomplete, false, true, call.Retry, 0, ""},
-		{"repeatable, broken, no budget", false, call.Incomplete, false, false, call.Fail, fault.NoServer, api.RanUnknown},
-		{"repeatable, broken, over", false, call.Incomplete, true, true, call.Fail, fault.DeadlinePassed, api.RanUnknown},
+		{"unsent, expired", true, call.Unsent, true, true, call.Fail, fault.DeadlinePassed, api.RanNo},
+		{"claim lost", true, call.ClaimLost, false, true, call.Fail, fault.ClaimHeld, api.RanNo},
+		{"not repeatable, incomplete", true, call.Incomplete, false, true, call.Fail, fault.OutcomeUnknown, api.RanUnknown},
+		{"repeatable, incomplete", false, call.Incomplete, false, true, call.Retry, 0, ""},
+		{"repeatable, incomplete, no budget", false, call.Incomplete, false, false, call.Fail, fault.NoServer, api.RanUnknown},
+		{"repeatable, incomplete, expired", false, call.Incomplete, true, true, call.Fail, fault.DeadlinePassed, api.RanUnknown},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			m, f := call.New(c.notRepeatable).AttemptFailed(c.outcome, nil, c.expired, func() bool { return c.budget })
 			if m != c.wantAction {
-				t.Fatalf("move: got %d, want %d", m, c.wantAction)
+				t.Fatalf("action: got %d, want %d", m, c.wantAction)
 			}
 			if m == call.Fail && (f.Code != c.wantCode || f.Ran != c.wantRan) {
 				t.Errorf("fault: got %d ran %s, want %d ran %s", f.Code, f.Ran, c.wantCode, c.wantRan)
@@ -43,7 +43,7 @@
 func TestNoServerReportsEarlierUnknownOutcome(t *testing.T) {
 	c := call.New(false)
 	if m, _ := c.AttemptFailed(call.Incomplete, nil, false, func() bool { return true }); m != call.Retry {
-		t.Fatalf("move: got %d, want again", m)
+		t.Fatalf("action: got %d, want Retry", m)
 	}
 	if got := c.NoServer().Ran; got != api.RanUnknown {
 		t.Errorf("ran: got %s, want unknown", got)
--- a/internal/decide/call/connect.go
+++ b/internal/decide/call/connect.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	// connectFraction is the part of a request's aim in which a server has to take
-	// a connection, so that others can be tried in time: nothing was sent yet.
+	// connectFraction is the part of a request's latency target in which a server has to
+	// accept a connection, so that other servers can be tried in time: nothing has been sent
+	// yet.
 	connectFraction = 0.25
-	// minConnectTimeout is what a connection within a region takes on a VM that hardly runs,
-	// which must not take servers for lost, and connectMost what the connections allow
-	// anyway.
+	// minConnectTimeout is how long a connection within a region may take on a VM that hardly
+	// gets to run; a shorter bound would make such a VM mistake servers for lost.
+	// maxConnectTimeout is the bound that connections have in any case.
 	minConnectTimeout = 250 * time.Millisecond
 	maxConnectTimeout = time.Second
 )
 
-// ConnectTimeout bounds the time to connect for a request with an aim; zero, for
-// no bound of its own, without one.
+// ConnectTimeout returns the time to connect for a request with a latency target. Without a
+// target it is zero, which means no bound of its own.
 func ConnectTimeout(target time.Duration) time.Duration {
 	if target <= 0 {
 		return 0
--- a/internal/decide/call/connect_test.go
+++ b/internal/decide/call/connect_test.go
@@ -15,7 +15,7 @@
 		{time.Minute, time.Second},
 	} {
 		if got := call.ConnectTimeout(c.target); got != c.want {
-			t.Errorf("an aim of %v: got %v, want %v", c.target, got, c.want)
+			t.Errorf("latency target %v: got %v, want %v", c.target, got, c.want)
 		}
 	}
 }
--- a/internal/decide/call/doc.go
+++ b/internal/decide/call/doc.go
@@ -1,2 +1,2 @@
-// Package call decides what follows each attempt of a plain service's call.
+// Package call decides what follows each failed attempt of a call to a service.
 package call
