--- a/internal/decide/quarantine/platform.go
+++ b/internal/decide/quarantine/platform.go
@@ -34,9 +34,9 @@
 // advance records the era of a snapshot and reports whether the platform was restored from an
 // older copy since the last snapshot.
 func (p *platformState) advance(e api.Era) bool {
-	later := p.loaded && e > p.era
+	restored := p.loaded && e > p.era
 	p.loaded, p.era = true, max(e, p.era)
-	return later
+	return restored
 }
 
 // ApplySnapshot applies the quarantined contents stored on the platform in an era. Within an
@@ -44,72 +44,72 @@
 // is dropped. In a later era the store was restored from an older copy: contents may have been
 // lost and released ones may be back, so what is known here takes precedence.
 func (t *Table) ApplySnapshot(now time.Time, e api.Era, l []Entry) {
-	later := t.platform.advance(e)
-	is := make(map[api.ContentHash]time.Time, len(l))
+	restored := t.platform.advance(e)
+	s := make(map[api.ContentHash]time.Time, len(l))
 	for _, x := range l {
-		is[x.Content] = x.Until
+		s[x.Content] = x.Until
 	}
-	if later {
-		t.applyRestored(now, is)
+	if restored {
+		t.applyRestored(now, s)
 	} else {
-		t.applyCurrent(now, is)
+		t.applyCurrent(now, s)
 	}
-	t.stored = is
+	t.stored = s
 }
 
 // applyCurrent applies a snapshot of the same era: contents that are gone were released,
 // except those that a restore lost.
-func (t *Table) applyCurrent(now time.Time, is map[api.ContentHash]time.Time) {
+func (t *Table) applyCurrent(now time.Time, s map[api.ContentHash]time.Time) {
 	p := &t.platform
-	p.dropCorrected(is)
+	p.dropCorrected(s)
 	for c, u := range t.stored {
-		if _, ok := is[c]; ok {
+		if _, ok := s[c]; ok {
 			continue
 		}
 		if _, ok := p.missing[c]; ok {
-			is[c] = u
+			s[c] = u
 			continue
 		}
 		delete(t.contents, c)
 		p.released[c] = now
 	}
-	for c := range is {
+	for c := range s {
 		delete(p.released, c)
 	}
 }
 
 // dropCorrected stops tracking differences that the snapshot shows corrected, and removes
 // revived contents from the snapshot.
-func (p *platformState) dropCorrected(is map[api.ContentHash]time.Time) {
+func (p *platformState) dropCorrected(s map[api.ContentHash]time.Time) {
 	for c := range p.missing {
-		if _, ok := is[c]; ok {
+		if _, ok := s[c]; ok {
 			delete(p.missing, c)
 		}
 	}
 	for c := range p.revived {
-		if _, ok := is[c]; !ok {
+		if _, ok := s[c]; !ok {
 			delete(p.revived, c)
 		}
-		delete(is, c)
+		delete(s, c)
 	}
 }
 
 // applyRestored applies the first snapshot of a later era. It lacks what was written after the
 // copy of the store was made, and still has what was removed after it.
-func (t *Table) applyRestored(now time.Time, is map[api.ContentHash]time.Time) {
+func (t *Table) applyRestored(now time.Time, s map[api.ContentHash]time.Time) {
 	p := &t.platform
 	clear(p.missing)
 	clear(p.revived)
 	for c := range p.released {
-		if _, ok := is[c]; ok {
+		if _, ok := s[c]; ok {
 			p.revived[c] = true
-			delete(is, c)
+			delete(s, c)
 		}
 	}
 	for c, u := range t.allQuarantined(now) {
-		if _, ok := is[c]; !ok {
+		if _, ok := s[c]; !ok {
 			p.missing[c] = true
-			is[c] = u
+			s[c] = u
 		}
 	}
 }
--- a/internal/decide/quarantine/report.go
+++ b/internal/decide/quarantine/report.go
@@ -41,10 +41,10 @@
 
 // selectReports returns the reports of the contents that match. If there are more than
 // maxReports, successive calls return successive parts of them.
-func (t *Table) selectReports(now time.Time, is func(x *content) bool) []api.ContentReport {
+func (t *Table) selectReports(now time.Time, match func(x *content) bool) []api.ContentReport {
 	var l []api.ContentReport
 	for c, x := range t.contents {
-		if is(x) {
+		if match(x) {
 			l = append(l, x.reports(now, c)...)
 		}
 	}
