--- a/internal/decide/call/call.go
+++ b/internal/decide/call/call.go
@@ -7,86 +7,88 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Outcome is what became of one attempt.
+// Outcome is the result of a failed attempt.
 type Outcome int
 
-// Outcomes of an attempt.
+// Outcomes of a failed attempt.
 const (
-	// Unsent means that no connection was made.
+	// Unsent means that the call was provably not run, for example because no connection was
+	// made.
 	Unsent Outcome = iota
-	// Taken means that another attempt took the claim over before the send.
-	Taken
-	// Broken means that the call was sent and no whole answer of its own came.
-	Broken
+	// ClaimLost means that another attempt took over the claim before the call was sent.
+	ClaimLost
+	// Incomplete means that the call was sent and no complete answer arrived.
+	Incomplete
 )
 
-// Move is what to do next.
-type Move int
+// Action is what to do after a failed attempt.
+type Action int
 
-// Moves after a failed attempt.
+// Actions after a failed attempt.
 const (
-	// Again tries another server.
-	Again Move = iota
-	// Fail answers with the fault.
+	// Retry tries another server.
+	Retry Action = iota
+	// Fail answers the caller with the fault.
 	Fail
 )
 
-// comeback is when a caller may ask again.
-const comeback = time.Second
+// retryAfter is the time after which a refused caller may retry.
+const retryAfter = time.Second
 
-// Call is what is known of one call's attempts.
+// Call is the state of one call over its attempts.
 type Call struct {
-	once  bool
-	maybe bool
+	notRepeatable bool
+	mayHaveRun    bool
 }
 
-// New starts a call; once tells that it runs at most once.
-func New(once bool) *Call {
-	return &Call{once: once}
+// New starts a call; notRepeatable is set if it may run at most once.
+func New(notRepeatable bool) *Call {
+	return &Call{notRepeatable: notRepeatable}
 }
 
-// Failed decides after a failed attempt. The cause is the attempt's failure,
-// over tells that the deadline passed or the caller left, and budget takes a
-// retry out of its budget.
-func (c *Call) Failed(o Outcome, cause error, over bool, budget func() bool) (Move, *fault.Error) {
-	c.maybe = c.maybe || o == Broken
+// AttemptFailed decides what to do after an attempt failed with a cause. expired is set if the
+// deadline has passed or the caller has left. takeRetry takes a retry out of the retry budget
+// and reports whether there was one.
+func (c *Call) AttemptFailed(o Outcome, cause error, expired bool, takeRetry func() bool) (Action, *fault.Error) {
+	c.mayHaveRun = c.mayHaveRun || o == Incomplete
 	switch {
-	case o == Taken:
+	case o == ClaimLost:
 		return Fail, c.Fault(fault.ClaimHeld, cause, "another attempt with this key took the claim over")
-	case over:
+	case expired:
 		return Fail, c.Fault(fault.DeadlinePassed, cause, "the deadline passed or the caller left")
-	case o == Broken && c.once:
-		return Fail, c.Fault(fault.OutcomeUnknown, cause, "the call was sent and no whole answer came back")
-	case !budget():
-		return Fail, c.Fault(fault.NoServer, cause, "the attempt failed and the retry budget is spent").After(comeback)
+	case o == Incomplete && c.notRepeatable:
+		return Fail, c.Fault(fault.OutcomeUnknown, cause, "the call was sent and no complete answer came back")
+	case !takeRetry():
+		return Fail, c.Fault(fault.NoServer, cause, "the attempt failed and the retry budget is spent").After(retryAfter)
 	default:
-		return Again, nil
+		return Retry, nil
 	}
 }
 
-// NoServer is the failure of a call that no server takes.
+// NoServer returns the fault of a call that no server of the service accepts.
 func (c *Call) NoServer() *fault.Error {
-	return c.Fault(fault.NoServer, nil, "no server of the service takes work").After(comeback)
+	return c.Fault(fault.NoServer, nil, "no server of the service accepts requests").After(retryAfter)
 }
 
-// NoneYet is the failure of a call that no server takes for so long, since each is at the limit
-// that it has named or has asked for rest.
-func (c *Call) NoneYet(wait time.Duration) *fault.Error {
-	return c.Fault(fault.NoServer, nil, "all servers of the service are at their limits or rest").After(max(wait, comeback))
+// AllBusy returns the fault of a call that no server accepts for at least the given time,
+// because each is at the limit that it announced or in backoff.
+func (c *Call) AllBusy(wait time.Duration) *fault.Error {
+	return c.Fault(fault.NoServer, nil, "all servers of the service are at their limits or rest").After(max(wait, retryAfter))
 }
 
-// Withheld is a refusal in place of a further attempt.
-func (c *Call) Withheld(f *fault.Error) *fault.Error {
-	if c.maybe {
+// Refusal returns the fault for refusing a further attempt, marked as of unknown outcome if an
+// earlier attempt may have run.
+func (c *Call) Refusal(f *fault.Error) *fault.Error {
+	if c.mayHaveRun {
 		return f.WithRan(api.RanUnknown)
 	}
 	return f
 }
 
-// Fault types a failure with what is known of the call's own attempts.
+// Fault creates a fault that tells whether an earlier attempt of this call may have run.
 func (c *Call) Fault(code fault.Code, cause error, detail string) *fault.Error {
 	r := api.RanNo
-	if c.maybe {
+	if c.mayHaveRun {
 		r = api.RanUnknown
 	}
 	return fault.Wrap(code, cause, detail).WithRan(r)
--- a/internal/decide/quarantine/hash.go
+++ b/internal/decide/quarantine/hash.go
@@ -8,19 +8,20 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// hashBytes is the length of a hash: no caller can find a second content with the hash
-// of another workspace's request.
-const hashBytes = 16
+// hashSize is the length of a content hash in bytes. It is long enough that no caller can find
+// a second content with the hash of another workspace's request.
+const hashSize = 16
 
-// Hash names the content of a request: what a workspace sends, whatever the caller's id
-// of the attempt.
+// Hash identifies the content of a request by what the workspace sends; the caller's id of the
+// attempt is not part of it.
 func Hash(w api.WorkspaceName, method, host, target string, body []byte) api.ContentHash {
 	h := sha256.New()
 	for _, s := range []string{string(w), method, host, target} {
-		// The length before each part keeps two different requests apart.
+		// Each part is preceded by its length, so that parts split differently give different
+		// hashes.
 		h.Write(binary.AppendUvarint(nil, uint64(len(s))))
 		h.Write([]byte(s))
 	}
 	h.Write(body)
-	return api.ContentHash(hex.EncodeToString(h.Sum(nil)[:hashBytes]))
+	return api.ContentHash(hex.EncodeToString(h.Sum(nil)[:hashSize]))
 }
--- a/internal/decide/quarantine/judge.go
+++ b/internal/decide/quarantine/judge.go
@@ -9,10 +9,11 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// confirmed gives the breaks whose servers ended, the first one first.
-func (x *content) confirmed() []time.Time {
+// confirmedCrashes returns the times of the failures whose servers are known to have crashed,
+// earliest first.
+func (x *content) confirmedCrashes() []time.Time {
 	var l []time.Time
-	for _, r := range x.crashes {
+	for _, r := range x.failures {
 		if r.confirmed {
 			l = append(l, r.at)
 		}
@@ -21,80 +22,83 @@
 	return l
 }
 
-// due reports whether breaks make a content one that is refused.
-func due(now time.Time, l []time.Time) bool {
+// enoughCrashes reports whether confirmed crashes, earliest first, suffice to quarantine a
+// content.
+func enoughCrashes(now time.Time, l []time.Time) bool {
 	switch {
-	case len(l) < crashesMost:
+	case len(l) < maxCrashes:
 		return false
-	case len(l) >= crashesClear:
+	case len(l) >= immediateCrashes:
 		return true
 	default:
-		return now.Sub(l[crashesMost-1]) >= confirmTime
+		return now.Sub(l[maxCrashes-1]) >= verdictDelay
 	}
 }
 
-// Verdict is a content that has come to be refused.
+// Verdict is a content that has newly been quarantined.
 type Verdict struct {
 	Entry
-	// Servers ended under it.
+	// Servers are those that crashed while they ran the content.
 	Servers []api.ServerName
-	// Own is set where this entry VM saw one of the crashes.
-	Own bool
+	// Local is set if this entry VM observed at least one of the failures itself.
+	Local bool
 }
 
-// Step judges contents, and forgets what is over.
+// Step quarantines contents with enough confirmed crashes, returns them, and drops expired
+// records.
 func (t *Table) Step(now time.Time) []Verdict {
 	var l []Verdict
 	for c, x := range t.contents {
 		if v, ok := t.judge(now, c, x); ok {
 			l = append(l, v)
 		}
-		if t.over(now, x) {
+		if t.prune(now, x) {
 			delete(t.contents, c)
 		}
 	}
 	for s, at := range t.ended {
-		if now.Sub(at) > rememberTime {
+		if now.Sub(at) > failureRetention {
 			delete(t.ended, s)
 		}
 	}
-	maps.DeleteFunc(t.platform.released, func(_ api.ContentHash, at time.Time) bool { return now.Sub(at) > keepTime })
+	maps.DeleteFunc(t.platform.released, func(_ api.ContentHash, at time.Time) bool { return now.Sub(at) > quarantineTime })
 	slices.SortFunc(l, func(a, b Verdict) int { return cmp.Compare(a.Content, b.Content) })
 	return l
 }
 
-// Unconfirmed lists the servers that are to be probed for whether they still listen: those of
-// contents that broke off at as many as they may end, of which this entry VM saw one. Most
-// servers that end are found out by other requests; where these are rare, the lapse of an
-// entry takes four seconds, in which a content that comes again ends further ones.
-func (t *Table) Unconfirmed(now time.Time) []api.ServerName {
+// NextProbes returns the servers to probe now for whether they still accept connections, and
+// counts the probes. These are the unconfirmed servers of contents that this entry VM saw fail
+// and that have maxCrashes reportable failures. Most crashed servers are found by other
+// requests. Where requests are rare, it takes four seconds until the server's entry lapses,
+// and a content that is retried in that time crashes further servers.
+func (t *Table) NextProbes(now time.Time) []api.ServerName {
 	var l []api.ServerName
 	for _, x := range t.contents {
-		if x.own && x.until.IsZero() && x.reported() >= crashesMost {
-			l = append(l, x.unconfirmed(now)...)
+		if x.local && x.until.IsZero() && x.reportableFailures() >= maxCrashes {
+			l = append(l, x.nextProbes(now)...)
 		}
 	}
 	slices.Sort(l)
 	l = slices.Compact(l)
-	return l[:min(len(l), probeServers)]
+	return l[:min(len(l), maxProbedServers)]
 }
 
-// reported counts the breaks that are reported to peers.
-func (x *content) reported() int {
+// reportableFailures counts the failures that are reported to peers.
+func (x *content) reportableFailures() int {
 	n := 0
-	for _, r := range x.crashes {
-		if r.reported() {
+	for _, r := range x.failures {
+		if r.reportable() {
 			n++
 		}
 	}
 	return n
 }
 
-// unconfirmed lists the servers of a content that are to be probed, and counts that.
-func (x *content) unconfirmed(now time.Time) []api.ServerName {
+// nextProbes returns the servers of a content that are due for a probe, and counts the probes.
+func (x *content) nextProbes(now time.Time) []api.ServerName {
 	var l []api.ServerName
-	for s, r := range x.crashes {
-		if r.confirmed || r.silent || r.probes == probesMost || now.Sub(r.probed) < probePause {
+	for s, r := range x.failures {
+		if r.confirmed || r.noAnswer || r.probes == maxProbes || now.Sub(r.probed) < probeInterval {
 			continue
 		}
 		r.probed = now
@@ -104,15 +108,16 @@
 	return l
 }
 
-// judge reports whether a content is refused from now on.
+// judge quarantines a content that has enough confirmed crashes, and reports whether it did so
+// now.
 func (t *Table) judge(now time.Time, c api.ContentHash, x *content) (Verdict, bool) {
-	l := x.confirmed()
-	if !x.until.IsZero() || !due(now, l) {
+	l := x.confirmedCrashes()
+	if !x.until.IsZero() || !enoughCrashes(now, l) {
 		return Verdict{}, false
 	}
-	x.until = l[len(l)-1].Add(keepTime)
-	v := Verdict{Entry: Entry{Content: c, Until: x.until}, Own: x.own}
-	for s, r := range x.crashes {
+	x.until = l[len(l)-1].Add(quarantineTime)
+	v := Verdict{Entry: Entry{Content: c, Until: x.until}, Local: x.local}
+	for s, r := range x.failures {
 		if r.confirmed {
 			v.Servers = append(v.Servers, s)
 		}
@@ -121,15 +126,16 @@
 	return v, true
 }
 
-// over reports whether a content is forgotten.
-func (t *Table) over(now time.Time, x *content) bool {
+// prune drops expired failures of a content and reports whether the content can be dropped
+// altogether.
+func (t *Table) prune(now time.Time, x *content) bool {
 	if !x.until.IsZero() {
 		return now.After(x.until)
 	}
-	for s, r := range x.crashes {
-		if now.Sub(r.at) > rememberTime {
-			delete(x.crashes, s)
+	for s, r := range x.failures {
+		if now.Sub(r.at) > failureRetention {
+			delete(x.failures, s)
 		}
 	}
-	return len(x.crashes) == 0 && now.Sub(x.learned) > answeredTime
+	return len(x.failures) == 0 && now.Sub(x.updated) > answerRetention
 }
--- a/internal/decide/throttle/limits.go
+++ b/internal/decide/throttle/limits.go
@@ -8,66 +8,68 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Rate is in requests a second.
+// Rate is a number of requests per second.
 type Rate float64
 
-// Limit is what one answer of a server says: the rate that it takes from all entry VMs
-// together, or that it names none.
+// Limit is what one answer of a server announces: the rate that it accepts from all entry VMs
+// together, or no limit.
 type Limit struct {
+	// Named is set if the answer announces a limit.
 	Named bool
 	Rate  Rate
 }
 
-// word is the newest word on one server's limit.
-type word struct {
+// notice is the newest announcement of one server's limit.
+type notice struct {
 	Limit
-	// since and at are between which times the server said so: alike where it said so to this
-	// entry VM, apart by the way of the word where it came from a peer.
-	since, at time.Time
+	// earliest and latest are the times between which the server made the announcement. They
+	// are equal if it was made to this entry VM, and differ by the time in transit if a peer
+	// reported it.
+	earliest, latest time.Time
 }
 
-// Limits keeps the limits that servers have named.
+// Limits holds the limits that servers have announced.
 type Limits struct {
-	words map[api.ServerName]word
+	notices map[api.ServerName]notice
 }
 
-// NewLimits makes a record of no limits.
+// NewLimits creates an empty record of limits.
 func NewLimits() *Limits {
-	return &Limits{words: map[api.ServerName]word{}}
+	return &Limits{notices: map[api.ServerName]notice{}}
 }
 
-// Note takes what an answer says that came now to a request sent at a time, and reports
-// whether that is new. Answers overtake one another: one without a limit takes a limit back
-// only where its request was sent after the limit was last named.
-func (l *Limits) Note(now, sent time.Time, n api.ServerName, x Limit) bool {
-	w, ok := l.words[n]
-	if !x.Named && (!ok || !w.Named || !sent.After(w.at)) {
+// Record applies the limit in an answer that arrived now to a request sent at a time, and
+// reports whether the limit changed. Answers may arrive out of order: an answer without a
+// limit removes one only if its request was sent after the limit was last announced.
+func (l *Limits) Record(now, sent time.Time, n api.ServerName, x Limit) bool {
+	w, ok := l.notices[n]
+	if !x.Named && (!ok || !w.Named || !sent.After(w.latest)) {
 		return false
 	}
-	l.words[n] = word{Limit: x, since: now, at: now}
+	l.notices[n] = notice{Limit: x, earliest: now, latest: now}
 	return w.Limit != x
 }
 
-// Find gives the limit that a server has in force.
+// Find returns the limit that a server has in force.
 func (l *Limits) Find(n api.ServerName) (Rate, bool) {
-	w := l.words[n]
+	w := l.notices[n]
 	return w.Rate, w.Named
 }
 
 const (
-	// wayTime is the most that a peer's word was on its way.
-	wayTime = 600 * time.Millisecond
-	// liftTime is how long peers are told that a limit was taken back.
-	liftTime = 10 * time.Second
+	// maxReportDelay is the longest time that a peer's report is in transit.
+	maxReportDelay = 600 * time.Millisecond
+	// removalReportTime is how long the removal of a limit is reported to peers.
+	removalReportTime = 10 * time.Second
 )
 
-// Reports gives what peers are to know, in order.
+// Reports returns the limits and recent removals to report to peers, ordered by server.
 func (l *Limits) Reports(now time.Time) []api.ServerLimit {
 	var r []api.ServerLimit
-	for n, w := range l.words {
-		if age := now.Sub(w.at); w.Named || age < liftTime {
+	for n, w := range l.notices {
+		if age := now.Sub(w.latest); w.Named || age < removalReportTime {
 			r = append(r, api.ServerLimit{
-				Server: n, Named: w.Named, PerSecond: float64(w.Rate), AgeMS: api.ToMilliseconds(age), OldestMS: api.ToMilliseconds(now.Sub(w.since)),
+				Server: n, Named: w.Named, PerSecond: float64(w.Rate), AgeMS: api.ToMilliseconds(age), OldestMS: api.ToMilliseconds(now.Sub(w.earliest)),
 			})
 		}
 	}
@@ -75,29 +77,29 @@
 	return r
 }
 
-// Merge takes what a peer tells of a server, where that is newer for certain than what is
-// known, and reports whether it is new.
+// Merge applies a peer's report if it is certainly newer than what is known, and reports
+// whether the limit changed.
 func (l *Limits) Merge(now time.Time, r api.ServerLimit) bool {
 	x := Limit{Named: r.Named, Rate: Rate(r.PerSecond)}
-	w, ok := l.words[r.Server]
-	since := now.Add(-r.OldestMS.Duration() - wayTime)
+	w, ok := l.notices[r.Server]
+	since := now.Add(-r.OldestMS.Duration() - maxReportDelay)
 	switch {
 	case r.AgeMS < 0 || r.OldestMS < r.AgeMS || r.PerSecond < 0:
 		return false
 	case !x.Named && !ok:
 		return false
-	case ok && !since.After(w.at):
+	case ok && !since.After(w.latest):
 		return false
 	}
-	l.words[r.Server] = word{Limit: x, since: since, at: now.Add(-r.AgeMS.Duration())}
+	l.notices[r.Server] = notice{Limit: x, earliest: since, latest: now.Add(-r.AgeMS.Duration())}
 	return w.Limit != x
 }
 
-// Forget drops what servers that are gone have named.
+// Forget drops the limits of servers for which keep returns false.
 func (l *Limits) Forget(keep func(n api.ServerName) bool) {
-	for n := range l.words {
+	for n := range l.notices {
 		if !keep(n) {
-			delete(l.words, n)
+			delete(l.notices, n)
 		}
 	}
 }
