--- a/internal/decide/backlog/backlog.go
+++ b/internal/decide/backlog/backlog.go
@@ -9,30 +9,30 @@
 	"github.com/wardridge/wardridge/internal/decide/queue"
 )
 
-// waitingMost bounds the requests that wait in one place, whatever their forecasts
+// maxWaiting bounds the requests that wait in one place, whatever their forecasts
 // say: each holds its body in memory, here or at the entry VM that took it.
-const waitingMost = 512
+const maxWaiting = 512
 
-// waitShare is the part of its aim that a request may wait. Callers ask to be
+// maxWaitShare is the part of its aim that a request may wait. Callers ask to be
 // refused within an eighth of it; longer waits hold more in vain and serve no
 // more in time.
-const waitShare = 0.1
+const maxWaitShare = 0.1
 
-// Patience is how long a request with an aim may wait.
-func Patience(aim time.Duration) time.Duration {
-	return time.Duration(waitShare * float64(aim))
+// MaxWait is how long a request with an aim may wait.
+func MaxWait(aim time.Duration) time.Duration {
+	return time.Duration(maxWaitShare * float64(aim))
 }
 
-// Ask is a request that found no room.
-type Ask struct {
+// Request is a request that found no room.
+type Request struct {
 	Workspace api.WorkspaceName
 	// Rank orders requests; 0 goes first.
 	Rank int
 	// Cost is what the request takes of a server, in any unit: workspaces share
 	// by it.
 	Cost float64
-	// Aim is the time in which its answer is good.
-	Aim time.Duration
+	// LatencyTarget is the time in which its answer is good.
+	LatencyTarget time.Duration
 	// Late is set for a request that can't be answered in its aim any more, since
 	// it was refused before.
 	Late bool
@@ -42,17 +42,17 @@
 type Forecast struct {
 	// Waiting is the number of requests that waited already.
 	Waiting int
-	// Wait is the time after which the request would be let in, Bound the longest
+	// Wait is the time after which the request would be let in, MaxWait the longest
 	// that it may be.
-	Wait, Bound time.Duration
-	// Behind is set for a late request while others are refused that could be in
+	Wait, MaxWait time.Duration
+	// LateInOverload is set for a late request while others are refused that could be in
 	// time.
-	Behind bool
+	LateInOverload bool
 }
 
-// Allows reports whether the request may wait.
-func (f Forecast) Allows() bool {
-	return !f.Behind && f.Wait <= f.Bound
+// MayWait reports whether the request may wait.
+func (f Forecast) MayWait() bool {
+	return !f.LateInOverload && f.Wait <= f.MaxWait
 }
 
 // Backlog holds the requests of one service that wait for a server.
@@ -60,8 +60,8 @@
 	queue    *queue.Queue[T]
 	pace     pace
 	overload overload
-	// patience is the longest that a request of each rank was lately allowed.
-	patience [queue.Ranks]time.Duration
+	// maxWaits is the longest that a request of each rank was lately allowed.
+	maxWaits [queue.Ranks]time.Duration
 	// usual is the time that callers allow, by route.
 	usual  map[string]*usual
 	random *rand.Rand
@@ -69,7 +69,7 @@
 
 // New makes an empty backlog that draws from a source.
 func New[T any](s rand.Source) *Backlog[T] {
-	return &Backlog[T]{queue: queue.New[T](waitingMost), usual: map[string]*usual{}, random: rand.New(s)}
+	return &Backlog[T]{queue: queue.New[T](maxWaiting), usual: map[string]*usual{}, random: rand.New(s)}
 }
 
 // Len counts the requests that wait.
@@ -88,20 +88,20 @@
 	return u.spent(allowed) >= aim
 }
 
-// Keep forgets what was learned of routes that are no longer configured.
-func (b *Backlog[T]) Keep(configured func(route string) bool) {
+// RetainRoutes forgets what was learned of routes that are no longer configured.
+func (b *Backlog[T]) RetainRoutes(configured func(route string) bool) {
 	maps.DeleteFunc(b.usual, func(r string, _ *usual) bool { return !configured(r) })
 }
 
-// Ahead reports whether a new request has to wait for others: some of its rank
+// MustWait reports whether a new request has to wait for others: some of its rank
 // or a better one wait already, or it is late and others were just refused. An
 // engine that serves a late request in an overload makes another one late, until
 // hardly any is in time.
-func (b *Backlog[T]) Ahead(now time.Time, a Ask) bool {
-	return b.behind(now, a) || b.queue.Ahead(a.rank()) > 0
+func (b *Backlog[T]) MustWait(now time.Time, a Request) bool {
+	return b.lateInOverload(now, a) || b.queue.Ahead(a.rank()) > 0
 }
 
-func (b *Backlog[T]) behind(now time.Time, a Ask) bool {
+func (b *Backlog[T]) lateInOverload(now time.Time, a Request) bool {
 	return a.Late && b.overload.recent(now)
 }
 
@@ -109,13 +109,13 @@
 // All ranks are refused by the same backlog, so that in a lasting overload each
 // gets the same share of what it asks for; ranks only order those that wait. A
 // bound by rank would let the most urgent one take everything.
-func (b *Backlog[T]) Forecast(now time.Time, a Ask) Forecast {
+func (b *Backlog[T]) Forecast(now time.Time, a Request) Forecast {
 	rank := a.rank()
-	b.patience[rank] = Patience(a.Aim)
-	f := Forecast{Waiting: b.Len(), Bound: b.patience[rank], Behind: b.behind(now, a)}
-	for _, p := range b.patience[rank:] {
+	b.maxWaits[rank] = MaxWait(a.LatencyTarget)
+	f := Forecast{Waiting: b.Len(), MaxWait: b.maxWaits[rank], LateInOverload: b.lateInOverload(now, a)}
+	for _, p := range b.maxWaits[rank:] {
 		// A less urgent request that may wait longer must not be served more often.
-		f.Bound = max(f.Bound, p)
+		f.MaxWait = max(f.MaxWait, p)
 	}
 	f.Wait = time.Duration(f.Waiting+1) * b.pace.interval(now, f.Waiting > 0)
 	return f
@@ -123,7 +123,7 @@
 
 // Push lets a request wait. Where too many wait it gives the one that has to be
 // refused in its place.
-func (b *Backlog[T]) Push(now time.Time, a Ask, v T) (T, bool) {
+func (b *Backlog[T]) Push(now time.Time, a Request, v T) (T, bool) {
 	if b.Len() == 0 {
 		b.pace.begin(now)
 	}
--- a/internal/decide/backlog/backlog_test.go
+++ b/internal/decide/backlog/backlog_test.go
@@ -19,8 +19,8 @@
 	return backlog.New[string](rand.NewPCG(1, 2))
 }
 
-func ask(w api.WorkspaceName, rank int) backlog.Ask {
-	return backlog.Ask{Workspace: w, Rank: rank, Cost: 1, Aim: 2 * time.Second}
+func ask(w api.WorkspaceName, rank int) backlog.Request {
+	return backlog.Request{Workspace: w, Rank: rank, Cost: 1, LatencyTarget: 2 * time.Second}
 }
 
 func all(string) bool { return true }
@@ -60,7 +60,7 @@
 				b.Push(at(ms), ask("w", 0), "x")
 			}
 			f := b.Forecast(at(ms), ask("w", 0))
-			if got := f.Allows(); got != c.want {
+			if got := f.MayWait(); got != c.want {
 				t.Errorf("forecast %+v: got %v, want %v", f, got, c.want)
 			}
 		})
@@ -72,10 +72,10 @@
 	b := newBacklog()
 	ms := let(b, 20, 20)
 	b.Push(at(ms), ask("w", 0), "x")
-	if f := b.Forecast(at(ms), ask("w", 0)); !f.Allows() {
+	if f := b.Forecast(at(ms), ask("w", 0)); !f.MayWait() {
 		t.Errorf("at once: got a refusal by %+v, want a wait", f)
 	}
-	if f := b.Forecast(at(ms+500), ask("w", 0)); f.Allows() {
+	if f := b.Forecast(at(ms+500), ask("w", 0)); f.MayWait() {
 		t.Errorf("after 500 ms in which nothing was let in: got a wait by %+v, want a refusal", f)
 	}
 }
@@ -84,15 +84,15 @@
 func TestUrgentRequestsAreBoundNoCloserThanOthers(t *testing.T) {
 	b := newBacklog()
 	patient := ask("w", 3)
-	patient.Aim = 10 * time.Second
+	patient.LatencyTarget = 10 * time.Second
 	b.Forecast(begin, patient)
-	if got, want := b.Forecast(begin, ask("w", 0)).Bound, time.Second; got != want {
+	if got, want := b.Forecast(begin, ask("w", 0)).MaxWait, time.Second; got != want {
 		t.Errorf("bound of the urgent one: got %v, want %v", got, want)
 	}
 	urgent := ask("w", 0)
-	urgent.Aim = 20 * time.Second
+	urgent.LatencyTarget = 20 * time.Second
 	b.Forecast(begin, urgent)
-	if got, want := b.Forecast(begin, patient).Bound, time.Second; got != want {
+	if got, want := b.Forecast(begin, patient).MaxWait, time.Second; got != want {
 		t.Errorf("bound of the patient one: got %v, want %v", got, want)
 	}
 }
@@ -101,13 +101,13 @@
 	b := newBacklog()
 	b.Push(begin, ask("w", 1), "late")
 	b.Push(begin, ask("w", 0), "urgent")
-	if !b.Ahead(at(1), ask("w", 1)) || !b.Ahead(at(1), ask("w", 0)) {
+	if !b.MustWait(at(1), ask("w", 1)) || !b.MustWait(at(1), ask("w", 0)) {
 		t.Error("ahead of both ranks: got nobody, want a request")
 	}
 	if got, _ := b.Pop(at(1), all); got != "urgent" {
 		t.Errorf("let in first: got %q, want the urgent one", got)
 	}
-	if b.Ahead(at(1), ask("w", 0)) {
+	if b.MustWait(at(1), ask("w", 0)) {
 		t.Error("ahead of the urgent rank: got a request, want nobody")
 	}
 	b.Remove(func(v string) bool { return v == "late" })
@@ -128,16 +128,16 @@
 		t.Errorf("let in first: got %q, want the one that can be in time", got)
 	}
 	b.Refuse(at(100), false, time.Minute)
-	if !b.Ahead(at(200), late) || b.Forecast(at(200), late).Allows() {
+	if !b.MustWait(at(200), late) || b.Forecast(at(200), late).MayWait() {
 		t.Error("just after a refusal: got the late request let in, want it refused")
 	}
-	if b.Forecast(at(200), ask("w", 3)).Behind {
+	if b.Forecast(at(200), ask("w", 3)).LateInOverload {
 		t.Error("just after a refusal: got one that can be in time put behind, want only late ones")
 	}
 	b.Remove(func(string) bool { return true })
 	// That late ones are refused does not make the overload last.
 	b.Refuse(at(900), true, time.Minute)
-	if b.Ahead(at(1500), late) || !b.Forecast(at(1500), late).Allows() {
+	if b.MustWait(at(1500), late) || !b.Forecast(at(1500), late).MayWait() {
 		t.Error("after a second without a refusal: got the late request refused, want it let in")
 	}
 }
@@ -210,7 +210,7 @@
 		b.Late("kept", 6*time.Second, time.Second)
 		b.Late("gone", 6*time.Second, time.Second)
 	}
-	b.Keep(func(route string) bool { return route == "kept" })
+	b.RetainRoutes(func(route string) bool { return route == "kept" })
 	if b.Late("gone", 2*time.Second, time.Second) {
 		t.Error("a route that was gone: got a request taken for late, want nothing known")
 	}
--- a/internal/decide/backlog/rank.go
+++ b/internal/decide/backlog/rank.go
@@ -25,7 +25,7 @@
 }
 
 // rank is the place among all requests, the late ones among them.
-func (a Ask) rank() int {
+func (a Request) rank() int {
 	r := clamp(a.Rank, lateRank)
 	if a.Late {
 		r += lateRank
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -46,7 +46,7 @@
 	defer g.mutex.Unlock()
 	g.Retries.Keep(configured)
 	for n, a := range g.admissions {
-		a.backlog.Keep(func(route string) bool { return routes[route] })
+		a.backlog.RetainRoutes(func(route string) bool { return routes[route] })
 		if !configured(n) && a.backlog.Len() == 0 {
 			delete(g.admissions, n)
 		}
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -136,7 +136,7 @@
 	return demand{
 		service: s, purpose: a.Purpose, domain: a.Domain, exact: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, waits: a.Waits, expected: a.Expected, brief: a.Brief,
 		need:     placement.Need{Tokens: a.Tokens, Unread: a.Unread},
-		ask:      backlog.Ask{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), Aim: a.AimMS.Duration(), Late: a.Late},
+		ask:      backlog.Request{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), LatencyTarget: a.AimMS.Duration(), Late: a.Late},
 		route:    a.Route,
 		wait:     a.WaitMS.Duration(),
 		deadline: time.Now().Add(a.LeftMS.Duration()),
@@ -151,7 +151,7 @@
 	if f := p.fault; f != nil {
 		return api.PlaceAnswer{Refused: &api.PlaceRefusal{
 			Code: int(f.Code), Detail: f.Detail, RetryAfterMS: api.ToMilliseconds(f.RetryAfter), Waiting: p.forecast.Waiting,
-			ForecastMS: api.ToMilliseconds(p.forecast.Wait), PatienceMS: api.ToMilliseconds(p.forecast.Bound), Behind: p.forecast.Behind,
+			ForecastMS: api.ToMilliseconds(p.forecast.Wait), PatienceMS: api.ToMilliseconds(p.forecast.MaxWait), Behind: p.forecast.LateInOverload,
 		}}
 	}
 	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Of, Copy: p.copy}
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -17,7 +17,7 @@
 	// domain is the failure domain whose engines are wanted.
 	domain api.DomainName
 	need   placement.Need
-	ask    backlog.Ask
+	ask    backlog.Request
 	// route and wait are the route of a new run and the time that its caller allowed,
 	// which tell whether it was refused before.
 	route string
@@ -57,7 +57,7 @@
 		if !d.brief {
 			l.Room = a.reserve.Room(now)
 		}
-		l.UnreadMost = a.reading.Within(d.ask.Aim)
+		l.UnreadMost = a.reading.Within(d.ask.LatencyTarget)
 	case api.PlaceAskPurposeMove:
 		l.Stay = true
 	case api.PlaceAskPurposeCopy:
@@ -89,7 +89,7 @@
 		}
 		return g.picker.Protect(now, l, d.need, d.expected, d.tried)
 	}
-	if d.purpose == api.PlaceAskPurposeRun && a.backlog.Ahead(now, d.ask) {
+	if d.purpose == api.PlaceAskPurposeRun && a.backlog.MustWait(now, d.ask) {
 		return placement.Choice{}, false
 	}
 	x, ok := g.picker.Pick(now, l, d.need, d.tried)
@@ -110,7 +110,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	d.ask.Late = g.admission(d.service.Name).backlog.Late(d.route, d.wait, d.ask.Aim)
+	d.ask.Late = g.admission(d.service.Name).backlog.Late(d.route, d.wait, d.ask.LatencyTarget)
 }
 
 // load is what the place of a demand counts for.
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -47,9 +47,9 @@
 func (g *Gateway) demand(q *request, n placement.Need, waits bool) demand {
 	d := demand{
 		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), waits: waits, tried: q.tried,
-		ask: backlog.Ask{
+		ask: backlog.Request{
 			Workspace: q.workspace.Name, Rank: backlog.Rank(q.workspace.Priority, q.route.Priority),
-			Cost: float64(n.Tokens), Aim: q.aim(),
+			Cost: float64(n.Tokens), LatencyTarget: q.aim(),
 		},
 		route: q.route.Name, wait: q.Wait,
 	}
@@ -105,7 +105,7 @@
 func (d demand) message() api.PlaceAsk {
 	a := api.PlaceAsk{
 		Domain: d.domain, Service: d.service.Name, Purpose: d.purpose, Tokens: d.need.Tokens, Unread: d.need.Unread, Expected: d.expected, Brief: d.brief,
-		Workspace: d.ask.Workspace, Rank: d.ask.Rank, AimMS: api.ToMilliseconds(d.ask.Aim), LeftMS: api.ToMilliseconds(time.Until(d.deadline)),
+		Workspace: d.ask.Workspace, Rank: d.ask.Rank, AimMS: api.ToMilliseconds(d.ask.LatencyTarget), LeftMS: api.ToMilliseconds(time.Until(d.deadline)),
 		Route: d.route, WaitMS: api.ToMilliseconds(d.wait), Tried: d.tried, Waits: d.waits, Forwarded: d.forwarded, Standby: d.standby, Late: d.ask.Late,
 	}
 	if r := d.recipient; r != nil {
@@ -165,7 +165,7 @@
 		limit = allocatorTime
 	}
 	if a.Waits {
-		limit += backlog.Patience(a.AimMS.Duration())
+		limit += backlog.MaxWait(a.AimMS.Duration())
 	}
 	return limit
 }
@@ -216,7 +216,7 @@
 	if x := r.Refused; x != nil {
 		return placed{
 			fault:    fault.New(fault.Code(x.Code), x.Detail).After(x.RetryAfterMS.Duration()),
-			forecast: backlog.Forecast{Waiting: x.Waiting, Wait: x.ForecastMS.Duration(), Bound: x.PatienceMS.Duration(), Behind: x.Behind},
+			forecast: backlog.Forecast{Waiting: x.Waiting, Wait: x.ForecastMS.Duration(), MaxWait: x.PatienceMS.Duration(), LateInOverload: x.Behind},
 		}, true
 	}
 	m, ok := g.roster.Find(r.Server)
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -42,7 +42,7 @@
 	now := time.Now()
 	a := g.admission(d.service.Name)
 	f := a.backlog.Forecast(now, d.ask)
-	if !f.Allows() || g.roster.Closed(d.domain) && !g.offers(now, d) {
+	if !f.MayWait() || g.roster.Closed(d.domain) && !g.offers(now, d) {
 		p := placed{fault: g.noRoom(now, a, d), forecast: f}
 		g.mutex.Unlock()
 		return p
@@ -79,7 +79,7 @@
 
 // wait waits until a demand was given a server or refused, or its caller left.
 func (g *Gateway) wait(ctx context.Context, a *admission, w *waiter) placed {
-	t := time.NewTimer(backlog.Patience(w.demand.ask.Aim))
+	t := time.NewTimer(backlog.MaxWait(w.demand.ask.LatencyTarget))
 	defer t.Stop()
 	select {
 	case p := <-w.placed:
@@ -157,8 +157,8 @@
 // figures gives the fields of the log line of a refusal: what decided it.
 func (q *request) figures() []zap.Field {
 	l := []zap.Field{zap.Duration("waited", q.waited)}
-	if f := q.forecast; f.Bound > 0 {
-		l = append(l, zap.Int("waiting", f.Waiting), zap.Duration("forecast", f.Wait), zap.Duration("patience", f.Bound), zap.Bool("behind", f.Behind))
+	if f := q.forecast; f.MaxWait > 0 {
+		l = append(l, zap.Int("waiting", f.Waiting), zap.Duration("forecast", f.Wait), zap.Duration("patience", f.MaxWait), zap.Bool("behind", f.LateInOverload))
 	}
 	return l
 }
