--- a/internal/decide/backlog/backlog.go
+++ b/internal/decide/backlog/backlog.go
@@ -58,18 +58,18 @@
 // Backlog holds the requests of one service that wait for a server.
 type Backlog[T any] struct {
 	queue    *queue.Queue[T]
-	pace     pace
+	interval admissionInterval
 	overload overload
 	// maxWaits is the longest that a request of each rank was lately allowed.
 	maxWaits [queue.Ranks]time.Duration
-	// usual is the time that callers allow, by route.
-	usual  map[string]*usual
-	random *rand.Rand
+	// timeouts is the time that callers allow, by route.
+	timeouts map[string]*typicalTimeout
+	random   *rand.Rand
 }
 
 // New makes an empty backlog that draws from a source.
 func New[T any](s rand.Source) *Backlog[T] {
-	return &Backlog[T]{queue: queue.New[T](maxWaiting), usual: map[string]*usual{}, random: rand.New(s)}
+	return &Backlog[T]{queue: queue.New[T](maxWaiting), timeouts: map[string]*typicalTimeout{}, random: rand.New(s)}
 }
 
 // Len counts the requests that wait.
@@ -80,55 +80,55 @@
 // Late takes the time that a caller of a route allows, and reports whether it
 // seems to have spent its aim in a try before.
 func (b *Backlog[T]) Late(route string, allowed, aim time.Duration) bool {
-	u, ok := b.usual[route]
+	u, ok := b.timeouts[route]
 	if !ok {
-		u = &usual{}
-		b.usual[route] = u
+		u = &typicalTimeout{}
+		b.timeouts[route] = u
 	}
-	return u.spent(allowed) >= aim
+	return u.observe(allowed) >= aim
 }
 
 // RetainRoutes forgets what was learned of routes that are no longer configured.
 func (b *Backlog[T]) RetainRoutes(configured func(route string) bool) {
-	maps.DeleteFunc(b.usual, func(r string, _ *usual) bool { return !configured(r) })
+	maps.DeleteFunc(b.timeouts, func(r string, _ *typicalTimeout) bool { return !configured(r) })
 }
 
 // MustWait reports whether a new request has to wait for others: some of its rank
 // or a better one wait already, or it is late and others were just refused. An
 // engine that serves a late request in an overload makes another one late, until
 // hardly any is in time.
-func (b *Backlog[T]) MustWait(now time.Time, a Request) bool {
-	return b.lateInOverload(now, a) || b.queue.Ahead(a.rank()) > 0
+func (b *Backlog[T]) MustWait(now time.Time, r Request) bool {
+	return b.lateInOverload(now, r) || b.queue.Ahead(r.rank()) > 0
 }
 
-func (b *Backlog[T]) lateInOverload(now time.Time, a Request) bool {
-	return a.Late && b.overload.recent(now)
+func (b *Backlog[T]) lateInOverload(now time.Time, r Request) bool {
+	return r.Late && b.overload.recent(now)
 }
 
 // Forecast tells how long a request would wait, and remembers how long it may.
 // All ranks are refused by the same backlog, so that in a lasting overload each
 // gets the same share of what it asks for; ranks only order those that wait. A
 // bound by rank would let the most urgent one take everything.
-func (b *Backlog[T]) Forecast(now time.Time, a Request) Forecast {
-	rank := a.rank()
-	b.maxWaits[rank] = MaxWait(a.LatencyTarget)
-	f := Forecast{Waiting: b.Len(), MaxWait: b.maxWaits[rank], LateInOverload: b.lateInOverload(now, a)}
+func (b *Backlog[T]) Forecast(now time.Time, r Request) Forecast {
+	rank := r.rank()
+	b.maxWaits[rank] = MaxWait(r.LatencyTarget)
+	f := Forecast{Waiting: b.Len(), MaxWait: b.maxWaits[rank], LateInOverload: b.lateInOverload(now, r)}
 	for _, p := range b.maxWaits[rank:] {
 		// A less urgent request that may wait longer must not be served more often.
 		f.MaxWait = max(f.MaxWait, p)
 	}
-	f.Wait = time.Duration(f.Waiting+1) * b.pace.interval(now, f.Waiting > 0)
+	f.Wait = time.Duration(f.Waiting+1) * b.interval.expected(now, f.Waiting > 0)
 	return f
 }
 
 // Push lets a request wait. Where too many wait it gives the one that has to be
 // refused in its place.
-func (b *Backlog[T]) Push(now time.Time, a Request, v T) (T, bool) {
+func (b *Backlog[T]) Push(now time.Time, r Request, v T) (T, bool) {
 	if b.Len() == 0 {
-		b.pace.begin(now)
+		b.interval.start(now)
 	}
 	out, full := b.queue.Push(queue.Item[T]{
-		Workspace: a.Workspace, Weight: 1, Rank: a.rank(), Cost: a.Cost, Since: now, Value: v,
+		Workspace: r.Workspace, Weight: 1, Rank: r.rank(), Cost: r.Cost, Since: now, Value: v,
 	})
 	return out.Value, full
 }
@@ -137,7 +137,7 @@
 func (b *Backlog[T]) Pop(now time.Time, fits func(T) bool) (T, bool) {
 	v, ok := b.queue.Pop(now, fits)
 	if ok {
-		b.pace.note(now)
+		b.interval.observe(now)
 	}
 	return v, ok
 }
@@ -148,13 +148,13 @@
 }
 
 const (
-	// returnFrom and returnTo bound the part of its remaining time after which a
+	// minRetryShare and returnTo bound the part of its remaining time after which a
 	// refused caller is told to come back. It has missed its aim, so that coming
 	// back early gains it nothing, while one that comes back into the same overload
 	// is refused again and adds to it; two thirds of its time are left for the
 	// answer. Callers are spread between the two.
-	returnFrom = 0.30
-	returnTo   = 0.33
+	minRetryShare = 0.30
+	maxRetryShare = 0.33
 )
 
 // Refuse notes a refusal and tells when its caller, which has so much time left,
@@ -163,8 +163,8 @@
 // ones that are refused for it must not make it last.
 func (b *Backlog[T]) Refuse(now time.Time, late bool, left time.Duration) time.Duration {
 	if !late {
-		b.overload.note(now)
+		b.overload.observe(now)
 	}
-	share := returnFrom + (returnTo-returnFrom)*b.random.Float64()
-	return max(b.overload.age(now), time.Duration(share*float64(left)))
+	share := minRetryShare + (maxRetryShare-minRetryShare)*b.random.Float64()
+	return max(b.overload.duration(now), time.Duration(share*float64(left)))
 }
--- a/internal/decide/backlog/overload.go
+++ b/internal/decide/backlog/overload.go
@@ -6,27 +6,27 @@
 // few times between two refusals of a VM that refuses one request in ten.
 const overloadGap = 2 * time.Second
 
-// overloadRecent is the time after a refusal in which late requests are refused
+// recentRefusal is the time after a refusal in which late requests are refused
 // too: a shorter one lets them push out requests that could be in time, a longer one
 // refuses what there is room for.
-const overloadRecent = time.Second
+const recentRefusal = time.Second
 
 // overload knows how long requests have been refused.
 type overload struct {
-	began, last time.Time
+	began, lastRefusal time.Time
 }
 
-// note takes a refusal.
-func (o *overload) note(now time.Time) {
-	if now.Sub(o.last) > overloadGap {
+// observe takes a refusal.
+func (o *overload) observe(now time.Time) {
+	if now.Sub(o.lastRefusal) > overloadGap {
 		o.began = now
 	}
-	o.last = now
+	o.lastRefusal = now
 }
 
-// age is how long the overload lasts, zero where there is none.
-func (o *overload) age(now time.Time) time.Duration {
-	if now.Sub(o.last) > overloadGap {
+// duration is how long the overload lasts, zero where there is none.
+func (o *overload) duration(now time.Time) time.Duration {
+	if now.Sub(o.lastRefusal) > overloadGap {
 		return 0
 	}
 	return now.Sub(o.began)
@@ -34,5 +34,5 @@
 
 // recent reports whether a request was refused just before.
 func (o *overload) recent(now time.Time) bool {
-	return now.Sub(o.last) < overloadRecent
+	return now.Sub(o.lastRefusal) < recentRefusal
 }
--- a/internal/decide/backlog/rank.go
+++ b/internal/decide/backlog/rank.go
@@ -3,14 +3,14 @@
 import "github.com/wardridge/wardridge/internal/decide/queue"
 
 const (
-	// lateRank is added to the rank of late requests: those that can be in time go
+	// lateRankOffset is added to the rank of late requests: those that can be in time go
 	// first.
-	lateRank = queue.Ranks / 2
+	lateRankOffset = queue.Ranks / 2
 	// routeRanks is the number of priorities of routes that are told apart within
 	// one of workspaces; what is beyond counts as the last.
 	routeRanks = 4
 	// workspaceRanks is the number of priorities of workspaces that are told apart.
-	workspaceRanks = lateRank / routeRanks
+	workspaceRanks = lateRankOffset / routeRanks
 )
 
 // Rank orders requests by the priority of their workspace first, then by that of
@@ -25,10 +25,10 @@
 }
 
 // rank is the place among all requests, the late ones among them.
-func (a Request) rank() int {
-	r := clamp(a.Rank, lateRank)
-	if a.Late {
-		r += lateRank
+func (r Request) rank() int {
+	n := clamp(r.Rank, lateRankOffset)
+	if r.Late {
+		n += lateRankOffset
 	}
-	return r
+	return n
 }
