--- a/internal/decide/backlog/admission_interval.go
+++ b/internal/decide/backlog/admission_interval.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// intervalWeight is the weight of the newest time between two requests that were
-// let in: some five of them decide, about a second of an overload.
+// intervalWeight is the weight of the latest interval between two admissions: the
+// mean covers about five of them, which is about a second of an overload.
 const intervalWeight = 0.2
 
-// admissionInterval learns how often a request is let in while others wait.
+// admissionInterval is a moving average of the time between two admissions while
+// requests wait.
 type admissionInterval struct {
 	mean time.Duration
 	last time.Time
 }
 
-// start notes that requests start to wait.
+// start records that the first request begins to wait.
 func (p *admissionInterval) start(now time.Time) {
 	p.last = now
 }
 
-// observe takes a request that was let in.
+// observe records an admission.
 func (p *admissionInterval) observe(now time.Time) {
 	d := now.Sub(p.last)
 	p.last = now
@@ -28,8 +29,8 @@
 	p.mean += time.Duration(intervalWeight * float64(d-p.mean))
 }
 
-// expected is the expected time between two requests that are let in. While
-// requests wait and none is let in, it grows.
+// expected returns the expected time between two admissions. It grows while
+// requests wait and none is admitted.
 func (p *admissionInterval) expected(now time.Time, waiting bool) time.Duration {
 	if !waiting {
 		return p.mean
--- a/internal/decide/backlog/backlog_test.go
+++ b/internal/decide/backlog/backlog_test.go
@@ -19,17 +19,18 @@
 	return backlog.New[string](rand.NewPCG(1, 2))
 }
 
-func ask(w api.WorkspaceName, rank int) backlog.Request {
+func request(w api.WorkspaceName, rank int) backlog.Request {
 	return backlog.Request{Workspace: w, Rank: rank, Cost: 1, LatencyTarget: 2 * time.Second}
 }
 
 func all(string) bool { return true }
 
-// let lets a request in each gap ms, so that the pace is known.
-func let(b *backlog.Backlog[string], gap, n int) int {
+// admitEvery admits n requests, one each gap ms, so that the backlog learns the
+// interval, and returns the time of the last admission in ms.
+func admitEvery(b *backlog.Backlog[string], gap, n int) int {
 	ms := 0
 	for range n {
-		b.Push(at(ms), ask("w", 0), "x")
+		b.Push(at(ms), request("w", 0), "x")
 		ms += gap
 		b.Pop(at(ms), all)
 	}
@@ -43,23 +44,23 @@
 		waiting int
 		want    bool
 	}{
-		{"nothing known, nobody waits", 0, 0, true},
-		{"a fast pace, nobody waits", 50, 0, true},
-		{"a fast pace, some wait", 50, 2, true},
-		{"a fast pace, too many wait", 50, 4, false},
-		{"a slow pace, nobody waits", 400, 0, false},
+		{"no interval known, none waiting", 0, 0, true},
+		{"short interval, none waiting", 50, 0, true},
+		{"short interval, some waiting", 50, 2, true},
+		{"short interval, too many waiting", 50, 4, false},
+		{"long interval, none waiting", 400, 0, false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBacklog()
 			ms := 0
 			if c.gap > 0 {
-				ms = let(b, c.gap, 20)
+				ms = admitEvery(b, c.gap, 20)
 			}
 			for range c.waiting {
-				b.Push(at(ms), ask("w", 0), "x")
+				b.Push(at(ms), request("w", 0), "x")
 			}
-			f := b.Forecast(at(ms), ask("w", 0))
+			f := b.Forecast(at(ms), request("w", 0))
 			if got := f.MayWait(); got != c.want {
 				t.Errorf("forecast %+v: got %v, want %v", f, got, c.want)
 			}
@@ -67,78 +68,78 @@
 	}
 }
 
-// While nothing is let in, the forecast grows, whatever the pace was before.
-func TestForecastGrowsWhileNothingIsLetIn(t *testing.T) {
+// The forecast grows while no request is admitted, however short the interval was.
+func TestForecastGrowsWhileNothingIsAdmitted(t *testing.T) {
 	b := newBacklog()
-	ms := let(b, 20, 20)
-	b.Push(at(ms), ask("w", 0), "x")
-	if f := b.Forecast(at(ms), ask("w", 0)); !f.MayWait() {
-		t.Errorf("at once: got a refusal by %+v, want a wait", f)
+	ms := admitEvery(b, 20, 20)
+	b.Push(at(ms), request("w", 0), "x")
+	if f := b.Forecast(at(ms), request("w", 0)); !f.MayWait() {
+		t.Errorf("at once: got a refusal with %+v, want a wait", f)
 	}
-	if f := b.Forecast(at(ms+500), ask("w", 0)); f.MayWait() {
-		t.Errorf("after 500 ms in which nothing was let in: got a wait by %+v, want a refusal", f)
+	if f := b.Forecast(at(ms+500), request("w", 0)); f.MayWait() {
+		t.Errorf("after 500 ms without an admission: got a wait with %+v, want a refusal", f)
 	}
 }
 
 // A less urgent request that may wait longer must not be served more often.
-func TestUrgentRequestsAreBoundNoCloserThanOthers(t *testing.T) {
+func TestUrgentRequestsMayWaitAsLongAsOthers(t *testing.T) {
 	b := newBacklog()
-	patient := ask("w", 3)
+	patient := request("w", 3)
 	patient.LatencyTarget = 10 * time.Second
 	b.Forecast(begin, patient)
-	if got, want := b.Forecast(begin, ask("w", 0)).MaxWait, time.Second; got != want {
-		t.Errorf("bound of the urgent one: got %v, want %v", got, want)
+	if got, want := b.Forecast(begin, request("w", 0)).MaxWait, time.Second; got != want {
+		t.Errorf("longest wait of the urgent request: got %v, want %v", got, want)
 	}
-	urgent := ask("w", 0)
+	urgent := request("w", 0)
 	urgent.LatencyTarget = 20 * time.Second
 	b.Forecast(begin, urgent)
 	if got, want := b.Forecast(begin, patient).MaxWait, time.Second; got != want {
-		t.Errorf("bound of the patient one: got %v, want %v", got, want)
+		t.Errorf("longest wait of the less urgent request: got %v, want %v", got, want)
 	}
 }
 
-func TestRanksGoFirst(t *testing.T) {
+func TestLowestRankIsAdmittedFirst(t *testing.T) {
 	b := newBacklog()
-	b.Push(begin, ask("w", 1), "late")
-	b.Push(begin, ask("w", 0), "urgent")
-	if !b.MustWait(at(1), ask("w", 1)) || !b.MustWait(at(1), ask("w", 0)) {
-		t.Error("ahead of both ranks: got nobody, want a request")
+	b.Push(begin, request("w", 1), "late")
+	b.Push(begin, request("w", 0), "urgent")
+	if !b.MustWait(at(1), request("w", 1)) || !b.MustWait(at(1), request("w", 0)) {
+		t.Error("MustWait of both ranks: got false, want true")
 	}
 	if got, _ := b.Pop(at(1), all); got != "urgent" {
-		t.Errorf("let in first: got %q, want the urgent one", got)
+		t.Errorf("admitted first: got %q, want the urgent request", got)
 	}
-	if b.MustWait(at(1), ask("w", 0)) {
-		t.Error("ahead of the urgent rank: got a request, want nobody")
+	if b.MustWait(at(1), request("w", 0)) {
+		t.Error("MustWait of the urgent rank: got true, want false")
 	}
 	b.Remove(func(v string) bool { return v == "late" })
 	if got := b.Len(); got != 0 {
-		t.Errorf("after the other left: got %d waiting, want none", got)
+		t.Errorf("after the other request was removed: got %d waiting, want none", got)
 	}
 }
 
-// A late request goes behind those that can be in time, whatever its rank, and is
-// refused at once while others are.
-func TestLateRequests(t *testing.T) {
-	late := ask("w", 0)
+// A late request is admitted after those that can meet their targets, whatever its
+// rank, and is refused at once while others are refused.
+func TestLateRequestsYieldToOthers(t *testing.T) {
+	late := request("w", 0)
 	late.Late = true
 	b := newBacklog()
 	b.Push(begin, late, "late")
-	b.Push(begin, ask("w", 3), "in time")
+	b.Push(begin, request("w", 3), "in time")
 	if got, _ := b.Pop(at(1), all); got != "in time" {
-		t.Errorf("let in first: got %q, want the one that can be in time", got)
+		t.Errorf("admitted first: got %q, want the request that can meet its target", got)
 	}
 	b.Refuse(at(100), false, time.Minute)
 	if !b.MustWait(at(200), late) || b.Forecast(at(200), late).MayWait() {
-		t.Error("just after a refusal: got the late request let in, want it refused")
+		t.Error("just after a refusal: got the late request admitted, want it refused")
 	}
-	if b.Forecast(at(200), ask("w", 3)).LateInOverload {
-		t.Error("just after a refusal: got one that can be in time put behind, want only late ones")
+	if b.Forecast(at(200), request("w", 3)).LateInOverload {
+		t.Error("just after a refusal: got LateInOverload for a request that is not late, want it for late ones only")
 	}
 	b.Remove(func(string) bool { return true })
-	// That late ones are refused does not make the overload last.
+	// Refusals of late requests don't prolong the overload.
 	b.Refuse(at(900), true, time.Minute)
 	if b.MustWait(at(1500), late) || !b.Forecast(at(1500), late).MayWait() {
-		t.Error("after a second without a refusal: got the late request refused, want it let in")
+		t.Error("after a second without a refusal: got the late request refused, want it admitted")
 	}
 }
 
@@ -149,12 +150,12 @@
 	for n := range 100 {
 		d := b.Refuse(at(n), false, left)
 		if d < left*3/10 || d > left/3 {
-			t.Errorf("came back after: got %v, want about a third of %v", d, left)
+			t.Errorf("retry after: got %v, want about a third of %v", d, left)
 		}
 		seen[d] = true
 	}
 	if len(seen) < 90 {
-		t.Errorf("times to come back: got %d different ones of 100, want them spread", len(seen))
+		t.Errorf("retry times: got %d distinct ones of 100, want at least 90", len(seen))
 	}
 	// An overload of a minute is expected to last another one.
 	for n := range 60 {
@@ -169,28 +170,28 @@
 }
 
 func TestLate(t *testing.T) {
-	const aim = 1500 * time.Millisecond
-	usual := []float64{6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6}
+	const target = 1500 * time.Millisecond
+	same := []float64{6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6}
 	tests := []struct {
 		name string
-		// before are the times that callers allowed, in seconds.
+		// before are the timeouts of earlier requests, in seconds.
 		before []float64
 		last   float64
 		want   bool
 	}{
 		{"nothing known", nil, 6, false},
-		{"the usual time", usual, 6, false},
-		{"a little on the way", usual, 5.95, false},
-		{"less, by less than the aim", usual, 5, false},
-		{"less by more than the aim", usual, 4, true},
-		{"each has its own", []float64{6, 3, 1, 5, 6, 2, 4, 3, 1, 5, 6, 2, 4, 3, 1, 5}, 2, false},
-		{"none given", usual, 0, false},
+		{"the typical timeout", same, 6, false},
+		{"shorter by the time on the network", same, 5.95, false},
+		{"shorter by less than the target", same, 5, false},
+		{"shorter by more than the target", same, 4, true},
+		{"different timeouts", []float64{6, 3, 1, 5, 6, 2, 4, 3, 1, 5, 6, 2, 4, 3, 1, 5}, 2, false},
+		{"no timeout", same, 0, false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBacklog()
 			late := func(s float64) bool {
-				return b.Late("r", time.Duration(s*float64(time.Second)), aim)
+				return b.Late("r", time.Duration(s*float64(time.Second)), target)
 			}
 			for _, s := range c.before {
 				late(s)
@@ -202,25 +203,25 @@
 	}
 }
 
-// What was learned of routes that are gone is forgotten, so that routes that come
-// and go take no memory, and one of the same name begins anew.
-func TestRoutesAreForgotten(t *testing.T) {
+// What was learned of unconfigured routes is forgotten: routes that are added and
+// removed must not use memory, and a new route of the same name starts from nothing.
+func TestUnconfiguredRoutesAreForgotten(t *testing.T) {
 	b := newBacklog()
 	for range 20 {
-		b.Late("kept", 6*time.Second, time.Second)
-		b.Late("gone", 6*time.Second, time.Second)
+		b.Late("retained", 6*time.Second, time.Second)
+		b.Late("removed", 6*time.Second, time.Second)
 	}
-	b.RetainRoutes(func(route string) bool { return route == "kept" })
-	if b.Late("gone", 2*time.Second, time.Second) {
-		t.Error("a route that was gone: got a request taken for late, want nothing known")
+	b.RetainRoutes(func(route string) bool { return route == "retained" })
+	if b.Late("removed", 2*time.Second, time.Second) {
+		t.Error("removed route: got a request reported as late, want nothing known")
 	}
-	if !b.Late("kept", 2*time.Second, time.Second) {
-		t.Error("a route that was kept: got a late request taken for one in time")
+	if !b.Late("retained", 2*time.Second, time.Second) {
+		t.Error("retained route: got a late request reported as not late")
 	}
 }
 
 func TestRank(t *testing.T) {
-	// Each goes before the next.
+	// In the order of admission.
 	l := []struct{ workspace, route int }{{-1, 0}, {0, 1}, {0, 9}, {1, 0}, {2, 0}, {2, 3}, {3, 0}, {9, 9}}
 	for i := 1; i < len(l); i++ {
 		a, b := backlog.Rank(l[i-1].workspace, l[i-1].route), backlog.Rank(l[i].workspace, l[i].route)
--- a/internal/decide/backlog/rank.go
+++ b/internal/decide/backlog/rank.go
@@ -3,28 +3,29 @@
 import "github.com/wardridge/wardridge/internal/decide/queue"
 
 const (
-	// lateRankOffset is added to the rank of late requests: those that can be in time go
-	// first.
+	// lateRankOffset is added to the rank of late requests, so that requests which can
+	// meet their targets are admitted first.
 	lateRankOffset = queue.Ranks / 2
-	// routeRanks is the number of priorities of routes that are told apart within
-	// one of workspaces; what is beyond counts as the last.
+	// routeRanks is the number of distinct route priorities within one workspace
+	// priority; a higher one counts as the last.
 	routeRanks = 4
-	// workspaceRanks is the number of priorities of workspaces that are told apart.
+	// workspaceRanks is the number of distinct workspace priorities; a higher one
+	// counts as the last.
 	workspaceRanks = lateRankOffset / routeRanks
 )
 
-// Rank orders requests by the priority of their workspace first, then by that of
-// their route; 0 goes first in both.
+// Rank returns the rank of a request: requests are ordered by the priority of their
+// workspace, then by that of their route, with priority 0 first in both.
 func Rank(workspace, route int) int {
 	return clamp(workspace, workspaceRanks)*routeRanks + clamp(route, routeRanks)
 }
 
-// clamp gives the nearest of n ranks.
+// clamp limits a rank to the range from 0 to n-1.
 func clamp(rank, n int) int {
 	return min(max(rank, 0), n-1)
 }
 
-// rank is the place among all requests, the late ones among them.
+// rank returns the rank among all requests, which places late ones last.
 func (r Request) rank() int {
 	n := clamp(r.Rank, lateRankOffset)
 	if r.Late {
--- a/internal/decide/backlog/typical_timeout.go
+++ b/internal/decide/backlog/typical_timeout.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	// typicalShareWeight is the weight of the newest request in the share of those that
-	// have the usual time.
+	// typicalShareWeight is the weight of the latest request in the share of requests
+	// that have the typical timeout.
 	typicalShareWeight = 0.05
-	// typicalTolerance is the part by which a time may fall short of the usual one.
+	// typicalTolerance is the fraction by which a timeout may fall short of the
+	// typical one and still count as it.
 	typicalTolerance = 0.02
-	// minTypicalShare is the share of requests that must have the usual time before
-	// one that has less is taken to have spent the difference elsewhere.
+	// minTypicalShare is the share of requests that must have the typical timeout
+	// before a shorter one is attributed to earlier attempts.
 	minTypicalShare = 0.5
-	// typicalDecay is what is left of the usual time after each request that has
-	// less, so that it follows callers that wait less than before.
+	// typicalDecay is the factor by which each request with a shorter timeout lowers
+	// the typical one, so that it follows callers that reduce their timeouts.
 	typicalDecay = 0.9995
 )
 
-// typicalTimeout learns the time that callers of a route allow, so that a request which
-// comes back after a refusal is known by the time it has spent. Where callers
-// allow times of their own nothing is concluded.
+// typicalTimeout learns the timeout that callers of a route usually set. A retry after
+// a refusal is recognized by the time that is missing from it. Nothing is concluded
+// where callers set different timeouts.
 type typicalTimeout struct {
 	timeout time.Duration
 	share   float64
 }
 
-// observe takes the time that a caller allows and gives what it seems to have
-// observe before.
+// observe records the timeout of a request and returns the time that its earlier
+// attempts seem to have used.
 func (u *typicalTimeout) observe(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
