--- a/internal/decide/backlog/backlog.go
+++ b/internal/decide/backlog/backlog.go
@@ -129,7 +129,7 @@
 		b.interval.start(now)
 	}
 	out, full := b.queue.Push(queue.Item[T]{
-		Workspace: r.Workspace, Weight: 1, Rank: r.rank(), Cost: r.Cost, Since: now, Value: v,
+		Workspace: r.Workspace, Weight: 1, Rank: r.rank(), Cost: r.Cost, EnqueuedAt: now, Value: v,
 	})
 	return out.Value, full
 }
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -135,7 +135,7 @@
 	out, full := q.Push(queue.Item[Work]{
 		Workspace: w.Workspace, Weight: w.Weight, Rank: w.Priority.Rank(),
 		Cost:  float64(w.Prompt) + g.Curve.Mean(0, w.Max),
-		Since: now, Until: until, Value: w,
+		EnqueuedAt: now, ExpiresAt: until, Value: w,
 	})
 	if !full {
 		return nil
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -11,9 +11,9 @@
 // beyond the last counts as the last.
 const Ranks = 32
 
-// Yield is how often a rank's turn goes to the lowest first: one request in so
+// LowestFirstInterval is how often a rank's turn goes to the lowest first: one request in so
 // many, so that none starves behind callers on the line.
-const Yield = 8
+const LowestFirstInterval = 8
 
 // Item is one request that waits.
 type Item[T any] struct {
@@ -22,8 +22,8 @@
 	// Rank orders requests; 0 goes first.
 	Rank  int
 	Cost  float64
-	Since time.Time
-	Until time.Time
+	EnqueuedAt time.Time
+	ExpiresAt time.Time
 	Value T
 
 	start float64
@@ -134,7 +134,7 @@
 // Pop takes the first request that fits. A request that has waited long is not
 // passed by others of its rank or a lower one; a higher one passes it.
 func (q *Queue[T]) Pop(now time.Time, fits func(T) bool) (T, bool) {
-	if q.turn%Yield == Yield-1 {
+	if q.turn%LowestFirstInterval == LowestFirstInterval-1 {
 		for c := Ranks - 1; c > 0; c-- {
 			if v, ok, _ := q.pop(now, c, fits); ok {
 				return v, true
@@ -173,7 +173,7 @@
 		if fits(i.Value) {
 			return n, false
 		}
-		if now.Sub(i.Since) >= patience {
+		if now.Sub(i.EnqueuedAt) >= patience {
 			return -1, true
 		}
 	}
@@ -193,7 +193,7 @@
 
 // Expire takes out every request whose time to wait is over.
 func (q *Queue[T]) Expire(now time.Time) []T {
-	return q.Remove(func(i Item[T]) bool { return !now.Before(i.Until) })
+	return q.Remove(func(i Item[T]) bool { return !now.Before(i.ExpiresAt) })
 }
 
 // Remove takes out every request that matches.
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -11,7 +11,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func item(w api.WorkspaceName, p api.Priority, v string) queue.Item[string] {
-	return queue.Item[string]{Workspace: w, Weight: 1, Rank: p.Rank(), Cost: 1, Since: epoch, Until: epoch.Add(time.Minute), Value: v}
+	return queue.Item[string]{Workspace: w, Weight: 1, Rank: p.Rank(), Cost: 1, EnqueuedAt: epoch, ExpiresAt: epoch.Add(time.Minute), Value: v}
 }
 
 func all(string) bool { return true }
@@ -65,12 +65,12 @@
 		q.Push(item("log", api.PriorityBackground, "log"))
 	}
 	served := 0
-	for n := range 10 * queue.Yield {
+	for n := range 10 * queue.LowestFirstInterval {
 		// There is always a caller on the line.
 		q.Push(item("desk", api.PriorityInteractive, "desk"))
 		if v, _ := q.Pop(epoch, all); v == "log" {
 			served++
-			if n%queue.Yield != queue.Yield-1 {
+			if n%queue.LowestFirstInterval != queue.LowestFirstInterval-1 {
 				t.Errorf("turn %d: got the log reading before the caller on the line", n)
 			}
 		}
@@ -99,7 +99,7 @@
 	q.Push(item("log", api.PriorityBackground, "log"))
 	small := func(v string) bool { return v == "desk" }
 	now := epoch.Add(time.Minute)
-	for n := range 3 * queue.Yield {
+	for n := range 3 * queue.LowestFirstInterval {
 		q.Push(item("desk", api.PriorityInteractive, "desk"))
 		if v, _ := q.Pop(now, small); v != "desk" {
 			t.Fatalf("turn %d: got %q, want the caller on the line", n, v)
