--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -20,32 +20,32 @@
 	Workspace api.WorkspaceName
 	Weight    int
 	// Rank orders requests; 0 goes first.
-	Rank  int
-	Cost  float64
+	Rank       int
+	Cost       float64
 	EnqueuedAt time.Time
-	ExpiresAt time.Time
-	Value T
+	ExpiresAt  time.Time
+	Value      T
 
-	start float64
-	seq   uint64
+	startTag float64
+	seq      uint64
 }
 
 // Queue holds waiting requests; within a rank it serves workspaces by
 // start-time fair queueing on their weights.
 type Queue[T any] struct {
-	limit   int
-	items   [Ranks][]*Item[T]
-	finish  [Ranks]map[api.WorkspaceName]float64
-	virtual [Ranks]float64
-	seq     uint64
-	turn    int
+	limit       int
+	items       [Ranks][]*Item[T]
+	finishTags  [Ranks]map[api.WorkspaceName]float64
+	virtualTime [Ranks]float64
+	seq         uint64
+	served      int
 }
 
 // New makes a queue for at most limit requests.
 func New[T any](limit int) *Queue[T] {
 	q := &Queue[T]{limit: limit}
-	for c := range q.finish {
-		q.finish[c] = map[api.WorkspaceName]float64{}
+	for c := range q.finishTags {
+		q.finishTags[c] = map[api.WorkspaceName]float64{}
 	}
 	return q
 }
@@ -81,15 +81,15 @@
 		}
 		out = v
 	}
-	q.charge(c, &i)
+	q.schedule(c, &i)
 	return out, full
 }
 
-// charge inserts a new request at its workspace's turn.
-func (q *Queue[T]) charge(c int, i *Item[T]) {
+// schedule inserts a new request at its workspace's turn.
+func (q *Queue[T]) schedule(c int, i *Item[T]) {
 	w := float64(max(i.Weight, 1))
-	i.start = max(q.virtual[c], q.finish[c][i.Workspace])
-	q.finish[c][i.Workspace] = i.start + i.Cost/w
+	i.startTag = max(q.virtualTime[c], q.finishTags[c][i.Workspace])
+	q.finishTags[c][i.Workspace] = i.startTag + i.Cost/w
 	q.seq++
 	i.seq = q.seq
 	q.insert(c, i)
@@ -105,8 +105,8 @@
 }
 
 func before[T any](a, b *Item[T]) bool {
-	if a.start != b.start {
-		return a.start < b.start
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.seq < b.seq
 }
@@ -128,13 +128,13 @@
 // does not fit anywhere yet.
 const lookahead = 8
 
-// patience is the wait after which nothing passes a request that does not fit.
-const patience = 300 * time.Millisecond
+// bypassLimit is the wait after which nothing passes a request that does not fit.
+const bypassLimit = 300 * time.Millisecond
 
 // Pop takes the first request that fits. A request that has waited long is not
 // passed by others of its rank or a lower one; a higher one passes it.
 func (q *Queue[T]) Pop(now time.Time, fits func(T) bool) (T, bool) {
-	if q.turn%LowestFirstInterval == LowestFirstInterval-1 {
+	if q.served%LowestFirstInterval == LowestFirstInterval-1 {
 		for c := Ranks - 1; c > 0; c-- {
 			if v, ok, _ := q.pop(now, c, fits); ok {
 				return v, true
@@ -142,8 +142,8 @@
 		}
 	}
 	for c := range Ranks {
-		v, ok, wait := q.pop(now, c, fits)
-		if ok || wait {
+		v, ok, blocked := q.pop(now, c, fits)
+		if ok || blocked {
 			return v, ok
 		}
 	}
@@ -152,20 +152,20 @@
 }
 
 // pop takes the first request of a rank that fits.
-func (q *Queue[T]) pop(now time.Time, c int, fits func(T) bool) (v T, ok, wait bool) {
-	n, wait := q.first(now, c, fits)
+func (q *Queue[T]) pop(now time.Time, c int, fits func(T) bool) (v T, ok, blocked bool) {
+	n, blocked := q.firstFit(now, c, fits)
 	if n < 0 {
-		return v, false, wait
+		return v, false, blocked
 	}
 	v = q.items[c][n].Value
-	q.take(c, n)
-	q.turn++
+	q.removeAt(c, n)
+	q.served++
 	return v, true, false
 }
 
-// first finds the first request of a rank that fits, and reports whether
+// firstFit finds the firstFit request of a rank that fits, and reports whether
 // one that does not has waited so long that nothing may pass it.
-func (q *Queue[T]) first(now time.Time, c int, fits func(T) bool) (int, bool) {
+func (q *Queue[T]) firstFit(now time.Time, c int, fits func(T) bool) (int, bool) {
 	for n, i := range q.items[c] {
 		if n >= lookahead {
 			break
@@ -173,21 +173,21 @@
 		if fits(i.Value) {
 			return n, false
 		}
-		if now.Sub(i.EnqueuedAt) >= patience {
+		if now.Sub(i.EnqueuedAt) >= bypassLimit {
 			return -1, true
 		}
 	}
 	return -1, false
 }
 
-func (q *Queue[T]) take(c, n int) {
+func (q *Queue[T]) removeAt(c, n int) {
 	i := q.items[c][n]
-	q.virtual[c] = max(q.virtual[c], i.start)
+	q.virtualTime[c] = max(q.virtualTime[c], i.startTag)
 	q.items[c] = append(q.items[c][:n], q.items[c][n+1:]...)
 	if len(q.items[c]) == 0 {
 		// Nothing waits, so no workspace is ahead of its share any more.
-		clear(q.finish[c])
-		q.virtual[c] = 0
+		clear(q.finishTags[c])
+		q.virtualTime[c] = 0
 	}
 }
 
