--- a/internal/decide/queue/doc.go
+++ b/internal/decide/queue/doc.go
@@ -1,3 +1,3 @@
-// Package queue orders requests that wait for an engine, by priority and by
-// fair shares of workspaces.
+// Package queue orders the requests that wait for an engine by rank and, within a
+// rank, by fair shares of workspaces.
 package queue
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -7,31 +7,36 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Ranks is the number of ranks that are told apart; 0 goes first, and what is
-// beyond the last counts as the last.
+// Ranks is the number of distinct ranks: rank 0 is served first, and a rank beyond
+// the last counts as the last.
 const Ranks = 32
 
-// LowestFirstInterval is how often a rank's turn goes to the lowest first: one request in so
-// many, so that none starves behind callers on the line.
+// LowestFirstInterval is the number of served requests of which one is taken from the
+// least urgent rank first, so that no rank starves behind interactive callers.
 const LowestFirstInterval = 8
 
-// Item is one request that waits.
+// Item is a waiting request.
 type Item[T any] struct {
 	Workspace api.WorkspaceName
-	Weight    int
-	// Rank orders requests; 0 goes first.
-	Rank       int
+	// Weight is the workspace's relative share of the served cost; less than 1 counts as 1.
+	Weight int
+	// Rank orders requests; rank 0 is served first.
+	Rank int
+	// Cost is what the request counts toward its workspace's share.
 	Cost       float64
 	EnqueuedAt time.Time
-	ExpiresAt  time.Time
-	Value      T
+	// ExpiresAt is when Expire removes the request.
+	ExpiresAt time.Time
+	Value     T
 
+	// startTag is the virtual time that orders the requests of a rank.
 	startTag float64
-	seq      uint64
+	// seq orders requests with the same start tag by arrival.
+	seq uint64
 }
 
-// Queue holds waiting requests; within a rank it serves workspaces by
-// start-time fair queueing on their weights.
+// Queue holds waiting requests. Within a rank it serves workspaces in proportion to
+// their weights by start-time fair queueing.
 type Queue[T any] struct {
 	limit       int
 	items       [Ranks][]*Item[T]
@@ -41,7 +46,7 @@
 	served      int
 }
 
-// New makes a queue for at most limit requests.
+// New returns an empty queue for at most limit requests.
 func New[T any](limit int) *Queue[T] {
 	q := &Queue[T]{limit: limit}
 	for c := range q.finishTags {
@@ -50,7 +55,7 @@
 	return q
 }
 
-// Len counts the requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int {
 	n := 0
 	for _, l := range q.items {
@@ -59,7 +64,7 @@
 	return n
 }
 
-// Ahead counts the requests that go before a new one of a rank.
+// Ahead returns the number of waiting requests of a rank and of the more urgent ones.
 func (q *Queue[T]) Ahead(rank int) int {
 	n := 0
 	for _, l := range q.items[:min(max(rank, 0), Ranks-1)+1] {
@@ -68,8 +73,9 @@
 	return n
 }
 
-// Push adds a request. When the queue is full it returns the request that has
-// to be refused: the latest of a lower rank, or else the new one itself.
+// Push adds a request. If the queue is full, it returns the request to refuse and
+// true: the last one of the least urgent rank below that of the new request, or else
+// the new request itself.
 func (q *Queue[T]) Push(i Item[T]) (Item[T], bool) {
 	var out Item[T]
 	full := q.Len() >= q.limit
@@ -85,7 +91,7 @@
 	return out, full
 }
 
-// schedule inserts a new request at its workspace's turn.
+// schedule gives a new request its start tag and inserts it at that position.
 func (q *Queue[T]) schedule(c int, i *Item[T]) {
 	w := float64(max(i.Weight, 1))
 	i.startTag = max(q.virtualTime[c], q.finishTags[c][i.Workspace])
@@ -111,7 +117,8 @@
 	return a.seq < b.seq
 }
 
-// evict takes the latest request of the lowest rank below one.
+// evict removes and returns the last request of the least urgent rank, if that is less
+// urgent than rank.
 func (q *Queue[T]) evict(rank int) (Item[T], bool) {
 	for c := Ranks - 1; c > rank; c-- {
 		if n := len(q.items[c]); n > 0 {
@@ -124,15 +131,16 @@
 	return z, false
 }
 
-// lookahead is how many requests of a rank may be tried behind one that
-// does not fit anywhere yet.
+// lookahead is how many requests at the head of a rank are tried while the first ones
+// don't fit on any engine yet.
 const lookahead = 8
 
-// bypassLimit is the wait after which nothing passes a request that does not fit.
+// bypassLimit is the wait after which a request that does not fit blocks the requests
+// behind it.
 const bypassLimit = 300 * time.Millisecond
 
-// Pop takes the first request that fits. A request that has waited long is not
-// passed by others of its rank or a lower one; a higher one passes it.
+// Pop removes and returns the first request that fits. A request that has waited for
+// bypassLimit blocks its rank and the less urgent ones, but not the more urgent ones.
 func (q *Queue[T]) Pop(now time.Time, fits func(T) bool) (T, bool) {
 	if q.served%LowestFirstInterval == LowestFirstInterval-1 {
 		for c := Ranks - 1; c > 0; c-- {
@@ -151,7 +159,8 @@
 	return z, false
 }
 
-// pop takes the first request of a rank that fits.
+// pop removes and returns the first request of a rank that fits. blocked reports that
+// none may be served before a request that does not fit.
 func (q *Queue[T]) pop(now time.Time, c int, fits func(T) bool) (v T, ok, blocked bool) {
 	n, blocked := q.firstFit(now, c, fits)
 	if n < 0 {
@@ -163,8 +172,8 @@
 	return v, true, false
 }
 
-// firstFit finds the firstFit request of a rank that fits, and reports whether
-// one that does not has waited so long that nothing may pass it.
+// firstFit returns the index of the first request of a rank that fits, or -1, and
+// reports whether a request that does not fit has waited for bypassLimit.
 func (q *Queue[T]) firstFit(now time.Time, c int, fits func(T) bool) (int, bool) {
 	for n, i := range q.items[c] {
 		if n >= lookahead {
@@ -185,18 +194,18 @@
 	q.virtualTime[c] = max(q.virtualTime[c], i.startTag)
 	q.items[c] = append(q.items[c][:n], q.items[c][n+1:]...)
 	if len(q.items[c]) == 0 {
-		// Nothing waits, so no workspace is ahead of its share any more.
+		// No request of the rank waits, so past use of shares no longer matters.
 		clear(q.finishTags[c])
 		q.virtualTime[c] = 0
 	}
 }
 
-// Expire takes out every request whose time to wait is over.
+// Expire removes and returns the requests that have reached their ExpiresAt.
 func (q *Queue[T]) Expire(now time.Time) []T {
 	return q.Remove(func(i Item[T]) bool { return !now.Before(i.ExpiresAt) })
 }
 
-// Remove takes out every request that matches.
+// Remove removes and returns the requests that match.
 func (q *Queue[T]) Remove(match func(Item[T]) bool) []T {
 	var out []T
 	for c := range q.items {
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -16,7 +16,7 @@
 
 func all(string) bool { return true }
 
-func TestPriorityGoesFirst(t *testing.T) {
+func TestHigherPriorityIsServedFirst(t *testing.T) {
 	q := queue.New[string](10)
 	q.Push(item("log", api.PriorityBackground, "reading"))
 	q.Push(item("desk", api.PriorityInteractive, "booking"))
@@ -66,35 +66,35 @@
 	}
 	served := 0
 	for n := range 10 * queue.LowestFirstInterval {
-		// There is always a caller on the line.
+		// An interactive request is always waiting.
 		q.Push(item("desk", api.PriorityInteractive, "desk"))
 		if v, _ := q.Pop(epoch, all); v == "log" {
 			served++
 			if n%queue.LowestFirstInterval != queue.LowestFirstInterval-1 {
-				t.Errorf("turn %d: got the log reading before the caller on the line", n)
+				t.Errorf("pop %d: got the background request before the interactive one", n)
 			}
 		}
 	}
 	if served != 10 {
-		t.Errorf("log readings served: got %d, want 10", served)
+		t.Errorf("background requests served: got %d, want 10", served)
 	}
 }
 
-func TestLargeRequestIsNotPassedForever(t *testing.T) {
+func TestLargeRequestIsNotBypassedForever(t *testing.T) {
 	q := queue.New[string](10)
 	q.Push(item("w", api.PriorityStandard, "large"))
 	q.Push(item("v", api.PriorityStandard, "small"))
 	small := func(v string) bool { return v == "small" }
 	if got, _ := q.Pop(epoch, small); got != "small" {
-		t.Errorf("at once: got %q, want small", got)
+		t.Errorf("before the limit: got %q, want small", got)
 	}
 	q.Push(item("v", api.PriorityStandard, "small"))
 	if got, ok := q.Pop(epoch.Add(3*time.Second), small); ok {
-		t.Errorf("after long wait: got %q, want none to pass", got)
+		t.Errorf("after a long wait: got %q, want none to bypass the large one", got)
 	}
 }
 
-func TestCallerOnTheLinePassesALogReadingThatDoesNotFit(t *testing.T) {
+func TestInteractiveRequestBypassesBackgroundRequestThatDoesNotFit(t *testing.T) {
 	q := queue.New[string](100)
 	q.Push(item("log", api.PriorityBackground, "log"))
 	small := func(v string) bool { return v == "desk" }
@@ -102,12 +102,12 @@
 	for n := range 3 * queue.LowestFirstInterval {
 		q.Push(item("desk", api.PriorityInteractive, "desk"))
 		if v, _ := q.Pop(now, small); v != "desk" {
-			t.Fatalf("turn %d: got %q, want the caller on the line", n, v)
+			t.Fatalf("pop %d: got %q, want the interactive request", n, v)
 		}
 	}
 }
 
-func TestExpireAnswersAtOnce(t *testing.T) {
+func TestExpireRemovesOverdueRequests(t *testing.T) {
 	q := queue.New[string](10)
 	q.Push(item("w", api.PriorityStandard, "a"))
 	if got := q.Expire(epoch.Add(time.Minute)); len(got) != 1 || q.Len() != 0 {
