--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -59,7 +59,7 @@
 
 // Again waits for another engine after a failed attempt.
 func (b *Broker) Again(ctx context.Context, w dispatch.Work) (Grant, error) {
-	return b.wait(ctx, w, (*dispatch.Dispatcher).Again)
+	return b.wait(ctx, w, (*dispatch.Dispatcher).Retry)
 }
 
 type submit func(d *dispatch.Dispatcher, now time.Time, w dispatch.Work) []dispatch.Action
@@ -133,21 +133,21 @@
 func (b *Broker) Listed(n api.ServerName, leaving bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.decide.Listed(n, leaving)
+	b.decide.SetLeaving(n, leaving)
 }
 
 // Refused notes that an engine refused work.
 func (b *Broker) Refused(n api.ServerName, leaving bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.decide.Refused(time.Now(), n, leaving)
+	b.decide.ObserveRefusal(time.Now(), n, leaving)
 }
 
 // Lost notes that an engine could not be connected to.
 func (b *Broker) Lost(n api.ServerName) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.decide.Lost(n)
+	b.decide.MarkUnreachable(n)
 }
 
 // Tick ends waits that are over and starts what fits.
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -35,7 +35,7 @@
 func fleet(servers int) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Options{
 		Admission: admit.NewSurvival(0.05, 63), Routing: route.Prefix{Over: 0.15},
-		QueueLimit: 512, QueueWait: time.Second, Suspect: time.Hour, RetryPermille: 100, Seed: 1,
+		QueueLimit: 512, MaxQueueWait: time.Second, SuspectAfter: time.Hour, RetryPermille: 100, Seed: 1,
 	})
 	var l []dispatch.Server
 	for i := range servers {
@@ -51,7 +51,7 @@
 func work(i int) dispatch.Work {
 	return dispatch.Work{
 		Request: api.RequestID(fmt.Sprint(i)), Workspace: api.WorkspaceName(fmt.Sprint(i % 1600)),
-		Kind: "chat", Model: "desk", Priority: api.PriorityInteractive, Prompt: 300, Max: 4000,
+		Kind: "chat", Model: "desk", Priority: api.PriorityInteractive, PromptTokens: 300, MaxTokens: 4000,
 		Prefix: fmt.Sprint(i % 1600), Deadline: epoch.Add(time.Hour),
 	}
 }
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -17,17 +17,17 @@
 
 // Work is what is known of a request before it runs.
 type Work struct {
-	Request   api.RequestID
-	Workspace api.WorkspaceName
-	Weight    int
-	Kind      api.RequestKind
-	Priority  api.Priority
-	Model     api.ModelName
-	Adapter   api.AdapterName
-	Prompt    api.Tokens
-	Max       api.Tokens
-	Prefix    string
-	Deadline  time.Time
+	Request      api.RequestID
+	Workspace    api.WorkspaceName
+	Weight       int
+	Kind         api.RequestKind
+	Priority     api.Priority
+	Model        api.ModelName
+	Adapter      api.AdapterName
+	PromptTokens api.Tokens
+	MaxTokens    api.Tokens
+	Prefix       string
+	Deadline     time.Time
 	// Avoid is the engine of a failed attempt.
 	Avoid api.ServerName
 }
@@ -46,8 +46,8 @@
 	Admission     admit.Policy
 	Routing       route.Policy
 	QueueLimit    int
-	QueueWait     time.Duration
-	Suspect       time.Duration
+	MaxQueueWait  time.Duration
+	SuspectAfter  time.Duration
 	RetryPermille int
 	Seed          uint64
 }
@@ -164,15 +164,15 @@
 	return d.offer(now, s)
 }
 
-// Listed notes whether the platform's list says that a server is leaving.
-func (d *Dispatcher) Listed(n api.ServerName, leaving bool) {
+// SetLeaving notes whether the platform's list says that a server is leaving.
+func (d *Dispatcher) SetLeaving(n api.ServerName, leaving bool) {
 	if s, ok := d.servers[n]; ok {
 		s.listed = leaving
 	}
 }
 
-// Refused notes that an engine refused work; one that is leaving gets no more.
-func (d *Dispatcher) Refused(now time.Time, n api.ServerName, leaving bool) {
+// ObserveRefusal notes that an engine refused work; one that is leaving gets no more.
+func (d *Dispatcher) ObserveRefusal(now time.Time, n api.ServerName, leaving bool) {
 	s, ok := d.servers[n]
 	if !ok {
 		return
@@ -181,9 +181,9 @@
 	s.leaving = s.leaving || leaving
 }
 
-// Lost notes that an engine could not be connected to: it gets no work until
+// MarkUnreachable notes that an engine could not be connected to: it gets no work until
 // it reports again.
-func (d *Dispatcher) Lost(n api.ServerName) {
+func (d *Dispatcher) MarkUnreachable(n api.ServerName) {
 	if s, ok := d.servers[n]; ok {
 		s.lost = true
 	}
@@ -195,9 +195,9 @@
 	return d.place(now, w)
 }
 
-// Again decides on a request whose attempt failed before its first token; the
+// Retry decides on a request whose attempt failed before its first token; the
 // retry budget bounds it.
-func (d *Dispatcher) Again(now time.Time, w Work) []Action {
+func (d *Dispatcher) Retry(now time.Time, w Work) []Action {
 	if !d.budget.Allow() {
 		f := fault.New(fault.NoServer, "the attempt failed and the retry budget is spent")
 		return []Action{d.refuse(w.Request, f)}
@@ -283,7 +283,7 @@
 	for _, s := range d.order {
 		l = append(l, api.ServerStatus{
 			Server:   s.Name,
-			State:    s.State(now, d.options.Suspect),
+			State:    s.State(now, d.options.SuspectAfter),
 			Reserved: s.load.Reserved(),
 			KVTotal:  s.load.Total(),
 			Running:  s.load.Running(),
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -21,8 +21,8 @@
 		Admission:     admit.Slots{N: slots},
 		Routing:       route.TwoChoices{},
 		QueueLimit:    queue,
-		QueueWait:     5 * time.Second,
-		Suspect:       suspect,
+		MaxQueueWait:  5 * time.Second,
+		SuspectAfter:  suspect,
 		RetryPermille: 100,
 		Seed:          1,
 	}
@@ -55,7 +55,7 @@
 func work(i int) dispatch.Work {
 	return dispatch.Work{
 		Request: api.RequestID(fmt.Sprintf("r%d", i)), Workspace: "w", Model: "m",
-		Priority: api.PriorityStandard, Prompt: 10, Max: 100, Deadline: epoch.Add(time.Minute),
+		Priority: api.PriorityStandard, PromptTokens: 10, MaxTokens: 100, Deadline: epoch.Add(time.Minute),
 	}
 }
 
@@ -86,7 +86,7 @@
 	late := work(1)
 	late.Deadline = epoch
 	large := work(1)
-	large.Prompt = 20000
+	large.PromptTokens = 20000
 	other := work(1)
 	other.Model = "other"
 	tests := []struct {
@@ -143,18 +143,18 @@
 		signal func(d *dispatch.Dispatcher)
 		at     time.Time
 	}{
-		{"platform's list", func(d *dispatch.Dispatcher) { d.Listed("e0", true) }, epoch},
+		{"platform's list", func(d *dispatch.Dispatcher) { d.SetLeaving("e0", true) }, epoch},
 		{"own notice", func(d *dispatch.Dispatcher) {
 			r := report("e0", epoch.Add(time.Millisecond))
 			r.Leaving = true
 			d.Report(epoch, r)
 		}, epoch},
-		{"refusal", func(d *dispatch.Dispatcher) { d.Refused(epoch, "e0", true) }, epoch.Add(time.Second)},
+		{"refusal", func(d *dispatch.Dispatcher) { d.ObserveRefusal(epoch, "e0", true) }, epoch.Add(time.Second)},
 		{"drained by an operator", func(d *dispatch.Dispatcher) {
 			d.Declare(epoch, []dispatch.Server{{Name: "e0", Draining: true}})
 		}, epoch},
 		{"no longer declared", func(d *dispatch.Dispatcher) { d.Declare(epoch, nil) }, epoch},
-		{"refused connection", func(d *dispatch.Dispatcher) { d.Lost("e0") }, epoch},
+		{"refused connection", func(d *dispatch.Dispatcher) { d.MarkUnreachable("e0") }, epoch},
 		{"silence", func(*dispatch.Dispatcher) {}, epoch.Add(3*suspect + time.Millisecond)},
 	}
 	for _, c := range tests {
@@ -195,7 +195,7 @@
 	w.Avoid = "e0"
 	started := 0
 	for range 100 {
-		a := d.Again(epoch, w)
+		a := d.Retry(epoch, w)
 		if a[0].Server == "e0" {
 			t.Fatalf("retry went to the engine that failed")
 		}
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -41,7 +41,7 @@
 	if taking == 0 {
 		return fault.New(fault.NoServer, "no engine has the model loaded and takes work")
 	}
-	if !admit.Possible(w.Prompt, largest) {
+	if !admit.Possible(w.PromptTokens, largest) {
 		return fault.New(fault.TooLarge, "the prompt is larger than any engine's memory")
 	}
 	return nil
@@ -70,11 +70,11 @@
 // engine of the pool is silent.
 func (d *Dispatcher) suspect(now time.Time, l []*server) time.Duration {
 	for _, s := range l {
-		if s.State(now, d.options.Suspect) == api.ServerStatusStateReady {
-			return d.options.Suspect
+		if s.State(now, d.options.SuspectAfter) == api.ServerStatusStateReady {
+			return d.options.SuspectAfter
 		}
 	}
-	return silence * d.options.Suspect
+	return silence * d.options.SuspectAfter
 }
 
 // first looks at every engine from a random one on.
@@ -96,7 +96,7 @@
 	if !s.takes(c.now, c.suspect) || s.Name == c.avoid {
 		return false
 	}
-	if !admit.Possible(w.Prompt, s.load.Total()) {
+	if !admit.Possible(w.PromptTokens, s.load.Total()) {
 		return false
 	}
 	return d.options.Admission.Fits(s.load, g, shares[w.Priority.Rank()])
@@ -104,7 +104,7 @@
 
 func (d *Dispatcher) generation(now time.Time, w Work) admit.Generation {
 	k := length.Key{Workspace: w.Workspace, Kind: w.Kind}
-	return admit.Generation{Prompt: w.Prompt, Max: w.Max, Curve: d.lengths.Curve(k), Since: now}
+	return admit.Generation{Prompt: w.PromptTokens, Max: w.MaxTokens, Curve: d.lengths.Curve(k), Since: now}
 }
 
 func (d *Dispatcher) start(now time.Time, s *server, w Work, reason string) Action {
@@ -127,14 +127,14 @@
 		q = queue.New[Work](d.options.QueueLimit)
 		d.queues[p] = q
 	}
-	until := now.Add(time.Duration(waits[w.Priority.Rank()] * float64(d.options.QueueWait)))
+	until := now.Add(time.Duration(waits[w.Priority.Rank()] * float64(d.options.MaxQueueWait)))
 	if w.Deadline.Before(until) {
 		until = w.Deadline
 	}
 	g := d.generation(now, w)
 	out, full := q.Push(queue.Item[Work]{
 		Workspace: w.Workspace, Weight: w.Weight, Rank: w.Priority.Rank(),
-		Cost:  float64(w.Prompt) + g.Curve.Mean(0, w.Max),
+		Cost:       float64(w.PromptTokens) + g.Curve.Mean(0, w.MaxTokens),
 		EnqueuedAt: now, ExpiresAt: until, Value: w,
 	})
 	if !full {
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -117,7 +117,7 @@
 	c.work = dispatch.Work{
 		Request: c.id, Workspace: c.workspace.Name, Weight: c.workspace.Weight,
 		Kind: c.kind, Priority: c.priority, Model: model, Adapter: adapter,
-		Prompt: n, Max: most, Prefix: prefix, Deadline: c.deadline,
+		PromptTokens: n, MaxTokens: most, Prefix: prefix, Deadline: c.deadline,
 	}
 	c.generate = api.GenerateRequest{
 		Model: model, Adapter: adapter, Prompt: p, PromptTokens: n, MaxTokens: most,
--- a/internal/measure/bench.go
+++ b/internal/measure/bench.go
@@ -140,7 +140,7 @@
 func (b *bench) poll(e *entry, x *engine) {
 	b.after(b.size.ReportEvery, func() { b.poll(e, x) })
 	if x.dead {
-		e.decide.Lost(x.name)
+		e.decide.MarkUnreachable(x.name)
 		return
 	}
 	if b.now.Before(x.frozen) {
@@ -178,7 +178,7 @@
 	q.work = dispatch.Work{
 		Request: api.RequestID(fmt.Sprint(a.Serial)), Workspace: api.WorkspaceName(a.Class.Key), Weight: 1,
 		Kind: api.RequestKind(a.Class.Name), Priority: a.Class.Priority, Model: model,
-		Prompt: a.Prompt, Max: a.Class.Output.Most, Prefix: a.Class.System, Deadline: b.now.Add(10 * time.Minute),
+		PromptTokens: a.Prompt, MaxTokens: a.Class.Output.Most, Prefix: a.Class.System, Deadline: b.now.Add(10 * time.Minute),
 	}
 	b.result.asked(b, q)
 	b.pending[q.work.Request] = q
@@ -214,7 +214,7 @@
 	x := b.find(n)
 	q.engine = x
 	if x.dead {
-		e.decide.Lost(n)
+		e.decide.MarkUnreachable(n)
 		b.again(q)
 		return
 	}
@@ -222,7 +222,7 @@
 	b.result.sent(b, q)
 	q.id = api.GenerationID(fmt.Sprintf("%s-%d", q.work.Request, q.tries))
 	x.runs[q.id] = q
-	x.model.Add(batch.Work{ID: q.id, Prompt: q.work.Prompt, Length: q.length, Priority: q.work.Priority, Prefix: q.work.Prefix, PrefixTokens: q.prefix})
+	x.model.Add(batch.Work{ID: q.id, Prompt: q.work.PromptTokens, Length: q.length, Priority: q.work.Priority, Prefix: q.work.Prefix, PrefixTokens: q.prefix})
 	b.wake(x)
 }
 
@@ -232,7 +232,7 @@
 	b.pending[q.work.Request] = q
 	q.work.Avoid = q.engine.name
 	b.carry(e, e.decide.Finish(b.now, q.work.Request, 0, false))
-	b.carry(e, e.decide.Again(b.now, q.work))
+	b.carry(e, e.decide.Retry(b.now, q.work))
 }
 
 // wake steps an engine that stood idle.
@@ -303,7 +303,7 @@
 	lost := x.runs
 	x.runs = map[api.GenerationID]*request{}
 	for _, q := range ordered(lost) {
-		q.entry.decide.Lost(x.name)
+		q.entry.decide.MarkUnreachable(x.name)
 		if q.made == 0 {
 			b.again(q)
 			continue
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -27,8 +27,8 @@
 
 func (p Policy) options(seed uint64) dispatch.Options {
 	return dispatch.Options{
-		Admission: p.Admit(), Routing: p.Route(), QueueLimit: queueLimit, QueueWait: queueWait,
-		Suspect: suspect, RetryPermille: 100, Seed: seed,
+		Admission: p.Admit(), Routing: p.Route(), QueueLimit: queueLimit, MaxQueueWait: queueWait,
+		SuspectAfter: suspect, RetryPermille: 100, Seed: seed,
 	}
 }
 
