--- a/internal/decide/dispatch/candidates.go
+++ b/internal/decide/dispatch/candidates.go
@@ -8,18 +8,18 @@
 
 // candidates shows the engines of a pool to a routing policy.
 type candidates struct {
-	servers []*server
-	now     time.Time
-	suspect time.Duration
-	avoid   api.ServerName
+	servers      []*server
+	now          time.Time
+	suspectAfter time.Duration
+	avoid        api.ServerName
 }
 
-// closed is the fill of an engine that takes no work.
-const closed = 1e9
+// unavailableFill is the fill of an engine that takes no work.
+const unavailableFill = 1e9
 
-func (c candidates) open(i int) bool {
+func (c candidates) available(i int) bool {
 	s := c.servers[i]
-	return s.Name != c.avoid && s.takes(c.now, c.suspect)
+	return s.Name != c.avoid && s.acceptsWork(c.now, c.suspectAfter)
 }
 
 // Len counts the engines.
@@ -34,16 +34,16 @@
 
 // Reported is an engine's fill by its last report.
 func (c candidates) Reported(i int) float64 {
-	if !c.open(i) {
-		return closed
+	if !c.available(i) {
+		return unavailableFill
 	}
 	return c.servers[i].load.Reported()
 }
 
 // Fill is an engine's fill with own corrections.
 func (c candidates) Fill(i int) float64 {
-	if !c.open(i) {
-		return closed
+	if !c.available(i) {
+		return unavailableFill
 	}
 	return c.servers[i].load.Fill()
 }
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -66,16 +66,16 @@
 
 // Dispatcher is the state of one entry VM's decisions on engines.
 type Dispatcher struct {
-	options Options
-	random  *rand.Rand
-	lengths *length.Predictor
-	budget  *retry.Budget
-	servers map[api.ServerName]*server
-	order   []*server
-	pools   map[pool][]*server
-	queues  map[pool]*queue.Queue[Work]
-	active  map[api.RequestID]*assigned
-	rate    rate
+	options  Options
+	random   *rand.Rand
+	lengths  *length.Predictor
+	budget   *retry.Budget
+	servers  map[api.ServerName]*server
+	order    []*server
+	pools    map[pool][]*server
+	queues   map[pool]*queue.Queue[Work]
+	active   map[api.RequestID]*assigned
+	interval completionInterval
 }
 
 // New makes a dispatcher that knows no server yet.
@@ -109,7 +109,7 @@
 	}
 	d.forget()
 	d.rebuild()
-	return d.drainQueues(now)
+	return d.offerAll(now)
 }
 
 func (d *Dispatcher) forget() {
@@ -135,7 +135,7 @@
 func (d *Dispatcher) members(p pool) []*server {
 	var l []*server
 	for _, s := range d.order {
-		if s.declared && s.has(p) {
+		if s.declared && s.hasLoaded(p) {
 			l = append(l, s)
 		}
 	}
@@ -167,7 +167,7 @@
 // SetLeaving notes whether the platform's list says that a server is leaving.
 func (d *Dispatcher) SetLeaving(n api.ServerName, leaving bool) {
 	if s, ok := d.servers[n]; ok {
-		s.listed = leaving
+		s.listedLeaving = leaving
 	}
 }
 
@@ -177,15 +177,15 @@
 	if !ok {
 		return
 	}
-	s.refused = now
-	s.leaving = s.leaving || leaving
+	s.refusedAt = now
+	s.reportedLeaving = s.reportedLeaving || leaving
 }
 
 // MarkUnreachable notes that an engine could not be connected to: it gets no work until
 // it reports again.
 func (d *Dispatcher) MarkUnreachable(n api.ServerName) {
 	if s, ok := d.servers[n]; ok {
-		s.lost = true
+		s.unreachable = true
 	}
 }
 
@@ -224,7 +224,7 @@
 	if made > 0 {
 		d.lengths.Observe(length.Key{Workspace: a.work.Workspace, Kind: a.work.Kind}, made, ended)
 	}
-	d.rate.observe(now)
+	d.interval.observe(now)
 	if !a.server.declared {
 		d.forget()
 		d.rebuild()
@@ -249,7 +249,7 @@
 			out = append(out, d.refuse(w.Request, f))
 		}
 	}
-	return append(out, d.drainQueues(now)...)
+	return append(out, d.offerAll(now)...)
 }
 
 // StopWaiting refuses every request that waits, for a planned stop.
--- a/internal/decide/dispatch/offer.go
+++ b/internal/decide/dispatch/offer.go
@@ -11,13 +11,13 @@
 	var out []Action
 	for _, p := range d.waitingPools() {
 		q := d.queues[p]
-		suspect := d.suspect(now, d.pool(p))
-		if !s.has(p) || !s.takes(now, suspect) {
+		suspectAfter := d.suspectAfter(now, d.pool(p))
+		if !s.hasLoaded(p) || !s.acceptsWork(now, suspectAfter) {
 			continue
 		}
 		for q.Len() > 0 {
 			w, ok := q.Pop(now, func(w Work) bool {
-				c := candidates{now: now, suspect: suspect, avoid: w.Avoid}
+				c := candidates{now: now, suspectAfter: suspectAfter, avoid: w.Avoid}
 				return d.fits(c, s, d.generation(now, w), w)
 			})
 			if !ok {
@@ -46,7 +46,7 @@
 	return l
 }
 
-func (d *Dispatcher) drainQueues(now time.Time) []Action {
+func (d *Dispatcher) offerAll(now time.Time) []Action {
 	var out []Action
 	for _, s := range d.order {
 		out = append(out, d.offer(now, s)...)
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -21,24 +21,24 @@
 			return []Action{d.start(now, s, w, "room at once")}
 		}
 	}
-	if f := d.impossible(now, p, w); f != nil {
+	if f := d.refusalReason(now, p, w); f != nil {
 		return []Action{d.refuse(w.Request, f)}
 	}
 	return d.enqueue(now, p, w)
 }
 
-// impossible finds a reason to refuse a request without waiting.
-func (d *Dispatcher) impossible(now time.Time, p pool, w Work) *fault.Error {
+// refusalReason finds a reason to refuse a request without waiting.
+func (d *Dispatcher) refusalReason(now time.Time, p pool, w Work) *fault.Error {
 	l := d.pool(p)
-	suspect := d.suspect(now, l)
-	taking, largest := 0, api.Tokens(0)
+	suspectAfter := d.suspectAfter(now, l)
+	ready, largest := 0, api.Tokens(0)
 	for _, s := range l {
-		if s.State(now, suspect) == api.ServerStatusStateReady {
-			taking++
+		if s.State(now, suspectAfter) == api.ServerStatusStateReady {
+			ready++
 			largest = max(largest, s.load.Total())
 		}
 	}
-	if taking == 0 {
+	if ready == 0 {
 		return fault.New(fault.NoServer, "no engine has the model loaded and takes work")
 	}
 	if !admit.Possible(w.PromptTokens, largest) {
@@ -47,38 +47,38 @@
 	return nil
 }
 
-// tries is how many picks may find no room before all engines are looked at.
-const tries = 3
+// maxPicks is how many picks may find no room before all engines are looked at.
+const maxPicks = 3
 
 func (d *Dispatcher) choose(now time.Time, p pool, w Work) *server {
 	l := d.pool(p)
 	if len(l) == 0 {
 		return nil
 	}
-	c := candidates{servers: l, now: now, suspect: d.suspect(now, l), avoid: w.Avoid}
+	c := candidates{servers: l, now: now, suspectAfter: d.suspectAfter(now, l), avoid: w.Avoid}
 	g := d.generation(now, w)
-	for range tries {
+	for range maxPicks {
 		i := d.options.Routing.Pick(d.random, w.Prefix, c)
 		if d.fits(c, l[i], g, w) {
 			return l[i]
 		}
 	}
-	return d.first(c, w, g)
+	return d.firstFit(c, w, g)
 }
 
-// suspect is the silence after which an engine gets no work: longer when every
+// suspectAfter is the silence after which an engine gets no work: longer when every
 // engine of the pool is silent.
-func (d *Dispatcher) suspect(now time.Time, l []*server) time.Duration {
+func (d *Dispatcher) suspectAfter(now time.Time, l []*server) time.Duration {
 	for _, s := range l {
 		if s.State(now, d.options.SuspectAfter) == api.ServerStatusStateReady {
 			return d.options.SuspectAfter
 		}
 	}
-	return silence * d.options.SuspectAfter
+	return silenceFactor * d.options.SuspectAfter
 }
 
-// first looks at every engine from a random one on.
-func (d *Dispatcher) first(c candidates, w Work, g admit.Generation) *server {
+// firstFit looks at every engine from a random one on.
+func (d *Dispatcher) firstFit(c candidates, w Work, g admit.Generation) *server {
 	o := d.random.IntN(len(c.servers))
 	for i := range c.servers {
 		if s := c.servers[(o+i)%len(c.servers)]; d.fits(c, s, g, w) {
@@ -88,18 +88,18 @@
 	return nil
 }
 
-// shares is the part of an engine's memory that each priority may fill, so
+// memoryShares is the part of an engine's memory that each priority may fill, so
 // that a caller on the line finds room beside long background work.
-var shares = [...]float64{0.98, 0.94, 0.85}
+var memoryShares = [...]float64{0.98, 0.94, 0.85}
 
 func (d *Dispatcher) fits(c candidates, s *server, g admit.Generation, w Work) bool {
-	if !s.takes(c.now, c.suspect) || s.Name == c.avoid {
+	if !s.acceptsWork(c.now, c.suspectAfter) || s.Name == c.avoid {
 		return false
 	}
 	if !admit.Possible(w.PromptTokens, s.load.Total()) {
 		return false
 	}
-	return d.options.Admission.Fits(s.load, g, shares[w.Priority.Rank()])
+	return d.options.Admission.Fits(s.load, g, memoryShares[w.Priority.Rank()])
 }
 
 func (d *Dispatcher) generation(now time.Time, w Work) admit.Generation {
@@ -113,12 +113,12 @@
 	return Action{Request: w.Request, Server: s.Name, Reason: reason}
 }
 
-// waits is the part of the longest wait that each priority has: a caller on
+// waitShares is the part of the longest wait that each priority has: a caller on
 // the line is better told at once than kept waiting for a first token.
-var waits = [...]float64{0.2, 0.5, 1}
+var waitShares = [...]float64{0.2, 0.5, 1}
 
 func (d *Dispatcher) enqueue(now time.Time, p pool, w Work) []Action {
-	if wait := d.wait(); now.Add(wait).After(w.Deadline) {
+	if wait := d.expectedWait(); now.Add(wait).After(w.Deadline) {
 		f := fault.New(fault.DeadlinePassed, "no engine is expected to have room before the deadline")
 		return []Action{d.refuse(w.Request, f)}
 	}
@@ -127,7 +127,7 @@
 		q = queue.New[Work](d.options.QueueLimit)
 		d.queues[p] = q
 	}
-	until := now.Add(time.Duration(waits[w.Priority.Rank()] * float64(d.options.MaxQueueWait)))
+	until := now.Add(time.Duration(waitShares[w.Priority.Rank()] * float64(d.options.MaxQueueWait)))
 	if w.Deadline.Before(until) {
 		until = w.Deadline
 	}
--- a/internal/decide/dispatch/refuse.go
+++ b/internal/decide/dispatch/refuse.go
@@ -9,8 +9,8 @@
 
 // Bounds of the time that a refused caller is told to wait.
 const (
-	comebackLeast = 500 * time.Millisecond
-	comebackMost  = 30 * time.Second
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
 // refuse answers a request at once, with a time to come back that is spread so
@@ -19,37 +19,37 @@
 	if f.Code == fault.TooLarge {
 		return Action{Request: r, Refusal: f}
 	}
-	w := min(max(d.wait(), comebackLeast), comebackMost)
+	w := min(max(d.expectedWait(), minRetryAfter), maxRetryAfter)
 	w += time.Duration(d.random.Int64N(int64(w)))
 	return Action{Request: r, Refusal: f.After(w)}
 }
 
-// wait estimates how long a request that comes now would wait.
-func (d *Dispatcher) wait() time.Duration {
-	return time.Duration(float64(d.Waiting()+1) * float64(d.rate.gap()))
+// expectedWait estimates how long a request that comes now would expectedWait.
+func (d *Dispatcher) expectedWait() time.Duration {
+	return time.Duration(float64(d.Waiting()+1) * float64(d.interval.estimate()))
 }
 
-// rateKeep is the share of the past that one completion leaves in force.
-const rateKeep = 0.95
+// intervalDecay is the share of the past that one completion leaves in force.
+const intervalDecay = 0.95
 
-// rate learns the time between completions.
-type rate struct {
+// completionInterval learns the time between completions.
+type completionInterval struct {
 	last time.Time
 	mean float64
 }
 
-func (r *rate) observe(now time.Time) {
-	if !r.last.IsZero() {
-		d := float64(now.Sub(r.last))
-		if r.mean == 0 {
-			r.mean = d
+func (c *completionInterval) observe(now time.Time) {
+	if !c.last.IsZero() {
+		d := float64(now.Sub(c.last))
+		if c.mean == 0 {
+			c.mean = d
 		}
-		r.mean = rateKeep*r.mean + (1-rateKeep)*d
+		c.mean = intervalDecay*c.mean + (1-intervalDecay)*d
 	}
-	r.last = now
+	c.last = now
 }
 
-// gap is the mean time between completions, at most a second each.
-func (r *rate) gap() time.Duration {
-	return min(time.Duration(r.mean), time.Second)
+// estimate is the mean time between completions, at most a second each.
+func (c *completionInterval) estimate() time.Duration {
+	return min(time.Duration(c.mean), time.Second)
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -85,8 +85,8 @@
 		Admission:     admission(s.Engine),
 		Routing:       routing(s.Engine),
 		QueueLimit:    s.Entry.QueueLimit,
-		MaxQueueWait:     s.Entry.QueueWaitMS.Duration(),
-		SuspectAfter:       s.Engine.SuspectMS.Duration(),
+		MaxQueueWait:  s.Entry.QueueWaitMS.Duration(),
+		SuspectAfter:  s.Engine.SuspectMS.Duration(),
 		RetryPermille: s.Engine.RetryPermille,
 		Seed:          uint64(c.Owner.Incarnation),
 	}))
