--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -15,56 +15,67 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Work is what is known of a request before it runs.
+// Work describes a request to dispatch.
 type Work struct {
-	Request      api.RequestID
-	Workspace    api.WorkspaceName
+	Request   api.RequestID
+	Workspace api.WorkspaceName
+	// Weight is the workspace's relative share of the engines.
 	Weight       int
 	Kind         api.RequestKind
 	Priority     api.Priority
 	Model        api.ModelName
 	Adapter      api.AdapterName
 	PromptTokens api.Tokens
-	MaxTokens    api.Tokens
-	Prefix       string
-	Deadline     time.Time
-	// Avoid is the engine of a failed attempt.
+	// MaxTokens is the longest answer that the request allows.
+	MaxTokens api.Tokens
+	// Prefix is the routing key that requests with the same prompt prefix share.
+	Prefix   string
+	Deadline time.Time
+	// Avoid is the engine of a failed attempt, empty for none.
 	Avoid api.ServerName
 }
 
-// Action is one decision to carry out: start the request at Server, or, with a
-// Refusal, answer it at once.
+// Action is a decision to carry out: start the request on Server or, if Refusal is
+// set, answer it with that error.
 type Action struct {
 	Request api.RequestID
 	Server  api.ServerName
 	Refusal *fault.Error
-	Reason  string
+	// Reason says why the request starts now, for its trace.
+	Reason string
 }
 
-// Options are the policies and bounds of a dispatcher.
+// Options are the policies and limits of a dispatcher.
 type Options struct {
-	Admission     admit.Policy
-	Routing       route.Policy
-	QueueLimit    int
-	MaxQueueWait  time.Duration
-	SuspectAfter  time.Duration
+	Admission admit.Policy
+	Routing   route.Policy
+	// QueueLimit is the largest number of requests that wait in each pool's queue.
+	QueueLimit int
+	// MaxQueueWait is the longest wait of a request of the least urgent priority.
+	MaxQueueWait time.Duration
+	// SuspectAfter is the time without a report after which an engine gets no work.
+	SuspectAfter time.Duration
+	// RetryPermille is the number of retries allowed for 1000 new requests.
 	RetryPermille int
-	Seed          uint64
+	// Seed makes the random choices reproducible.
+	Seed uint64
 }
 
-// pool names the engines that can serve a request.
+// pool identifies the engines that have the same model and adapter loaded.
 type pool struct {
 	Model   api.ModelName
 	Adapter api.AdapterName
 }
 
+// assigned is a request that runs on a server.
 type assigned struct {
 	work   Work
 	server *server
 	since  time.Time
 }
 
-// Dispatcher is the state of one entry VM's decisions on engines.
+// Dispatcher assigns the requests of one entry VM to engines. It is not safe for
+// concurrent use.
 type Dispatcher struct {
 	options  Options
 	random   *rand.Rand
@@ -78,7 +89,7 @@
 	interval completionInterval
 }
 
-// New makes a dispatcher that knows no server yet.
+// New returns a dispatcher without engines.
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
 		options: o,
@@ -92,8 +103,8 @@
 	}
 }
 
-// Declare takes the engines in force; one that is gone gets no new work and is
-// forgotten when its last request ends.
+// Declare replaces the set of declared engines. A removed engine gets no new work and
+// is forgotten when its last request ends.
 func (d *Dispatcher) Declare(now time.Time, l []Server) []Action {
 	for _, s := range d.servers {
 		s.declared = false
@@ -112,6 +123,7 @@
 	return d.offerAll(now)
 }
 
+// forget removes the engines that are no longer declared and run no request.
 func (d *Dispatcher) forget() {
 	for n, s := range d.servers {
 		if !s.declared && s.load.Running() == 0 {
@@ -120,7 +132,7 @@
 	}
 }
 
-// rebuild sorts the engines into pools anew.
+// rebuild lists the engines by name and clears the cached pools.
 func (d *Dispatcher) rebuild() {
 	d.order = d.order[:0]
 	for _, s := range d.servers {
@@ -132,6 +144,7 @@
 	clear(d.pools)
 }
 
+// members lists the declared engines of a pool by name.
 func (d *Dispatcher) members(p pool) []*server {
 	var l []*server
 	for _, s := range d.order {
@@ -142,6 +155,7 @@
 	return l
 }
 
+// pool returns the engines of a pool, cached until the engines or their items change.
 func (d *Dispatcher) pool(p pool) []*server {
 	l, ok := d.pools[p]
 	if !ok {
@@ -151,27 +165,28 @@
 	return l
 }
 
-// Report takes a load report and starts what fits now.
+// Report records a load report and starts the waiting requests that fit now.
 func (d *Dispatcher) Report(now time.Time, r api.LoadReport) []Action {
 	s, ok := d.servers[r.Server]
 	if !ok || !s.load.Report(now, r) {
 		return nil
 	}
 	if s.setReport(r) {
-		// The pools are worked out anew when they are next asked for.
+		// pool builds the pools again on demand.
 		clear(d.pools)
 	}
 	return d.offer(now, s)
 }
 
-// SetLeaving notes whether the platform's list says that a server is leaving.
+// SetLeaving records whether the platform's list of VMs marks a server as leaving.
 func (d *Dispatcher) SetLeaving(n api.ServerName, leaving bool) {
 	if s, ok := d.servers[n]; ok {
 		s.listedLeaving = leaving
 	}
 }
 
-// ObserveRefusal notes that an engine refused work; one that is leaving gets no more.
+// ObserveRefusal records that an engine refused a request. The engine gets no work for
+// a short time, or until it reports otherwise if it refused because it is leaving.
 func (d *Dispatcher) ObserveRefusal(now time.Time, n api.ServerName, leaving bool) {
 	s, ok := d.servers[n]
 	if !ok {
@@ -181,22 +196,22 @@
 	s.reportedLeaving = s.reportedLeaving || leaving
 }
 
-// MarkUnreachable notes that an engine could not be connected to: it gets no work until
-// it reports again.
+// MarkUnreachable records that a connection to an engine failed: it gets no work until
+// its next report.
 func (d *Dispatcher) MarkUnreachable(n api.ServerName) {
 	if s, ok := d.servers[n]; ok {
 		s.unreachable = true
 	}
 }
 
-// Submit decides on a new request.
+// Submit starts, queues or refuses a new request.
 func (d *Dispatcher) Submit(now time.Time, w Work) []Action {
 	d.budget.Fresh()
 	return d.place(now, w)
 }
 
-// Retry decides on a request whose attempt failed before its first token; the
-// retry budget bounds it.
+// Retry starts, queues or refuses a request whose attempt failed before its first
+// token, within the retry budget.
 func (d *Dispatcher) Retry(now time.Time, w Work) []Action {
 	if !d.budget.Allow() {
 		f := fault.New(fault.NoServer, "the attempt failed and the retry budget is spent")
@@ -205,15 +220,15 @@
 	return d.place(now, w)
 }
 
-// Progress notes the tokens that a request has made.
+// Progress records the number of tokens that a request has generated.
 func (d *Dispatcher) Progress(r api.RequestID, made api.Tokens) {
 	if a, ok := d.active[r]; ok {
 		a.server.load.Progress(r, made)
 	}
 }
 
-// Finish ends a request's attempt and starts what fits in its place; ended is
-// false for an attempt that was cut off.
+// Finish ends the attempt of a request and starts the waiting requests that fit in its
+// place. ended is false if the attempt was cut off.
 func (d *Dispatcher) Finish(now time.Time, r api.RequestID, made api.Tokens, ended bool) []Action {
 	a, ok := d.active[r]
 	if !ok {
@@ -233,26 +248,26 @@
 	return d.offer(now, a.server)
 }
 
-// Cancel takes a waiting request out.
+// Cancel removes a waiting request.
 func (d *Dispatcher) Cancel(r api.RequestID) {
 	for _, q := range d.queues {
 		q.Remove(func(i queue.Item[Work]) bool { return i.Value.Request == r })
 	}
 }
 
-// Tick refuses requests that waited too long and starts what fits.
+// Tick refuses the requests whose wait has expired and starts those that fit.
 func (d *Dispatcher) Tick(now time.Time) []Action {
 	var out []Action
 	for _, p := range d.waitingPools() {
 		for _, w := range d.queues[p].Expire(now) {
-			f := fault.New(fault.QueueTimeout, "no engine had room in time")
+			f := fault.New(fault.QueueTimeout, "no engine had capacity in time")
 			out = append(out, d.refuse(w.Request, f))
 		}
 	}
 	return append(out, d.offerAll(now)...)
 }
 
-// StopWaiting refuses every request that waits, for a planned stop.
+// StopWaiting refuses all waiting requests because of a planned stop.
 func (d *Dispatcher) StopWaiting() []Action {
 	var out []Action
 	for _, p := range d.waitingPools() {
@@ -263,7 +278,7 @@
 	return out
 }
 
-// Waiting counts the requests that wait.
+// Waiting returns the number of waiting requests.
 func (d *Dispatcher) Waiting() int {
 	n := 0
 	for _, q := range d.queues {
@@ -272,12 +287,12 @@
 	return n
 }
 
-// Active counts the requests that run.
+// Active returns the number of running requests.
 func (d *Dispatcher) Active() int {
 	return len(d.active)
 }
 
-// Status lists the engines as this entry VM sees them.
+// Status lists the states of the engines as known to this entry VM.
 func (d *Dispatcher) Status(now time.Time) []api.ServerStatus {
 	l := make([]api.ServerStatus, 0, len(d.order))
 	for _, s := range d.order {
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -66,7 +66,7 @@
 	return a[0].Refusal.Code
 }
 
-func TestStartsWhileThereIsRoomThenWaits(t *testing.T) {
+func TestStartsWhileSlotsAreFreeThenWaits(t *testing.T) {
 	d := fleet(options(1, 10), 2)
 	for i := range 2 {
 		if a := d.Submit(epoch, work(i)); len(a) != 1 || a[0].Server == "" {
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestFullQueueIsAnsweredAtOnceAndSpread(t *testing.T) {
+func TestFullQueueRefusesAtOnceAndSpreadsRetries(t *testing.T) {
 	d := fleet(options(1, 1), 1)
 	d.Submit(epoch, work(0))
 	d.Submit(epoch, work(1))
@@ -124,11 +124,11 @@
 		seen[a[0].Refusal.RetryAfter] = true
 	}
 	if len(seen) < 9 {
-		t.Errorf("times to come back: got %d different of 10, want at least 9", len(seen))
+		t.Errorf("retry times: got %d distinct ones of 10, want at least 9", len(seen))
 	}
 }
 
-func TestWaitingEndsInTime(t *testing.T) {
+func TestWaitEndsAtQueueTimeout(t *testing.T) {
 	d := fleet(options(1, 10), 1)
 	d.Submit(epoch, work(0))
 	d.Submit(epoch, work(1))
@@ -137,14 +137,14 @@
 	}
 }
 
-func TestLeavingServerGetsNoNewWork(t *testing.T) {
+func TestUnavailableServerGetsNoNewWork(t *testing.T) {
 	tests := []struct {
 		name   string
 		signal func(d *dispatch.Dispatcher)
 		at     time.Time
 	}{
 		{"platform's list", func(d *dispatch.Dispatcher) { d.SetLeaving("e0", true) }, epoch},
-		{"own notice", func(d *dispatch.Dispatcher) {
+		{"report of the server", func(d *dispatch.Dispatcher) {
 			r := report("e0", epoch.Add(time.Millisecond))
 			r.Leaving = true
 			d.Report(epoch, r)
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestSilentEngineIsLeftOutWhileOthersReport(t *testing.T) {
+func TestSilentEngineGetsNoWorkWhileOthersReport(t *testing.T) {
 	d := fleet(options(100, 10), 2)
 	now := epoch.Add(suspect + time.Millisecond)
 	d.Report(now, report("e1", now))
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestLateReportsOfAllEnginesRefuseNobody(t *testing.T) {
+func TestLateReportsOfAllEnginesCauseNoRefusal(t *testing.T) {
 	d := fleet(options(100, 10), 2)
 	now := epoch.Add(2 * suspect)
 	for i := range 20 {
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestRetryAvoidsTheFailedEngineAndIsBounded(t *testing.T) {
+func TestRetryAvoidsFailedEngineWithinBudget(t *testing.T) {
 	d := fleet(options(1000, 10), 2)
 	w := work(0)
 	w.Avoid = "e0"
@@ -205,17 +205,17 @@
 		}
 	}
 	if started > 10 {
-		t.Errorf("retries without fresh work: got %d, want at most 10", started)
+		t.Errorf("retries without new requests: got %d, want at most 10", started)
 	}
 }
 
-func TestStopAnswersEveryWaiter(t *testing.T) {
+func TestStopWaitingRefusesAllWaitingRequests(t *testing.T) {
 	d := fleet(options(1, 10), 1)
 	for i := range 4 {
 		d.Submit(epoch, work(i))
 	}
 	if got := len(d.StopWaiting()); got != 3 {
-		t.Errorf("waiters answered: got %d, want 3", got)
+		t.Errorf("waiting requests refused: got %d, want 3", got)
 	}
 }
 
--- a/internal/decide/dispatch/offer.go
+++ b/internal/decide/dispatch/offer.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// offer starts waiting requests that fit on one engine.
+// offer starts the waiting requests that fit on one engine.
 func (d *Dispatcher) offer(now time.Time, s *server) []Action {
 	var out []Action
 	for _, p := range d.waitingPools() {
@@ -23,13 +23,13 @@
 			if !ok {
 				break
 			}
-			out = append(out, d.start(now, s, w, "room after waiting"))
+			out = append(out, d.start(now, s, w, "capacity available after waiting"))
 		}
 	}
 	return out
 }
 
-// waitingPools lists the pools with a queue in a fixed order.
+// waitingPools lists the pools with waiting requests in a fixed order.
 func (d *Dispatcher) waitingPools() []pool {
 	var l []pool
 	for p, q := range d.queues {
@@ -46,6 +46,7 @@
 	return l
 }
 
+// offerAll starts the waiting requests that fit on any engine.
 func (d *Dispatcher) offerAll(now time.Time) []Action {
 	var out []Action
 	for _, s := range d.order {
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -10,6 +10,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
+// place starts, queues or refuses a request. A request waits behind those that wait
+// for the same pool.
 func (d *Dispatcher) place(now time.Time, w Work) []Action {
 	p := pool{w.Model, w.Adapter}
 	if !now.Before(w.Deadline) {
@@ -18,7 +20,7 @@
 	}
 	if q := d.queues[p]; q == nil || q.Len() == 0 {
 		if s := d.choose(now, p, w); s != nil {
-			return []Action{d.start(now, s, w, "room at once")}
+			return []Action{d.start(now, s, w, "capacity available")}
 		}
 	}
 	if f := d.refusalReason(now, p, w); f != nil {
@@ -27,7 +29,7 @@
 	return d.enqueue(now, p, w)
 }
 
-// refusalReason finds a reason to refuse a request without waiting.
+// refusalReason returns why a request can't be served by waiting either, or nil.
 func (d *Dispatcher) refusalReason(now time.Time, p pool, w Work) *fault.Error {
 	l := d.pool(p)
 	suspectAfter := d.suspectAfter(now, l)
@@ -39,7 +41,7 @@
 		}
 	}
 	if ready == 0 {
-		return fault.New(fault.NoServer, "no engine has the model loaded and takes work")
+		return fault.New(fault.NoServer, "no engine has the model loaded and accepts work")
 	}
 	if !admit.Possible(w.PromptTokens, largest) {
 		return fault.New(fault.TooLarge, "the prompt is larger than any engine's memory")
@@ -47,9 +49,11 @@
 	return nil
 }
 
-// maxPicks is how many picks may find no room before all engines are looked at.
+// maxPicks is how many engines picked by the routing policy are tried before all
+// engines of the pool are.
 const maxPicks = 3
 
+// choose returns an engine of the pool with capacity for the request, or nil.
 func (d *Dispatcher) choose(now time.Time, p pool, w Work) *server {
 	l := d.pool(p)
 	if len(l) == 0 {
@@ -66,8 +70,8 @@
 	return d.firstFit(c, w, g)
 }
 
-// suspectAfter is the silence after which an engine gets no work: longer when every
-// engine of the pool is silent.
+// suspectAfter returns the silence after which an engine of the list gets no work. It is
+// longer when all of them are silent.
 func (d *Dispatcher) suspectAfter(now time.Time, l []*server) time.Duration {
 	for _, s := range l {
 		if s.State(now, d.options.SuspectAfter) == api.ServerStatusStateReady {
@@ -77,7 +81,7 @@
 	return silenceFactor * d.options.SuspectAfter
 }
 
-// firstFit looks at every engine from a random one on.
+// firstFit returns the first engine with capacity, starting from a random one, or nil.
 func (d *Dispatcher) firstFit(c candidates, w Work, g admit.Generation) *server {
 	o := d.random.IntN(len(c.servers))
 	for i := range c.servers {
@@ -88,10 +92,12 @@
 	return nil
 }
 
-// memoryShares is the part of an engine's memory that each priority may fill, so
-// that a caller on the line finds room beside long background work.
+// memoryShares is the share of an engine's memory that each priority, by rank, may use.
+// The limits leave memory for interactive requests beside long background work; the
+// most urgent priority may use the most.
 var memoryShares = [...]float64{0.98, 0.94, 0.85}
 
+// fits reports whether an engine accepts work and has capacity for the request.
 func (d *Dispatcher) fits(c candidates, s *server, g admit.Generation, w Work) bool {
 	if !s.acceptsWork(c.now, c.suspectAfter) || s.Name == c.avoid {
 		return false
@@ -102,24 +108,29 @@
 	return d.options.Admission.Fits(s.load, g, memoryShares[w.Priority.Rank()])
 }
 
+// generation describes the request to the admission policy.
 func (d *Dispatcher) generation(now time.Time, w Work) admit.Generation {
 	k := length.Key{Workspace: w.Workspace, Kind: w.Kind}
 	return admit.Generation{Prompt: w.PromptTokens, Max: w.MaxTokens, Curve: d.lengths.Curve(k), Since: now}
 }
 
+// start assigns the request to an engine.
 func (d *Dispatcher) start(now time.Time, s *server, w Work, reason string) Action {
 	s.load.Add(w.Request, d.generation(now, w))
 	d.active[w.Request] = &assigned{work: w, server: s, since: now}
 	return Action{Request: w.Request, Server: s.Name, Reason: reason}
 }
 
-// waitShares is the part of the longest wait that each priority has: a caller on
-// the line is better told at once than kept waiting for a first token.
+// waitShares is the share of MaxQueueWait that a request of each priority, by rank, may
+// wait: an early refusal serves an interactive caller better than a long wait for the
+// first token.
 var waitShares = [...]float64{0.2, 0.5, 1}
 
+// enqueue queues a request, or refuses it if its deadline leaves no time to wait. If the
+// queue is full, it refuses the request that the queue evicts.
 func (d *Dispatcher) enqueue(now time.Time, p pool, w Work) []Action {
 	if wait := d.expectedWait(); now.Add(wait).After(w.Deadline) {
-		f := fault.New(fault.DeadlinePassed, "no engine is expected to have room before the deadline")
+		f := fault.New(fault.DeadlinePassed, "no engine is expected to have capacity before the deadline")
 		return []Action{d.refuse(w.Request, f)}
 	}
 	q, ok := d.queues[p]
--- a/internal/decide/dispatch/refuse.go
+++ b/internal/decide/dispatch/refuse.go
@@ -7,14 +7,14 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Bounds of the time that a refused caller is told to wait.
+// Limits of the time that a refused caller is told to wait, before it is spread.
 const (
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// refuse answers a request at once, with a time to come back that is spread so
-// that refused callers don't return together.
+// refuse refuses a request with a retry time that is spread at random, so that refused
+// callers don't retry together. A request that is too large gets none.
 func (d *Dispatcher) refuse(r api.RequestID, f *fault.Error) Action {
 	if f.Code == fault.TooLarge {
 		return Action{Request: r, Refusal: f}
@@ -24,20 +24,21 @@
 	return Action{Request: r, Refusal: f.After(w)}
 }
 
-// expectedWait estimates how long a request that comes now would expectedWait.
+// expectedWait estimates how long a request that arrives now would wait.
 func (d *Dispatcher) expectedWait() time.Duration {
 	return time.Duration(float64(d.Waiting()+1) * float64(d.interval.estimate()))
 }
 
-// intervalDecay is the share of the past that one completion leaves in force.
+// intervalDecay is the weight of earlier intervals when a new one is observed.
 const intervalDecay = 0.95
 
-// completionInterval learns the time between completions.
+// completionInterval is a moving average of the time between two completions.
 type completionInterval struct {
 	last time.Time
 	mean float64
 }
 
+// observe records a completion.
 func (c *completionInterval) observe(now time.Time) {
 	if !c.last.IsZero() {
 		d := float64(now.Sub(c.last))
@@ -49,7 +50,7 @@
 	c.last = now
 }
 
-// estimate is the mean time between completions, at most a second each.
+// estimate returns the mean time between two completions, at most one second.
 func (c *completionInterval) estimate() time.Duration {
 	return min(time.Duration(c.mean), time.Second)
 }
