--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -29,7 +29,7 @@
 
 // fill admits equal generations until the policy refuses.
 func fill(p admit.Policy, l *admit.Load, c *length.Curve) int {
-	g := admit.Generation{Prompt: 100, Max: 4000, Curve: c, Since: epoch}
+	g := admit.Generation{PromptTokens: 100, MaxTokens: 4000, Curve: c, SentAt: epoch}
 	for n := range 1000 {
 		if !p.Fits(l, g, 1) {
 			return n
@@ -61,7 +61,7 @@
 }
 
 func TestNothingFitsBeforeAReport(t *testing.T) {
-	g := admit.Generation{Prompt: 1, Max: 10, Curve: learned(5), Since: epoch}
+	g := admit.Generation{PromptTokens: 1, MaxTokens: 10, Curve: learned(5), SentAt: epoch}
 	for _, p := range []admit.Policy{admit.Slots{N: 1}, admit.Mean{}, admit.Maximum{}, admit.NewSurvival(0.05, 0)} {
 		if got := p.Fits(admit.NewLoad(), g, 1); got {
 			t.Errorf("%T: got %v, want false", p, got)
@@ -71,7 +71,7 @@
 
 func TestOwnWorkCorrectsALateReport(t *testing.T) {
 	l := reported(10000)
-	g := admit.Generation{Prompt: 4000, Max: 100, Curve: learned(10), Since: epoch.Add(time.Second)}
+	g := admit.Generation{PromptTokens: 4000, MaxTokens: 100, Curve: learned(10), SentAt: epoch.Add(time.Second)}
 	l.Add("a", g)
 	l.Report(epoch.Add(2*time.Second), api.LoadReport{TimeMS: api.UnixMilliseconds(epoch), KVTotal: 10000, KVUsed: 3000})
 	if got, want := l.Reserved(), api.Tokens(7000); got != want {
@@ -101,7 +101,7 @@
 		at++
 		l.Report(epoch, api.LoadReport{TimeMS: at, KVTotal: 1 << 20, Running: b, StepMS: 10 + float64(b)})
 	}
-	g := admit.Generation{Prompt: 1, Max: 10, Curve: learned(5), Since: epoch.Add(time.Second)}
+	g := admit.Generation{PromptTokens: 1, MaxTokens: 10, Curve: learned(5), SentAt: epoch.Add(time.Second)}
 	if got := admit.NewSurvival(0.05, 70).Fits(l, g, 1); !got {
 		t.Errorf("at 51 ms a step: got %v, want true", got)
 	}
--- a/internal/decide/admit/load.go
+++ b/internal/decide/admit/load.go
@@ -13,16 +13,16 @@
 
 // Generation is what admission knows of one generation.
 type Generation struct {
-	Prompt api.Tokens
-	Made   api.Tokens
-	Max    api.Tokens
-	Curve  *length.Curve
-	Since  time.Time
+	PromptTokens    api.Tokens
+	GeneratedTokens api.Tokens
+	MaxTokens       api.Tokens
+	Curve           *length.Curve
+	SentAt          time.Time
 }
 
 // held is the memory the generation takes now.
 func (g *Generation) held() api.Tokens {
-	return g.Prompt + g.Made
+	return g.PromptTokens + g.GeneratedTokens
 }
 
 // forecast is the mean and variance of a generation's memory per horizon.
@@ -34,13 +34,13 @@
 func (g *Generation) forecast() forecast {
 	var f forecast
 	for i, h := range horizons {
-		if g.Made+h >= g.Max && i > 0 {
+		if g.GeneratedTokens+h >= g.MaxTokens && i > 0 {
 			break
 		}
 		m := float64(g.held() + h)
 		s := 1.0
 		if h > 0 {
-			s = g.Curve.Survive(g.Made, h)
+			s = g.Curve.Survive(g.GeneratedTokens, h)
 		}
 		f.mean[i] = m * s
 		f.variance[i] = m * m * s * (1 - s)
@@ -97,7 +97,7 @@
 	for _, g := range l.running {
 		g.forecast = g.Generation.forecast()
 		l.sum.add(&g.forecast, 1)
-		if api.UnixMilliseconds(g.Since) < l.report.TimeMS {
+		if api.UnixMilliseconds(g.SentAt) < l.report.TimeMS {
 			known += float64(g.held())
 		}
 	}
@@ -115,7 +115,7 @@
 func (l *Load) Progress(r api.RequestID, made api.Tokens) {
 	if x, ok := l.running[r]; ok {
 		l.sum.add(&x.forecast, -1)
-		x.Made = made
+		x.GeneratedTokens = made
 		x.forecast = x.Generation.forecast()
 		l.sum.add(&x.forecast, 1)
 	}
@@ -177,7 +177,7 @@
 func (l *Load) batch() int {
 	n := l.report.Running + l.report.Waiting
 	for _, g := range l.running {
-		if api.UnixMilliseconds(g.Since) >= l.report.TimeMS {
+		if api.UnixMilliseconds(g.SentAt) >= l.report.TimeMS {
 			n++
 		}
 	}
--- a/internal/decide/admit/policy.go
+++ b/internal/decide/admit/policy.go
@@ -35,7 +35,7 @@
 }
 
 func expected(g *Generation) float64 {
-	return float64(g.held()) + g.Curve.Mean(g.Made, g.Max)
+	return float64(g.held()) + g.Curve.Mean(g.GeneratedTokens, g.MaxTokens)
 }
 
 // Maximum reserves the longest answer that each request allows.
@@ -43,29 +43,29 @@
 
 // Fits adds the largest sizes up.
 func (Maximum) Fits(l *Load, g Generation, share float64) bool {
-	m := l.others + float64(g.Prompt+g.Max)
+	m := l.others + float64(g.PromptTokens+g.MaxTokens)
 	for _, x := range l.running {
-		m += float64(x.Prompt + x.Max)
+		m += float64(x.PromptTokens + x.MaxTokens)
 	}
 	return m <= share*float64(l.Total())
 }
 
-// StepAimMS is the time between tokens that the product keeps to, ms: the
+// StepTargetMS is the time between tokens that the product keeps to, ms: the
 // target of 70 ms with room for the path to the caller.
-const StepAimMS = 63
+const StepTargetMS = 63
 
 // Survival bounds the chance that memory overflows at any horizon ahead, and
 // keeps the batch's step time under the aim.
 type Survival struct {
 	// Z is the number of standard deviations kept free.
 	Z float64
-	// StepMS is the aim for the time between tokens, ms; 0 for none.
-	StepMS float64
+	// StepTargetMS is the aim for the time between tokens, ms; 0 for none.
+	StepTargetMS float64
 }
 
 // NewSurvival admits an overflow with at most the chance given.
 func NewSurvival(chance, stepMS float64) Survival {
-	return Survival{Z: math.Sqrt2 * math.Erfinv(1-2*chance), StepMS: stepMS}
+	return Survival{Z: math.Sqrt2 * math.Erfinv(1-2*chance), StepTargetMS: stepMS}
 }
 
 // Fits checks the forecast at every horizon.
@@ -77,7 +77,7 @@
 		// The engine's batch is full by its own word; more would wait inside it.
 		return false
 	}
-	if s.StepMS > 0 && l.pace.step(l.batch()+1) > s.StepMS {
+	if s.StepTargetMS > 0 && l.pace.step(l.batch()+1) > s.StepTargetMS {
 		return false
 	}
 	f := g.forecast()
@@ -92,7 +92,7 @@
 	return true
 }
 
-// Possible reports whether the request could fit an empty engine at all.
-func Possible(prompt, total api.Tokens) bool {
+// FitsEmptyEngine reports whether the request could fit an empty engine at all.
+func FitsEmptyEngine(prompt, total api.Tokens) bool {
 	return total == 0 || prompt < total
 }
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -43,7 +43,7 @@
 	if ready == 0 {
 		return fault.New(fault.NoServer, "no engine has the model loaded and accepts work")
 	}
-	if !admit.Possible(w.PromptTokens, largest) {
+	if !admit.FitsEmptyEngine(w.PromptTokens, largest) {
 		return fault.New(fault.TooLarge, "the prompt is larger than any engine's memory")
 	}
 	return nil
@@ -102,7 +102,7 @@
 	if !s.acceptsWork(c.now, c.suspectAfter) || s.Name == c.avoid {
 		return false
 	}
-	if !admit.Possible(w.PromptTokens, s.load.Total()) {
+	if !admit.FitsEmptyEngine(w.PromptTokens, s.load.Total()) {
 		return false
 	}
 	return d.options.Admission.Fits(s.load, g, memoryShares[w.Priority.Rank()])
@@ -111,7 +111,7 @@
 // generation describes the request to the admission policy.
 func (d *Dispatcher) generation(now time.Time, w Work) admit.Generation {
 	k := length.Key{Workspace: w.Workspace, Kind: w.Kind}
-	return admit.Generation{Prompt: w.PromptTokens, Max: w.MaxTokens, Curve: d.lengths.Curve(k), Since: now}
+	return admit.Generation{PromptTokens: w.PromptTokens, MaxTokens: w.MaxTokens, Curve: d.lengths.Curve(k), SentAt: now}
 }
 
 // start assigns the request to an engine.
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -53,7 +53,7 @@
 }
 
 func survival() admit.Policy {
-	return admit.NewSurvival(overflow, admit.StepAimMS)
+	return admit.NewSurvival(overflow, admit.StepTargetMS)
 }
 
 // moments are what capacity is worked out from.
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -107,7 +107,7 @@
 	case api.EngineSettingsAdmissionMaximum:
 		return admit.Maximum{}
 	default:
-		return admit.NewSurvival(float64(s.OverflowPermille)/permille, admit.StepAimMS)
+		return admit.NewSurvival(float64(s.OverflowPermille)/permille, admit.StepTargetMS)
 	}
 }
 
