--- a/internal/decide/admit/load.go
+++ b/internal/decide/admit/load.go
@@ -20,8 +20,8 @@
 	SentAt          time.Time
 }
 
-// held is the memory the generation takes now.
-func (g *Generation) held() api.Tokens {
+// currentTokens is the memory the generation takes now.
+func (g *Generation) currentTokens() api.Tokens {
 	return g.PromptTokens + g.GeneratedTokens
 }
 
@@ -37,7 +37,7 @@
 		if g.GeneratedTokens+h >= g.MaxTokens && i > 0 {
 			break
 		}
-		m := float64(g.held() + h)
+		m := float64(g.currentTokens() + h)
 		s := 1.0
 		if h > 0 {
 			s = g.Curve.Survive(g.GeneratedTokens, h)
@@ -63,12 +63,12 @@
 // Load is one engine's load: its own late report, corrected by the
 // generations that this entry VM has sent since.
 type Load struct {
-	running map[api.RequestID]*running
-	sum     forecast
-	report  api.LoadReport
-	at      time.Time
-	others  float64
-	pace    pace
+	running    map[api.RequestID]*running
+	sum        forecast
+	report     api.LoadReport
+	reportedAt time.Time
+	peerTokens float64
+	stepModel  stepTimeModel
 }
 
 // NewLoad makes the load of an engine that has not reported.
@@ -83,8 +83,8 @@
 		return false
 	}
 	l.report = r
-	l.at = now
-	l.pace.observe(r.Running, r.StepMS)
+	l.reportedAt = now
+	l.stepModel.observe(r.Running, r.StepMS)
 	l.rebuild()
 	return true
 }
@@ -93,15 +93,15 @@
 // the report holds beyond this entry VM's own generations.
 func (l *Load) rebuild() {
 	l.sum = forecast{}
-	known := 0.0
+	localTokens := 0.0
 	for _, g := range l.running {
 		g.forecast = g.Generation.forecast()
 		l.sum.add(&g.forecast, 1)
 		if api.UnixMilliseconds(g.SentAt) < l.report.TimeMS {
-			known += float64(g.held())
+			localTokens += float64(g.currentTokens())
 		}
 	}
-	l.others = math.Max(0, float64(l.report.KVUsed)-known)
+	l.peerTokens = math.Max(0, float64(l.report.KVUsed)-localTokens)
 }
 
 // Add counts a generation that is sent to the engine.
@@ -147,12 +147,12 @@
 	if l.report.KVTotal == 0 {
 		return 1
 	}
-	return (l.others + l.sum.mean[0]) / float64(l.report.KVTotal)
+	return (l.peerTokens + l.sum.mean[0]) / float64(l.report.KVTotal)
 }
 
 // Reserved is the memory counted as taken now.
 func (l *Load) Reserved() api.Tokens {
-	return api.Tokens(l.others + l.sum.mean[0])
+	return api.Tokens(l.peerTokens + l.sum.mean[0])
 }
 
 // Total is the engine's memory; 0 before its first report.
@@ -162,19 +162,19 @@
 
 // ReportedAt is when the last report arrived.
 func (l *Load) ReportedAt() time.Time {
-	return l.at
+	return l.reportedAt
 }
 
 // others at a horizon are taken to grow as this entry VM's own generations do.
-func (l *Load) othersAt(i int) float64 {
+func (l *Load) peerTokensAt(i int) float64 {
 	if l.sum.mean[0] < 1 {
-		return l.others
+		return l.peerTokens
 	}
-	return l.others * math.Max(1, l.sum.mean[i]/l.sum.mean[0])
+	return l.peerTokens * math.Max(1, l.sum.mean[i]/l.sum.mean[0])
 }
 
-// batch estimates the generations in the engine's batch.
-func (l *Load) batch() int {
+// batchSize estimates the generations in the engine's batchSize.
+func (l *Load) batchSize() int {
 	n := l.report.Running + l.report.Waiting
 	for _, g := range l.running {
 		if api.UnixMilliseconds(g.SentAt) >= l.report.TimeMS {
--- a/internal/decide/admit/policy.go
+++ b/internal/decide/admit/policy.go
@@ -19,7 +19,7 @@
 
 // Fits counts the batch alone.
 func (s Slots) Fits(l *Load, _ Generation, _ float64) bool {
-	return l.Total() > 0 && l.batch() < s.N
+	return l.Total() > 0 && l.batchSize() < s.N
 }
 
 // Mean reserves the expected length of each answer.
@@ -27,15 +27,15 @@
 
 // Fits adds the expected sizes up.
 func (Mean) Fits(l *Load, g Generation, share float64) bool {
-	m := l.others + expected(&g)
+	m := l.peerTokens + expectedTokens(&g)
 	for _, x := range l.running {
-		m += expected(&x.Generation)
+		m += expectedTokens(&x.Generation)
 	}
 	return m <= share*float64(l.Total())
 }
 
-func expected(g *Generation) float64 {
-	return float64(g.held()) + g.Curve.Mean(g.GeneratedTokens, g.MaxTokens)
+func expectedTokens(g *Generation) float64 {
+	return float64(g.currentTokens()) + g.Curve.Mean(g.GeneratedTokens, g.MaxTokens)
 }
 
 // Maximum reserves the longest answer that each request allows.
@@ -43,7 +43,7 @@
 
 // Fits adds the largest sizes up.
 func (Maximum) Fits(l *Load, g Generation, share float64) bool {
-	m := l.others + float64(g.PromptTokens+g.MaxTokens)
+	m := l.peerTokens + float64(g.PromptTokens+g.MaxTokens)
 	for _, x := range l.running {
 		m += float64(x.PromptTokens + x.MaxTokens)
 	}
@@ -64,8 +64,8 @@
 }
 
 // NewSurvival admits an overflow with at most the chance given.
-func NewSurvival(chance, stepMS float64) Survival {
-	return Survival{Z: math.Sqrt2 * math.Erfinv(1-2*chance), StepTargetMS: stepMS}
+func NewSurvival(overflowChance, stepTargetMS float64) Survival {
+	return Survival{Z: math.Sqrt2 * math.Erfinv(1-2*overflowChance), StepTargetMS: stepTargetMS}
 }
 
 // Fits checks the forecast at every horizon.
@@ -77,13 +77,13 @@
 		// The engine's batch is full by its own word; more would wait inside it.
 		return false
 	}
-	if s.StepTargetMS > 0 && l.pace.step(l.batch()+1) > s.StepTargetMS {
+	if s.StepTargetMS > 0 && l.stepModel.estimate(l.batchSize()+1) > s.StepTargetMS {
 		return false
 	}
 	f := g.forecast()
 	c := share * float64(l.Total())
 	for i := range horizons {
-		m := l.othersAt(i) + l.sum.mean[i] + f.mean[i]
+		m := l.peerTokensAt(i) + l.sum.mean[i] + f.mean[i]
 		v := math.Max(0, l.sum.variance[i]+f.variance[i])
 		if m+s.Z*math.Sqrt(v) > c {
 			return false
