--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func learned(n api.Tokens) *length.Curve {
+func curveOf(n api.Tokens) *length.Curve {
 	p := length.New()
 	k := length.Key{Workspace: "w", Kind: "k"}
 	for range 1000 {
@@ -27,7 +27,7 @@
 	return l
 }
 
-// fill admits equal generations until the policy refuses.
+// fill adds equal generations until the policy refuses one, and returns their number.
 func fill(p admit.Policy, l *admit.Load, c *length.Curve) int {
 	g := admit.Generation{PromptTokens: 100, MaxTokens: 4000, Curve: c, SentAt: epoch}
 	for n := range 1000 {
@@ -39,8 +39,8 @@
 	return 1000
 }
 
-func TestPoliciesAdmit(t *testing.T) {
-	c := learned(200)
+func TestAdmittedPerPolicy(t *testing.T) {
+	c := curveOf(200)
 	tests := []struct {
 		name     string
 		policy   admit.Policy
@@ -60,8 +60,8 @@
 	}
 }
 
-func TestNothingFitsBeforeAReport(t *testing.T) {
-	g := admit.Generation{PromptTokens: 1, MaxTokens: 10, Curve: learned(5), SentAt: epoch}
+func TestNothingFitsBeforeFirstReport(t *testing.T) {
+	g := admit.Generation{PromptTokens: 1, MaxTokens: 10, Curve: curveOf(5), SentAt: epoch}
 	for _, p := range []admit.Policy{admit.Slots{N: 1}, admit.Mean{}, admit.Maximum{}, admit.NewSurvival(0.05, 0)} {
 		if got := p.Fits(admit.NewLoad(), g, 1); got {
 			t.Errorf("%T: got %v, want false", p, got)
@@ -69,43 +69,43 @@
 	}
 }
 
-func TestOwnWorkCorrectsALateReport(t *testing.T) {
+func TestLocalGenerationsCorrectLateReport(t *testing.T) {
 	l := reported(10000)
-	g := admit.Generation{PromptTokens: 4000, MaxTokens: 100, Curve: learned(10), SentAt: epoch.Add(time.Second)}
+	g := admit.Generation{PromptTokens: 4000, MaxTokens: 100, Curve: curveOf(10), SentAt: epoch.Add(time.Second)}
 	l.Add("a", g)
 	l.Report(epoch.Add(2*time.Second), api.LoadReport{TimeMS: api.UnixMilliseconds(epoch), KVTotal: 10000, KVUsed: 3000})
 	if got, want := l.Reserved(), api.Tokens(7000); got != want {
-		t.Errorf("reserved with a report from before the send: got %d, want %d", got, want)
+		t.Errorf("reserved with a report older than the request: got %d, want %d", got, want)
 	}
 	l.Report(epoch.Add(3*time.Second), api.LoadReport{TimeMS: api.UnixMilliseconds(epoch.Add(2 * time.Second)), KVTotal: 10000, KVUsed: 7000})
 	if got, want := l.Reserved(), api.Tokens(7000); got != want {
-		t.Errorf("reserved with a report from after the send: got %d, want %d", got, want)
+		t.Errorf("reserved with a report newer than the request: got %d, want %d", got, want)
 	}
 	l.Remove("a")
 	if got, want := l.Reserved(), api.Tokens(3000); got != want {
-		t.Errorf("reserved after the end: got %d, want %d", got, want)
+		t.Errorf("reserved after the generation ended: got %d, want %d", got, want)
 	}
 }
 
 func TestOlderReportIsDropped(t *testing.T) {
 	l := reported(100)
 	if got := l.Report(epoch, api.LoadReport{TimeMS: api.UnixMilliseconds(epoch) - 1, KVTotal: 5}); got {
-		t.Errorf("older report: got taken, want dropped")
+		t.Errorf("older report: got accepted, want dropped")
 	}
 }
 
-func TestStepTimeIsKeptUnderAim(t *testing.T) {
+func TestStepTimeStaysWithinTarget(t *testing.T) {
 	l := admit.NewLoad()
 	at := api.UnixMilliseconds(epoch)
 	for b := 1; b <= 40; b++ {
 		at++
 		l.Report(epoch, api.LoadReport{TimeMS: at, KVTotal: 1 << 20, Running: b, StepMS: 10 + float64(b)})
 	}
-	g := admit.Generation{PromptTokens: 1, MaxTokens: 10, Curve: learned(5), SentAt: epoch.Add(time.Second)}
+	g := admit.Generation{PromptTokens: 1, MaxTokens: 10, Curve: curveOf(5), SentAt: epoch.Add(time.Second)}
 	if got := admit.NewSurvival(0.05, 70).Fits(l, g, 1); !got {
-		t.Errorf("at 51 ms a step: got %v, want true", got)
+		t.Errorf("at 51 ms a step with a target of 70 ms: got %v, want true", got)
 	}
 	if got := admit.NewSurvival(0.05, 45).Fits(l, g, 1); got {
-		t.Errorf("at 51 ms a step with an aim of 45 ms: got %v, want false", got)
+		t.Errorf("at 51 ms a step with a target of 45 ms: got %v, want false", got)
 	}
 }
--- a/internal/decide/admit/policy.go
+++ b/internal/decide/admit/policy.go
@@ -6,26 +6,26 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Policy decides whether a generation fits beside an engine's load; share is
-// the part of the memory that its priority may fill.
+// Policy decides whether an engine with a given load has capacity for a generation;
+// share is the share of the memory that the priority of the generation may use.
 type Policy interface {
 	Fits(l *Load, g Generation, share float64) bool
 }
 
-// Slots admits a fixed number of generations per engine.
+// Slots admits up to N generations per engine.
 type Slots struct {
 	N int
 }
 
-// Fits counts the batch alone.
+// Fits reports whether a slot is free; it ignores memory.
 func (s Slots) Fits(l *Load, _ Generation, _ float64) bool {
 	return l.Total() > 0 && l.batchSize() < s.N
 }
 
-// Mean reserves the expected length of each answer.
+// Mean reserves memory for the expected length of each answer.
 type Mean struct{}
 
-// Fits adds the expected sizes up.
+// Fits reports whether the expected final sizes of all generations fit.
 func (Mean) Fits(l *Load, g Generation, share float64) bool {
 	m := l.peerTokens + expectedTokens(&g)
 	for _, x := range l.running {
@@ -34,14 +34,15 @@
 	return m <= share*float64(l.Total())
 }
 
+// expectedTokens returns the expected final size of a generation.
 func expectedTokens(g *Generation) float64 {
 	return float64(g.currentTokens()) + g.Curve.Mean(g.GeneratedTokens, g.MaxTokens)
 }
 
-// Maximum reserves the longest answer that each request allows.
+// Maximum reserves memory for the longest answer that each request allows.
 type Maximum struct{}
 
-// Fits adds the largest sizes up.
+// Fits reports whether the largest possible sizes of all generations fit.
 func (Maximum) Fits(l *Load, g Generation, share float64) bool {
 	m := l.peerTokens + float64(g.PromptTokens+g.MaxTokens)
 	for _, x := range l.running {
@@ -50,31 +51,33 @@
 	return m <= share*float64(l.Total())
 }
 
-// StepTargetMS is the time between tokens that the product keeps to, ms: the
-// target of 70 ms with room for the path to the caller.
+// StepTargetMS is the longest step time to admit generations at, in ms: the target for
+// the time between tokens is 70 ms, and the rest is left for the path to the caller.
 const StepTargetMS = 63
 
-// Survival bounds the chance that memory overflows at any horizon ahead, and
-// keeps the batch's step time under the aim.
+// Survival limits the chance that memory overflows at any horizon and keeps the step
+// time of the batch within a target.
 type Survival struct {
-	// Z is the number of standard deviations kept free.
+	// Z is the number of standard deviations of memory use that stay free.
 	Z float64
-	// StepTargetMS is the aim for the time between tokens, ms; 0 for none.
+	// StepTargetMS is the target for the time between tokens in ms, 0 for none.
 	StepTargetMS float64
 }
 
-// NewSurvival admits an overflow with at most the chance given.
+// NewSurvival returns a policy that accepts the given chance of an overflow at each
+// horizon and the given step time target in ms, 0 for none.
 func NewSurvival(overflowChance, stepTargetMS float64) Survival {
 	return Survival{Z: math.Sqrt2 * math.Erfinv(1-2*overflowChance), StepTargetMS: stepTargetMS}
 }
 
-// Fits checks the forecast at every horizon.
+// Fits reports whether the forecast memory use fits at every horizon and the expected
+// step time is within the target.
 func (s Survival) Fits(l *Load, g Generation, share float64) bool {
 	if l.Total() == 0 {
 		return false
 	}
 	if l.report.Waiting > 0 {
-		// The engine's batch is full by its own word; more would wait inside it.
+		// The engine reports a full batch: the generation would wait inside the engine.
 		return false
 	}
 	if s.StepTargetMS > 0 && l.stepModel.estimate(l.batchSize()+1) > s.StepTargetMS {
@@ -92,7 +95,8 @@
 	return true
 }
 
-// FitsEmptyEngine reports whether the request could fit an empty engine at all.
+// FitsEmptyEngine reports whether a prompt fits into the memory of an empty engine, which
+// is assumed while its size is not known.
 func FitsEmptyEngine(prompt, total api.Tokens) bool {
 	return total == 0 || prompt < total
 }
