--- a/internal/decide/admit/load.go
+++ b/internal/decide/admit/load.go
@@ -44,7 +44,7 @@
 		m := float64(g.currentTokens() + h)
 		s := 1.0
 		if h > 0 {
-			s = g.Curve.Survive(g.GeneratedTokens, h)
+			s = g.Curve.Survival(g.GeneratedTokens, h)
 		}
 		f.mean[i] = m * s
 		f.variance[i] = m * m * s * (1 - s)
--- a/internal/decide/length/curve.go
+++ b/internal/decide/length/curve.go
@@ -9,20 +9,20 @@
 // buckets is the number of log-spaced buckets of a curve.
 const buckets = 64
 
-// growth is the ratio of neighbouring bucket bounds.
-const growth = 1.2
+// boundRatio is the ratio of neighbouring bucket bounds.
+const boundRatio = 1.2
 
 // bounds[i] is the largest length in bucket i.
 var bounds = func() [buckets]float64 {
 	var b [buckets]float64
 	for i := range b {
-		b[i] = math.Max(float64(i+1), math.Round(math.Pow(growth, float64(i))))
+		b[i] = math.Max(float64(i+1), math.Round(math.Pow(boundRatio, float64(i))))
 	}
 	return b
 }()
 
-// short maps lengths below its size straight to their bucket.
-var short = func() [1024]uint8 {
+// smallBuckets maps lengths below its size straight to their bucket.
+var smallBuckets = func() [1024]uint8 {
 	var s [1024]uint8
 	b := 0
 	for n := range s {
@@ -34,28 +34,28 @@
 	return s
 }()
 
-func bucket(n api.Tokens) int {
+func bucketOf(n api.Tokens) int {
 	if n < 0 {
 		return 0
 	}
-	if int(n) < len(short) {
-		return int(short[n])
+	if int(n) < len(smallBuckets) {
+		return int(smallBuckets[n])
 	}
-	b := int(math.Ceil(math.Log(float64(n)) / math.Log(growth)))
+	b := int(math.Ceil(math.Log(float64(n)) / math.Log(boundRatio)))
 	return min(b, buckets-1)
 }
 
 // Curve is a survival curve: the chance that an answer is longer than a bound.
 type Curve struct {
-	// log[i] is the natural logarithm of the chance to outlive bucket i-1.
-	log [buckets + 1]float64
+	// logSurvival[i] is the natural logarithm of the chance to outlive bucket i-1.
+	logSurvival [buckets + 1]float64
 }
 
 // newCurve builds a curve from the hazard of each bucket.
 func newCurve(h *[buckets]float64) *Curve {
 	c := &Curve{}
 	for i := range h {
-		c.log[i+1] = c.log[i] + math.Log1p(-math.Min(h[i], maxHazard))
+		c.logSurvival[i+1] = c.logSurvival[i] + math.Log1p(-math.Min(h[i], maxHazard))
 	}
 	return c
 }
@@ -63,42 +63,42 @@
 // maxHazard keeps a curve above zero, so that conditions on it stay defined.
 const maxHazard = 0.999
 
-// logSurvive interpolates the logarithm of the chance to be longer than n.
-func (c *Curve) logSurvive(n api.Tokens) float64 {
-	b := bucket(n)
+// logSurvivalAt interpolates the logarithm of the chance to be longer than n.
+func (c *Curve) logSurvivalAt(n api.Tokens) float64 {
+	b := bucketOf(n)
 	if float64(n) >= bounds[buckets-1] {
-		return c.log[buckets]
+		return c.logSurvival[buckets]
 	}
 	lo := 0.0
 	if b > 0 {
 		lo = bounds[b-1]
 	}
 	f := (float64(n) - lo) / (bounds[b] - lo)
-	return c.log[b] + f*(c.log[b+1]-c.log[b])
+	return c.logSurvival[b] + f*(c.logSurvival[b+1]-c.logSurvival[b])
 }
 
-// Survive gives the chance that an answer that has made tokens makes more than
+// Survival gives the chance that an answer that has made tokens makes more than
 // another ahead tokens.
-func (c *Curve) Survive(made, ahead api.Tokens) float64 {
-	return math.Exp(c.logSurvive(made+ahead) - c.logSurvive(made))
+func (c *Curve) Survival(generated, ahead api.Tokens) float64 {
+	return math.Exp(c.logSurvivalAt(generated+ahead) - c.logSurvivalAt(generated))
 }
 
 // Mean gives the expected further tokens of an answer that has made tokens, at
 // most limit in all.
-func (c *Curve) Mean(made, limit api.Tokens) float64 {
-	if made >= limit {
+func (c *Curve) Mean(generated, limit api.Tokens) float64 {
+	if generated >= limit {
 		return 0
 	}
-	s := c.logSurvive(made)
+	s := c.logSurvivalAt(generated)
 	m := 0.0
-	at := float64(made)
+	at := float64(generated)
 	last := 1.0
-	for b := bucket(made); b < buckets && at < float64(limit); b++ {
+	for b := bucketOf(generated); b < buckets && at < float64(limit); b++ {
 		e := math.Min(bounds[b], float64(limit))
 		if e <= at {
 			continue
 		}
-		x := math.Exp(c.logSurvive(api.Tokens(e)) - s)
+		x := math.Exp(c.logSurvivalAt(api.Tokens(e)) - s)
 		m += (e - at) * (last + x) / 2
 		at, last = e, x
 	}
@@ -107,13 +107,13 @@
 
 // Quantile gives the further tokens that an answer exceeds with chance 1-q, at
 // most limit in all.
-func (c *Curve) Quantile(made, limit api.Tokens, q float64) api.Tokens {
+func (c *Curve) Quantile(generated, limit api.Tokens, q float64) api.Tokens {
 	want := math.Log1p(-q)
-	s := c.logSurvive(made)
-	lo, hi := api.Tokens(0), max(limit-made, 0)
+	s := c.logSurvivalAt(generated)
+	lo, hi := api.Tokens(0), max(limit-generated, 0)
 	for lo < hi {
 		m := (lo + hi) / 2
-		if c.logSurvive(made+m)-s <= want {
+		if c.logSurvivalAt(generated+m)-s <= want {
 			hi = m
 		} else {
 			lo = m + 1
--- a/internal/decide/length/length_test.go
+++ b/internal/decide/length/length_test.go
@@ -49,7 +49,7 @@
 	if got, want := c.Mean(1000, 65536), c.Mean(0, 65536); got <= want {
 		t.Errorf("heavy tail: expected further tokens at 1000 got %v, want above %v", got, want)
 	}
-	if got := c.Survive(500, 0); got != 1 {
+	if got := c.Survival(500, 0); got != 1 {
 		t.Errorf("Survive(500, 0): got %v, want 1", got)
 	}
 }
@@ -61,7 +61,7 @@
 		p.Observe(k, 1000, true)
 		p.Observe(k, 10, false)
 	}
-	if got := p.Curve(k).Survive(0, 100); got < 0.9 {
+	if got := p.Curve(k).Survival(0, 100); got < 0.9 {
 		t.Errorf("Survive(0, 100): got %v, want at least 0.9", got)
 	}
 }
@@ -110,6 +110,6 @@
 func BenchmarkSurvive(b *testing.B) {
 	c := New().Curve(Key{})
 	for i := range b.N {
-		c.Survive(api.Tokens(i%4000), 512)
+		c.Survival(api.Tokens(i%4000), 512)
 	}
 }
--- a/internal/decide/length/predictor.go
+++ b/internal/decide/length/predictor.go
@@ -9,8 +9,8 @@
 // Window is the number of answers that a curve effectively remembers.
 const Window = 400
 
-// strength is how many answers the more general curve weighs.
-const strength = 6
+// priorWeight is how many answers the more general curve weighs.
+const priorWeight = 6
 
 // maxKinds bounds the kinds kept of one workspace.
 const maxKinds = 16
@@ -18,8 +18,8 @@
 // maxWorkspaces bounds the workspaces kept.
 const maxWorkspaces = 4096
 
-// refresh is the number of answers after which a built curve is built again.
-const refresh = 8
+// rebuildAfter is the number of answers after which a built curve is built again.
+const rebuildAfter = 8
 
 // Key names the curve of a workspace's kind of request.
 type Key struct {
@@ -27,53 +27,53 @@
 	Kind      api.RequestKind
 }
 
-// counts estimates the hazard of each bucket from answers that ended and
+// hazardEstimator estimates the hazard of each bucket from answers that ended and
 // answers that were cut off, forgetting old ones.
-type counts struct {
-	exits [buckets]float32
-	risk  [buckets]float32
-	built *Curve
-	fresh int
-	used  uint64
+type hazardEstimator struct {
+	ended    [buckets]float32
+	atRisk   [buckets]float32
+	cached   *Curve
+	uncached int
+	lastUsed uint64
 }
 
-func (c *counts) observe(n api.Tokens, ended bool) {
+func (e *hazardEstimator) observe(n api.Tokens, ended bool) {
 	const keep = 1 - 1.0/Window
-	b := bucket(n)
-	for i := range c.risk {
-		c.exits[i] *= keep
-		c.risk[i] *= keep
+	b := bucketOf(n)
+	for i := range e.atRisk {
+		e.ended[i] *= keep
+		e.atRisk[i] *= keep
 	}
 	for i := range b {
-		c.risk[i]++
+		e.atRisk[i]++
 	}
 	if ended {
-		c.exits[b]++
-		c.risk[b]++
+		e.ended[b]++
+		e.atRisk[b]++
 	}
-	c.fresh++
+	e.uncached++
 }
 
 // hazards blends the counts with the more general hazards.
-func (c *counts) hazards(general *[buckets]float64) *[buckets]float64 {
+func (e *hazardEstimator) hazards(general *[buckets]float64) *[buckets]float64 {
 	var h [buckets]float64
 	for i := range h {
-		h[i] = (float64(c.exits[i]) + strength*general[i]) / (float64(c.risk[i]) + strength)
+		h[i] = (float64(e.ended[i]) + priorWeight*general[i]) / (float64(e.atRisk[i]) + priorWeight)
 	}
 	return &h
 }
 
 type workspace struct {
-	all   counts
-	kinds map[api.RequestKind]*counts
-	used  uint64
+	overall  hazardEstimator
+	kinds    map[api.RequestKind]*hazardEstimator
+	lastUsed uint64
 }
 
 // Predictor learns curves online.
 type Predictor struct {
-	all        counts
+	overall    hazardEstimator
 	workspaces map[api.WorkspaceName]*workspace
-	clock      uint64
+	uses       uint64
 }
 
 // New makes a predictor that knows nothing yet.
@@ -81,8 +81,8 @@
 	return &Predictor{workspaces: map[api.WorkspaceName]*workspace{}}
 }
 
-// prior is a heavy tail to start from: the hazard falls as answers get longer.
-var prior = func() *[buckets]float64 {
+// priorHazards is a heavy tail to start from: the hazard falls as answers get longer.
+var priorHazards = func() *[buckets]float64 {
 	var h [buckets]float64
 	lo := 0.0
 	for i := range h {
@@ -96,70 +96,70 @@
 
 // Observe learns from one answer; ended is false for one that was cut off.
 func (p *Predictor) Observe(k Key, n api.Tokens, ended bool) {
-	p.clock++
+	p.uses++
 	w := p.workspace(k.Workspace)
-	p.all.observe(n, ended)
-	w.all.observe(n, ended)
-	w.kind(k.Kind, p.clock).observe(n, ended)
+	p.overall.observe(n, ended)
+	w.overall.observe(n, ended)
+	w.kind(k.Kind, p.uses).observe(n, ended)
 }
 
 // Curve gives the curve of a key; an unknown key gets a more general one.
 func (p *Predictor) Curve(k Key) *Curve {
 	w, ok := p.workspaces[k.Workspace]
 	if !ok {
-		return p.all.curve(prior)
+		return p.overall.curve(priorHazards)
 	}
 	c, ok := w.kinds[k.Kind]
 	if !ok {
-		return w.all.curve(p.all.hazards(prior))
+		return w.overall.curve(p.overall.hazards(priorHazards))
 	}
-	if c.current() {
-		return c.built
+	if c.cacheValid() {
+		return c.cached
 	}
-	return c.curve(w.all.hazards(p.all.hazards(prior)))
+	return c.curve(w.overall.hazards(p.overall.hazards(priorHazards)))
 }
 
-func (c *counts) current() bool {
-	return c.built != nil && c.fresh < refresh
+func (e *hazardEstimator) cacheValid() bool {
+	return e.cached != nil && e.uncached < rebuildAfter
 }
 
-func (c *counts) curve(general *[buckets]float64) *Curve {
-	if !c.current() {
-		c.built = newCurve(c.hazards(general))
-		c.fresh = 0
+func (e *hazardEstimator) curve(general *[buckets]float64) *Curve {
+	if !e.cacheValid() {
+		e.cached = newCurve(e.hazards(general))
+		e.uncached = 0
 	}
-	return c.built
+	return e.cached
 }
 
 func (p *Predictor) workspace(n api.WorkspaceName) *workspace {
 	w, ok := p.workspaces[n]
 	if !ok {
 		if len(p.workspaces) >= maxWorkspaces {
-			delete(p.workspaces, oldest(p.workspaces, func(w *workspace) uint64 { return w.used }))
+			delete(p.workspaces, leastRecentlyUsed(p.workspaces, func(w *workspace) uint64 { return w.lastUsed }))
 		}
-		w = &workspace{kinds: map[api.RequestKind]*counts{}}
+		w = &workspace{kinds: map[api.RequestKind]*hazardEstimator{}}
 		p.workspaces[n] = w
 	}
-	w.used = p.clock
+	w.lastUsed = p.uses
 	return w
 }
 
-func (w *workspace) kind(k api.RequestKind, now uint64) *counts {
+func (w *workspace) kind(k api.RequestKind, now uint64) *hazardEstimator {
 	c, ok := w.kinds[k]
 	if !ok {
 		if len(w.kinds) >= maxKinds {
-			delete(w.kinds, oldest(w.kinds, func(c *counts) uint64 { return c.used }))
+			delete(w.kinds, leastRecentlyUsed(w.kinds, func(c *hazardEstimator) uint64 { return c.lastUsed }))
 		}
-		c = &counts{}
+		c = &hazardEstimator{}
 		w.kinds[k] = c
 	}
-	c.used = now
+	c.lastUsed = now
 	return c
 }
 
-// oldest finds the key that was used least recently; uses are unique, so the
+// leastRecentlyUsed finds the key that was used least recently; uses are unique, so the
 // order of the map does not matter.
-func oldest[K comparable, V any](m map[K]V, used func(V) uint64) K {
+func leastRecentlyUsed[K comparable, V any](m map[K]V, used func(V) uint64) K {
 	var k K
 	var at uint64
 	first := true
