--- a/internal/decide/length/curve.go
+++ b/internal/decide/length/curve.go
@@ -6,10 +6,10 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// buckets is the number of log-spaced buckets of a curve.
+// buckets is the number of length buckets of a curve, which are spaced logarithmically.
 const buckets = 64
 
-// boundRatio is the ratio of neighbouring bucket bounds.
+// boundRatio is the ratio of the bounds of neighboring buckets.
 const boundRatio = 1.2
 
 // bounds[i] is the largest length in bucket i.
@@ -21,7 +21,7 @@
 	return b
 }()
 
-// smallBuckets maps lengths below its size straight to their bucket.
+// smallBuckets holds the bucket of each length below its size.
 var smallBuckets = func() [1024]uint8 {
 	var s [1024]uint8
 	b := 0
@@ -34,6 +34,7 @@
 	return s
 }()
 
+// bucketOf returns the bucket of a length.
 func bucketOf(n api.Tokens) int {
 	if n < 0 {
 		return 0
@@ -45,13 +46,15 @@
 	return min(b, buckets-1)
 }
 
-// Curve is a survival curve: the chance that an answer is longer than a bound.
+// Curve is a survival curve: for each length, the chance that an answer is longer.
 type Curve struct {
-	// logSurvival[i] is the natural logarithm of the chance to outlive bucket i-1.
+	// logSurvival[i] is the natural logarithm of the chance that an answer is longer than
+	// bucket i-1.
 	logSurvival [buckets + 1]float64
 }
 
-// newCurve builds a curve from the hazard of each bucket.
+// newCurve builds a curve from the hazard of each bucket: the chance that an answer
+// which reaches the bucket ends in it.
 func newCurve(h *[buckets]float64) *Curve {
 	c := &Curve{}
 	for i := range h {
@@ -60,10 +63,12 @@
 	return c
 }
 
-// maxHazard keeps a curve above zero, so that conditions on it stay defined.
+// maxHazard keeps the chances of a curve above zero, so that conditional chances stay
+// defined.
 const maxHazard = 0.999
 
-// logSurvivalAt interpolates the logarithm of the chance to be longer than n.
+// logSurvivalAt returns the logarithm of the chance that an answer is longer than n,
+// interpolated within the bucket of n.
 func (c *Curve) logSurvivalAt(n api.Tokens) float64 {
 	b := bucketOf(n)
 	if float64(n) >= bounds[buckets-1] {
@@ -77,14 +82,14 @@
 	return c.logSurvival[b] + f*(c.logSurvival[b+1]-c.logSurvival[b])
 }
 
-// Survival gives the chance that an answer that has made tokens makes more than
-// another ahead tokens.
+// Survival returns the chance that an answer of which some tokens are generated gets
+// more than ahead further tokens.
 func (c *Curve) Survival(generated, ahead api.Tokens) float64 {
 	return math.Exp(c.logSurvivalAt(generated+ahead) - c.logSurvivalAt(generated))
 }
 
-// Mean gives the expected further tokens of an answer that has made tokens, at
-// most limit in all.
+// Mean returns the expected number of further tokens of an answer of which some tokens
+// are generated and which ends at limit tokens at the latest.
 func (c *Curve) Mean(generated, limit api.Tokens) float64 {
 	if generated >= limit {
 		return 0
@@ -105,8 +110,8 @@
 	return m
 }
 
-// Quantile gives the further tokens that an answer exceeds with chance 1-q, at
-// most limit in all.
+// Quantile returns the number of further tokens that an answer exceeds with chance 1-q.
+// The answer ends at limit tokens at the latest.
 func (c *Curve) Quantile(generated, limit api.Tokens, q float64) api.Tokens {
 	want := math.Log1p(-q)
 	s := c.logSurvivalAt(generated)
--- a/internal/decide/length/doc.go
+++ b/internal/decide/length/doc.go
@@ -1,3 +1,3 @@
-// Package length learns how long answers get, online and in bounded memory,
-// as survival curves per workspace and kind of request.
+// Package length learns the distribution of answer lengths as one survival curve for
+// each workspace and kind of request. It learns online and in bounded memory.
 package length
--- a/internal/decide/length/length_test.go
+++ b/internal/decide/length/length_test.go
@@ -9,7 +9,7 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// draw gives a heavy-tailed length with the median and spread.
+// draw returns a random length from a log-normal distribution, which has a heavy tail.
 func draw(r *rand.Rand, median, sigma float64) api.Tokens {
 	return api.Tokens(math.Max(1, math.Round(median*math.Exp(sigma*r.NormFloat64()))))
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestCurveConditionsOnTokensMade(t *testing.T) {
+func TestCurveConditionsOnGeneratedTokens(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	p := New()
 	k := Key{Workspace: "service", Kind: "chat"}
@@ -47,14 +47,14 @@
 	}
 	c := p.Curve(k)
 	if got, want := c.Mean(1000, 65536), c.Mean(0, 65536); got <= want {
-		t.Errorf("heavy tail: expected further tokens at 1000 got %v, want above %v", got, want)
+		t.Errorf("expected further tokens after 1000 of a heavy-tailed answer: got %v, want above %v", got, want)
 	}
 	if got := c.Survival(500, 0); got != 1 {
-		t.Errorf("Survive(500, 0): got %v, want 1", got)
+		t.Errorf("Survival(500, 0): got %v, want 1", got)
 	}
 }
 
-func TestCutOffAnswersDoNotShortenTheCurve(t *testing.T) {
+func TestCutOffAnswersDoNotShortenCurve(t *testing.T) {
 	p := New()
 	k := Key{Workspace: "w", Kind: "k"}
 	for range 500 {
@@ -62,7 +62,7 @@
 		p.Observe(k, 10, false)
 	}
 	if got := p.Curve(k).Survival(0, 100); got < 0.9 {
-		t.Errorf("Survive(0, 100): got %v, want at least 0.9", got)
+		t.Errorf("Survival(0, 100): got %v, want at least 0.9", got)
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-func BenchmarkSurvive(b *testing.B) {
+func BenchmarkSurvival(b *testing.B) {
 	c := New().Curve(Key{})
 	for i := range b.N {
 		c.Survival(api.Tokens(i%4000), 512)
--- a/internal/decide/length/predictor.go
+++ b/internal/decide/length/predictor.go
@@ -6,37 +6,42 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Window is the number of answers that a curve effectively remembers.
+// Window is the number of recent answers that a curve effectively covers.
 const Window = 400
 
-// priorWeight is how many answers the more general curve weighs.
+// priorWeight is the weight of the more general curve, as a number of answers.
 const priorWeight = 6
 
-// maxKinds bounds the kinds kept of one workspace.
+// maxKinds is the largest number of request kinds with a curve in one workspace.
 const maxKinds = 16
 
-// maxWorkspaces bounds the workspaces kept.
+// maxWorkspaces is the largest number of workspaces with curves.
 const maxWorkspaces = 4096
 
-// rebuildAfter is the number of answers after which a built curve is built again.
+// rebuildAfter is the number of new answers after which a cached curve is rebuilt.
 const rebuildAfter = 8
 
-// Key names the curve of a workspace's kind of request.
+// Key identifies the curve of one kind of request in one workspace.
 type Key struct {
 	Workspace api.WorkspaceName
 	Kind      api.RequestKind
 }
 
 // hazardEstimator estimates the hazard of each bucket from answers that ended and
-// answers that were cut off, forgetting old ones.
+// answers that were cut off. Older answers weigh less.
 type hazardEstimator struct {
-	ended    [buckets]float32
-	atRisk   [buckets]float32
-	cached   *Curve
+	// ended is the weight of the answers that ended in each bucket.
+	ended [buckets]float32
+	// atRisk is the weight of the answers that passed each bucket or ended in it.
+	atRisk [buckets]float32
+	cached *Curve
+	// uncached is the number of answers since the cached curve was built.
 	uncached int
+	// lastUsed is the predictor's count of uses at the last use.
 	lastUsed uint64
 }
 
+// observe records the length of an answer; ended is false for one that was cut off.
 func (e *hazardEstimator) observe(n api.Tokens, ended bool) {
 	const keep = 1 - 1.0/Window
 	b := bucketOf(n)
@@ -54,7 +59,7 @@
 	e.uncached++
 }
 
-// hazards blends the counts with the more general hazards.
+// hazards returns the hazard of each bucket, weighted with the more general hazards.
 func (e *hazardEstimator) hazards(general *[buckets]float64) *[buckets]float64 {
 	var h [buckets]float64
 	for i := range h {
@@ -63,25 +68,28 @@
 	return &h
 }
 
+// workspace holds the estimators of one workspace.
 type workspace struct {
 	overall  hazardEstimator
 	kinds    map[api.RequestKind]*hazardEstimator
 	lastUsed uint64
 }
 
-// Predictor learns curves online.
+// Predictor learns the survival curves of all workspaces and kinds of requests.
 type Predictor struct {
 	overall    hazardEstimator
 	workspaces map[api.WorkspaceName]*workspace
-	uses       uint64
+	// uses is the number of observed answers, which orders uses in time.
+	uses uint64
 }
 
-// New makes a predictor that knows nothing yet.
+// New returns a predictor without observations.
 func New() *Predictor {
 	return &Predictor{workspaces: map[api.WorkspaceName]*workspace{}}
 }
 
-// priorHazards is a heavy tail to start from: the hazard falls as answers get longer.
+// priorHazards are the hazards assumed without observations. They are those of a
+// heavy-tailed distribution: the hazard falls with the length.
 var priorHazards = func() *[buckets]float64 {
 	var h [buckets]float64
 	lo := 0.0
@@ -94,7 +102,7 @@
 	return &h
 }()
 
-// Observe learns from one answer; ended is false for one that was cut off.
+// Observe records the length of an answer; ended is false for one that was cut off.
 func (p *Predictor) Observe(k Key, n api.Tokens, ended bool) {
 	p.uses++
 	w := p.workspace(k.Workspace)
@@ -103,7 +111,8 @@
 	w.kind(k.Kind, p.uses).observe(n, ended)
 }
 
-// Curve gives the curve of a key; an unknown key gets a more general one.
+// Curve returns the curve of a key. An unknown key gets the curve of its workspace, or
+// that of all workspaces.
 func (p *Predictor) Curve(k Key) *Curve {
 	w, ok := p.workspaces[k.Workspace]
 	if !ok {
@@ -119,10 +128,12 @@
 	return c.curve(w.overall.hazards(p.overall.hazards(priorHazards)))
 }
 
+// cacheValid reports whether the cached curve may still be used.
 func (e *hazardEstimator) cacheValid() bool {
 	return e.cached != nil && e.uncached < rebuildAfter
 }
 
+// curve returns the cached curve, and rebuilds it first if needed.
 func (e *hazardEstimator) curve(general *[buckets]float64) *Curve {
 	if !e.cacheValid() {
 		e.cached = newCurve(e.hazards(general))
@@ -131,6 +142,8 @@
 	return e.cached
 }
 
+// workspace returns the estimators of a workspace. A new workspace replaces the least
+// recently used one if there are too many.
 func (p *Predictor) workspace(n api.WorkspaceName) *workspace {
 	w, ok := p.workspaces[n]
 	if !ok {
@@ -144,6 +157,8 @@
 	return w
 }
 
+// kind returns the estimator of a kind of request. A new kind replaces the least recently
+// used one if there are too many.
 func (w *workspace) kind(k api.RequestKind, now uint64) *hazardEstimator {
 	c, ok := w.kinds[k]
 	if !ok {
@@ -157,8 +172,8 @@
 	return c
 }
 
-// leastRecentlyUsed finds the key that was used least recently; uses are unique, so the
-// order of the map does not matter.
+// leastRecentlyUsed returns the key with the lowest count of uses. The counts are unique,
+// so the order of the map does not matter.
 func leastRecentlyUsed[K comparable, V any](m map[K]V, used func(V) uint64) K {
 	var k K
 	var at uint64
