--- a/internal/decide/length/predictor.go
+++ b/internal/decide/length/predictor.go
@@ -172,8 +172,8 @@
 	return c
 }
 
-// leastRecentlyUsed returns the key with the lowest count of uses. The counts are unique,
-// so the order of the map does not matter.
+// leastRecentlyUsed returns the key whose last use is the earliest. No two keys have
+// the same last use, so the order of the map does not matter.
 func leastRecentlyUsed[K comparable, V any](m map[K]V, used func(V) uint64) K {
 	var k K
 	var at uint64
