--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -7,16 +7,16 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Bound is a workspace's limit over all entry VMs.
-type Bound struct {
-	PerSecond  int
-	Concurrent int
+// Quota is a workspace's limit over all entry VMs.
+type Quota struct {
+	RequestsPerSecond  int
+	ConcurrentRequests int
 }
 
 type bucket struct {
-	tokens float64
-	at     time.Time
-	active int
+	tokens     float64
+	refilledAt time.Time
+	active     int
 }
 
 // Limiter holds the state of each workspace on one entry VM.
@@ -30,8 +30,8 @@
 	return &Limiter{buckets: map[api.WorkspaceName]*bucket{}, members: 1}
 }
 
-// Members sets the number of entry VMs that share each limit.
-func (l *Limiter) Members(n int) {
+// SetMembers sets the number of entry VMs that share each limit.
+func (l *Limiter) SetMembers(n int) {
 	l.members = max(n, 1)
 }
 
@@ -41,14 +41,14 @@
 	return math.Max(1, float64(n)/float64(l.members))
 }
 
-// Take admits one request, or tells after how long to come back.
-func (l *Limiter) Take(now time.Time, w api.WorkspaceName, b Bound) (time.Duration, bool) {
-	s := l.state(now, w, b)
-	if float64(s.active) >= l.share(b.Concurrent) {
+// Acquire admits one request, or tells after how long to come back.
+func (l *Limiter) Acquire(now time.Time, w api.WorkspaceName, q Quota) (time.Duration, bool) {
+	s := l.refill(now, w, q)
+	if float64(s.active) >= l.share(q.ConcurrentRequests) {
 		return time.Second, false
 	}
 	if s.tokens < 1 {
-		d := (1 - s.tokens) / l.share(b.PerSecond)
+		d := (1 - s.tokens) / l.share(q.RequestsPerSecond)
 		return time.Duration(d * float64(time.Second)), false
 	}
 	s.tokens--
@@ -56,15 +56,15 @@
 	return 0, true
 }
 
-// Done ends a request that was admitted.
-func (l *Limiter) Done(w api.WorkspaceName) {
+// Release ends a request that was admitted.
+func (l *Limiter) Release(w api.WorkspaceName) {
 	if s, ok := l.buckets[w]; ok && s.active > 0 {
 		s.active--
 	}
 }
 
-// Keep forgets workspaces that are no longer declared and have no request.
-func (l *Limiter) Keep(declared func(api.WorkspaceName) bool) {
+// RetainWorkspaces forgets workspaces that are no longer declared and have no request.
+func (l *Limiter) RetainWorkspaces(declared func(api.WorkspaceName) bool) {
 	for w, s := range l.buckets {
 		if s.active == 0 && !declared(w) {
 			delete(l.buckets, w)
@@ -72,17 +72,17 @@
 	}
 }
 
-// state refills the bucket, whose size is one second of the rate.
-func (l *Limiter) state(now time.Time, w api.WorkspaceName, b Bound) *bucket {
-	r := l.share(b.PerSecond)
+// refill refills the bucket, whose size is one second of the rate.
+func (l *Limiter) refill(now time.Time, w api.WorkspaceName, q Quota) *bucket {
+	r := l.share(q.RequestsPerSecond)
 	s, ok := l.buckets[w]
 	if !ok {
-		s = &bucket{tokens: r, at: now}
+		s = &bucket{tokens: r, refilledAt: now}
 		l.buckets[w] = s
 	}
-	if d := now.Sub(s.at); d > 0 {
+	if d := now.Sub(s.refilledAt); d > 0 {
 		s.tokens = math.Min(r, s.tokens+d.Seconds()*r)
-		s.at = now
+		s.refilledAt = now
 	}
 	return s
 }
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -11,12 +11,12 @@
 
 func TestRateIsHeldOverTime(t *testing.T) {
 	l := limit.New()
-	b := limit.Bound{PerSecond: 10, Concurrent: 1000}
+	b := limit.Quota{RequestsPerSecond: 10, ConcurrentRequests: 1000}
 	got := 0
 	for i := range 10000 {
-		if _, ok := l.Take(epoch.Add(time.Duration(i)*time.Millisecond), "w", b); ok {
+		if _, ok := l.Acquire(epoch.Add(time.Duration(i)*time.Millisecond), "w", b); ok {
 			got++
-			l.Done("w")
+			l.Release("w")
 		}
 	}
 	if got < 100 || got > 111 {
@@ -26,13 +26,13 @@
 
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	l := limit.New()
-	b := limit.Bound{PerSecond: 1, Concurrent: 10}
-	l.Take(epoch, "w", b)
-	d, ok := l.Take(epoch, "w", b)
+	b := limit.Quota{RequestsPerSecond: 1, ConcurrentRequests: 10}
+	l.Acquire(epoch, "w", b)
+	d, ok := l.Acquire(epoch, "w", b)
 	if ok || d != time.Second {
 		t.Fatalf("second request: got %v, %v, want 1s, false", d, ok)
 	}
-	if _, ok := l.Take(epoch.Add(d), "w", b); !ok {
+	if _, ok := l.Acquire(epoch.Add(d), "w", b); !ok {
 		t.Errorf("after the wait: got refused, want admitted")
 	}
 }
@@ -42,9 +42,9 @@
 	got := 0
 	for range members {
 		l := limit.New()
-		l.Members(members)
+		l.SetMembers(members)
 		for range bound {
-			if _, ok := l.Take(epoch, "w", limit.Bound{PerSecond: 1000, Concurrent: bound}); ok {
+			if _, ok := l.Acquire(epoch, "w", limit.Quota{RequestsPerSecond: 1000, ConcurrentRequests: bound}); ok {
 				got++
 			}
 		}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -178,7 +178,7 @@
 	s.serviceMutex.Unlock()
 	s.limitMutex.Lock()
 	defer s.limitMutex.Unlock()
-	s.limiter.Keep(func(w api.WorkspaceName) bool {
+	s.limiter.RetainWorkspaces(func(w api.WorkspaceName) bool {
 		_, ok := v.Workspaces[w]
 		return ok
 	})
@@ -194,7 +194,7 @@
 // Members sets the number of entry VMs that share the limits of workspaces and servers.
 func (s *Server) Members(n int) {
 	s.limitMutex.Lock()
-	s.limiter.Members(n)
+	s.limiter.SetMembers(n)
 	s.limitMutex.Unlock()
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
@@ -203,16 +203,16 @@
 
 // admit holds a workspace to its limits; the clean-up ends the request.
 func (s *Server) admit(w config.Workspace) (func(), error) {
-	b := limit.Bound{PerSecond: w.RequestsPerSecond, Concurrent: w.Concurrent}
+	b := limit.Quota{RequestsPerSecond: w.RequestsPerSecond, ConcurrentRequests: w.Concurrent}
 	s.limitMutex.Lock()
 	defer s.limitMutex.Unlock()
-	if d, ok := s.limiter.Take(time.Now(), w.Name, b); !ok {
+	if d, ok := s.limiter.Acquire(time.Now(), w.Name, b); !ok {
 		return nil, fault.New(fault.LimitReached, "the workspace is at its limit").After(max(d, time.Millisecond))
 	}
 	return func() {
 		s.limitMutex.Lock()
 		defer s.limitMutex.Unlock()
-		s.limiter.Done(w.Name)
+		s.limiter.Release(w.Name)
 	}, nil
 }
 
