--- a/internal/decide/limit/doc.go
+++ b/internal/decide/limit/doc.go
@@ -1,3 +1,3 @@
-// Package limit holds a workspace to its rate and its requests at once, as
-// this entry VM's share of a limit that counts over all of them.
+// Package limit limits the request rate and the concurrent requests of each workspace.
+// A quota applies to all entry VMs together, and each enforces an equal share of it.
 package limit
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -7,41 +7,45 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Quota is a workspace's limit over all entry VMs.
+// Quota is the limit of a workspace over all entry VMs.
 type Quota struct {
 	RequestsPerSecond  int
 	ConcurrentRequests int
 }
 
+// bucket is the token bucket of a workspace and the number of its running requests.
 type bucket struct {
 	tokens     float64
 	refilledAt time.Time
 	active     int
 }
 
-// Limiter holds the state of each workspace on one entry VM.
+// Limiter limits the requests of the workspaces on one entry VM. It is not safe for
+// concurrent use.
 type Limiter struct {
 	buckets map[api.WorkspaceName]*bucket
+	// members is the number of entry VMs that share each quota.
 	members int
 }
 
-// New makes a limiter for a lone entry VM.
+// New returns a limiter for a single entry VM.
 func New() *Limiter {
 	return &Limiter{buckets: map[api.WorkspaceName]*bucket{}, members: 1}
 }
 
-// SetMembers sets the number of entry VMs that share each limit.
+// SetMembers sets the number of entry VMs that share each quota.
 func (l *Limiter) SetMembers(n int) {
 	l.members = max(n, 1)
 }
 
-// share is this VM's part; each VM gets at least one, so that the fleet is
-// over a limit by less than the number of entry VMs.
+// share returns this entry VM's share of a limit. It is at least 1, so that the fleet may
+// exceed a limit, but by less than the number of entry VMs.
 func (l *Limiter) share(n int) float64 {
 	return math.Max(1, float64(n)/float64(l.members))
 }
 
-// Acquire admits one request, or tells after how long to come back.
+// Acquire admits one request and returns true, or returns the time after which to retry
+// and false. Release must be called when an admitted request ends.
 func (l *Limiter) Acquire(now time.Time, w api.WorkspaceName, q Quota) (time.Duration, bool) {
 	s := l.refill(now, w, q)
 	if float64(s.active) >= l.share(q.ConcurrentRequests) {
@@ -56,14 +60,14 @@
 	return 0, true
 }
 
-// Release ends a request that was admitted.
+// Release records the end of an admitted request.
 func (l *Limiter) Release(w api.WorkspaceName) {
 	if s, ok := l.buckets[w]; ok && s.active > 0 {
 		s.active--
 	}
 }
 
-// RetainWorkspaces forgets workspaces that are no longer declared and have no request.
+// RetainWorkspaces forgets workspaces that are no longer declared and run no request.
 func (l *Limiter) RetainWorkspaces(declared func(api.WorkspaceName) bool) {
 	for w, s := range l.buckets {
 		if s.active == 0 && !declared(w) {
@@ -72,7 +76,8 @@
 	}
 }
 
-// refill refills the bucket, whose size is one second of the rate.
+// refill returns the workspace's bucket, refilled for the time since the last refill. It
+// holds at most the requests of one second.
 func (l *Limiter) refill(now time.Time, w api.WorkspaceName, q Quota) *bucket {
 	r := l.share(q.RequestsPerSecond)
 	s, ok := l.buckets[w]
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -9,12 +9,12 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestRateIsHeldOverTime(t *testing.T) {
+func TestRateLimitHoldsOverTime(t *testing.T) {
 	l := limit.New()
-	b := limit.Quota{RequestsPerSecond: 10, ConcurrentRequests: 1000}
+	q := limit.Quota{RequestsPerSecond: 10, ConcurrentRequests: 1000}
 	got := 0
 	for i := range 10000 {
-		if _, ok := l.Acquire(epoch.Add(time.Duration(i)*time.Millisecond), "w", b); ok {
+		if _, ok := l.Acquire(epoch.Add(time.Duration(i)*time.Millisecond), "w", q); ok {
 			got++
 			l.Release("w")
 		}
@@ -24,20 +24,20 @@
 	}
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalReturnsRetryTime(t *testing.T) {
 	l := limit.New()
-	b := limit.Quota{RequestsPerSecond: 1, ConcurrentRequests: 10}
-	l.Acquire(epoch, "w", b)
-	d, ok := l.Acquire(epoch, "w", b)
+	q := limit.Quota{RequestsPerSecond: 1, ConcurrentRequests: 10}
+	l.Acquire(epoch, "w", q)
+	d, ok := l.Acquire(epoch, "w", q)
 	if ok || d != time.Second {
 		t.Fatalf("second request: got %v, %v, want 1s, false", d, ok)
 	}
-	if _, ok := l.Acquire(epoch.Add(d), "w", b); !ok {
-		t.Errorf("after the wait: got refused, want admitted")
+	if _, ok := l.Acquire(epoch.Add(d), "w", q); !ok {
+		t.Errorf("after the retry time: got refused, want admitted")
 	}
 }
 
-func TestFleetStaysWithinStatedError(t *testing.T) {
+func TestFleetExceedsLimitByLessThanItsSize(t *testing.T) {
 	const members, bound = 9, 20
 	got := 0
 	for range members {
@@ -50,6 +50,6 @@
 		}
 	}
 	if got < bound || got >= bound+members {
-		t.Errorf("at once over %d VMs: got %d, want from %d to below %d", members, got, bound, bound+members)
+		t.Errorf("concurrent requests over %d VMs: got %d, want from %d to below %d", members, got, bound, bound+members)
 	}
 }
