--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -159,11 +159,11 @@
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			p := order.New(1000)
-			seen := map[api.ServerName]order.Seen{}
+			seen := map[api.ServerName]order.Report{}
 			var l []order.Target
 			for i := range n {
 				l = append(l, order.Target{Server: server(i), Role: api.EngineRoleServe, Items: []string{"model/desk@1"}, ChecksFence: true})
-				seen[server(i)] = order.Seen{Role: api.EngineRoleServe, Loaded: []string{"model/desk@1"}}
+				seen[server(i)] = order.Report{Role: api.EngineRoleServe, Loaded: []string{"model/desk@1"}}
 			}
 			b.ResetTimer()
 			for range b.N {
--- a/internal/decide/order/order.go
+++ b/internal/decide/order/order.go
@@ -12,14 +12,14 @@
 	Server api.ServerName
 	Role   api.EngineRole
 	Items  []string
-	// Sizes gives the weights of an item in MB.
-	Sizes map[string]int
+	// SizesMB gives the weights of an item in MB.
+	SizesMB map[string]int
 	// ChecksFence tells whether the engine refuses orders with an old fence.
 	ChecksFence bool
 }
 
-// Seen is an engine's own last report.
-type Seen struct {
+// Report is an engine's own last report.
+type Report struct {
 	Role   api.EngineRole
 	Loaded []string
 	Fence  api.Fence
@@ -51,18 +51,18 @@
 	return &Planner{rate: float64(mbPerSecond), sent: map[api.ServerName]time.Time{}}
 }
 
-// Wait is how long a new holder of the lease waits before it orders engines
+// SettleTime is how long a new holder of the lease waits before it orders engines
 // that do not check fences: an order of the holder before may still be on its
 // way for as long as a call may take.
-const Wait = 10 * time.Second
+const SettleTime = 10 * time.Second
 
 // Plan gives the orders due now under a fence, at most one for each engine:
 // the role first, then what is no longer declared, then what is missing.
-func (p *Planner) Plan(now time.Time, f api.Fence, l []Target, seen map[api.ServerName]Seen) []Step {
+func (p *Planner) Plan(now time.Time, f api.Fence, l []Target, seen map[api.ServerName]Report) []Step {
 	p.refill(now)
 	if f != p.fence {
 		p.fence = f
-		p.settled = now.Add(Wait)
+		p.settled = now.Add(SettleTime)
 	}
 	var out []Step
 	for _, t := range l {
@@ -82,7 +82,7 @@
 	return out
 }
 
-func (p *Planner) next(t Target, s Seen) (api.Order, bool) {
+func (p *Planner) next(t Target, s Report) (api.Order, bool) {
 	if t.Role != s.Role {
 		return api.Order{Action: api.OrderActionRole, Role: string(t.Role)}, true
 	}
@@ -95,7 +95,7 @@
 		if slices.Contains(s.Loaded, i) {
 			continue
 		}
-		if !p.spend(t.Sizes[i]) {
+		if !p.spend(t.SizesMB[i]) {
 			return api.Order{}, false
 		}
 		return api.Order{Action: api.OrderActionLoad, Item: i}, true
@@ -105,7 +105,7 @@
 
 // replaced keeps an old version loaded until the new one is, so that a change
 // of version leaves no engine without the model.
-func (p *Planner) replaced(item string, t Target, s Seen) bool {
+func (p *Planner) replaced(item string, t Target, s Report) bool {
 	n := api.ItemName(item)
 	for _, i := range t.Items {
 		if api.ItemName(i) == n {
--- a/internal/decide/order/order_test.go
+++ b/internal/decide/order/order_test.go
@@ -12,7 +12,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func target(items ...string) order.Target {
-	return order.Target{Server: "e", Role: api.EngineRoleServe, Items: items, ChecksFence: true, Sizes: map[string]int{}}
+	return order.Target{Server: "e", Role: api.EngineRoleServe, Items: items, ChecksFence: true, SizesMB: map[string]int{}}
 }
 
 func TestNextOrder(t *testing.T) {
@@ -20,19 +20,19 @@
 	tests := []struct {
 		name   string
 		target order.Target
-		seen   order.Seen
+		seen   order.Report
 		want   string
 	}{
-		{"missing model", target("model/m@1"), order.Seen{Role: serve}, "load model/m@1"},
-		{"undeclared model", target(), order.Seen{Role: serve, Loaded: []string{"model/m@1"}}, "unload model/m@1"},
-		{"new version loads before the old goes", target("model/m@2"), order.Seen{Role: serve, Loaded: []string{"model/m@1"}}, "load model/m@2"},
-		{"old version goes after", target("model/m@2"), order.Seen{Role: serve, Loaded: []string{"model/m@1", "model/m@2"}}, "unload model/m@1"},
-		{"role first", target("model/m@1"), order.Seen{Role: api.EngineRoleStandby}, "role serve"},
-		{"nothing to do", target("model/m@1"), order.Seen{Role: serve, Loaded: []string{"model/m@1"}}, ""},
+		{"missing model", target("model/m@1"), order.Report{Role: serve}, "load model/m@1"},
+		{"undeclared model", target(), order.Report{Role: serve, Loaded: []string{"model/m@1"}}, "unload model/m@1"},
+		{"new version loads before the old goes", target("model/m@2"), order.Report{Role: serve, Loaded: []string{"model/m@1"}}, "load model/m@2"},
+		{"old version goes after", target("model/m@2"), order.Report{Role: serve, Loaded: []string{"model/m@1", "model/m@2"}}, "unload model/m@1"},
+		{"role first", target("model/m@1"), order.Report{Role: api.EngineRoleStandby}, "role serve"},
+		{"nothing to do", target("model/m@1"), order.Report{Role: serve, Loaded: []string{"model/m@1"}}, ""},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			l := order.New(100).Plan(epoch, 3, []order.Target{c.target}, map[api.ServerName]order.Seen{"e": c.seen})
+			l := order.New(100).Plan(epoch, 3, []order.Target{c.target}, map[api.ServerName]order.Report{"e": c.seen})
 			got := ""
 			if len(l) == 1 {
 				got = fmt.Sprintf("%s %s%s", l[0].Order.Action, l[0].Order.Item, l[0].Order.Role)
@@ -47,13 +47,13 @@
 func TestLoadsStayUnderTheWeightStoresRate(t *testing.T) {
 	p := order.New(100)
 	var l []order.Target
-	seen := map[api.ServerName]order.Seen{}
+	seen := map[api.ServerName]order.Report{}
 	for i := range 50 {
 		x := target("model/m@1")
 		x.Server = api.ServerName(fmt.Sprint(i))
-		x.Sizes["model/m@1"] = 50
+		x.SizesMB["model/m@1"] = 50
 		l = append(l, x)
-		seen[x.Server] = order.Seen{Role: api.EngineRoleServe}
+		seen[x.Server] = order.Report{Role: api.EngineRoleServe}
 	}
 	mb := 0
 	for s := range 10 {
@@ -68,11 +68,11 @@
 	p := order.New(100)
 	x := target("model/m@1")
 	x.ChecksFence = false
-	seen := map[api.ServerName]order.Seen{"e": {Role: api.EngineRoleServe}}
+	seen := map[api.ServerName]order.Report{"e": {Role: api.EngineRoleServe}}
 	if got := p.Plan(epoch, 2, []order.Target{x}, seen); len(got) != 0 {
 		t.Errorf("right after taking the lease: got %v, want none", got)
 	}
-	if got := p.Plan(epoch.Add(order.Wait), 2, []order.Target{x}, seen); len(got) != 1 {
+	if got := p.Plan(epoch.Add(order.SettleTime), 2, []order.Target{x}, seen); len(got) != 1 {
 		t.Errorf("after the wait: got %v, want one", got)
 	}
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -29,7 +29,7 @@
 
 // callTime bounds one order; a new holder waits longer than this before it
 // orders engines that do not check fences.
-const callTime = order.Wait * 4 / 5
+const callTime = order.SettleTime * 4 / 5
 
 // Sender plans and sends orders.
 type Sender struct {
@@ -61,9 +61,9 @@
 	if !ok {
 		return
 	}
-	seen := map[api.ServerName]order.Seen{}
+	seen := map[api.ServerName]order.Report{}
 	for n, r := range s.seen() {
-		seen[n] = order.Seen{Role: r.Role, Loaded: r.Loaded, Fence: r.Fence}
+		seen[n] = order.Report{Role: r.Role, Loaded: r.Loaded, Fence: r.Fence}
 	}
 	for _, x := range s.planner.Plan(time.Now(), f, targets(s.view()), seen) {
 		if !s.steps.Put(ctx, x) {
@@ -80,14 +80,14 @@
 			Server:      x.Name,
 			Role:        x.Role,
 			Items:       v.Items(x),
-			Sizes:       map[string]int{},
+			SizesMB:       map[string]int{},
 			ChecksFence: x.ChecksFence,
 		}
 		for n, m := range v.Models {
-			t.Sizes[api.Item(api.ResourceKindModel, string(n), m.Weights)] = m.SizeMB
+			t.SizesMB[api.Item(api.ResourceKindModel, string(n), m.Weights)] = m.SizeMB
 		}
 		for n, a := range v.Adapters {
-			t.Sizes[api.Item(api.ResourceKindAdapter, string(n), a.Weights)] = a.SizeMB
+			t.SizesMB[api.Item(api.ResourceKindAdapter, string(n), a.Weights)] = a.SizeMB
 		}
 		l = append(l, t)
 	}
