--- a/internal/decide/status/status.go
+++ b/internal/decide/status/status.go
@@ -9,10 +9,10 @@
 // Server is what is known of one backend server.
 type Server struct {
 	Name    api.ServerName
-	Seen    api.ServerStatusState
+	State   api.ServerStatusState
 	Version api.Version
-	// Want and Have are what it has to have loaded, and has.
-	Want, Have []string
+	// Wanted and Loaded are what it has to have loaded, and has.
+	Wanted, Loaded []string
 }
 
 // Of gives the status to report of a server.
@@ -21,14 +21,14 @@
 		OfKind:          api.ResourceKindBackendServer,
 		OfName:          string(s.Name),
 		ObservedVersion: s.Version,
-		Loaded:          append([]string{}, s.Have...),
+		Loaded:          append([]string{}, s.Loaded...),
 	}
 	x.State, x.Detail = state(s)
 	return x
 }
 
 func state(s Server) (api.StatusSpecState, string) {
-	switch s.Seen {
+	switch s.State {
 	case api.ServerStatusStateUnreachable:
 		return api.StatusSpecStateUnreachable, "no load report for too long"
 	case api.ServerStatusStateDraining:
@@ -36,8 +36,8 @@
 	case api.ServerStatusStateLeaving:
 		return api.StatusSpecStateDraining, "leaving by its own notice or the list of VMs"
 	}
-	for _, i := range s.Want {
-		if !slices.Contains(s.Have, i) {
+	for _, i := range s.Wanted {
+		if !slices.Contains(s.Loaded, i) {
 			return api.StatusSpecStateLoading, i + " is not loaded"
 		}
 	}
--- a/internal/decide/status/status_test.go
+++ b/internal/decide/status/status_test.go
@@ -23,7 +23,7 @@
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			if got := status.Of(status.Server{Seen: c.seen, Want: items, Have: c.have}).State; got != c.want {
+			if got := status.Of(status.Server{State: c.seen, Wanted: items, Loaded: c.have}).State; got != c.want {
 				t.Errorf("state: got %s, want %s", got, c.want)
 			}
 		})
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -80,7 +80,7 @@
 			Server:      x.Name,
 			Role:        x.Role,
 			Items:       v.Items(x),
-			SizesMB:       map[string]int{},
+			SizesMB:     map[string]int{},
 			ChecksFence: x.ChecksFence,
 		}
 		for n, m := range v.Models {
