--- a/internal/decide/order/order.go
+++ b/internal/decide/order/order.go
@@ -7,18 +7,19 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Target is what one engine has to be like.
+// Target is the declared state of one engine.
 type Target struct {
 	Server api.ServerName
 	Role   api.EngineRole
-	Items  []string
-	// SizesMB gives the weights of an item in MB.
+	// Items are the models and adapters to load, with their versions.
+	Items []string
+	// SizesMB is the size of the weights of each item in MB.
 	SizesMB map[string]int
-	// ChecksFence tells whether the engine refuses orders with an old fence.
+	// ChecksFence is set if the engine refuses orders with an old fence.
 	ChecksFence bool
 }
 
-// Report is an engine's own last report.
+// Report is the last report of an engine.
 type Report struct {
 	Role   api.EngineRole
 	Loaded []string
@@ -31,33 +32,35 @@
 	Order  api.Order
 }
 
-// orderInterval is how long an engine gets no second order after one was sent, so that
-// its report can catch up.
+// orderInterval is the shortest time between two orders to one engine, so that its report
+// reflects the first before the second is chosen.
 const orderInterval = 2 * time.Second
 
-// Planner paces orders under the weight store's rate.
+// Planner chooses orders and keeps the loads that it orders within the rate of the weight
+// store.
 type Planner struct {
 	mbPerSecond float64
 	creditMB    float64
 	refilledAt  time.Time
 	sentAt      map[api.ServerName]time.Time
-	// settledAt is when orders to engines that do not check fences may begin.
+	// settledAt is when orders to engines that don't check fences may begin.
 	settledAt time.Time
 	fence     api.Fence
 }
 
-// New makes a planner under a weight store that gives so many MB a second.
+// New returns a planner for a weight store that serves mbPerSecond.
 func New(mbPerSecond int) *Planner {
 	return &Planner{mbPerSecond: float64(mbPerSecond), sentAt: map[api.ServerName]time.Time{}}
 }
 
-// SettleTime is how long a new holder of the lease waits before it orders engines
-// that do not check fences: an order of the holder before may still be on its
-// way for as long as a call may take.
+// SettleTime is how long a new holder of the lease waits before it sends orders to
+// engines that don't check fences: an order of the previous holder may still arrive for
+// as long as a call may take.
 const SettleTime = 10 * time.Second
 
-// Plan gives the orders due now under a fence, at most one for each engine:
-// the role first, then what is no longer declared, then what is missing.
+// Plan returns the orders that are due now, with the given fence. Each engine gets at most
+// one: first its role is changed, then undeclared items are unloaded, then missing ones
+// are loaded. An engine without a report gets none.
 func (p *Planner) Plan(now time.Time, f api.Fence, l []Target, reports map[api.ServerName]Report) []Step {
 	p.refill(now)
 	if f != p.fence {
@@ -82,6 +85,7 @@
 	return out
 }
 
+// nextOrder returns the next order for an engine, without its fence, if one is due.
 func (p *Planner) nextOrder(t Target, r Report) (api.Order, bool) {
 	if t.Role != r.Role {
 		return api.Order{Action: api.OrderActionRole, Role: string(t.Role)}, true
@@ -103,8 +107,8 @@
 	return api.Order{}, false
 }
 
-// mayUnload keeps an old version loaded until the new one is, so that a change
-// of version leaves no engine without the model.
+// mayUnload reports whether an undeclared item may be unloaded. An old version stays until
+// the new one is loaded, so that a version change leaves no engine without the model.
 func (p *Planner) mayUnload(item string, t Target, r Report) bool {
 	n := api.ItemName(item)
 	for _, i := range t.Items {
@@ -115,6 +119,7 @@
 	return true
 }
 
+// refill adds the credit of the time since the last refill, up to one second of the rate.
 func (p *Planner) refill(now time.Time) {
 	if !p.refilledAt.IsZero() {
 		p.creditMB = min(p.creditMB+now.Sub(p.refilledAt).Seconds()*p.mbPerSecond, p.mbPerSecond)
@@ -124,8 +129,9 @@
 	p.refilledAt = now
 }
 
-// takeCredit takes a load's size from the rate; a load larger than one second of
-// the rate goes once the credit is full, and the debt is paid off after it.
+// takeCredit takes the size of a load from the credit and reports whether it was enough. A
+// load larger than one second of the rate needs full credit and leaves a debt, which
+// delays the next loads.
 func (p *Planner) takeCredit(mb int) bool {
 	if p.creditMB < min(float64(mb), p.mbPerSecond) {
 		return false
--- a/internal/decide/order/order_test.go
+++ b/internal/decide/order/order_test.go
@@ -20,19 +20,19 @@
 	tests := []struct {
 		name   string
 		target order.Target
-		seen   order.Report
+		report order.Report
 		want   string
 	}{
 		{"missing model", target("model/m@1"), order.Report{Role: serve}, "load model/m@1"},
 		{"undeclared model", target(), order.Report{Role: serve, Loaded: []string{"model/m@1"}}, "unload model/m@1"},
-		{"new version loads before the old goes", target("model/m@2"), order.Report{Role: serve, Loaded: []string{"model/m@1"}}, "load model/m@2"},
-		{"old version goes after", target("model/m@2"), order.Report{Role: serve, Loaded: []string{"model/m@1", "model/m@2"}}, "unload model/m@1"},
+		{"new version is loaded before the old one is unloaded", target("model/m@2"), order.Report{Role: serve, Loaded: []string{"model/m@1"}}, "load model/m@2"},
+		{"old version is unloaded afterwards", target("model/m@2"), order.Report{Role: serve, Loaded: []string{"model/m@1", "model/m@2"}}, "unload model/m@1"},
 		{"role first", target("model/m@1"), order.Report{Role: api.EngineRoleStandby}, "role serve"},
 		{"nothing to do", target("model/m@1"), order.Report{Role: serve, Loaded: []string{"model/m@1"}}, ""},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			l := order.New(100).Plan(epoch, 3, []order.Target{c.target}, map[api.ServerName]order.Report{"e": c.seen})
+			l := order.New(100).Plan(epoch, 3, []order.Target{c.target}, map[api.ServerName]order.Report{"e": c.report})
 			got := ""
 			if len(l) == 1 {
 				got = fmt.Sprintf("%s %s%s", l[0].Order.Action, l[0].Order.Item, l[0].Order.Role)
@@ -44,35 +44,35 @@
 	}
 }
 
-func TestLoadsStayUnderTheWeightStoresRate(t *testing.T) {
+func TestLoadsStayWithinWeightStoreRate(t *testing.T) {
 	p := order.New(100)
 	var l []order.Target
-	seen := map[api.ServerName]order.Report{}
+	reports := map[api.ServerName]order.Report{}
 	for i := range 50 {
 		x := target("model/m@1")
 		x.Server = api.ServerName(fmt.Sprint(i))
 		x.SizesMB["model/m@1"] = 50
 		l = append(l, x)
-		seen[x.Server] = order.Report{Role: api.EngineRoleServe}
+		reports[x.Server] = order.Report{Role: api.EngineRoleServe}
 	}
 	mb := 0
 	for s := range 10 {
-		mb += 50 * len(p.Plan(epoch.Add(time.Duration(s)*time.Second), 1, l, seen))
+		mb += 50 * len(p.Plan(epoch.Add(time.Duration(s)*time.Second), 1, l, reports))
 	}
 	if mb > 1000 {
 		t.Errorf("ordered in 10 s at 100 MB/s: got %d MB, want at most 1000", mb)
 	}
 }
 
-func TestUncheckedEngineWaitsForOrdersBeforeIt(t *testing.T) {
+func TestEngineWithoutFenceCheckWaitsForEarlierOrders(t *testing.T) {
 	p := order.New(100)
 	x := target("model/m@1")
 	x.ChecksFence = false
-	seen := map[api.ServerName]order.Report{"e": {Role: api.EngineRoleServe}}
-	if got := p.Plan(epoch, 2, []order.Target{x}, seen); len(got) != 0 {
-		t.Errorf("right after taking the lease: got %v, want none", got)
+	reports := map[api.ServerName]order.Report{"e": {Role: api.EngineRoleServe}}
+	if got := p.Plan(epoch, 2, []order.Target{x}, reports); len(got) != 0 {
+		t.Errorf("just after the lease was taken: got %v, want none", got)
 	}
-	if got := p.Plan(epoch.Add(order.SettleTime), 2, []order.Target{x}, seen); len(got) != 1 {
-		t.Errorf("after the wait: got %v, want one", got)
+	if got := p.Plan(epoch.Add(order.SettleTime), 2, []order.Target{x}, reports); len(got) != 1 {
+		t.Errorf("after the settle time: got %v, want one", got)
 	}
 }
