--- a/internal/decide/status/doc.go
+++ b/internal/decide/status/doc.go
@@ -1,2 +1,2 @@
-// Package status decides which state is reported of a backend server.
+// Package status derives the status to publish for a backend server.
 package status
--- a/internal/decide/status/status.go
+++ b/internal/decide/status/status.go
@@ -6,16 +6,17 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Server is what is known of one backend server.
+// Server describes one backend server.
 type Server struct {
-	Name    api.ServerName
-	State   api.ServerStatusState
+	Name  api.ServerName
+	State api.ServerStatusState
+	// Version is the version of the server's declaration.
 	Version api.Version
-	// Wanted and Loaded are what it has to have loaded, and has.
+	// Wanted are the items that the server has to load, Loaded those that it has loaded.
 	Wanted, Loaded []string
 }
 
-// Of gives the status to report of a server.
+// Of returns the status to publish for a server.
 func Of(s Server) api.StatusSpec {
 	x := api.StatusSpec{
 		OfKind:          api.ResourceKindBackendServer,
@@ -27,14 +28,15 @@
 	return x
 }
 
+// state returns the published state and the reason for it.
 func state(s Server) (api.StatusSpecState, string) {
 	switch s.State {
 	case api.ServerStatusStateUnreachable:
-		return api.StatusSpecStateUnreachable, "no load report for too long"
+		return api.StatusSpecStateUnreachable, "no recent load report"
 	case api.ServerStatusStateDraining:
-		return api.StatusSpecStateDraining, "draining as declared"
+		return api.StatusSpecStateDraining, "draining, as declared"
 	case api.ServerStatusStateLeaving:
-		return api.StatusSpecStateDraining, "leaving by its own notice or the list of VMs"
+		return api.StatusSpecStateDraining, "leaving, as announced by the server or by the platform's list of VMs"
 	}
 	for _, i := range s.Wanted {
 		if !slices.Contains(s.Loaded, i) {
--- a/internal/decide/status/status_test.go
+++ b/internal/decide/status/status_test.go
@@ -10,10 +10,10 @@
 func TestOf(t *testing.T) {
 	items := []string{"model/m@1"}
 	tests := []struct {
-		name string
-		seen api.ServerStatusState
-		have []string
-		want api.StatusSpecState
+		name   string
+		state  api.ServerStatusState
+		loaded []string
+		want   api.StatusSpecState
 	}{
 		{"ready", api.ServerStatusStateReady, items, api.StatusSpecStateReady},
 		{"not loaded", api.ServerStatusStateReady, nil, api.StatusSpecStateLoading},
@@ -23,7 +23,7 @@
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			if got := status.Of(status.Server{State: c.seen, Wanted: items, Loaded: c.have}).State; got != c.want {
+			if got := status.Of(status.Server{State: c.state, Wanted: items, Loaded: c.loaded}).State; got != c.want {
 				t.Errorf("state: got %s, want %s", got, c.want)
 			}
 		})
