--- a/contract/engine_test.go
+++ b/contract/engine_test.go
@@ -156,7 +156,7 @@
 		want   answer.Cause
 	}{
 		{"refused", "leaving", answer.Refused},
-		{"unknown", "unknown-generation", answer.Unknown},
+		{"unknown", "unknown-generation", answer.GenerationUnknown},
 		{"reset", "reset", answer.Broken},
 		{"an answer that is none", "{}", answer.Broken},
 	}
--- a/internal/decide/answer/answer.go
+++ b/internal/decide/answer/answer.go
@@ -33,35 +33,35 @@
 	Refused
 	// Broken means that the stream ended or stalled early.
 	Broken
-	// Unknown means that the engine does not know the generation any more.
-	Unknown
+	// GenerationUnknown means that the engine does not know the generation any more.
+	GenerationUnknown
 )
 
-// Move is what to do next after an attempt broke.
-type Move int
+// Action is what to do next after an attempt broke.
+type Action int
 
 // Moves after a break.
 const (
 	// Retry starts a new generation on another engine.
-	Retry Move = iota
+	Retry Action = iota
 	// Resume asks the same engine for the same generation from Next.
 	Resume
 	// Fail ends the answer with a fault at once.
 	Fail
 )
 
-// Next tells the move, how long to wait before it, and the fault of a failure.
-type Next struct {
-	Move  Move
-	Wait  time.Duration
-	Fault *fault.Error
+// Decision tells the move, how long to wait before it, and the fault of a failure.
+type Decision struct {
+	Action Action
+	Wait   time.Duration
+	Fault  *fault.Error
 }
 
 // Policy bounds what an answer may try.
 type Policy struct {
-	Repeatable bool
-	ResumeFor  time.Duration
-	Deadline   time.Time
+	Repeatable    bool
+	MaxResumeTime time.Duration
+	Deadline      time.Time
 }
 
 // Waits between resumes of one break.
@@ -89,8 +89,8 @@
 	return &Answer{policy: p}
 }
 
-// Resumed starts an answer that goes on with a generation from an index.
-func Resumed(p Policy, g api.GenerationID, next int) *Answer {
+// NewResumed starts an answer that goes on with a generation from an index.
+func NewResumed(p Policy, g api.GenerationID, next int) *Answer {
 	return &Answer{policy: p, generation: g, next: next, sent: true, accepted: true}
 }
 
@@ -111,14 +111,14 @@
 	return true
 }
 
-// Sent notes that the request may have left for the engine.
-func (a *Answer) Sent() {
+// MarkSent notes that the request may have left for the engine.
+func (a *Answer) MarkSent() {
 	a.sent = true
 }
 
-// Opened notes that the engine streams the generation, so that it is known to
+// MarkOpened notes that the engine streams the generation, so that it is known to
 // run and the time to give up counts anew.
-func (a *Answer) Opened() {
+func (a *Answer) MarkOpened() {
 	a.accepted = true
 	a.brokenAt = time.Time{}
 }
@@ -128,13 +128,13 @@
 	return a.generation
 }
 
-// Next is the index of the next token to deliver.
-func (a *Answer) Next() int {
+// NextIndex is the index of the next token to deliver.
+func (a *Answer) NextIndex() int {
 	return a.next
 }
 
-// Event judges one event of a stream.
-func (a *Answer) Event(e api.TokenEvent) Verdict {
+// HandleEvent judges one event of a stream.
+func (a *Answer) HandleEvent(e api.TokenEvent) Verdict {
 	if e.Generation != a.generation {
 		return Drop
 	}
@@ -161,7 +161,7 @@
 }
 
 // Break decides what follows a broken attempt.
-func (a *Answer) Break(now time.Time, c Cause) Next {
+func (a *Answer) Break(now time.Time, c Cause) Decision {
 	unsent := !a.accepted && (c == NotConnected || c == Refused)
 	if unsent {
 		// Nothing of this attempt was run.
@@ -172,8 +172,8 @@
 	}
 	switch {
 	case unsent:
-		return Next{Move: Retry}
-	case c == Unknown:
+		return Decision{Action: Retry}
+	case c == GenerationUnknown:
 		return a.lost()
 	default:
 		return a.broken(now)
@@ -185,27 +185,27 @@
 	return !a.sent
 }
 
-func (a *Answer) broken(now time.Time) Next {
+func (a *Answer) broken(now time.Time) Decision {
 	// Whatever a resume meets, the engine may have this attempt.
 	a.accepted = true
 	if a.next == 0 && a.policy.Repeatable {
-		return Next{Move: Retry}
+		return Decision{Action: Retry}
 	}
 	if a.brokenAt.IsZero() {
 		a.brokenAt = now
 		a.wait = 0
 	}
-	if now.Sub(a.brokenAt) >= a.policy.ResumeFor {
+	if now.Sub(a.brokenAt) >= a.policy.MaxResumeTime {
 		return a.lost()
 	}
 	w := a.wait
 	a.wait = min(max(2*a.wait, resumeFirst), resumeLast)
-	return Next{Move: Resume, Wait: w}
+	return Decision{Action: Resume, Wait: w}
 }
 
-func (a *Answer) lost() Next {
+func (a *Answer) lost() Decision {
 	if a.next == 0 && a.policy.Repeatable {
-		return Next{Move: Retry}
+		return Decision{Action: Retry}
 	}
 	if a.next == 0 {
 		return a.fail(fault.OutcomeUnknown, "the request was sent and its generation was lost")
@@ -215,8 +215,8 @@
 
 // fail says that the request did not run only where nothing of it can have
 // been taken by an engine.
-func (a *Answer) fail(c fault.Code, detail string) Next {
-	return Next{Move: Fail, Fault: fault.New(c, detail).WithRan(a.Ran())}
+func (a *Answer) fail(c fault.Code, detail string) Decision {
+	return Decision{Action: Fail, Fault: fault.New(c, detail).WithRan(a.Ran())}
 }
 
 // Ran tells what is known about the request at present.
--- a/internal/decide/answer/answer_test.go
+++ b/internal/decide/answer/answer_test.go
@@ -14,18 +14,18 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func policy(repeatable bool) answer.Policy {
-	return answer.Policy{Repeatable: repeatable, ResumeFor: time.Second, Deadline: epoch.Add(time.Hour)}
+	return answer.Policy{Repeatable: repeatable, MaxResumeTime: time.Second, Deadline: epoch.Add(time.Hour)}
 }
 
 func started(repeatable bool, tokens int) *answer.Answer {
 	a := answer.New(policy(repeatable))
 	a.Begin("g1")
-	a.Sent()
+	a.MarkSent()
 	if tokens > 0 {
-		a.Opened()
+		a.MarkOpened()
 	}
 	for i := range tokens {
-		a.Event(api.TokenEvent{Generation: "g1", Index: i})
+		a.HandleEvent(api.TokenEvent{Generation: "g1", Index: i})
 	}
 	return a
 }
@@ -36,7 +36,7 @@
 		repeatable bool
 		tokens     int
 		cause      answer.Cause
-		wantMove   answer.Move
+		wantMove   answer.Action
 		wantCode   fault.Code
 		wantRan    api.Ran
 	}{
@@ -45,20 +45,20 @@
 		{"engine refused, not repeatable", false, 0, answer.Refused, answer.Retry, 0, ""},
 		{"reset before a token, repeatable", true, 0, answer.Broken, answer.Retry, 0, ""},
 		{"reset before a token, not repeatable", false, 0, answer.Broken, answer.Resume, 0, ""},
-		{"engine forgot before a token, repeatable", true, 0, answer.Unknown, answer.Retry, 0, ""},
-		{"engine forgot before a token, not repeatable", false, 0, answer.Unknown, answer.Fail, fault.OutcomeUnknown, api.RanUnknown},
+		{"engine forgot before a token, repeatable", true, 0, answer.GenerationUnknown, answer.Retry, 0, ""},
+		{"engine forgot before a token, not repeatable", false, 0, answer.GenerationUnknown, answer.Fail, fault.OutcomeUnknown, api.RanUnknown},
 		{"reset in mid-stream", true, 3, answer.Broken, answer.Resume, 0, ""},
 		{"refused connection in mid-stream", true, 3, answer.NotConnected, answer.Resume, 0, ""},
 		{"refused in mid-stream", true, 3, answer.Refused, answer.Resume, 0, ""},
-		{"engine forgot in mid-stream", true, 3, answer.Unknown, answer.Fail, fault.GenerationLost, api.RanYes},
+		{"engine forgot in mid-stream", true, 3, answer.GenerationUnknown, answer.Fail, fault.GenerationLost, api.RanYes},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			n := started(c.repeatable, c.tokens).Break(epoch, c.cause)
-			if n.Move != c.wantMove {
-				t.Fatalf("move: got %v, want %v", n.Move, c.wantMove)
+			if n.Action != c.wantMove {
+				t.Fatalf("move: got %v, want %v", n.Action, c.wantMove)
 			}
-			if n.Move != answer.Fail {
+			if n.Action != answer.Fail {
 				return
 			}
 			if n.Fault.Code != c.wantCode || n.Fault.Ran != c.wantRan {
@@ -99,8 +99,8 @@
 		// The start's connection broke: the engine may have taken the request.
 		a := started(false, 0)
 		a.Break(epoch, answer.Broken)
-		if n := a.Break(epoch, c); n.Move != answer.Resume {
-			t.Errorf("cause %d after the engine may have taken the request: got move %d, want resume", c, n.Move)
+		if n := a.Break(epoch, c); n.Action != answer.Resume {
+			t.Errorf("cause %d after the engine may have taken the request: got move %d, want resume", c, n.Action)
 		}
 		if got := a.Ran(); got != api.RanUnknown {
 			t.Errorf("ran: got %s, want unknown", got)
@@ -113,7 +113,7 @@
 	now := epoch
 	for range 100 {
 		n := a.Break(now, answer.Broken)
-		if n.Move == answer.Fail {
+		if n.Action == answer.Fail {
 			if n.Fault.Code != fault.GenerationLost {
 				t.Errorf("fault: got %d, want %d", n.Fault.Code, fault.GenerationLost)
 			}
@@ -129,7 +129,7 @@
 
 func TestDeadlineEndsAtOnce(t *testing.T) {
 	n := started(true, 2).Break(epoch.Add(time.Hour), answer.Broken)
-	if n.Move != answer.Fail || n.Fault.Code != fault.DeadlinePassed || n.Fault.Ran != api.RanYes {
+	if n.Action != answer.Fail || n.Fault.Code != fault.DeadlinePassed || n.Fault.Ran != api.RanYes {
 		t.Errorf("got %+v, want a deadline fault that ran", n)
 	}
 }
@@ -141,7 +141,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := answer.New(policy(true))
 		a.Begin("g1")
-		a.Sent()
+		a.MarkSent()
 		total := rapid.IntRange(0, 12).Draw(t, "total")
 		var got []int
 		for range rapid.IntRange(0, 80).Draw(t, "events") {
@@ -151,7 +151,7 @@
 			if i == total {
 				e.Finish = string(api.FinishReasonStop)
 			}
-			v := a.Event(e)
+			v := a.HandleEvent(e)
 			if v == answer.Deliver {
 				got = append(got, i)
 			}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -117,7 +117,7 @@
 	case err != nil || r.Reason == "":
 		return &StreamError{Cause: answer.Broken, Err: fault.New(fault.BadAnswer, "the engine answered "+a.Status)}
 	case r.Reason == api.EngineRefusalReasonUnknownGeneration:
-		return &StreamError{Cause: answer.Unknown, Err: &r}
+		return &StreamError{Cause: answer.GenerationUnknown, Err: &r}
 	default:
 		return &StreamError{Cause: answer.Refused, Err: &r}
 	}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -20,7 +20,7 @@
 )
 
 // finished is the outcome of an attempt whose answer is whole.
-const finished answer.Move = -1
+const finished answer.Action = -1
 
 // attempt is one generation on one engine.
 type attempt struct {
@@ -39,16 +39,16 @@
 
 // run generates until the answer is whole, has failed, or has to be tried
 // elsewhere, and gives the engine back.
-func (t *attempt) run(ctx context.Context) answer.Next {
+func (t *attempt) run(ctx context.Context) answer.Decision {
 	n := t.generate(ctx)
-	t.server.Broker.Finish(t.chat.id, api.Tokens(t.answer.Next()), n.Move == finished)
-	if n.Move != finished {
+	t.server.Broker.Finish(t.chat.id, api.Tokens(t.answer.NextIndex()), n.Action == finished)
+	if n.Action != finished {
 		t.cancel(ctx)
 	}
 	return n
 }
 
-func (t *attempt) generate(ctx context.Context) answer.Next {
+func (t *attempt) generate(ctx context.Context) answer.Decision {
 	v, ok := t.server.View().Servers[t.engine]
 	if !ok {
 		return t.answer.Break(time.Now(), answer.NotConnected)
@@ -57,11 +57,11 @@
 	t.last = time.Now()
 	if !t.answer.Begin(api.GenerationID(uuid.NewString())) {
 		f := fault.New(fault.OutcomeUnknown, "the request was sent and may not be sent again")
-		return answer.Next{Move: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
+		return answer.Decision{Action: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
 	}
 	if p := t.chat.permit; p != nil && !p.Send() {
 		f := fault.New(fault.ClaimHeld, "another attempt with this key took the claim over").WithRan(api.RanNo)
-		return answer.Next{Move: answer.Fail, Fault: f}
+		return answer.Decision{Action: answer.Fail, Fault: f}
 	}
 	return t.stream(ctx, t.start)
 }
@@ -71,23 +71,23 @@
 func (t *attempt) start(ctx context.Context) (*engine.Stream, error) {
 	g := t.chat.generate
 	g.Generation = t.answer.Generation()
-	t.answer.Sent()
+	t.answer.MarkSent()
 	return t.server.Engines.Start(ctx, t.address, g)
 }
 
 func (t *attempt) resume(ctx context.Context) (*engine.Stream, error) {
-	return t.server.Engines.Resume(ctx, t.address, t.answer.Generation(), t.answer.Next())
+	return t.server.Engines.Resume(ctx, t.address, t.answer.Generation(), t.answer.NextIndex())
 }
 
 // stream reads streams of one generation until it ends or must not go on.
-func (t *attempt) stream(ctx context.Context, o open) answer.Next {
+func (t *attempt) stream(ctx context.Context, o open) answer.Decision {
 	for {
 		n, done := t.once(ctx, o)
-		if done || n.Move != answer.Resume {
+		if done || n.Action != answer.Resume {
 			return n
 		}
 		t.server.Metrics.Add(metric.Resumes, 1)
-		t.server.Log.Emit(event.GenerationResumed, zap.String("request", string(t.chat.id)), zap.Int("from", t.answer.Next()))
+		t.server.Log.Emit(event.GenerationResumed, zap.String("request", string(t.chat.id)), zap.Int("from", t.answer.NextIndex()))
 		t.server.note(t.chat.request, "resume", "the stream from "+string(t.engine)+" broke; it goes on from the next token")
 		// The end of the wait is judged by the next break.
 		duty.Sleep(ctx, n.Wait)
@@ -96,7 +96,7 @@
 }
 
 // once reads one stream; it reports true when the attempt is over.
-func (t *attempt) once(ctx context.Context, o open) (answer.Next, bool) {
+func (t *attempt) once(ctx context.Context, o open) (answer.Decision, bool) {
 	x, cancel := context.WithCancel(ctx)
 	defer cancel()
 	x, span := trace.Start(x, "engine")
@@ -108,21 +108,21 @@
 		return t.opened(ctx, err)
 	}
 	defer s.Close()
-	t.answer.Opened()
+	t.answer.MarkOpened()
 	if t.begun.IsZero() {
 		t.begun = time.Now()
 	}
 	err = s.Each(t.sink.Flush, t.take)
 	switch {
 	case err == nil:
-		return answer.Next{Move: finished}, true
+		return answer.Decision{Action: finished}, true
 	case fault.Has(err, fault.SlowReader):
 		t.server.Metrics.Add(metric.SlowReaders, 1)
-		return answer.Next{Move: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
+		return answer.Decision{Action: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
 	case ctx.Err() != nil:
 		return t.ended(ctx), true
 	case fault.Has(err, fault.CallerGone):
-		return answer.Next{Move: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
+		return answer.Decision{Action: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
 	}
 	if time.Since(t.begun) < quarantine.Beginning {
 		t.server.Contents.Broke(t.chat.content, t.engine, err)
@@ -132,19 +132,19 @@
 
 // patience is the silence after which a stream counts as broken.
 func (t *attempt) patience() time.Duration {
-	if t.answer.Next() == 0 {
+	if t.answer.NextIndex() == 0 {
 		return t.server.engine.FirstTokenMS.Duration()
 	}
 	return t.server.engine.StallMS.Duration()
 }
 
-func (t *attempt) broke(c answer.Cause) (answer.Next, bool) {
+func (t *attempt) broke(c answer.Cause) (answer.Decision, bool) {
 	n := t.answer.Break(time.Now(), c)
-	return n, n.Move != answer.Resume
+	return n, n.Action != answer.Resume
 }
 
 // opened judges a stream that could not be opened.
-func (t *attempt) opened(ctx context.Context, err error) (answer.Next, bool) {
+func (t *attempt) opened(ctx context.Context, err error) (answer.Decision, bool) {
 	var b *engine.StreamError
 	if !errors.As(err, &b) {
 		b = &engine.StreamError{Cause: answer.Broken, Err: err}
@@ -173,17 +173,17 @@
 }
 
 // ended types the end of the caller's own context.
-func (t *attempt) ended(ctx context.Context) answer.Next {
+func (t *attempt) ended(ctx context.Context) answer.Decision {
 	f := fault.New(fault.CallerGone, "the caller closed its connection")
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		f = fault.New(fault.DeadlinePassed, "the deadline passed")
 	}
-	return answer.Next{Move: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
+	return answer.Decision{Action: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
 }
 
 // take judges one event and passes its token on.
 func (t *attempt) take(e api.TokenEvent) (bool, error) {
-	switch t.answer.Event(e) {
+	switch t.answer.HandleEvent(e) {
 	case answer.Deliver:
 		t.watch.Reset(t.server.engine.StallMS.Duration())
 		t.progress(e)
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -214,7 +214,7 @@
 
 // policy bounds what an answer may try.
 func (s *Server) policy(c *chat) answer.Policy {
-	return answer.Policy{Repeatable: !c.once, ResumeFor: s.engine.ResumeMS.Duration(), Deadline: c.deadline}
+	return answer.Policy{Repeatable: !c.once, MaxResumeTime: s.engine.ResumeMS.Duration(), Deadline: c.deadline}
 }
 
 // run finds an engine, generates, and tries again or resumes as decided.
@@ -236,7 +236,7 @@
 		c.engine = g.Server
 		t := &attempt{server: s, chat: c, answer: a, sink: k, engine: g.Server}
 		n := t.run(ctx)
-		switch n.Move {
+		switch n.Action {
 		case answer.Retry:
 			if !s.Contents.MayGoOn(c.content) {
 				return fault.New(fault.OutcomeUnknown, "servers ended while they ran requests of this content").WithRan(a.Ran())
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -101,12 +101,12 @@
 	k.count, k.flushed = api.Tokens(next), api.Tokens(next)
 	t := &attempt{
 		server: s, chat: c, sink: k, engine: c.engine, address: v.Address,
-		answer: answer.Resumed(s.policy(c), g, next), last: time.Now(),
+		answer: answer.NewResumed(s.policy(c), g, next), last: time.Now(),
 	}
 	s.note(c.request, "resume", "the caller came back for token "+strconv.Itoa(next)+" of "+string(c.engine))
 	n := t.stream(ctx, t.resume)
 	f := n.Fault
-	if n.Move == finished {
+	if n.Action == finished {
 		f = k.Finish()
 	} else {
 		t.cancel(ctx)
--- a/spec/answer.go
+++ b/spec/answer.go
@@ -34,7 +34,7 @@
 func generationID(g int) api.GenerationID { return api.GenerationID(named("g%d", g)) }
 
 func answerWorld(repeatable bool, mutation string) world[answerState] {
-	p := answer.Policy{Repeatable: repeatable, ResumeFor: 2 * time.Second, Deadline: at(100)}
+	p := answer.Policy{Repeatable: repeatable, MaxResumeTime: 2 * time.Second, Deadline: at(100)}
 	return world[answerState]{
 		name:   named("one generation: 2 generations of 2 tokens, repeatable %v", repeatable),
 		start:  answerState{answer: *answer.New(p), begun: 0},
@@ -75,7 +75,7 @@
 	if s.begun == 0 {
 		n := s
 		n.answer.Begin(generationID(0))
-		n.answer.Sent()
+		n.answer.MarkSent()
 		n.begun = 1
 		add("g0 is sent", n)
 		return l
@@ -104,7 +104,7 @@
 	n := s
 	n.sent[s.begun-1] = true
 	n.open = true
-	n.answer.Opened()
+	n.answer.MarkOpened()
 	add("the engine streams", n)
 	n = s
 	n.sent[s.begun-1] = true
@@ -116,7 +116,7 @@
 		add(named("cause %d", c), n)
 	}
 	n = s
-	n.broke(answer.Unknown, mutation)
+	n.broke(answer.GenerationUnknown, mutation)
 	add("the engine has forgotten it", n)
 	return l
 }
@@ -130,7 +130,7 @@
 		e.Finish = string(api.FinishReasonStop)
 	}
 	n := s
-	v := n.answer.Event(e)
+	v := n.answer.HandleEvent(e)
 	if mutation == "late tokens are taken" && v == answer.Drop && e.Finish == "" {
 		v = answer.Deliver
 	}
@@ -154,10 +154,10 @@
 	s.open = false
 	s.now = min(s.now+1, 5)
 	n := s.answer.Break(at(s.now), c)
-	if mutation == "a failed resume counts as unsent" && (c == answer.NotConnected || c == answer.Refused) && s.answer.Next() == 0 {
-		n.Move = answer.Retry
+	if mutation == "a failed resume counts as unsent" && (c == answer.NotConnected || c == answer.Refused) && s.answer.NextIndex() == 0 {
+		n.Action = answer.Retry
 	}
-	switch n.Move {
+	switch n.Action {
 	case answer.Retry:
 		s.again(mutation)
 	case answer.Fail:
@@ -177,9 +177,9 @@
 	}
 	if !ok {
 		// The mutated code starts a generation all the same.
-		s.answer = *answer.New(answer.Policy{ResumeFor: 2 * time.Second, Deadline: at(100)})
+		s.answer = *answer.New(answer.Policy{MaxResumeTime: 2 * time.Second, Deadline: at(100)})
 		s.answer.Begin(generationID(s.begun))
 	}
-	s.answer.Sent()
+	s.answer.MarkSent()
 	s.begun++
 }
