--- a/internal/decide/answer/answer.go
+++ b/internal/decide/answer/answer.go
@@ -66,22 +66,22 @@
 
 // Waits between resumes of one break.
 const (
-	resumeFirst = 20 * time.Millisecond
-	resumeLast  = time.Second
+	minResumeDelay = 20 * time.Millisecond
+	maxResumeDelay = time.Second
 )
 
 // Answer is the state of one answer.
 type Answer struct {
 	policy     Policy
 	generation api.GenerationID
-	next       int
+	nextIndex  int
 	sent       bool
 	// accepted tells that the engine took the present attempt, or may have.
 	accepted bool
-	// earlier tells that an attempt before this one may have run.
-	earlier  bool
-	brokenAt time.Time
-	wait     time.Duration
+	// earlierMayHaveRun tells that an attempt before this one may have run.
+	earlierMayHaveRun bool
+	brokenAt          time.Time
+	resumeDelay       time.Duration
 }
 
 // New starts an answer that has no generation yet.
@@ -91,19 +91,19 @@
 
 // NewResumed starts an answer that goes on with a generation from an index.
 func NewResumed(p Policy, g api.GenerationID, next int) *Answer {
-	return &Answer{policy: p, generation: g, next: next, sent: true, accepted: true}
+	return &Answer{policy: p, generation: g, nextIndex: next, sent: true, accepted: true}
 }
 
 // Begin starts an attempt; it reports false once a token was delivered, as no
 // other generation may go on then.
 func (a *Answer) Begin(g api.GenerationID) bool {
-	if a.next > 0 {
+	if a.nextIndex > 0 {
 		return false
 	}
 	if a.sent && !a.policy.Repeatable {
 		return false
 	}
-	a.earlier = a.earlier || a.sent
+	a.earlierMayHaveRun = a.earlierMayHaveRun || a.sent
 	a.generation = g
 	a.sent = false
 	a.accepted = false
@@ -130,7 +130,7 @@
 
 // NextIndex is the index of the next token to deliver.
 func (a *Answer) NextIndex() int {
-	return a.next
+	return a.nextIndex
 }
 
 // HandleEvent judges one event of a stream.
@@ -138,23 +138,23 @@
 	if e.Generation != a.generation {
 		return Drop
 	}
-	if e.Index > a.next {
+	if e.Index > a.nextIndex {
 		return Gap
 	}
 	if e.Finish != "" {
 		return a.finish(e)
 	}
-	if e.Index < a.next {
+	if e.Index < a.nextIndex {
 		return Drop
 	}
-	a.next++
+	a.nextIndex++
 	a.brokenAt = time.Time{}
 	return Deliver
 }
 
 // finish judges an end, whose index counts the tokens of the generation.
 func (a *Answer) finish(e api.TokenEvent) Verdict {
-	if e.Index < a.next {
+	if e.Index < a.nextIndex {
 		return Drop
 	}
 	return Finish
@@ -174,9 +174,9 @@
 	case unsent:
 		return Decision{Action: Retry}
 	case c == GenerationUnknown:
-		return a.lost()
+		return a.retryOrFail()
 	default:
-		return a.broken(now)
+		return a.resumeOrRetry(now)
 	}
 }
 
@@ -185,29 +185,29 @@
 	return !a.sent
 }
 
-func (a *Answer) broken(now time.Time) Decision {
+func (a *Answer) resumeOrRetry(now time.Time) Decision {
 	// Whatever a resume meets, the engine may have this attempt.
 	a.accepted = true
-	if a.next == 0 && a.policy.Repeatable {
+	if a.nextIndex == 0 && a.policy.Repeatable {
 		return Decision{Action: Retry}
 	}
 	if a.brokenAt.IsZero() {
 		a.brokenAt = now
-		a.wait = 0
+		a.resumeDelay = 0
 	}
 	if now.Sub(a.brokenAt) >= a.policy.MaxResumeTime {
-		return a.lost()
+		return a.retryOrFail()
 	}
-	w := a.wait
-	a.wait = min(max(2*a.wait, resumeFirst), resumeLast)
+	w := a.resumeDelay
+	a.resumeDelay = min(max(2*a.resumeDelay, minResumeDelay), maxResumeDelay)
 	return Decision{Action: Resume, Wait: w}
 }
 
-func (a *Answer) lost() Decision {
-	if a.next == 0 && a.policy.Repeatable {
+func (a *Answer) retryOrFail() Decision {
+	if a.nextIndex == 0 && a.policy.Repeatable {
 		return Decision{Action: Retry}
 	}
-	if a.next == 0 {
+	if a.nextIndex == 0 {
 		return a.fail(fault.OutcomeUnknown, "the request was sent and its generation was lost")
 	}
 	return a.fail(fault.GenerationLost, "the generation was lost after its first token")
@@ -222,9 +222,9 @@
 // Ran tells what is known about the request at present.
 func (a *Answer) Ran() api.Ran {
 	switch {
-	case a.next > 0:
+	case a.nextIndex > 0:
 		return api.RanYes
-	case a.sent || a.earlier:
+	case a.sent || a.earlierMayHaveRun:
 		return api.RanUnknown
 	default:
 		return api.RanNo
