--- a/internal/decide/answer/answer.go
+++ b/internal/decide/answer/answer.go
@@ -7,95 +7,104 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Verdict tells what to do with one event of a stream.
+// Verdict is what to do with one event of a stream.
 type Verdict int
 
 // Verdicts on events.
 const (
-	// Deliver passes the token on to the caller.
+	// Deliver sends the token to the caller.
 	Deliver Verdict = iota
-	// Drop ignores the event: a duplicate, or of another generation.
+	// Drop ignores the event: it is a duplicate or belongs to another generation.
 	Drop
-	// Gap means that tokens are missing before this event; the stream is broken.
+	// Gap means that tokens before this event are missing: the stream is broken.
 	Gap
-	// Finish ends the answer: every token was delivered.
+	// Finish ends the answer: all its tokens were delivered.
 	Finish
 )
 
-// Cause tells how an attempt broke.
+// Cause is the way in which an attempt broke.
 type Cause int
 
-// Causes in order of what is known about the request.
+// Causes of a broken attempt, ordered by what is known about the request: after the first
+// two it has not run unless it was accepted before, after the others it may have.
 const (
-	// NotConnected means that nothing was sent.
+	// NotConnected means that there was no connection, so that nothing was sent.
 	NotConnected Cause = iota
-	// Refused means that the engine said it did not run the request.
+	// Refused means that the engine answered that it did not run the request.
 	Refused
-	// Broken means that the stream ended or stalled early.
+	// Broken means that the stream ended early or stalled.
 	Broken
-	// GenerationUnknown means that the engine does not know the generation any more.
+	// GenerationUnknown means that the engine no longer knows the generation.
 	GenerationUnknown
 )
 
-// Action is what to do next after an attempt broke.
+// Action is what to do after an attempt broke.
 type Action int
 
-// Moves after a break.
+// Actions after a broken attempt.
 const (
 	// Retry starts a new generation on another engine.
 	Retry Action = iota
-	// Resume asks the same engine for the same generation from Next.
+	// Resume requests the same generation from the same engine, starting at NextIndex.
 	Resume
-	// Fail ends the answer with a fault at once.
+	// Fail ends the answer with a fault.
 	Fail
 )
 
-// Decision tells the move, how long to wait before it, and the fault of a failure.
+// Decision is the action to take after an attempt broke.
 type Decision struct {
 	Action Action
-	Wait   time.Duration
-	Fault  *fault.Error
+	// Wait is how long to wait before a resume.
+	Wait time.Duration
+	// Fault is set if the action is Fail.
+	Fault *fault.Error
 }
 
-// Policy bounds what an answer may try.
+// Policy limits the attempts of an answer.
 type Policy struct {
-	Repeatable    bool
+	// Repeatable is set if the request may run more than once.
+	Repeatable bool
+	// MaxResumeTime is how long to try to resume a broken stream.
 	MaxResumeTime time.Duration
 	Deadline      time.Time
 }
 
-// Waits between resumes of one break.
+// Limits of the delay between resumes of a broken stream. The first resume has no delay,
+// and each later delay is twice the one before.
 const (
 	minResumeDelay = 20 * time.Millisecond
 	maxResumeDelay = time.Second
 )
 
-// Answer is the state of one answer.
+// Answer is the state of one answer. It is not safe for concurrent use.
 type Answer struct {
 	policy     Policy
 	generation api.GenerationID
 	nextIndex  int
-	sent       bool
-	// accepted tells that the engine took the present attempt, or may have.
+	// sent is set if the request of the current attempt may have been sent.
+	sent bool
+	// accepted is set if the engine accepted the current attempt or may have.
 	accepted bool
-	// earlierMayHaveRun tells that an attempt before this one may have run.
+	// earlierMayHaveRun is set if an earlier attempt may have run.
 	earlierMayHaveRun bool
-	brokenAt          time.Time
-	resumeDelay       time.Duration
+	// brokenAt is when the stream broke, zero while it is whole.
+	brokenAt    time.Time
+	resumeDelay time.Duration
 }
 
-// New starts an answer that has no generation yet.
+// New returns an answer without a generation.
 func New(p Policy) *Answer {
 	return &Answer{policy: p}
 }
 
-// NewResumed starts an answer that goes on with a generation from an index.
+// NewResumed returns an answer that resumes a generation at the given index.
 func NewResumed(p Policy, g api.GenerationID, next int) *Answer {
 	return &Answer{policy: p, generation: g, nextIndex: next, sent: true, accepted: true}
 }
 
-// Begin starts an attempt; it reports false once a token was delivered, as no
-// other generation may go on then.
+// Begin starts an attempt with a new generation. It returns false if that is not allowed:
+// after the first token, since another generation can't continue the answer, or if a
+// request that is not repeatable may have been sent.
 func (a *Answer) Begin(g api.GenerationID) bool {
 	if a.nextIndex > 0 {
 		return false
@@ -111,29 +120,29 @@
 	return true
 }
 
-// MarkSent notes that the request may have left for the engine.
+// MarkSent records that the request may have been sent to the engine.
 func (a *Answer) MarkSent() {
 	a.sent = true
 }
 
-// MarkOpened notes that the engine streams the generation, so that it is known to
-// run and the time to give up counts anew.
+// MarkOpened records that the engine streams the generation: it is known to run, and
+// the time limit for resumes starts again with the next break.
 func (a *Answer) MarkOpened() {
 	a.accepted = true
 	a.brokenAt = time.Time{}
 }
 
-// Generation is the generation that may deliver.
+// Generation returns the generation whose tokens are delivered.
 func (a *Answer) Generation() api.GenerationID {
 	return a.generation
 }
 
-// NextIndex is the index of the next token to deliver.
+// NextIndex returns the index of the next token to deliver.
 func (a *Answer) NextIndex() int {
 	return a.nextIndex
 }
 
-// HandleEvent judges one event of a stream.
+// HandleEvent returns what to do with one event of a stream.
 func (a *Answer) HandleEvent(e api.TokenEvent) Verdict {
 	if e.Generation != a.generation {
 		return Drop
@@ -152,7 +161,8 @@
 	return Deliver
 }
 
-// finish judges an end, whose index counts the tokens of the generation.
+// finish returns what to do with an end event, whose index is the number of tokens of the
+// generation.
 func (a *Answer) finish(e api.TokenEvent) Verdict {
 	if e.Index < a.nextIndex {
 		return Drop
@@ -160,11 +170,11 @@
 	return Finish
 }
 
-// Break decides what follows a broken attempt.
+// Break records that the current attempt broke and decides what to do.
 func (a *Answer) Break(now time.Time, c Cause) Decision {
 	unsent := !a.accepted && (c == NotConnected || c == Refused)
 	if unsent {
-		// Nothing of this attempt was run.
+		// The engine did not run this attempt.
 		a.sent = false
 	}
 	if !now.Before(a.policy.Deadline) {
@@ -180,13 +190,16 @@
 	}
 }
 
-// Unsent reports whether nothing of the present attempt was run.
+// Unsent reports whether the engine has certainly not run the current attempt.
 func (a *Answer) Unsent() bool {
 	return !a.sent
 }
 
+// resumeOrRetry decides what follows a break of an attempt that the engine may have
+// accepted.
 func (a *Answer) resumeOrRetry(now time.Time) Decision {
-	// Whatever a resume meets, the engine may have this attempt.
+	// From now on the engine may have the request, even if a resume can't connect or is
+	// refused.
 	a.accepted = true
 	if a.nextIndex == 0 && a.policy.Repeatable {
 		return Decision{Action: Retry}
@@ -203,6 +216,7 @@
 	return Decision{Action: Resume, Wait: w}
 }
 
+// retryOrFail decides what follows the loss of the generation.
 func (a *Answer) retryOrFail() Decision {
 	if a.nextIndex == 0 && a.policy.Repeatable {
 		return Decision{Action: Retry}
@@ -213,13 +227,13 @@
 	return a.fail(fault.GenerationLost, "the generation was lost after its first token")
 }
 
-// fail says that the request did not run only where nothing of it can have
-// been taken by an engine.
+// fail returns a decision to fail. Its fault says that the request did not run only if no
+// engine can have accepted any attempt.
 func (a *Answer) fail(c fault.Code, detail string) Decision {
 	return Decision{Action: Fail, Fault: fault.New(c, detail).WithRan(a.Ran())}
 }
 
-// Ran tells what is known about the request at present.
+// Ran returns whether the request ran, as far as is known.
 func (a *Answer) Ran() api.Ran {
 	switch {
 	case a.nextIndex > 0:
--- a/internal/decide/answer/answer_test.go
+++ b/internal/decide/answer/answer_test.go
@@ -36,7 +36,7 @@
 		repeatable bool
 		tokens     int
 		cause      answer.Cause
-		wantMove   answer.Action
+		wantAction answer.Action
 		wantCode   fault.Code
 		wantRan    api.Ran
 	}{
@@ -45,18 +45,18 @@
 		{"engine refused, not repeatable", false, 0, answer.Refused, answer.Retry, 0, ""},
 		{"reset before a token, repeatable", true, 0, answer.Broken, answer.Retry, 0, ""},
 		{"reset before a token, not repeatable", false, 0, answer.Broken, answer.Resume, 0, ""},
-		{"engine forgot before a token, repeatable", true, 0, answer.GenerationUnknown, answer.Retry, 0, ""},
-		{"engine forgot before a token, not repeatable", false, 0, answer.GenerationUnknown, answer.Fail, fault.OutcomeUnknown, api.RanUnknown},
-		{"reset in mid-stream", true, 3, answer.Broken, answer.Resume, 0, ""},
-		{"refused connection in mid-stream", true, 3, answer.NotConnected, answer.Resume, 0, ""},
-		{"refused in mid-stream", true, 3, answer.Refused, answer.Resume, 0, ""},
-		{"engine forgot in mid-stream", true, 3, answer.GenerationUnknown, answer.Fail, fault.GenerationLost, api.RanYes},
+		{"generation unknown before a token, repeatable", true, 0, answer.GenerationUnknown, answer.Retry, 0, ""},
+		{"generation unknown before a token, not repeatable", false, 0, answer.GenerationUnknown, answer.Fail, fault.OutcomeUnknown, api.RanUnknown},
+		{"reset after a token", true, 3, answer.Broken, answer.Resume, 0, ""},
+		{"refused connection after a token", true, 3, answer.NotConnected, answer.Resume, 0, ""},
+		{"engine refused after a token", true, 3, answer.Refused, answer.Resume, 0, ""},
+		{"generation unknown after a token", true, 3, answer.GenerationUnknown, answer.Fail, fault.GenerationLost, api.RanYes},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			n := started(c.repeatable, c.tokens).Break(epoch, c.cause)
-			if n.Action != c.wantMove {
-				t.Fatalf("move: got %v, want %v", n.Action, c.wantMove)
+			if n.Action != c.wantAction {
+				t.Fatalf("action: got %v, want %v", n.Action, c.wantAction)
 			}
 			if n.Action != answer.Fail {
 				return
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestEarlierAttemptIsNotForgotten(t *testing.T) {
+func TestRanAccountsForEarlierAttempts(t *testing.T) {
 	a := started(true, 0)
 	a.Break(epoch, answer.Broken)
 	a.Begin("g2")
@@ -92,15 +92,15 @@
 	}
 }
 
-// An engine that took a request and can't be reached for the resume has run
-// it: the request must not be sent again.
-func TestFailedResumeIsNotTakenForUnsent(t *testing.T) {
+// An engine that may have accepted a request may have run it, even if the resume can't
+// connect or is refused: the request must not be sent again.
+func TestFailedResumeDoesNotCountAsUnsent(t *testing.T) {
 	for _, c := range []answer.Cause{answer.NotConnected, answer.Refused} {
-		// The start's connection broke: the engine may have taken the request.
+		// The connection broke after the request was sent: the engine may have accepted it.
 		a := started(false, 0)
 		a.Break(epoch, answer.Broken)
 		if n := a.Break(epoch, c); n.Action != answer.Resume {
-			t.Errorf("cause %d after the engine may have taken the request: got move %d, want resume", c, n.Action)
+			t.Errorf("cause %d after the engine may have accepted the request: got action %d, want resume", c, n.Action)
 		}
 		if got := a.Ran(); got != api.RanUnknown {
 			t.Errorf("ran: got %s, want unknown", got)
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestResumeIsBoundedByTime(t *testing.T) {
+func TestResumeEndsAtMaxResumeTime(t *testing.T) {
 	a := started(true, 2)
 	now := epoch
 	for range 100 {
@@ -127,16 +127,16 @@
 	t.Errorf("still resuming after %v", now.Sub(epoch))
 }
 
-func TestDeadlineEndsAtOnce(t *testing.T) {
+func TestPassedDeadlineFailsAnswer(t *testing.T) {
 	n := started(true, 2).Break(epoch.Add(time.Hour), answer.Broken)
 	if n.Action != answer.Fail || n.Fault.Code != fault.DeadlinePassed || n.Fault.Ran != api.RanYes {
-		t.Errorf("got %+v, want a deadline fault that ran", n)
+		t.Errorf("got %+v, want a failure with code DeadlinePassed and ran yes", n)
 	}
 }
 
-// Whatever events arrive, of whichever generation, doubled, late or with gaps,
-// the tokens delivered are those of the answer's generation from 0 without a
-// hole, and the end comes only after all of them.
+// Whatever events arrive, of any generation, duplicated, late or with gaps, the delivered
+// tokens are those of the answer's generation from index 0 without a gap, and the answer
+// ends only after the last of them.
 func TestDeliversOneGenerationInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := answer.New(policy(true))
--- a/internal/decide/answer/doc.go
+++ b/internal/decide/answer/doc.go
@@ -1,3 +1,3 @@
-// Package answer keeps an answer to one generation: every token once, in
-// order, and a decision for each way in which the stream can break.
+// Package answer ensures that an answer delivers the tokens of a single generation, each
+// once and in order, and decides what follows when the stream breaks.
 package answer
