--- a/internal/decide/answer/answer_test.go
+++ b/internal/decide/answer/answer_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestRanAccountsForEarlierAttempts(t *testing.T) {
+func TestEarlierAttemptIsNotForgotten(t *testing.T) {
 	a := started(true, 0)
 	a.Break(epoch, answer.Broken)
 	a.Begin("g2")
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestUnavailableServerGetsNoNewWork(t *testing.T) {
+func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	tests := []struct {
 		name   string
 		signal func(d *dispatch.Dispatcher)
