--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -7,48 +7,52 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Bound is a workspace's limit over all entry VMs.
-type Bound struct {
-	PerSecond  int
-	Concurrent int
+// Quota is the limit of a workspace over all entry VMs.
+type Quota struct {
+	RequestsPerSecond  int
+	ConcurrentRequests int
 }
 
+// bucket is the token bucket of a workspace and the number of its running requests.
 type bucket struct {
-	tokens float64
-	at     time.Time
-	active int
+	tokens     float64
+	refilledAt time.Time
+	active     int
 }
 
-// Limiter holds the state of each workspace on one entry VM.
+// Limiter limits the requests of the workspaces on one entry VM. It is not safe for
+// concurrent use.
 type Limiter struct {
 	buckets map[api.WorkspaceName]*bucket
+	// members is the number of entry VMs that share each quota.
 	members int
 }
 
-// New makes a limiter for a lone entry VM.
+// New returns a limiter for a single entry VM.
 func New() *Limiter {
 	return &Limiter{buckets: map[api.WorkspaceName]*bucket{}, members: 1}
 }
 
-// Members sets the number of entry VMs that share each limit.
-func (l *Limiter) Members(n int) {
+// SetMembers sets the number of entry VMs that share each quota.
+func (l *Limiter) SetMembers(n int) {
 	l.members = max(n, 1)
 }
 
-// share is this VM's part; each VM gets at least one, so that the fleet is
-// over a limit by less than the number of entry VMs.
+// share returns this entry VM's share of a limit. It is at least 1, so that the fleet may
+// exceed a limit, but by less than the number of entry VMs.
 func (l *Limiter) share(n int) float64 {
 	return math.Max(1, float64(n)/float64(l.members))
 }
 
-// Take admits one request, or tells after how long to come back.
-func (l *Limiter) Take(now time.Time, w api.WorkspaceName, b Bound) (time.Duration, bool) {
-	s := l.state(now, w, b)
-	if float64(s.active) >= l.share(b.Concurrent) {
+// Acquire admits one request and returns true, or returns the time after which to retry
+// and false. Release must be called when an admitted request ends.
+func (l *Limiter) Acquire(now time.Time, w api.WorkspaceName, q Quota) (time.Duration, bool) {
+	s := l.refill(now, w, q)
+	if float64(s.active) >= l.share(q.ConcurrentRequests) {
 		return time.Second, false
 	}
 	if s.tokens < 1 {
-		d := (1 - s.tokens) / l.share(b.PerSecond)
+		d := (1 - s.tokens) / l.share(q.RequestsPerSecond)
 		return time.Duration(d * float64(time.Second)), false
 	}
 	s.tokens--
@@ -56,15 +60,15 @@
 	return 0, true
 }
 
-// Done ends a request that was admitted.
-func (l *Limiter) Done(w api.WorkspaceName) {
+// Release records the end of an admitted request.
+func (l *Limiter) Release(w api.WorkspaceName) {
 	if s, ok := l.buckets[w]; ok && s.active > 0 {
 		s.active--
 	}
 }
 
-// Keep forgets workspaces that are no longer declared and have no request.
-func (l *Limiter) Keep(declared func(api.WorkspaceName) bool) {
+// RetainWorkspaces forgets workspaces that are no longer declared and run no request.
+func (l *Limiter) RetainWorkspaces(declared func(api.WorkspaceName) bool) {
 	for w, s := range l.buckets {
 		if s.active == 0 && !declared(w) {
 			delete(l.buckets, w)
@@ -72,17 +76,18 @@
 	}
 }
 
-// state refills the bucket, whose size is one second of the rate.
-func (l *Limiter) state(now time.Time, w api.WorkspaceName, b Bound) *bucket {
-	r := l.share(b.PerSecond)
+// refill returns the workspace's bucket, refilled for the time since the last refill. It
+// holds at most the requests of one second.
+func (l *Limiter) refill(now time.Time, w api.WorkspaceName, q Quota) *bucket {
+	r := l.share(q.RequestsPerSecond)
 	s, ok := l.buckets[w]
 	if !ok {
-		s = &bucket{tokens: r, at: now}
+		s = &bucket{tokens: r, refilledAt: now}
 		l.buckets[w] = s
 	}
-	if d := now.Sub(s.at); d > 0 {
+	if d := now.Sub(s.refilledAt); d > 0 {
 		s.tokens = math.Min(r, s.tokens+d.Seconds()*r)
-		s.at = now
+		s.refilledAt = now
 	}
 	return s
 }
--- a/internal/decide/order/order.go
+++ b/internal/decide/order/order.go
@@ -7,19 +7,20 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Target is what one engine has to be like.
+// Target is the declared state of one engine.
 type Target struct {
 	Server api.ServerName
 	Role   api.EngineRole
-	Items  []string
-	// Sizes gives the weights of an item in MB.
-	Sizes map[string]int
-	// ChecksFence tells whether the engine refuses orders with an old fence.
+	// Items are the models and adapters to load, with their versions.
+	Items []string
+	// SizesMB is the size of the weights of each item in MB.
+	SizesMB map[string]int
+	// ChecksFence is set if the engine refuses orders with an old fence.
 	ChecksFence bool
 }
 
-// Seen is an engine's own last report.
-type Seen struct {
+// Report is the last report of an engine.
+type Report struct {
 	Role   api.EngineRole
 	Loaded []string
 	Fence  api.Fence
@@ -31,71 +32,74 @@
 	Order  api.Order
 }
 
-// busy is how long an engine gets no second order after one was sent, so that
-// its report can catch up.
-const busy = 2 * time.Second
+// orderInterval is the shortest time between two orders to one engine, so that its report
+// reflects the first before the second is chosen.
+const orderInterval = 2 * time.Second
 
-// Planner paces orders under the weight store's rate.
+// Planner chooses orders and keeps the loads that it orders within the rate of the weight
+// store.
 type Planner struct {
-	rate   float64
-	credit float64
-	at     time.Time
-	sent   map[api.ServerName]time.Time
-	// settled is when orders to engines that do not check fences may begin.
-	settled time.Time
-	fence   api.Fence
+	mbPerSecond float64
+	creditMB    float64
+	refilledAt  time.Time
+	sentAt      map[api.ServerName]time.Time
+	// settledAt is when orders to engines that don't check fences may begin.
+	settledAt time.Time
+	fence     api.Fence
 }
 
-// New makes a planner under a weight store that gives so many MB a second.
+// New returns a planner for a weight store that serves mbPerSecond.
 func New(mbPerSecond int) *Planner {
-	return &Planner{rate: float64(mbPerSecond), sent: map[api.ServerName]time.Time{}}
+	return &Planner{mbPerSecond: float64(mbPerSecond), sentAt: map[api.ServerName]time.Time{}}
 }
 
-// Wait is how long a new holder of the lease waits before it orders engines
-// that do not check fences: an order of the holder before may still be on its
-// way for as long as a call may take.
-const Wait = 10 * time.Second
+// SettleTime is how long a new holder of the lease waits before it sends orders to
+// engines that don't check fences: an order of the previous holder may still arrive for
+// as long as a call may take.
+const SettleTime = 10 * time.Second
 
-// Plan gives the orders due now under a fence, at most one for each engine:
-// the role first, then what is no longer declared, then what is missing.
-func (p *Planner) Plan(now time.Time, f api.Fence, l []Target, seen map[api.ServerName]Seen) []Step {
+// Plan returns the orders that are due now, with the given fence. Each engine gets at most
+// one: first its role is changed, then undeclared items are unloaded, then missing ones
+// are loaded. An engine without a report gets none.
+func (p *Planner) Plan(now time.Time, f api.Fence, l []Target, reports map[api.ServerName]Report) []Step {
 	p.refill(now)
 	if f != p.fence {
 		p.fence = f
-		p.settled = now.Add(Wait)
+		p.settledAt = now.Add(SettleTime)
 	}
 	var out []Step
 	for _, t := range l {
-		s, ok := seen[t.Server]
-		if !ok || now.Sub(p.sent[t.Server]) < busy {
+		s, ok := reports[t.Server]
+		if !ok || now.Sub(p.sentAt[t.Server]) < orderInterval {
 			continue
 		}
-		if !t.ChecksFence && now.Before(p.settled) {
+		if !t.ChecksFence && now.Before(p.settledAt) {
 			continue
 		}
-		if o, ok := p.next(t, s); ok {
+		if o, ok := p.nextOrder(t, s); ok {
 			o.Fence = f
-			p.sent[t.Server] = now
+			p.sentAt[t.Server] = now
 			out = append(out, Step{Server: t.Server, Order: o})
 		}
 	}
 	return out
 }
 
-func (p *Planner) next(t Target, s Seen) (api.Order, bool) {
-	if t.Role != s.Role {
+// nextOrder returns the next order for an engine, without its fence, if one is due.
+func (p *Planner) nextOrder(t Target, r Report) (api.Order, bool) {
+	if t.Role != r.Role {
 		return api.Order{Action: api.OrderActionRole, Role: string(t.Role)}, true
 	}
-	for _, i := range s.Loaded {
-		if !slices.Contains(t.Items, i) && p.replaced(i, t, s) {
+	for _, i := range r.Loaded {
+		if !slices.Contains(t.Items, i) && p.mayUnload(i, t, r) {
 			return api.Order{Action: api.OrderActionUnload, Item: i}, true
 		}
 	}
 	for _, i := range t.Items {
-		if slices.Contains(s.Loaded, i) {
+		if slices.Contains(r.Loaded, i) {
 			continue
 		}
-		if !p.spend(t.Sizes[i]) {
+		if !p.takeCredit(t.SizesMB[i]) {
 			return api.Order{}, false
 		}
 		return api.Order{Action: api.OrderActionLoad, Item: i}, true
@@ -103,33 +107,35 @@
 	return api.Order{}, false
 }
 
-// replaced keeps an old version loaded until the new one is, so that a change
-// of version leaves no engine without the model.
-func (p *Planner) replaced(item string, t Target, s Seen) bool {
+// mayUnload reports whether an undeclared item may be unloaded. An old version stays until
+// the new one is loaded, so that a version change leaves no engine without the model.
+func (p *Planner) mayUnload(item string, t Target, r Report) bool {
 	n := api.ItemName(item)
 	for _, i := range t.Items {
 		if api.ItemName(i) == n {
-			return slices.Contains(s.Loaded, i)
+			return slices.Contains(r.Loaded, i)
 		}
 	}
 	return true
 }
 
+// refill adds the credit of the time since the last refill, up to one second of the rate.
 func (p *Planner) refill(now time.Time) {
-	if !p.at.IsZero() {
-		p.credit = min(p.credit+now.Sub(p.at).Seconds()*p.rate, p.rate)
+	if !p.refilledAt.IsZero() {
+		p.creditMB = min(p.creditMB+now.Sub(p.refilledAt).Seconds()*p.mbPerSecond, p.mbPerSecond)
 	} else {
-		p.credit = p.rate
+		p.creditMB = p.mbPerSecond
 	}
-	p.at = now
+	p.refilledAt = now
 }
 
-// spend takes a load's size from the rate; a load larger than one second of
-// the rate goes once the credit is full, and the debt is paid off after it.
-func (p *Planner) spend(mb int) bool {
-	if p.credit < min(float64(mb), p.rate) {
+// takeCredit takes the size of a load from the credit and reports whether it was enough. A
+// load larger than one second of the rate needs full credit and leaves a debt, which
+// delays the next loads.
+func (p *Planner) takeCredit(mb int) bool {
+	if p.creditMB < min(float64(mb), p.mbPerSecond) {
 		return false
 	}
-	p.credit -= float64(mb)
+	p.creditMB -= float64(mb)
 	return true
 }
--- a/internal/decide/status/status.go
+++ b/internal/decide/status/status.go
@@ -6,38 +6,40 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Server is what is known of one backend server.
+// Server describes one backend server.
 type Server struct {
-	Name    api.ServerName
-	Seen    api.ServerStatusState
+	Name  api.ServerName
+	State api.ServerStatusState
+	// Version is the version of the server's declaration.
 	Version api.Version
-	// Want and Have are what it has to have loaded, and has.
-	Want, Have []string
+	// Wanted are the items that the server has to load, Loaded those that it has loaded.
+	Wanted, Loaded []string
 }
 
-// Of gives the status to report of a server.
+// Of returns the status to publish for a server.
 func Of(s Server) api.StatusSpec {
 	x := api.StatusSpec{
 		OfKind:          api.ResourceKindBackendServer,
 		OfName:          string(s.Name),
 		ObservedVersion: s.Version,
-		Loaded:          append([]string{}, s.Have...),
+		Loaded:          append([]string{}, s.Loaded...),
 	}
 	x.State, x.Detail = state(s)
 	return x
 }
 
+// state returns the published state and the reason for it.
 func state(s Server) (api.StatusSpecState, string) {
-	switch s.Seen {
+	switch s.State {
 	case api.ServerStatusStateUnreachable:
-		return api.StatusSpecStateUnreachable, "no load report for too long"
+		return api.StatusSpecStateUnreachable, "no recent load report"
 	case api.ServerStatusStateDraining:
-		return api.StatusSpecStateDraining, "draining as declared"
+		return api.StatusSpecStateDraining, "draining, as declared"
 	case api.ServerStatusStateLeaving:
-		return api.StatusSpecStateDraining, "leaving by its own notice or the list of VMs"
+		return api.StatusSpecStateDraining, "leaving, as announced by the server or by the platform's list of VMs"
 	}
-	for _, i := range s.Want {
-		if !slices.Contains(s.Have, i) {
+	for _, i := range s.Wanted {
+		if !slices.Contains(s.Loaded, i) {
 			return api.StatusSpecStateLoading, i + " is not loaded"
 		}
 	}
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -27,8 +27,8 @@
 
 func (p Policy) options(seed uint64) dispatch.Options {
 	return dispatch.Options{
-		Admission: p.Admit(), Routing: p.Route(), QueueLimit: queueLimit, QueueWait: queueWait,
-		Suspect: suspect, RetryPermille: 100, Seed: seed,
+		Admission: p.Admit(), Routing: p.Route(), QueueLimit: queueLimit, MaxQueueWait: queueWait,
+		SuspectAfter: suspect, RetryPermille: 100, Seed: seed,
 	}
 }
 
@@ -53,7 +53,7 @@
 }
 
 func survival() admit.Policy {
-	return admit.NewSurvival(overflow, admit.StepAimMS)
+	return admit.NewSurvival(overflow, admit.StepTargetMS)
 }
 
 // moments are what capacity is worked out from.
