--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -155,7 +155,7 @@
 	k.attempts.Claimed(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
 }
 
-func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Move) claim.Written {
+func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Action) claim.Written {
 	k.metrics.Add(metric.PlatformWrites, 1)
 	p.until = k.now().Add(claim.PermitTime)
 	o, err := k.put(ctx, p.name, m.Spec, m.Version, k.store.Put)
@@ -186,7 +186,7 @@
 	return f(ctx, api.Object{Kind: api.ResourceKindClaim, Name: name, Version: v, Spec: b})
 }
 
-func (k *Keeper) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Move {
+func (k *Keeper) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Action {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, p.name)
 	if fault.Has(err, fault.NotFound) {
--- a/internal/claims/restore.go
+++ b/internal/claims/restore.go
@@ -127,27 +127,27 @@
 }
 
 // compare decides what to do about one claim by what the platform has.
-func (k *Keeper) compare(ctx context.Context, r claim.Record) (claim.Move, error) {
+func (k *Keeper) compare(ctx context.Context, r claim.Record) (claim.Action, error) {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, r.Name)
 	if fault.Has(err, fault.NotFound) {
 		return claim.Rewrite(r.Spec, false, api.ClaimSpec{}, 0), nil
 	}
 	if err != nil {
-		return claim.Move{}, err
+		return claim.Action{}, err
 	}
 	var s api.ClaimSpec
 	if err := json.Unmarshal(o.Spec, &s); err != nil {
-		return claim.Move{}, fault.Wrap(fault.InvalidResource, err, "reading a claim")
+		return claim.Action{}, fault.Wrap(fault.InvalidResource, err, "reading a claim")
 	}
 	return claim.Rewrite(r.Spec, true, s, o.Version), nil
 }
 
 // displace asks the owner of a claim that came after this one to give its attempt up unsent.
-func (k *Keeper) displace(ctx context.Context, r claim.Record, m claim.Move) claim.Move {
+func (k *Keeper) displace(ctx context.Context, r claim.Record, m claim.Action) claim.Action {
 	if k.ask(ctx, r.Name, m.Spec) {
-		return claim.Move{Kind: claim.TakeOver, Spec: r.Spec, Version: m.Version}
+		return claim.Action{Kind: claim.TakeOver, Spec: r.Spec, Version: m.Version}
 	}
 	k.log.Emit(event.ClaimHeldTwice, zap.String("request", string(r.Spec.Request)), zap.String("other", string(m.Spec.Request)), zap.String("claim", r.Name))
-	return claim.Move{Kind: claim.Keep}
+	return claim.Action{Kind: claim.Keep}
 }
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -32,8 +32,8 @@
 	Keep
 )
 
-// Move is the next thing to do.
-type Move struct {
+// Action is the next thing to do.
+type Action struct {
 	Kind    Kind
 	Spec    api.ClaimSpec
 	Version api.Version
@@ -78,15 +78,15 @@
 }
 
 // Begin gives the first move.
-func (c *Claim) Begin() Move {
-	return Move{Kind: Create, Spec: c.spec}
+func (c *Claim) Begin() Action {
+	return Action{Kind: Create, Spec: c.spec}
 }
 
 // Wrote takes the outcome of a create or a take-over.
-func (c *Claim) Wrote(w Written) Move {
+func (c *Claim) Wrote(w Written) Action {
 	switch w {
 	case Done:
-		return Move{Kind: Send}
+		return Action{Kind: Send}
 	case Refused:
 		return c.unavailable()
 	case Early:
@@ -96,12 +96,12 @@
 	}
 }
 
-func (c *Claim) read() Move {
+func (c *Claim) read() Action {
 	if c.left == 0 {
 		return c.unavailable()
 	}
 	c.left--
-	return Move{Kind: Read}
+	return Action{Kind: Read}
 }
 
 // Unsettled refuses a request while claims may be lost that come before its own; nothing of
@@ -111,13 +111,13 @@
 }
 
 // unavailable refuses a request of which nothing was sent.
-func (c *Claim) unavailable() Move {
+func (c *Claim) unavailable() Action {
 	f := fault.New(fault.ClaimUnavailable, "the claim could not be recorded; the request was not sent")
-	return Move{Kind: Refuse, Fault: f.After(comeback)}
+	return Action{Kind: Refuse, Fault: f.After(comeback)}
 }
 
 // abandon gives a claim up that another one may have come before.
-func (c *Claim) abandon() Move {
+func (c *Claim) abandon() Action {
 	m := c.unavailable()
 	m.Kind, m.Spec = Abandon, c.spec
 	m.Spec.State = api.ClaimStateAbandoned
@@ -125,13 +125,13 @@
 }
 
 // Unreadable notes that the object could not be read.
-func (c *Claim) Unreadable() Move {
+func (c *Claim) Unreadable() Action {
 	return c.unavailable()
 }
 
 // Found takes the object as read; exists is false for none, and settled is false where
 // another claim may have come before it that the platform has lost.
-func (c *Claim) Found(exists bool, s api.ClaimSpec, v api.Version, settled bool) Move {
+func (c *Claim) Found(exists bool, s api.ClaimSpec, v api.Version, settled bool) Action {
 	if !exists {
 		// The write may yet land; it is this attempt's and was not sent.
 		return c.unavailable()
@@ -140,17 +140,17 @@
 		if !settled {
 			return c.abandon()
 		}
-		return Move{Kind: Send}
+		return Action{Kind: Send}
 	}
 	if s.BodyHash != c.spec.BodyHash || s.Workspace != c.spec.Workspace {
 		f := fault.New(fault.ReusedKey, "the idempotency key was used for another request")
-		return Move{Kind: Refuse, Fault: f}
+		return Action{Kind: Refuse, Fault: f}
 	}
 	switch s.State {
 	case api.ClaimStateDone:
-		return Move{Kind: Replay, Spec: s}
+		return Action{Kind: Replay, Spec: s}
 	case api.ClaimStateAbandoned:
-		return Move{Kind: TakeOver, Spec: c.spec, Version: v}
+		return Action{Kind: TakeOver, Spec: c.spec, Version: v}
 	default:
 		return c.ask(s, v)
 	}
@@ -161,26 +161,26 @@
 		s.Incarnation == c.spec.Incarnation && s.Request == c.spec.Request
 }
 
-func (c *Claim) ask(s api.ClaimSpec, v api.Version) Move {
+func (c *Claim) ask(s api.ClaimSpec, v api.Version) Action {
 	if c.asked {
 		return c.held()
 	}
 	c.asked = true
-	return Move{Kind: AskOwner, Spec: s, Version: v}
+	return Action{Kind: AskOwner, Spec: s, Version: v}
 }
 
 // held refuses because an earlier attempt may have run or may yet run.
-func (c *Claim) held() Move {
+func (c *Claim) held() Action {
 	f := fault.New(fault.ClaimHeld, "an earlier attempt with this key has no known outcome")
-	return Move{Kind: Refuse, Fault: f.After(comeback)}
+	return Action{Kind: Refuse, Fault: f.After(comeback)}
 }
 
 // Answered takes the owner's answer; released is true only if the owner's
 // attempt was not sent and never will be.
-func (c *Claim) Answered(released bool, v api.Version) Move {
+func (c *Claim) Answered(released bool, v api.Version) Action {
 	if !released {
 		return c.held()
 	}
 	c.asked = false
-	return Move{Kind: TakeOver, Spec: c.spec, Version: v}
+	return Action{Kind: TakeOver, Spec: c.spec, Version: v}
 }
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -25,23 +25,26 @@
 	reused.BodyHash = "x"
 	tests := []struct {
 		name     string
-		course   func(c *claim.Claim) claim.Move
+		course   func(c *claim.Claim) claim.Action
 		want     claim.Kind
 		wantCode fault.Code
 		wantRan  api.Ran
 	}{
-		{"created", func(c *claim.Claim) claim.Move { return c.Wrote(claim.Done) }, claim.Send, 0, ""},
-		{"platform refuses", func(c *claim.Claim) claim.Move { return c.Wrote(claim.Refused) }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"answer lost", func(c *claim.Claim) claim.Move { return c.Wrote(claim.Lost) }, claim.Read, 0, ""},
-		{"lost, then read as mine", func(c *claim.Claim) claim.Move { c.Wrote(claim.Lost); return c.Found(true, mine, 1, true) }, claim.Send, 0, ""},
-		{"lost, then not there", func(c *claim.Claim) claim.Move { c.Wrote(claim.Lost); return c.Found(false, api.ClaimSpec{}, 0, true) }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"lost, then unreadable", func(c *claim.Claim) claim.Move { c.Wrote(claim.Lost); return c.Unreadable() }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"done before", func(c *claim.Claim) claim.Move { return c.Found(true, done, 1, true) }, claim.Replay, 0, ""},
-		{"abandoned before", func(c *claim.Claim) claim.Move { return c.Found(true, abandoned, 1, true) }, claim.TakeOver, 0, ""},
-		{"another body", func(c *claim.Claim) claim.Move { return c.Found(true, reused, 1, true) }, claim.Refuse, fault.ReusedKey, api.RanNo},
-		{"held by another", func(c *claim.Claim) claim.Move { return c.Found(true, other, 1, true) }, claim.AskOwner, 0, ""},
-		{"owner released it", func(c *claim.Claim) claim.Move { c.Found(true, other, 1, true); return c.Answered(true, 1) }, claim.TakeOver, 0, ""},
-		{"owner keeps it", func(c *claim.Claim) claim.Move { c.Found(true, other, 1, true); return c.Answered(false, 1) }, claim.Refuse, fault.ClaimHeld, api.RanUnknown},
+		{"created", func(c *claim.Claim) claim.Action { return c.Wrote(claim.Done) }, claim.Send, 0, ""},
+		{"platform refuses", func(c *claim.Claim) claim.Action { return c.Wrote(claim.Refused) }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
+		{"answer lost", func(c *claim.Claim) claim.Action { return c.Wrote(claim.Lost) }, claim.Read, 0, ""},
+		{"lost, then read as mine", func(c *claim.Claim) claim.Action { c.Wrote(claim.Lost); return c.Found(true, mine, 1, true) }, claim.Send, 0, ""},
+		{"lost, then not there", func(c *claim.Claim) claim.Action {
+			c.Wrote(claim.Lost)
+			return c.Found(false, api.ClaimSpec{}, 0, true)
+		}, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
+		{"lost, then unreadable", func(c *claim.Claim) claim.Action { c.Wrote(claim.Lost); return c.Unreadable() }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
+		{"done before", func(c *claim.Claim) claim.Action { return c.Found(true, done, 1, true) }, claim.Replay, 0, ""},
+		{"abandoned before", func(c *claim.Claim) claim.Action { return c.Found(true, abandoned, 1, true) }, claim.TakeOver, 0, ""},
+		{"another body", func(c *claim.Claim) claim.Action { return c.Found(true, reused, 1, true) }, claim.Refuse, fault.ReusedKey, api.RanNo},
+		{"held by another", func(c *claim.Claim) claim.Action { return c.Found(true, other, 1, true) }, claim.AskOwner, 0, ""},
+		{"owner released it", func(c *claim.Claim) claim.Action { c.Found(true, other, 1, true); return c.Answered(true, 1) }, claim.TakeOver, 0, ""},
+		{"owner keeps it", func(c *claim.Claim) claim.Action { c.Found(true, other, 1, true); return c.Answered(false, 1) }, claim.Refuse, fault.ClaimHeld, api.RanUnknown},
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
@@ -94,7 +97,7 @@
 	vm   *vm
 	c    *claim.Claim
 	req  api.RequestID
-	next claim.Move
+	next claim.Action
 }
 
 type record struct {
@@ -111,7 +114,7 @@
 		var late []func()
 		var courses []*course
 		sends := 0
-		write := func(m claim.Move) bool {
+		write := func(m claim.Action) bool {
 			if m.Version != obj.version {
 				return false
 			}
@@ -151,7 +154,7 @@
 				if x.vm.attempts.Send(x.req) {
 					sends++
 				}
-				x.next = claim.Move{Kind: claim.Replay}
+				x.next = claim.Action{Kind: claim.Replay}
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
--- a/internal/decide/claim/era.go
+++ b/internal/decide/claim/era.go
@@ -56,20 +56,20 @@
 
 // Rewrite decides how an owner's claim is written again to a platform that holds another one
 // or none. It gives Create, TakeOver or AskOwner, and Keep where nothing can be done.
-func Rewrite(own api.ClaimSpec, exists bool, found api.ClaimSpec, v api.Version) Move {
+func Rewrite(own api.ClaimSpec, exists bool, found api.ClaimSpec, v api.Version) Action {
 	switch {
 	case !exists:
-		return Move{Kind: Create, Spec: own}
+		return Action{Kind: Create, Spec: own}
 	case found.Request == own.Request && found.Incarnation == own.Incarnation:
 		if found.State == own.State {
-			return Move{Kind: Keep}
+			return Action{Kind: Keep}
 		}
-		return Move{Kind: TakeOver, Spec: own, Version: v}
+		return Action{Kind: TakeOver, Spec: own, Version: v}
 	case found.State == api.ClaimStateAbandoned:
-		return Move{Kind: TakeOver, Spec: own, Version: v}
+		return Action{Kind: TakeOver, Spec: own, Version: v}
 	case found.State == api.ClaimStateClaimed:
-		return Move{Kind: AskOwner, Spec: found, Version: v}
+		return Action{Kind: AskOwner, Spec: found, Version: v}
 	default:
-		return Move{Kind: Keep}
+		return Action{Kind: Keep}
 	}
 }
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -46,14 +46,14 @@
 
 type attemptState struct {
 	course   claim.Claim
-	next     claim.Move
+	next     claim.Action
 	begun    bool
 	over     bool
 	progress progress
 	// life is its VM's life when it began.
 	life api.Incarnation
 	// late is a write that its VM gave up waiting for.
-	late    claim.Move
+	late    claim.Action
 	hasLate bool
 	// claimed is the era in which its claim was written, one up, zero for none; rewritten is
 	// set once its VM has looked whether the platform lost that.
@@ -119,7 +119,7 @@
 		}
 		if a.hasLate {
 			n := s
-			n.attempt[i].hasLate, n.attempt[i].late = false, claim.Move{}
+			n.attempt[i].hasLate, n.attempt[i].late = false, claim.Action{}
 			n.write(a.late)
 			add(named("attempt %d's late write is carried out", i), n)
 		}
@@ -195,7 +195,7 @@
 		}
 		m := claim.Rewrite(r.Spec, s.exists, s.spec, s.version)
 		if m.Kind == claim.AskOwner && s.release(m.Spec, "") {
-			m = claim.Move{Kind: claim.TakeOver, Spec: r.Spec, Version: s.version}
+			m = claim.Action{Kind: claim.TakeOver, Spec: r.Spec, Version: s.version}
 		}
 		if m.Kind == claim.Create || m.Kind == claim.TakeOver {
 			s.write(m)
@@ -216,7 +216,7 @@
 	s.attempt[i] = attemptState{course: *c, next: c.Begin(), begun: true, progress: waiting, life: s.life[v]}
 }
 
-func (s *claimState) write(m claim.Move) bool {
+func (s *claimState) write(m claim.Action) bool {
 	if m.Version != s.version {
 		return false
 	}
@@ -295,39 +295,39 @@
 	case claim.Create, claim.TakeOver:
 		writeMoves(i, m, z, mutation, add)
 	case claim.Read:
-		add("reads the claim", func(n *claimState, c *claim.Claim) claim.Move {
+		add("reads the claim", func(n *claimState, c *claim.Claim) claim.Action {
 			return c.Found(n.exists, n.spec, n.version, !n.early(mutation))
 		})
-		add("can't read the claim", func(_ *claimState, c *claim.Claim) claim.Move { return c.Unreadable() })
+		add("can't read the claim", func(_ *claimState, c *claim.Claim) claim.Action { return c.Unreadable() })
 	case claim.AskOwner:
-		add("asks the owner", func(n *claimState, c *claim.Claim) claim.Move {
+		add("asks the owner", func(n *claimState, c *claim.Claim) claim.Action {
 			return c.Answered(n.release(m.Spec, mutation), m.Version)
 		})
-		add("asks the owner, the answer is lost", func(n *claimState, c *claim.Claim) claim.Move {
+		add("asks the owner, the answer is lost", func(n *claimState, c *claim.Claim) claim.Action {
 			n.release(m.Spec, mutation)
 			return c.Answered(false, m.Version)
 		})
 	case claim.Send:
-		add("sends", func(n *claimState, _ *claim.Claim) claim.Move {
+		add("sends", func(n *claimState, _ *claim.Claim) claim.Action {
 			ok := n.register(home[i]).Send(requestID(i)) && n.permits(i, mutation)
 			if !ok && mutation != "no check before the send" {
-				return claim.Move{Kind: claim.Refuse}
+				return claim.Action{Kind: claim.Refuse}
 			}
 			n.sends++
 			n.attempt[i].progress = sent
 			n.attempt[i].over = true
-			return claim.Move{Kind: claim.Send}
+			return claim.Action{Kind: claim.Send}
 		})
 	}
 	return l
 }
 
 // change is how the claim and an attempt's course change by one step.
-type change func(n *claimState, c *claim.Claim) claim.Move
+type change func(n *claimState, c *claim.Claim) claim.Action
 
 // writeMoves carries the write of a claim out, in every way it can go.
-func writeMoves(i int, m claim.Move, z claimSize, mutation string, add func(what string, c change)) {
-	add("writes its claim", func(n *claimState, c *claim.Claim) claim.Move {
+func writeMoves(i int, m claim.Action, z claimSize, mutation string, add func(what string, c change)) {
+	add("writes its claim", func(n *claimState, c *claim.Claim) claim.Action {
 		switch {
 		case !n.write(m):
 			return c.Wrote(claim.Conflict)
@@ -337,7 +337,7 @@
 			return c.Wrote(claim.Done)
 		}
 	})
-	add("writes its claim, the answer is lost", func(n *claimState, c *claim.Claim) claim.Move {
+	add("writes its claim, the answer is lost", func(n *claimState, c *claim.Claim) claim.Action {
 		n.write(m)
 		if mutation == "no read-back" {
 			return c.Wrote(claim.Done)
@@ -345,12 +345,12 @@
 		return c.Wrote(claim.Lost)
 	})
 	if z.late {
-		add("gives up waiting for its write", func(n *claimState, c *claim.Claim) claim.Move {
+		add("gives up waiting for its write", func(n *claimState, c *claim.Claim) claim.Action {
 			n.attempt[i].late, n.attempt[i].hasLate = m, true
 			return c.Wrote(claim.Lost)
 		})
 	}
-	add("has its write refused", func(_ *claimState, c *claim.Claim) claim.Move { return c.Wrote(claim.Refused) })
+	add("has its write refused", func(_ *claimState, c *claim.Claim) claim.Action { return c.Wrote(claim.Refused) })
 }
 
 // permits reports whether an attempt's claim still allows to send: its time is over before
@@ -360,9 +360,9 @@
 }
 
 // abandon records that an attempt was not sent, if its claim is there still.
-func (s *claimState) abandon(i int, m claim.Move) {
+func (s *claimState) abandon(i int, m claim.Action) {
 	if s.exists && s.spec.Request == requestID(i) {
-		s.write(claim.Move{Spec: m.Spec, Version: s.version})
+		s.write(claim.Action{Spec: m.Spec, Version: s.version})
 	}
 	m.Kind = claim.Refuse
 	s.end(i, m)
@@ -370,7 +370,7 @@
 
 // end ends an attempt whose caller is answered; an unsent one is forgotten by
 // its VM.
-func (s *claimState) end(i int, m claim.Move) {
+func (s *claimState) end(i int, m claim.Action) {
 	a := &s.attempt[i]
 	s.lied = s.lied || a.progress == sent && m.Fault != nil && m.Fault.Ran == api.RanNo
 	a.over = true
@@ -378,5 +378,5 @@
 		a.progress = released
 	}
 	// The answer's text plays no part any more.
-	a.next = claim.Move{Kind: m.Kind}
+	a.next = claim.Action{Kind: m.Kind}
 }
