--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -120,7 +120,7 @@
 			m = c.Wrote(k.write(ctx, p, m))
 		case claim.Read:
 			m = k.read(ctx, p, c)
-		case claim.AskOwner:
+		case claim.RequestRelease:
 			m = c.Answered(k.ask(ctx, name, m.Spec), m.Version)
 		case claim.Abandon:
 			k.claimed(p)
--- a/internal/claims/restore.go
+++ b/internal/claims/restore.go
@@ -102,7 +102,7 @@
 	c, cancel := context.WithTimeout(ctx, rewriteTime)
 	defer cancel()
 	m, err := k.compare(c, r)
-	if err == nil && m.Kind == claim.AskOwner {
+	if err == nil && m.Kind == claim.RequestRelease {
 		m = k.displace(c, r, m)
 	}
 	if err == nil && (m.Kind == claim.Create || m.Kind == claim.TakeOver) {
@@ -114,7 +114,7 @@
 		k.again()
 		return
 	}
-	if m.Kind != claim.Keep {
+	if m.Kind != claim.NoChange {
 		k.log.Emit(event.ClaimRewritten, zap.String("request", string(r.Spec.Request)), zap.String("claim", r.Name), zap.String("state", string(m.Spec.State)))
 	}
 }
@@ -149,5 +149,5 @@
 		return claim.Action{Kind: claim.TakeOver, Spec: r.Spec, Version: m.Version}
 	}
 	k.log.Emit(event.ClaimHeldTwice, zap.String("request", string(r.Spec.Request)), zap.String("other", string(m.Spec.Request)), zap.String("claim", r.Name))
-	return claim.Action{Kind: claim.Keep}
+	return claim.Action{Kind: claim.NoChange}
 }
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -16,8 +16,8 @@
 	Create Kind = iota
 	// Read reads the claim's object.
 	Read
-	// AskOwner asks the claim's owner to give an unsent attempt up.
-	AskOwner
+	// RequestRelease asks the claim's owner to give an unsent attempt up.
+	RequestRelease
 	// TakeOver replaces the claim at Version by Spec.
 	TakeOver
 	// Send sends the request, if the attempt is still allowed to.
@@ -28,8 +28,8 @@
 	Refuse
 	// Abandon records that the request was not sent, and answers with Fault.
 	Abandon
-	// Keep leaves the object as it is.
-	Keep
+	// NoChange leaves the object as it is.
+	NoChange
 )
 
 // Action is the next thing to do.
@@ -166,7 +166,7 @@
 		return c.held()
 	}
 	c.asked = true
-	return Action{Kind: AskOwner, Spec: s, Version: v}
+	return Action{Kind: RequestRelease, Spec: s, Version: v}
 }
 
 // held refuses because an earlier attempt may have run or may yet run.
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -42,7 +42,7 @@
 		{"done before", func(c *claim.Claim) claim.Action { return c.Found(true, done, 1, true) }, claim.Replay, 0, ""},
 		{"abandoned before", func(c *claim.Claim) claim.Action { return c.Found(true, abandoned, 1, true) }, claim.TakeOver, 0, ""},
 		{"another body", func(c *claim.Claim) claim.Action { return c.Found(true, reused, 1, true) }, claim.Refuse, fault.ReusedKey, api.RanNo},
-		{"held by another", func(c *claim.Claim) claim.Action { return c.Found(true, other, 1, true) }, claim.AskOwner, 0, ""},
+		{"held by another", func(c *claim.Claim) claim.Action { return c.Found(true, other, 1, true) }, claim.RequestRelease, 0, ""},
 		{"owner released it", func(c *claim.Claim) claim.Action { c.Found(true, other, 1, true); return c.Answered(true, 1) }, claim.TakeOver, 0, ""},
 		{"owner keeps it", func(c *claim.Claim) claim.Action { c.Found(true, other, 1, true); return c.Answered(false, 1) }, claim.Refuse, fault.ClaimHeld, api.RanUnknown},
 	}
@@ -142,7 +142,7 @@
 				}
 			case claim.Read:
 				x.next = x.c.Found(obj.exists, obj.spec, obj.version, true)
-			case claim.AskOwner:
+			case claim.RequestRelease:
 				released := false
 				for _, v := range vms {
 					if v.name == m.Spec.Owner {
--- a/internal/decide/claim/era.go
+++ b/internal/decide/claim/era.go
@@ -62,14 +62,14 @@
 		return Action{Kind: Create, Spec: own}
 	case found.Request == own.Request && found.Incarnation == own.Incarnation:
 		if found.State == own.State {
-			return Action{Kind: Keep}
+			return Action{Kind: NoChange}
 		}
 		return Action{Kind: TakeOver, Spec: own, Version: v}
 	case found.State == api.ClaimStateAbandoned:
 		return Action{Kind: TakeOver, Spec: own, Version: v}
 	case found.State == api.ClaimStateClaimed:
-		return Action{Kind: AskOwner, Spec: found, Version: v}
+		return Action{Kind: RequestRelease, Spec: found, Version: v}
 	default:
-		return Action{Kind: Keep}
+		return Action{Kind: NoChange}
 	}
 }
--- a/internal/decide/claim/era_test.go
+++ b/internal/decide/claim/era_test.go
@@ -59,10 +59,10 @@
 	}{
 		{"lost", false, api.ClaimSpec{}, claim.Create},
 		{"without its outcome", true, earlier, claim.TakeOver},
-		{"there", true, own, claim.Keep},
+		{"there", true, own, claim.NoChange},
 		{"another one's that was not sent", true, abandoned, claim.TakeOver},
-		{"another one's that may be", true, other, claim.AskOwner},
-		{"another one's that is done", true, done, claim.Keep},
+		{"another one's that may be", true, other, claim.RequestRelease},
+		{"another one's that is done", true, done, claim.NoChange},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -194,7 +194,7 @@
 			continue
 		}
 		m := claim.Rewrite(r.Spec, s.exists, s.spec, s.version)
-		if m.Kind == claim.AskOwner && s.release(m.Spec, "") {
+		if m.Kind == claim.RequestRelease && s.release(m.Spec, "") {
 			m = claim.Action{Kind: claim.TakeOver, Spec: r.Spec, Version: s.version}
 		}
 		if m.Kind == claim.Create || m.Kind == claim.TakeOver {
@@ -299,7 +299,7 @@
 			return c.Found(n.exists, n.spec, n.version, !n.early(mutation))
 		})
 		add("can't read the claim", func(_ *claimState, c *claim.Claim) claim.Action { return c.Unreadable() })
-	case claim.AskOwner:
+	case claim.RequestRelease:
 		add("asks the owner", func(n *claimState, c *claim.Claim) claim.Action {
 			return c.Answered(n.release(m.Spec, mutation), m.Version)
 		})
