--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -155,7 +155,7 @@
 	k.attempts.Claimed(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
 }
 
-func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Action) claim.Written {
+func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
 	k.metrics.Add(metric.PlatformWrites, 1)
 	p.until = k.now().Add(claim.PermitTime)
 	o, err := k.put(ctx, p.name, m.Spec, m.Version, k.store.Put)
@@ -163,16 +163,16 @@
 	case err == nil:
 		p.spec, p.version = m.Spec, o.Version
 		if !k.seen(o.Version) {
-			return claim.Early
+			return claim.WriteUnsettled
 		}
-		return claim.Done
+		return claim.WriteDone
 	case fault.Has(err, fault.VersionConflict):
-		return claim.Conflict
+		return claim.WriteConflict
 	case fault.Has(err, fault.NotStarted), fault.Has(err, fault.PlatformDown), fault.Has(err, fault.PlatformThrottled):
-		return claim.Refused
+		return claim.WriteRefused
 	default:
 		k.log.Emit(event.ClaimReadBack, zap.String("claim", p.name), zap.Error(err))
-		return claim.Lost
+		return claim.WriteUnknown
 	}
 }
 
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -40,22 +40,22 @@
 	Fault   *fault.Error
 }
 
-// Written is the outcome of a conditional write.
-type Written int
+// WriteResult is the outcome of a conditional write.
+type WriteResult int
 
 // Outcomes of writes.
 const (
-	// Done means that the write took effect.
-	Done Written = iota
-	// Conflict means that the object is not at the version expected.
-	Conflict
-	// Lost means that the write may have taken effect or may yet.
-	Lost
-	// Refused means that the write did not and will not take effect.
-	Refused
-	// Early means that the write took effect, in an era in which owners may not have written
+	// WriteDone means that the write took effect.
+	WriteDone WriteResult = iota
+	// WriteConflict means that the object is not at the version expected.
+	WriteConflict
+	// WriteUnknown means that the write may have taken effect or may yet.
+	WriteUnknown
+	// WriteRefused means that the write did not and will not take effect.
+	WriteRefused
+	// WriteUnsettled means that the write took effect, in an era in which owners may not have written
 	// again yet what the platform has lost.
-	Early
+	WriteUnsettled
 )
 
 // comeback is when a caller may ask again about a claim that is held.
@@ -83,13 +83,13 @@
 }
 
 // Wrote takes the outcome of a create or a take-over.
-func (c *Claim) Wrote(w Written) Action {
+func (c *Claim) Wrote(w WriteResult) Action {
 	switch w {
-	case Done:
+	case WriteDone:
 		return Action{Kind: Send}
-	case Refused:
+	case WriteRefused:
 		return c.unavailable()
-	case Early:
+	case WriteUnsettled:
 		return c.abandon()
 	default:
 		return c.read()
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -30,15 +30,15 @@
 		wantCode fault.Code
 		wantRan  api.Ran
 	}{
-		{"created", func(c *claim.Claim) claim.Action { return c.Wrote(claim.Done) }, claim.Send, 0, ""},
-		{"platform refuses", func(c *claim.Claim) claim.Action { return c.Wrote(claim.Refused) }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"answer lost", func(c *claim.Claim) claim.Action { return c.Wrote(claim.Lost) }, claim.Read, 0, ""},
-		{"lost, then read as mine", func(c *claim.Claim) claim.Action { c.Wrote(claim.Lost); return c.Found(true, mine, 1, true) }, claim.Send, 0, ""},
+		{"created", func(c *claim.Claim) claim.Action { return c.Wrote(claim.WriteDone) }, claim.Send, 0, ""},
+		{"platform refuses", func(c *claim.Claim) claim.Action { return c.Wrote(claim.WriteRefused) }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
+		{"answer lost", func(c *claim.Claim) claim.Action { return c.Wrote(claim.WriteUnknown) }, claim.Read, 0, ""},
+		{"lost, then read as mine", func(c *claim.Claim) claim.Action { c.Wrote(claim.WriteUnknown); return c.Found(true, mine, 1, true) }, claim.Send, 0, ""},
 		{"lost, then not there", func(c *claim.Claim) claim.Action {
-			c.Wrote(claim.Lost)
+			c.Wrote(claim.WriteUnknown)
 			return c.Found(false, api.ClaimSpec{}, 0, true)
 		}, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"lost, then unreadable", func(c *claim.Claim) claim.Action { c.Wrote(claim.Lost); return c.Unreadable() }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
+		{"lost, then unreadable", func(c *claim.Claim) claim.Action { c.Wrote(claim.WriteUnknown); return c.Unreadable() }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
 		{"done before", func(c *claim.Claim) claim.Action { return c.Found(true, done, 1, true) }, claim.Replay, 0, ""},
 		{"abandoned before", func(c *claim.Claim) claim.Action { return c.Found(true, abandoned, 1, true) }, claim.TakeOver, 0, ""},
 		{"another body", func(c *claim.Claim) claim.Action { return c.Found(true, reused, 1, true) }, claim.Refuse, fault.ReusedKey, api.RanNo},
@@ -127,18 +127,18 @@
 				switch rapid.SampledFrom([]string{"ok", "ok", "lost", "late", "refused"}).Draw(t, "write") {
 				case "ok":
 					if write(m) {
-						x.next = x.c.Wrote(claim.Done)
+						x.next = x.c.Wrote(claim.WriteDone)
 					} else {
-						x.next = x.c.Wrote(claim.Conflict)
+						x.next = x.c.Wrote(claim.WriteConflict)
 					}
 				case "lost":
 					write(m)
-					x.next = x.c.Wrote(claim.Lost)
+					x.next = x.c.Wrote(claim.WriteUnknown)
 				case "late":
 					late = append(late, func() { write(m) })
-					x.next = x.c.Wrote(claim.Lost)
+					x.next = x.c.Wrote(claim.WriteUnknown)
 				case "refused":
-					x.next = x.c.Wrote(claim.Refused)
+					x.next = x.c.Wrote(claim.WriteRefused)
 				}
 			case claim.Read:
 				x.next = x.c.Found(obj.exists, obj.spec, obj.version, true)
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -330,27 +330,27 @@
 	add("writes its claim", func(n *claimState, c *claim.Claim) claim.Action {
 		switch {
 		case !n.write(m):
-			return c.Wrote(claim.Conflict)
+			return c.Wrote(claim.WriteConflict)
 		case n.early(mutation):
-			return c.Wrote(claim.Early)
+			return c.Wrote(claim.WriteUnsettled)
 		default:
-			return c.Wrote(claim.Done)
+			return c.Wrote(claim.WriteDone)
 		}
 	})
 	add("writes its claim, the answer is lost", func(n *claimState, c *claim.Claim) claim.Action {
 		n.write(m)
 		if mutation == "no read-back" {
-			return c.Wrote(claim.Done)
+			return c.Wrote(claim.WriteDone)
 		}
-		return c.Wrote(claim.Lost)
+		return c.Wrote(claim.WriteUnknown)
 	})
 	if z.late {
 		add("gives up waiting for its write", func(n *claimState, c *claim.Claim) claim.Action {
 			n.attempt[i].late, n.attempt[i].hasLate = m, true
-			return c.Wrote(claim.Lost)
+			return c.Wrote(claim.WriteUnknown)
 		})
 	}
-	add("has its write refused", func(_ *claimState, c *claim.Claim) claim.Action { return c.Wrote(claim.Refused) })
+	add("has its write refused", func(_ *claimState, c *claim.Claim) claim.Action { return c.Wrote(claim.WriteRefused) })
 }
 
 // permits reports whether an attempt's claim still allows to send: its time is over before
