--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -117,11 +117,11 @@
 	for {
 		switch m.Kind {
 		case claim.Create, claim.TakeOver:
-			m = c.Wrote(k.write(ctx, p, m))
+			m = c.HandleWrite(k.write(ctx, p, m))
 		case claim.Read:
 			m = k.read(ctx, p, c)
 		case claim.RequestRelease:
-			m = c.Answered(k.ask(ctx, name, m.Spec), m.Version)
+			m = c.HandleRelease(k.ask(ctx, name, m.Spec), m.Version)
 		case claim.Abandon:
 			k.claimed(p)
 			p.Abandon(ctx)
@@ -190,17 +190,17 @@
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, p.name)
 	if fault.Has(err, fault.NotFound) {
-		return c.Found(false, api.ClaimSpec{}, 0, true)
+		return c.HandleRead(false, api.ClaimSpec{}, 0, true)
 	}
 	var s api.ClaimSpec
 	if err == nil {
 		err = json.Unmarshal(o.Spec, &s)
 	}
 	if err != nil {
-		return c.Unreadable()
+		return c.HandleReadError()
 	}
 	p.version = o.Version
-	return c.Found(true, s, o.Version, k.seen(o.Version))
+	return c.HandleRead(true, s, o.Version, k.seen(o.Version))
 }
 
 // ask asks the owner of a claim to give its attempt up unsent.
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -58,23 +58,23 @@
 	WriteUnsettled
 )
 
-// comeback is when a caller may ask again about a claim that is held.
-const comeback = 2 * time.Second
+// retryAfter is when a caller may ask again about a claim that is held.
+const retryAfter = 2 * time.Second
 
-// rounds bounds how often a claim that changes under the reader is read.
-const rounds = 4
+// maxReads bounds how often a claim that changes under the reader is read.
+const maxReads = 4
 
 // Claim is the course of one request's claim.
 type Claim struct {
-	spec  api.ClaimSpec
-	left  int
-	asked bool
+	spec      api.ClaimSpec
+	readsLeft int
+	asked     bool
 }
 
 // New starts the course of a claim with the record that this attempt wants.
 func New(s api.ClaimSpec) *Claim {
 	s.State = api.ClaimStateClaimed
-	return &Claim{spec: s, left: rounds}
+	return &Claim{spec: s, readsLeft: maxReads}
 }
 
 // Begin gives the first move.
@@ -82,8 +82,8 @@
 	return Action{Kind: Create, Spec: c.spec}
 }
 
-// Wrote takes the outcome of a create or a take-over.
-func (c *Claim) Wrote(w WriteResult) Action {
+// HandleWrite takes the outcome of a create or a take-over.
+func (c *Claim) HandleWrite(w WriteResult) Action {
 	switch w {
 	case WriteDone:
 		return Action{Kind: Send}
@@ -97,23 +97,23 @@
 }
 
 func (c *Claim) read() Action {
-	if c.left == 0 {
+	if c.readsLeft == 0 {
 		return c.unavailable()
 	}
-	c.left--
+	c.readsLeft--
 	return Action{Kind: Read}
 }
 
 // Unsettled refuses a request while claims may be lost that come before its own; nothing of
 // it was sent.
 func Unsettled() *fault.Error {
-	return fault.New(fault.ClaimUnavailable, "the platform came back from a copy; claims are being written again, and the request was not sent").After(comeback)
+	return fault.New(fault.ClaimUnavailable, "the platform came back from a copy; claims are being written again, and the request was not sent").After(retryAfter)
 }
 
 // unavailable refuses a request of which nothing was sent.
 func (c *Claim) unavailable() Action {
 	f := fault.New(fault.ClaimUnavailable, "the claim could not be recorded; the request was not sent")
-	return Action{Kind: Refuse, Fault: f.After(comeback)}
+	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
 // abandon gives a claim up that another one may have come before.
@@ -124,14 +124,14 @@
 	return m
 }
 
-// Unreadable notes that the object could not be read.
-func (c *Claim) Unreadable() Action {
+// HandleReadError notes that the object could not be read.
+func (c *Claim) HandleReadError() Action {
 	return c.unavailable()
 }
 
-// Found takes the object as read; exists is false for none, and settled is false where
+// HandleRead takes the object as read; exists is false for none, and settled is false where
 // another claim may have come before it that the platform has lost.
-func (c *Claim) Found(exists bool, s api.ClaimSpec, v api.Version, settled bool) Action {
+func (c *Claim) HandleRead(exists bool, s api.ClaimSpec, v api.Version, settled bool) Action {
 	if !exists {
 		// The write may yet land; it is this attempt's and was not sent.
 		return c.unavailable()
@@ -172,12 +172,12 @@
 // held refuses because an earlier attempt may have run or may yet run.
 func (c *Claim) held() Action {
 	f := fault.New(fault.ClaimHeld, "an earlier attempt with this key has no known outcome")
-	return Action{Kind: Refuse, Fault: f.After(comeback)}
+	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
-// Answered takes the owner's answer; released is true only if the owner's
+// HandleRelease takes the owner's answer; released is true only if the owner's
 // attempt was not sent and never will be.
-func (c *Claim) Answered(released bool, v api.Version) Action {
+func (c *Claim) HandleRelease(released bool, v api.Version) Action {
 	if !released {
 		return c.held()
 	}
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -30,21 +30,27 @@
 		wantCode fault.Code
 		wantRan  api.Ran
 	}{
-		{"created", func(c *claim.Claim) claim.Action { return c.Wrote(claim.WriteDone) }, claim.Send, 0, ""},
-		{"platform refuses", func(c *claim.Claim) claim.Action { return c.Wrote(claim.WriteRefused) }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"answer lost", func(c *claim.Claim) claim.Action { return c.Wrote(claim.WriteUnknown) }, claim.Read, 0, ""},
-		{"lost, then read as mine", func(c *claim.Claim) claim.Action { c.Wrote(claim.WriteUnknown); return c.Found(true, mine, 1, true) }, claim.Send, 0, ""},
+		{"created", func(c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteDone) }, claim.Send, 0, ""},
+		{"platform refuses", func(c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteRefused) }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
+		{"answer lost", func(c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteUnknown) }, claim.Read, 0, ""},
+		{"lost, then read as mine", func(c *claim.Claim) claim.Action {
+			c.HandleWrite(claim.WriteUnknown)
+			return c.HandleRead(true, mine, 1, true)
+		}, claim.Send, 0, ""},
 		{"lost, then not there", func(c *claim.Claim) claim.Action {
-			c.Wrote(claim.WriteUnknown)
-			return c.Found(false, api.ClaimSpec{}, 0, true)
+			c.HandleWrite(claim.WriteUnknown)
+			return c.HandleRead(false, api.ClaimSpec{}, 0, true)
 		}, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"lost, then unreadable", func(c *claim.Claim) claim.Action { c.Wrote(claim.WriteUnknown); return c.Unreadable() }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"done before", func(c *claim.Claim) claim.Action { return c.Found(true, done, 1, true) }, claim.Replay, 0, ""},
-		{"abandoned before", func(c *claim.Claim) claim.Action { return c.Found(true, abandoned, 1, true) }, claim.TakeOver, 0, ""},
-		{"another body", func(c *claim.Claim) claim.Action { return c.Found(true, reused, 1, true) }, claim.Refuse, fault.ReusedKey, api.RanNo},
-		{"held by another", func(c *claim.Claim) claim.Action { return c.Found(true, other, 1, true) }, claim.RequestRelease, 0, ""},
-		{"owner released it", func(c *claim.Claim) claim.Action { c.Found(true, other, 1, true); return c.Answered(true, 1) }, claim.TakeOver, 0, ""},
-		{"owner keeps it", func(c *claim.Claim) claim.Action { c.Found(true, other, 1, true); return c.Answered(false, 1) }, claim.Refuse, fault.ClaimHeld, api.RanUnknown},
+		{"lost, then unreadable", func(c *claim.Claim) claim.Action { c.HandleWrite(claim.WriteUnknown); return c.HandleReadError() }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
+		{"done before", func(c *claim.Claim) claim.Action { return c.HandleRead(true, done, 1, true) }, claim.Replay, 0, ""},
+		{"abandoned before", func(c *claim.Claim) claim.Action { return c.HandleRead(true, abandoned, 1, true) }, claim.TakeOver, 0, ""},
+		{"another body", func(c *claim.Claim) claim.Action { return c.HandleRead(true, reused, 1, true) }, claim.Refuse, fault.ReusedKey, api.RanNo},
+		{"held by another", func(c *claim.Claim) claim.Action { return c.HandleRead(true, other, 1, true) }, claim.RequestRelease, 0, ""},
+		{"owner released it", func(c *claim.Claim) claim.Action { c.HandleRead(true, other, 1, true); return c.HandleRelease(true, 1) }, claim.TakeOver, 0, ""},
+		{"owner keeps it", func(c *claim.Claim) claim.Action {
+			c.HandleRead(true, other, 1, true)
+			return c.HandleRelease(false, 1)
+		}, claim.Refuse, fault.ClaimHeld, api.RanUnknown},
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
@@ -127,21 +133,21 @@
 				switch rapid.SampledFrom([]string{"ok", "ok", "lost", "late", "refused"}).Draw(t, "write") {
 				case "ok":
 					if write(m) {
-						x.next = x.c.Wrote(claim.WriteDone)
+						x.next = x.c.HandleWrite(claim.WriteDone)
 					} else {
-						x.next = x.c.Wrote(claim.WriteConflict)
+						x.next = x.c.HandleWrite(claim.WriteConflict)
 					}
 				case "lost":
 					write(m)
-					x.next = x.c.Wrote(claim.WriteUnknown)
+					x.next = x.c.HandleWrite(claim.WriteUnknown)
 				case "late":
 					late = append(late, func() { write(m) })
-					x.next = x.c.Wrote(claim.WriteUnknown)
+					x.next = x.c.HandleWrite(claim.WriteUnknown)
 				case "refused":
-					x.next = x.c.Wrote(claim.WriteRefused)
+					x.next = x.c.HandleWrite(claim.WriteRefused)
 				}
 			case claim.Read:
-				x.next = x.c.Found(obj.exists, obj.spec, obj.version, true)
+				x.next = x.c.HandleRead(obj.exists, obj.spec, obj.version, true)
 			case claim.RequestRelease:
 				released := false
 				for _, v := range vms {
@@ -149,7 +155,7 @@
 						released = v.attempts.Release(m.Spec.Request, m.Spec.Incarnation)
 					}
 				}
-				x.next = x.c.Answered(released, m.Version)
+				x.next = x.c.HandleRelease(released, m.Version)
 			case claim.Send:
 				if x.vm.attempts.Send(x.req) {
 					sends++
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -296,16 +296,16 @@
 		writeMoves(i, m, z, mutation, add)
 	case claim.Read:
 		add("reads the claim", func(n *claimState, c *claim.Claim) claim.Action {
-			return c.Found(n.exists, n.spec, n.version, !n.early(mutation))
+			return c.HandleRead(n.exists, n.spec, n.version, !n.early(mutation))
 		})
-		add("can't read the claim", func(_ *claimState, c *claim.Claim) claim.Action { return c.Unreadable() })
+		add("can't read the claim", func(_ *claimState, c *claim.Claim) claim.Action { return c.HandleReadError() })
 	case claim.RequestRelease:
 		add("asks the owner", func(n *claimState, c *claim.Claim) claim.Action {
-			return c.Answered(n.release(m.Spec, mutation), m.Version)
+			return c.HandleRelease(n.release(m.Spec, mutation), m.Version)
 		})
 		add("asks the owner, the answer is lost", func(n *claimState, c *claim.Claim) claim.Action {
 			n.release(m.Spec, mutation)
-			return c.Answered(false, m.Version)
+			return c.HandleRelease(false, m.Version)
 		})
 	case claim.Send:
 		add("sends", func(n *claimState, _ *claim.Claim) claim.Action {
@@ -330,27 +330,27 @@
 	add("writes its claim", func(n *claimState, c *claim.Claim) claim.Action {
 		switch {
 		case !n.write(m):
-			return c.Wrote(claim.WriteConflict)
+			return c.HandleWrite(claim.WriteConflict)
 		case n.early(mutation):
-			return c.Wrote(claim.WriteUnsettled)
+			return c.HandleWrite(claim.WriteUnsettled)
 		default:
-			return c.Wrote(claim.WriteDone)
+			return c.HandleWrite(claim.WriteDone)
 		}
 	})
 	add("writes its claim, the answer is lost", func(n *claimState, c *claim.Claim) claim.Action {
 		n.write(m)
 		if mutation == "no read-back" {
-			return c.Wrote(claim.WriteDone)
+			return c.HandleWrite(claim.WriteDone)
 		}
-		return c.Wrote(claim.WriteUnknown)
+		return c.HandleWrite(claim.WriteUnknown)
 	})
 	if z.late {
 		add("gives up waiting for its write", func(n *claimState, c *claim.Claim) claim.Action {
 			n.attempt[i].late, n.attempt[i].hasLate = m, true
-			return c.Wrote(claim.WriteUnknown)
+			return c.HandleWrite(claim.WriteUnknown)
 		})
 	}
-	add("has its write refused", func(_ *claimState, c *claim.Claim) claim.Action { return c.Wrote(claim.WriteRefused) })
+	add("has its write refused", func(_ *claimState, c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteRefused) })
 }
 
 // permits reports whether an attempt's claim still allows to send: its time is over before
