--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -99,7 +99,7 @@
 	s.Incarnation = k.owner.Incarnation
 	s.CreatedMS = api.UnixMilliseconds(time.Now())
 	if !k.settled() {
-		return nil, nil, k.refused(s, name, claim.Unsettled())
+		return nil, nil, k.refused(s, name, claim.UnsettledError())
 	}
 	k.add(s.Request)
 	p, a, err := k.course(ctx, name, s)
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -88,7 +88,7 @@
 	case WriteDone:
 		return Action{Kind: Send}
 	case WriteRefused:
-		return c.unavailable()
+		return c.refuseUnavailable()
 	case WriteUnsettled:
 		return c.abandon()
 	default:
@@ -98,27 +98,27 @@
 
 func (c *Claim) read() Action {
 	if c.readsLeft == 0 {
-		return c.unavailable()
+		return c.refuseUnavailable()
 	}
 	c.readsLeft--
 	return Action{Kind: Read}
 }
 
-// Unsettled refuses a request while claims may be lost that come before its own; nothing of
+// UnsettledError refuses a request while claims may be lost that come before its own; nothing of
 // it was sent.
-func Unsettled() *fault.Error {
+func UnsettledError() *fault.Error {
 	return fault.New(fault.ClaimUnavailable, "the platform came back from a copy; claims are being written again, and the request was not sent").After(retryAfter)
 }
 
-// unavailable refuses a request of which nothing was sent.
-func (c *Claim) unavailable() Action {
+// refuseUnavailable refuses a request of which nothing was sent.
+func (c *Claim) refuseUnavailable() Action {
 	f := fault.New(fault.ClaimUnavailable, "the claim could not be recorded; the request was not sent")
 	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
 // abandon gives a claim up that another one may have come before.
 func (c *Claim) abandon() Action {
-	m := c.unavailable()
+	m := c.refuseUnavailable()
 	m.Kind, m.Spec = Abandon, c.spec
 	m.Spec.State = api.ClaimStateAbandoned
 	return m
@@ -126,7 +126,7 @@
 
 // HandleReadError notes that the object could not be read.
 func (c *Claim) HandleReadError() Action {
-	return c.unavailable()
+	return c.refuseUnavailable()
 }
 
 // HandleRead takes the object as read; exists is false for none, and settled is false where
@@ -134,9 +134,9 @@
 func (c *Claim) HandleRead(exists bool, s api.ClaimSpec, v api.Version, settled bool) Action {
 	if !exists {
 		// The write may yet land; it is this attempt's and was not sent.
-		return c.unavailable()
+		return c.refuseUnavailable()
 	}
-	if c.own(s) {
+	if c.owns(s) {
 		if !settled {
 			return c.abandon()
 		}
@@ -152,25 +152,25 @@
 	case api.ClaimStateAbandoned:
 		return Action{Kind: TakeOver, Spec: c.spec, Version: v}
 	default:
-		return c.ask(s, v)
+		return c.requestRelease(s, v)
 	}
 }
 
-func (c *Claim) own(s api.ClaimSpec) bool {
+func (c *Claim) owns(s api.ClaimSpec) bool {
 	return s.State == api.ClaimStateClaimed && s.Owner == c.spec.Owner &&
 		s.Incarnation == c.spec.Incarnation && s.Request == c.spec.Request
 }
 
-func (c *Claim) ask(s api.ClaimSpec, v api.Version) Action {
+func (c *Claim) requestRelease(s api.ClaimSpec, v api.Version) Action {
 	if c.asked {
-		return c.held()
+		return c.refuseHeld()
 	}
 	c.asked = true
 	return Action{Kind: RequestRelease, Spec: s, Version: v}
 }
 
-// held refuses because an earlier attempt may have run or may yet run.
-func (c *Claim) held() Action {
+// refuseHeld refuses because an earlier attempt may have run or may yet run.
+func (c *Claim) refuseHeld() Action {
 	f := fault.New(fault.ClaimHeld, "an earlier attempt with this key has no known outcome")
 	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
@@ -179,7 +179,7 @@
 // attempt was not sent and never will be.
 func (c *Claim) HandleRelease(released bool, v api.Version) Action {
 	if !released {
-		return c.held()
+		return c.refuseHeld()
 	}
 	c.asked = false
 	return Action{Kind: TakeOver, Spec: c.spec, Version: v}
