--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -152,7 +152,7 @@
 func (k *Keeper) claimed(p *Permit) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.attempts.Claimed(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
+	k.attempts.SetClaim(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
 }
 
 func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
@@ -249,7 +249,7 @@
 func (p *Permit) Send() bool {
 	p.keeper.mutex.Lock()
 	defer p.keeper.mutex.Unlock()
-	return p.keeper.now().Before(p.until) && p.keeper.attempts.Send(p.spec.Request)
+	return p.keeper.now().Before(p.until) && p.keeper.attempts.TrySend(p.spec.Request)
 }
 
 // Unsent takes a send back that provably reached nobody, so that the request
@@ -283,7 +283,7 @@
 func (p *Permit) record(ctx context.Context, s api.ClaimSpec) {
 	k := p.keeper
 	k.mutex.Lock()
-	k.attempts.Over(s.Request, s)
+	k.attempts.SetOutcome(s.Request, s)
 	k.mutex.Unlock()
 	k.metrics.Add(metric.PlatformWrites, 1)
 	o, err := k.put(ctx, p.name, s, p.version, k.store.PutConfirmed)
@@ -294,6 +294,6 @@
 	k.seen(o.Version)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.attempts.Recorded(k.now(), s.Request)
+	k.attempts.MarkRecorded(k.now(), s.Request)
 	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
 }
--- a/internal/claims/restore.go
+++ b/internal/claims/restore.go
@@ -74,7 +74,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if !k.lost {
-		k.attempts.Forget(k.now(), answered)
+		k.attempts.Expire(k.now(), answered)
 		return k.eras.Era(), nil
 	}
 	k.lost = false
--- a/internal/decide/claim/attempts.go
+++ b/internal/decide/claim/attempts.go
@@ -30,88 +30,88 @@
 	Spec api.ClaimSpec
 }
 
-// rememberTime is how long an attempt is remembered whose outcome is recorded: a copy that
+// attemptRetention is how long an attempt is remembered whose outcome is recorded: a copy that
 // the platform comes back from is some seconds old, and has the claim without its outcome
 // or not at all. At 50 claims a second it is some 2 MB.
-const rememberTime = 2 * time.Minute
+const attemptRetention = 2 * time.Minute
 
 // Attempts knows which claimed requests of this life were sent. A request is added before
 // its claim is written and stays until its outcome has been recorded for so long that no
 // copy of the platform can lack it, so one that is not known was never sent or can be read.
 type Attempts struct {
 	incarnation api.Incarnation
-	states      map[api.RequestID]attempt
+	attempts    map[api.RequestID]attempt
 }
 
 // NewAttempts makes the attempts of one life.
 func NewAttempts(i api.Incarnation) *Attempts {
-	return &Attempts{incarnation: i, states: map[api.RequestID]attempt{}}
+	return &Attempts{incarnation: i, attempts: map[api.RequestID]attempt{}}
 }
 
 // Add notes an attempt whose claim is about to be written, or whose send reached nobody.
 func (a *Attempts) Add(r api.RequestID) {
-	x := a.states[r]
+	x := a.attempts[r]
 	x.progress = pending
-	a.states[r] = x
+	a.attempts[r] = x
 }
 
-// Claimed notes the claim that was written for an attempt.
-func (a *Attempts) Claimed(r api.RequestID, c Record) {
-	if x, ok := a.states[r]; ok {
+// SetClaim notes the claim that was written for an attempt.
+func (a *Attempts) SetClaim(r api.RequestID, c Record) {
+	if x, ok := a.attempts[r]; ok {
 		x.record = c
-		a.states[r] = x
+		a.attempts[r] = x
 	}
 }
 
-// Send reports whether the attempt may be sent, and notes that it is. It has
+// TrySend reports whether the attempt may be sent, and notes that it is. It has
 // to be asked at the last moment before the send.
-func (a *Attempts) Send(r api.RequestID) bool {
-	x, ok := a.states[r]
+func (a *Attempts) TrySend(r api.RequestID) bool {
+	x, ok := a.attempts[r]
 	if !ok || x.progress != pending {
 		return false
 	}
 	x.progress = sent
-	a.states[r] = x
+	a.attempts[r] = x
 	return true
 }
 
 // Remove forgets an attempt that was not sent.
 func (a *Attempts) Remove(r api.RequestID) {
-	delete(a.states, r)
+	delete(a.attempts, r)
 }
 
-// Over notes the outcome of an attempt that is about to be recorded. One that was abandoned
+// SetOutcome notes the outcome of an attempt that is about to be recorded. One that was abandoned
 // was not sent, and is forgotten.
-func (a *Attempts) Over(r api.RequestID, s api.ClaimSpec) {
-	x, ok := a.states[r]
+func (a *Attempts) SetOutcome(r api.RequestID, s api.ClaimSpec) {
+	x, ok := a.attempts[r]
 	if !ok {
 		return
 	}
 	if s.State == api.ClaimStateAbandoned {
-		delete(a.states, r)
+		delete(a.attempts, r)
 		return
 	}
 	x.record.Spec = s
-	a.states[r] = x
+	a.attempts[r] = x
 }
 
-// Recorded notes that the platform has the outcome of an attempt.
-func (a *Attempts) Recorded(now time.Time, r api.RequestID) {
-	if x, ok := a.states[r]; ok {
+// MarkRecorded notes that the platform has the outcome of an attempt.
+func (a *Attempts) MarkRecorded(now time.Time, r api.RequestID) {
+	if x, ok := a.attempts[r]; ok {
 		x.over = now
-		a.states[r] = x
+		a.attempts[r] = x
 	}
 }
 
-// Forget drops the attempts whose outcomes every copy has that the platform, which answered
+// Expire drops the attempts whose outcomes every copy has that the platform, which answered
 // for so long, may come back from.
-func (a *Attempts) Forget(now time.Time, answered time.Duration) {
-	if answered < rememberTime {
+func (a *Attempts) Expire(now time.Time, answered time.Duration) {
+	if answered < attemptRetention {
 		return
 	}
-	for r, x := range a.states {
-		if !x.over.IsZero() && now.Sub(x.over) > rememberTime {
-			delete(a.states, r)
+	for r, x := range a.attempts {
+		if !x.over.IsZero() && now.Sub(x.over) > attemptRetention {
+			delete(a.attempts, r)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 // lost them.
 func (a *Attempts) Records() []Record {
 	var l []Record
-	for _, x := range a.states {
+	for _, x := range a.attempts {
 		if x.record.Name != "" {
 			l = append(l, x.record)
 		}
@@ -137,14 +137,14 @@
 	if i != a.incarnation {
 		return false
 	}
-	if x, ok := a.states[r]; ok && x.progress == sent {
+	if x, ok := a.attempts[r]; ok && x.progress == sent {
 		return false
 	}
-	delete(a.states, r)
+	delete(a.attempts, r)
 	return true
 }
 
 // Len counts the attempts kept.
 func (a *Attempts) Len() int {
-	return len(a.states)
+	return len(a.attempts)
 }
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -76,7 +76,7 @@
 	if got := a.Release("r", 1); !got {
 		t.Fatalf("Release of an unsent attempt: got %v, want true", got)
 	}
-	if got := a.Send("r"); got {
+	if got := a.TrySend("r"); got {
 		t.Errorf("Send after a release: got %v, want false", got)
 	}
 }
@@ -84,7 +84,7 @@
 func TestSentAttemptIsNotReleased(t *testing.T) {
 	a := claim.NewAttempts(1)
 	a.Add("r")
-	a.Send("r")
+	a.TrySend("r")
 	if got := a.Release("r", 1); got {
 		t.Errorf("Release of a sent attempt: got %v, want false", got)
 	}
@@ -157,7 +157,7 @@
 				}
 				x.next = x.c.HandleRelease(released, m.Version)
 			case claim.Send:
-				if x.vm.attempts.Send(x.req) {
+				if x.vm.attempts.TrySend(x.req) {
 					sends++
 				}
 				x.next = claim.Action{Kind: claim.Replay}
--- a/internal/decide/claim/era_test.go
+++ b/internal/decide/claim/era_test.go
@@ -78,16 +78,16 @@
 	a := claim.NewAttempts(1)
 	s := api.ClaimSpec{Request: "r", Incarnation: 1, State: api.ClaimStateClaimed}
 	a.Add("r")
-	a.Claimed("r", claim.Record{Name: "c", Spec: s})
-	a.Send("r")
+	a.SetClaim("r", claim.Record{Name: "c", Spec: s})
+	a.TrySend("r")
 	s.State = api.ClaimStateDone
-	a.Over("r", s)
-	a.Recorded(began, "r")
-	a.Forget(began.Add(time.Hour), time.Second)
+	a.SetOutcome("r", s)
+	a.MarkRecorded(began, "r")
+	a.Expire(began.Add(time.Hour), time.Second)
 	if l := a.Records(); a.Release("r", 1) || len(l) != 1 || l[0].Spec.State != api.ClaimStateDone {
 		t.Errorf("while the platform may come back from a copy: got records %+v, want the outcome", l)
 	}
-	a.Forget(began.Add(time.Hour), time.Hour)
+	a.Expire(began.Add(time.Hour), time.Hour)
 	if got := a.Len(); got != 0 {
 		t.Errorf("long after: got %d attempts kept, want none", got)
 	}
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -243,10 +243,10 @@
 		if s.attempt[i].claimed > 0 {
 			c := s.claimSpec(i)
 			c.State = api.ClaimStateClaimed
-			r.Claimed(requestID(i), claim.Record{Name: "c", Spec: c})
+			r.SetClaim(requestID(i), claim.Record{Name: "c", Spec: c})
 		}
 		if s.attempt[i].progress == sent {
-			r.Send(requestID(i))
+			r.TrySend(requestID(i))
 		}
 	}
 	return r
@@ -309,7 +309,7 @@
 		})
 	case claim.Send:
 		add("sends", func(n *claimState, _ *claim.Claim) claim.Action {
-			ok := n.register(home[i]).Send(requestID(i)) && n.permits(i, mutation)
+			ok := n.register(home[i]).TrySend(requestID(i)) && n.permits(i, mutation)
 			if !ok && mutation != "no check before the send" {
 				return claim.Action{Kind: claim.Refuse}
 			}
