--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -54,7 +54,7 @@
 
 	mutex    sync.Mutex
 	attempts *claim.Attempts
-	eras     claim.Eras
+	eras     claim.EraTracker
 	// lost is set while claims are to be written again, since the platform came back from a
 	// copy.
 	lost bool
@@ -157,7 +157,7 @@
 
 func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
 	k.metrics.Add(metric.PlatformWrites, 1)
-	p.until = k.now().Add(claim.PermitTime)
+	p.until = k.now().Add(claim.PermitDuration)
 	o, err := k.put(ctx, p.name, m.Spec, m.Version, k.store.Put)
 	switch {
 	case err == nil:
--- a/internal/decide/claim/era.go
+++ b/internal/decide/claim/era.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// settleTime is how long after the first sight of a later era no request is claimed:
+	// rewriteTime is how long after the first sight of a later era no request is claimed:
 	// owners see the era within the longest pause after failed calls and a list, and have
 	// written again what the platform has lost.
-	settleTime = 6 * time.Second
-	// missingTime is how long nobody claims while an owner is missing: a caller that got no
+	rewriteTime = 6 * time.Second
+	// missingOwnerTime is how long nobody claims while an owner is missing: a caller that got no
 	// answer asks again within its deadline, below two minutes.
-	missingTime = 2 * time.Minute
-	// PermitTime is how long a claim allows to send, from when it was written: one that the
+	missingOwnerTime = 2 * time.Minute
+	// PermitDuration is how long a claim allows to send, from when it was written: one that the
 	// platform has lost must not be sent on when others may claim again.
-	PermitTime = 5 * time.Second
+	PermitDuration = 5 * time.Second
 )
 
-// Eras tells when the claims of an era can be relied on.
-type Eras struct {
+// EraTracker tells when the claims of an era can be relied on.
+type EraTracker struct {
 	known   bool
 	era     api.Era
 	entered time.Time
@@ -28,7 +28,7 @@
 
 // Enter notes the platform's era and reports whether it is a later one than was known, so
 // that what was claimed may be lost.
-func (x *Eras) Enter(now time.Time, e api.Era) bool {
+func (x *EraTracker) Enter(now time.Time, e api.Era) bool {
 	if x.known && e <= x.era {
 		return false
 	}
@@ -41,16 +41,16 @@
 // era whether every entry VM has written its claims again: one that is cut off may hold what
 // the platform has lost. In the first era nothing was ever lost; an entry VM that has just
 // started sees its first era then.
-func (x *Eras) Settled(now time.Time, all func(e api.Era) bool) bool {
+func (x *EraTracker) Settled(now time.Time, all func(e api.Era) bool) bool {
 	if !x.known || x.era == 0 {
 		return x.known
 	}
 	d := now.Sub(x.entered)
-	return d >= missingTime || d >= settleTime && all(x.era)
+	return d >= missingOwnerTime || d >= rewriteTime && all(x.era)
 }
 
 // Era is the platform's, as far as known.
-func (x *Eras) Era() api.Era {
+func (x *EraTracker) Era() api.Era {
 	return x.era
 }
 
--- a/internal/decide/claim/era_test.go
+++ b/internal/decide/claim/era_test.go
@@ -13,30 +13,30 @@
 func TestClaimsSettle(t *testing.T) {
 	tests := []struct {
 		name string
-		do   func(e *claim.Eras)
+		do   func(e *claim.EraTracker)
 		// after is how long after the last sight of an era they are asked.
 		after   time.Duration
 		missing bool
 		want    bool
 	}{
-		{"nothing known", func(*claim.Eras) {}, time.Hour, false, false},
-		{"a platform that never came back from a copy", func(e *claim.Eras) { e.Enter(began, 0) }, 0, true, true},
-		{"a VM that has just started", func(e *claim.Eras) { e.Enter(began, 3) }, 5 * time.Second, false, false},
-		{"and a while later", func(e *claim.Eras) { e.Enter(began, 3) }, 6 * time.Second, false, true},
-		{"a later era", func(e *claim.Eras) {
+		{"nothing known", func(*claim.EraTracker) {}, time.Hour, false, false},
+		{"a platform that never came back from a copy", func(e *claim.EraTracker) { e.Enter(began, 0) }, 0, true, true},
+		{"a VM that has just started", func(e *claim.EraTracker) { e.Enter(began, 3) }, 5 * time.Second, false, false},
+		{"and a while later", func(e *claim.EraTracker) { e.Enter(began, 3) }, 6 * time.Second, false, true},
+		{"a later era", func(e *claim.EraTracker) {
 			e.Enter(began.Add(-time.Hour), 0)
 			e.Enter(began, 1)
 		}, 5 * time.Second, false, false},
-		{"the same one again", func(e *claim.Eras) {
+		{"the same one again", func(e *claim.EraTracker) {
 			e.Enter(began.Add(-time.Hour), 1)
 			e.Enter(began, 1)
 		}, 0, false, true},
-		{"an owner is missing", func(e *claim.Eras) { e.Enter(began, 3) }, 100 * time.Second, true, false},
-		{"and is for good", func(e *claim.Eras) { e.Enter(began, 3) }, 120 * time.Second, true, true},
+		{"an owner is missing", func(e *claim.EraTracker) { e.Enter(began, 3) }, 100 * time.Second, true, false},
+		{"and is for good", func(e *claim.EraTracker) { e.Enter(began, 3) }, 120 * time.Second, true, true},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			var e claim.Eras
+			var e claim.EraTracker
 			c.do(&e)
 			if got := e.Settled(began.Add(c.after), func(api.Era) bool { return !c.missing }); got != c.want {
 				t.Errorf("settled: got %v, want %v", got, c.want)
