--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -14,7 +14,7 @@
 	return api.ClaimSpec{Workspace: "w", Owner: owner, Incarnation: 1, Request: r, State: api.ClaimStateClaimed, BodyHash: "h"}
 }
 
-func TestCourses(t *testing.T) {
+func TestNextAction(t *testing.T) {
 	mine := spec("a", "r1")
 	other := spec("b", "r0")
 	done := other
@@ -115,7 +115,7 @@
 func TestSentAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := []*vm{{"a", claim.NewAttempts(1)}, {"b", claim.NewAttempts(1)}, {"c", claim.NewAttempts(1)}}
-		lives := map[api.VMName]api.Incarnation{"a": 1, "b": 1, "c": 1}
+		incarnations := map[api.VMName]api.Incarnation{"a": 1, "b": 1, "c": 1}
 		var obj record
 		var late []func()
 		var courses []*course
@@ -169,7 +169,7 @@
 				v := rapid.SampledFrom(vms).Draw(t, "vm")
 				r := api.RequestID(rune('A' + n))
 				s := spec(v.name, r)
-				s.Incarnation = lives[v.name]
+				s.Incarnation = incarnations[v.name]
 				v.attempts.Add(r)
 				c := claim.New(s)
 				courses = append(courses, &course{vm: v, c: c, req: r, next: c.Begin()})
@@ -184,8 +184,8 @@
 				}
 			case "restart":
 				v := rapid.SampledFrom(vms).Draw(t, "vm")
-				lives[v.name]++
-				v.attempts = claim.NewAttempts(lives[v.name])
+				incarnations[v.name]++
+				v.attempts = claim.NewAttempts(incarnations[v.name])
 				kept := courses[:0]
 				for _, x := range courses {
 					if x.vm != v {
--- a/internal/decide/claim/era_test.go
+++ b/internal/decide/claim/era_test.go
@@ -10,7 +10,7 @@
 
 var began = time.Unix(1000, 0)
 
-func TestClaimsSettle(t *testing.T) {
+func TestClaimsAreUnsettledAfterRestore(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(e *claim.EraTracker)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestOwnersWriteAgain(t *testing.T) {
+func TestRewriteOfLostClaims(t *testing.T) {
 	own := api.ClaimSpec{Request: "r", Incarnation: 1, State: api.ClaimStateDone}
 	earlier, other := own, api.ClaimSpec{Request: "s", Incarnation: 1, State: api.ClaimStateClaimed}
 	earlier.State = api.ClaimStateClaimed
@@ -74,7 +74,7 @@
 }
 
 // What was sent is not given up for others once its outcome is recorded.
-func TestRecordedAttemptsAreRemembered(t *testing.T) {
+func TestRecordedAttemptIsNotReleased(t *testing.T) {
 	a := claim.NewAttempts(1)
 	s := api.ClaimSpec{Request: "r", Incarnation: 1, State: api.ClaimStateClaimed}
 	a.Add("r")
