--- a/internal/decide/claim/attempts.go
+++ b/internal/decide/claim/attempts.go
@@ -20,8 +20,8 @@
 type attempt struct {
 	progress progress
 	record   Record
-	// over is when its outcome was recorded, zero until then.
-	over time.Time
+	// recordedAt is when its outcome was recorded, zero until then.
+	recordedAt time.Time
 }
 
 // Record is a claim as its owner has written it.
@@ -98,7 +98,7 @@
 // MarkRecorded notes that the platform has the outcome of an attempt.
 func (a *Attempts) MarkRecorded(now time.Time, r api.RequestID) {
 	if x, ok := a.attempts[r]; ok {
-		x.over = now
+		x.recordedAt = now
 		a.attempts[r] = x
 	}
 }
@@ -110,7 +110,7 @@
 		return
 	}
 	for r, x := range a.attempts {
-		if !x.over.IsZero() && now.Sub(x.over) > attemptRetention {
+		if !x.recordedAt.IsZero() && now.Sub(x.recordedAt) > attemptRetention {
 			delete(a.attempts, r)
 		}
 	}
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -66,9 +66,9 @@
 
 // Claim is the course of one request's claim.
 type Claim struct {
-	spec      api.ClaimSpec
-	readsLeft int
-	asked     bool
+	spec             api.ClaimSpec
+	readsLeft        int
+	releaseRequested bool
 }
 
 // New starts the course of a claim with the record that this attempt wants.
@@ -162,10 +162,10 @@
 }
 
 func (c *Claim) requestRelease(s api.ClaimSpec, v api.Version) Action {
-	if c.asked {
+	if c.releaseRequested {
 		return c.refuseHeld()
 	}
-	c.asked = true
+	c.releaseRequested = true
 	return Action{Kind: RequestRelease, Spec: s, Version: v}
 }
 
@@ -181,6 +181,6 @@
 	if !released {
 		return c.refuseHeld()
 	}
-	c.asked = false
+	c.releaseRequested = false
 	return Action{Kind: TakeOver, Spec: c.spec, Version: v}
 }
