--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -25,7 +25,7 @@
 	reused.BodyHash = "x"
 	tests := []struct {
 		name     string
-		course   func(c *claim.Claim) claim.Action
+		steps    func(c *claim.Claim) claim.Action
 		want     claim.Kind
 		wantCode fault.Code
 		wantRan  api.Ran
@@ -56,7 +56,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := claim.New(mine)
 			c.Begin()
-			m := x.course(c)
+			m := x.steps(c)
 			if m.Kind != x.want {
 				t.Fatalf("move: got %d, want %d", m.Kind, x.want)
 			}
@@ -117,8 +117,8 @@
 		vms := []*vm{{"a", claim.NewAttempts(1)}, {"b", claim.NewAttempts(1)}, {"c", claim.NewAttempts(1)}}
 		incarnations := map[api.VMName]api.Incarnation{"a": 1, "b": 1, "c": 1}
 		var obj record
-		var late []func()
-		var courses []*course
+		var delayed []func()
+		var requests []*course
 		sends := 0
 		write := func(m claim.Action) bool {
 			if m.Version != obj.version {
@@ -141,7 +141,7 @@
 					write(m)
 					x.next = x.c.HandleWrite(claim.WriteUnknown)
 				case "late":
-					late = append(late, func() { write(m) })
+					delayed = append(delayed, func() { write(m) })
 					x.next = x.c.HandleWrite(claim.WriteUnknown)
 				case "refused":
 					x.next = x.c.HandleWrite(claim.WriteRefused)
@@ -172,27 +172,27 @@
 				s.Incarnation = incarnations[v.name]
 				v.attempts.Add(r)
 				c := claim.New(s)
-				courses = append(courses, &course{vm: v, c: c, req: r, next: c.Begin()})
+				requests = append(requests, &course{vm: v, c: c, req: r, next: c.Begin()})
 			case "step":
-				if len(courses) > 0 {
-					step(rapid.SampledFrom(courses).Draw(t, "course"))
+				if len(requests) > 0 {
+					step(rapid.SampledFrom(requests).Draw(t, "course"))
 				}
 			case "land":
-				if len(late) > 0 {
-					late[0]()
-					late = late[1:]
+				if len(delayed) > 0 {
+					delayed[0]()
+					delayed = delayed[1:]
 				}
 			case "restart":
 				v := rapid.SampledFrom(vms).Draw(t, "vm")
 				incarnations[v.name]++
 				v.attempts = claim.NewAttempts(incarnations[v.name])
-				kept := courses[:0]
-				for _, x := range courses {
+				kept := requests[:0]
+				for _, x := range requests {
 					if x.vm != v {
 						kept = append(kept, x)
 					}
 				}
-				courses = kept
+				requests = kept
 			}
 			if sends > 1 {
 				t.Fatalf("sent %d times", sends)
