--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -99,7 +99,7 @@
 	attempts *claim.Attempts
 }
 
-type course struct {
+type request struct {
 	vm   *vm
 	c    *claim.Claim
 	req  api.RequestID
@@ -118,7 +118,7 @@
 		incarnations := map[api.VMName]api.Incarnation{"a": 1, "b": 1, "c": 1}
 		var obj record
 		var delayed []func()
-		var requests []*course
+		var requests []*request
 		sends := 0
 		write := func(m claim.Action) bool {
 			if m.Version != obj.version {
@@ -127,7 +127,7 @@
 			obj = record{exists: true, spec: m.Spec, version: obj.version + 1}
 			return true
 		}
-		step := func(x *course) {
+		step := func(x *request) {
 			switch m := x.next; m.Kind {
 			case claim.Create, claim.TakeOver:
 				switch rapid.SampledFrom([]string{"ok", "ok", "lost", "late", "refused"}).Draw(t, "write") {
@@ -172,7 +172,7 @@
 				s.Incarnation = incarnations[v.name]
 				v.attempts.Add(r)
 				c := claim.New(s)
-				requests = append(requests, &course{vm: v, c: c, req: r, next: c.Begin()})
+				requests = append(requests, &request{vm: v, c: c, req: r, next: c.Begin()})
 			case "step":
 				if len(requests) > 0 {
 					step(rapid.SampledFrom(requests).Draw(t, "course"))
