--- a/internal/decide/claim/attempts.go
+++ b/internal/decide/claim/attempts.go
@@ -8,7 +8,7 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// progress is how far an attempt of this life of the entry VM has come.
+// progress is the state of an attempt made by this incarnation of the entry VM.
 type progress int
 
 const (
@@ -20,42 +20,43 @@
 type attempt struct {
 	progress progress
 	record   Record
-	// recordedAt is when its outcome was recorded, zero until then.
+	// recordedAt is when the platform recorded the outcome; zero until then.
 	recordedAt time.Time
 }
 
-// Record is a claim as its owner has written it.
+// Record is a claim as its owner last wrote it.
 type Record struct {
 	Name string
 	Spec api.ClaimSpec
 }
 
-// attemptRetention is how long an attempt is remembered whose outcome is recorded: a copy that
-// the platform comes back from is some seconds old, and has the claim without its outcome
-// or not at all. At 50 claims a second it is some 2 MB.
+// attemptRetention is how long an attempt is remembered after its outcome was recorded. A
+// backup that the platform is restored from is some seconds old, and lacks the claim or its
+// outcome. At 50 claims a second the attempts take about 2 MB.
 const attemptRetention = 2 * time.Minute
 
-// Attempts knows which claimed requests of this life were sent. A request is added before
-// its claim is written and stays until its outcome has been recorded for so long that no
-// copy of the platform can lack it, so one that is not known was never sent or can be read.
+// Attempts tracks which claimed requests of this incarnation were sent. A request is added
+// before its claim is written and stays until every backup of the platform has its outcome,
+// so an unknown request was never sent, or its outcome can be read from the platform.
 type Attempts struct {
 	incarnation api.Incarnation
 	attempts    map[api.RequestID]attempt
 }
 
-// NewAttempts makes the attempts of one life.
+// NewAttempts makes an empty set of attempts for one incarnation of the entry VM.
 func NewAttempts(i api.Incarnation) *Attempts {
 	return &Attempts{incarnation: i, attempts: map[api.RequestID]attempt{}}
 }
 
-// Add notes an attempt whose claim is about to be written, or whose send reached nobody.
+// Add records an attempt as not sent: its claim is about to be written, or its send reached
+// no server.
 func (a *Attempts) Add(r api.RequestID) {
 	x := a.attempts[r]
 	x.progress = pending
 	a.attempts[r] = x
 }
 
-// SetClaim notes the claim that was written for an attempt.
+// SetClaim stores the claim that was written for an attempt.
 func (a *Attempts) SetClaim(r api.RequestID, c Record) {
 	if x, ok := a.attempts[r]; ok {
 		x.record = c
@@ -63,8 +64,8 @@
 	}
 }
 
-// TrySend reports whether the attempt may be sent, and notes that it is. It has
-// to be asked at the last moment before the send.
+// TrySend reports whether the attempt may be sent, and if so marks it as sent. It must be
+// called immediately before the send.
 func (a *Attempts) TrySend(r api.RequestID) bool {
 	x, ok := a.attempts[r]
 	if !ok || x.progress != pending {
@@ -80,8 +81,8 @@
 	delete(a.attempts, r)
 }
 
-// SetOutcome notes the outcome of an attempt that is about to be recorded. One that was abandoned
-// was not sent, and is forgotten.
+// SetOutcome stores the outcome of an attempt, which the caller is about to record at the
+// platform. An abandoned attempt was not sent and is forgotten.
 func (a *Attempts) SetOutcome(r api.RequestID, s api.ClaimSpec) {
 	x, ok := a.attempts[r]
 	if !ok {
@@ -95,7 +96,7 @@
 	a.attempts[r] = x
 }
 
-// MarkRecorded notes that the platform has the outcome of an attempt.
+// MarkRecorded notes that the platform has recorded the outcome of an attempt.
 func (a *Attempts) MarkRecorded(now time.Time, r api.RequestID) {
 	if x, ok := a.attempts[r]; ok {
 		x.recordedAt = now
@@ -103,8 +104,8 @@
 	}
 }
 
-// Expire drops the attempts whose outcomes every copy has that the platform, which answered
-// for so long, may come back from.
+// Expire drops the attempts whose outcomes are in every backup that the platform may be
+// restored from. It drops none before the platform has answered for the retention time.
 func (a *Attempts) Expire(now time.Time, answered time.Duration) {
 	if answered < attemptRetention {
 		return
@@ -116,8 +117,8 @@
 	}
 }
 
-// Records gives the claims that were written, in order of name, for a platform that may have
-// lost them.
+// Records returns the claims that were written, in order of name, to write them again to a
+// platform that may have lost them.
 func (a *Attempts) Records() []Record {
 	var l []Record
 	for _, x := range a.attempts {
@@ -131,8 +132,9 @@
 	return l
 }
 
-// Release gives an attempt up for another entry VM and reports whether it was
-// not sent and never will be. Another life's attempts can't be answered for.
+// Release gives up an attempt at the request of another entry VM, and reports whether it was
+// not sent and never will be. It reports false for attempts of another incarnation, of which
+// nothing is known here.
 func (a *Attempts) Release(r api.RequestID, i api.Incarnation) bool {
 	if i != a.incarnation {
 		return false
@@ -144,7 +146,7 @@
 	return true
 }
 
-// Len counts the attempts kept.
+// Len counts the attempts that are remembered.
 func (a *Attempts) Len() int {
 	return len(a.attempts)
 }
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -7,32 +7,32 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Kind tells what to do next for a claimed request.
+// Kind is the kind of an action.
 type Kind int
 
-// Kinds of moves.
+// Kinds of actions.
 const (
-	// Create creates the claim's object with Spec if there is none.
+	// Create creates the claim's object with Spec, provided that there is none.
 	Create Kind = iota
 	// Read reads the claim's object.
 	Read
-	// RequestRelease asks the claim's owner to give an unsent attempt up.
+	// RequestRelease asks the claim's owner to give up its attempt, if that was not sent.
 	RequestRelease
-	// TakeOver replaces the claim at Version by Spec.
+	// TakeOver replaces the claim by Spec, provided that it is still at Version.
 	TakeOver
-	// Send sends the request, if the attempt is still allowed to.
+	// Send sends the request, provided that the attempt may still be sent.
 	Send
-	// Replay answers with the kept answer of the first attempt.
+	// Replay answers with the stored answer of an earlier attempt, which is in Spec.
 	Replay
 	// Refuse answers with Fault.
 	Refuse
 	// Abandon records that the request was not sent, and answers with Fault.
 	Abandon
-	// NoChange leaves the object as it is.
+	// NoChange leaves the claim's object as it is.
 	NoChange
 )
 
-// Action is the next thing to do.
+// Action is the next step for a claimed request; Kind tells which of the other fields it uses.
 type Action struct {
 	Kind    Kind
 	Spec    api.ClaimSpec
@@ -40,49 +40,50 @@
 	Fault   *fault.Error
 }
 
-// WriteResult is the outcome of a conditional write.
+// WriteResult is the result of a conditional write of a claim.
 type WriteResult int
 
-// Outcomes of writes.
+// Results of writes.
 const (
 	// WriteDone means that the write took effect.
 	WriteDone WriteResult = iota
-	// WriteConflict means that the object is not at the version expected.
+	// WriteConflict means that the object is not at the expected version.
 	WriteConflict
-	// WriteUnknown means that the write may have taken effect or may yet.
+	// WriteUnknown means that the write may have taken effect or may still do so.
 	WriteUnknown
-	// WriteRefused means that the write did not and will not take effect.
+	// WriteRefused means that the write did not take effect and never will.
 	WriteRefused
-	// WriteUnsettled means that the write took effect, in an era in which owners may not have written
-	// again yet what the platform has lost.
+	// WriteUnsettled means that the write took effect, but in an era in which owners may not
+	// yet have rewritten the claims that the platform has lost.
 	WriteUnsettled
 )
 
-// retryAfter is when a caller may ask again about a claim that is held.
+// retryAfter is how long a caller whose request is refused should wait before a retry.
 const retryAfter = 2 * time.Second
 
-// maxReads bounds how often a claim that changes under the reader is read.
+// maxReads bounds the reads of a claim that changes between the read and the write.
 const maxReads = 4
 
-// Claim is the course of one request's claim.
+// Claim is the state machine that makes the claim of one request. Begin gives the first
+// action; the Handle methods take the result of an action and give the next.
 type Claim struct {
 	spec             api.ClaimSpec
 	readsLeft        int
 	releaseRequested bool
 }
 
-// New starts the course of a claim with the record that this attempt wants.
+// New makes the state machine of an attempt that is to claim its request by s.
 func New(s api.ClaimSpec) *Claim {
 	s.State = api.ClaimStateClaimed
 	return &Claim{spec: s, readsLeft: maxReads}
 }
 
-// Begin gives the first move.
+// Begin gives the first action.
 func (c *Claim) Begin() Action {
 	return Action{Kind: Create, Spec: c.spec}
 }
 
-// HandleWrite takes the outcome of a create or a take-over.
+// HandleWrite takes the result of a create or a take-over.
 func (c *Claim) HandleWrite(w WriteResult) Action {
 	switch w {
 	case WriteDone:
@@ -104,19 +105,19 @@
 	return Action{Kind: Read}
 }
 
-// UnsettledError refuses a request while claims may be lost that come before its own; nothing of
-// it was sent.
+// UnsettledError is the refusal of a request, not sent, while the platform may have lost an
+// earlier claim of the same key.
 func UnsettledError() *fault.Error {
-	return fault.New(fault.ClaimUnavailable, "the platform came back from a copy; claims are being written again, and the request was not sent").After(retryAfter)
+	return fault.New(fault.ClaimUnavailable, "the platform was restored from a backup and claims are being rewritten; the request was not sent").After(retryAfter)
 }
 
-// refuseUnavailable refuses a request of which nothing was sent.
+// refuseUnavailable refuses a request that was not sent, as it could not be claimed.
 func (c *Claim) refuseUnavailable() Action {
 	f := fault.New(fault.ClaimUnavailable, "the claim could not be recorded; the request was not sent")
 	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
-// abandon gives a claim up that another one may have come before.
+// abandon gives up a claim, as the platform may have lost an earlier one of the same key.
 func (c *Claim) abandon() Action {
 	m := c.refuseUnavailable()
 	m.Kind, m.Spec = Abandon, c.spec
@@ -124,16 +125,16 @@
 	return m
 }
 
-// HandleReadError notes that the object could not be read.
+// HandleReadError takes a failure to read the claim's object.
 func (c *Claim) HandleReadError() Action {
 	return c.refuseUnavailable()
 }
 
-// HandleRead takes the object as read; exists is false for none, and settled is false where
-// another claim may have come before it that the platform has lost.
+// HandleRead takes the object as read. Without exists there is none; without settled the
+// platform may have lost an earlier claim of the same key.
 func (c *Claim) HandleRead(exists bool, s api.ClaimSpec, v api.Version, settled bool) Action {
 	if !exists {
-		// The write may yet land; it is this attempt's and was not sent.
+		// The write of this attempt may still take effect. The request was not sent.
 		return c.refuseUnavailable()
 	}
 	if c.owns(s) {
@@ -169,14 +170,14 @@
 	return Action{Kind: RequestRelease, Spec: s, Version: v}
 }
 
-// refuseHeld refuses because an earlier attempt may have run or may yet run.
+// refuseHeld refuses a request of which an earlier attempt may have run or may still run.
 func (c *Claim) refuseHeld() Action {
 	f := fault.New(fault.ClaimHeld, "an earlier attempt with this key has no known outcome")
 	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
-// HandleRelease takes the owner's answer; released is true only if the owner's
-// attempt was not sent and never will be.
+// HandleRelease takes the owner's answer to a request for release; released is true only if
+// the owner's attempt was not sent and never will be.
 func (c *Claim) HandleRelease(released bool, v api.Version) Action {
 	if !released {
 		return c.refuseHeld()
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -32,21 +32,21 @@
 	}{
 		{"created", func(c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteDone) }, claim.Send, 0, ""},
 		{"platform refuses", func(c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteRefused) }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"answer lost", func(c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteUnknown) }, claim.Read, 0, ""},
-		{"lost, then read as mine", func(c *claim.Claim) claim.Action {
+		{"write with an unknown result", func(c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteUnknown) }, claim.Read, 0, ""},
+		{"unknown write that took effect", func(c *claim.Claim) claim.Action {
 			c.HandleWrite(claim.WriteUnknown)
 			return c.HandleRead(true, mine, 1, true)
 		}, claim.Send, 0, ""},
-		{"lost, then not there", func(c *claim.Claim) claim.Action {
+		{"unknown write that has not taken effect", func(c *claim.Claim) claim.Action {
 			c.HandleWrite(claim.WriteUnknown)
 			return c.HandleRead(false, api.ClaimSpec{}, 0, true)
 		}, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"lost, then unreadable", func(c *claim.Claim) claim.Action { c.HandleWrite(claim.WriteUnknown); return c.HandleReadError() }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
-		{"done before", func(c *claim.Claim) claim.Action { return c.HandleRead(true, done, 1, true) }, claim.Replay, 0, ""},
-		{"abandoned before", func(c *claim.Claim) claim.Action { return c.HandleRead(true, abandoned, 1, true) }, claim.TakeOver, 0, ""},
-		{"another body", func(c *claim.Claim) claim.Action { return c.HandleRead(true, reused, 1, true) }, claim.Refuse, fault.ReusedKey, api.RanNo},
-		{"held by another", func(c *claim.Claim) claim.Action { return c.HandleRead(true, other, 1, true) }, claim.RequestRelease, 0, ""},
-		{"owner released it", func(c *claim.Claim) claim.Action { c.HandleRead(true, other, 1, true); return c.HandleRelease(true, 1) }, claim.TakeOver, 0, ""},
+		{"unknown write, then a failed read", func(c *claim.Claim) claim.Action { c.HandleWrite(claim.WriteUnknown); return c.HandleReadError() }, claim.Refuse, fault.ClaimUnavailable, api.RanNo},
+		{"earlier attempt is done", func(c *claim.Claim) claim.Action { return c.HandleRead(true, done, 1, true) }, claim.Replay, 0, ""},
+		{"earlier attempt was abandoned", func(c *claim.Claim) claim.Action { return c.HandleRead(true, abandoned, 1, true) }, claim.TakeOver, 0, ""},
+		{"key reused with another body", func(c *claim.Claim) claim.Action { return c.HandleRead(true, reused, 1, true) }, claim.Refuse, fault.ReusedKey, api.RanNo},
+		{"held by another owner", func(c *claim.Claim) claim.Action { return c.HandleRead(true, other, 1, true) }, claim.RequestRelease, 0, ""},
+		{"owner releases it", func(c *claim.Claim) claim.Action { c.HandleRead(true, other, 1, true); return c.HandleRelease(true, 1) }, claim.TakeOver, 0, ""},
 		{"owner keeps it", func(c *claim.Claim) claim.Action {
 			c.HandleRead(true, other, 1, true)
 			return c.HandleRelease(false, 1)
@@ -58,7 +58,7 @@
 			c.Begin()
 			m := x.steps(c)
 			if m.Kind != x.want {
-				t.Fatalf("move: got %d, want %d", m.Kind, x.want)
+				t.Fatalf("action: got %d, want %d", m.Kind, x.want)
 			}
 			if m.Kind != claim.Refuse {
 				return
@@ -89,11 +89,11 @@
 		t.Errorf("Release of a sent attempt: got %v, want false", got)
 	}
 	if got := a.Release("other", 2); got {
-		t.Errorf("Release for another life: got %v, want false", got)
+		t.Errorf("Release for another incarnation: got %v, want false", got)
 	}
 }
 
-// vm is one entry VM of the random runs; its next step may be held up for ever.
+// vm is one entry VM of the random runs. The next step of its requests may never come.
 type vm struct {
 	name     api.VMName
 	attempts *claim.Attempts
@@ -195,7 +195,7 @@
 				requests = kept
 			}
 			if sends > 1 {
-				t.Fatalf("sent %d times", sends)
+				t.Fatalf("got the request sent %d times, want at most once", sends)
 			}
 		}
 	})
--- a/internal/decide/claim/era.go
+++ b/internal/decide/claim/era.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// rewriteTime is how long after the first sight of a later era no request is claimed:
-	// owners see the era within the longest pause after failed calls and a list, and have
-	// written again what the platform has lost.
+	// rewriteTime is how long no request is claimed after a later era was first seen. Within
+	// it owners notice the era, at the latest after the longest pause between failed calls and
+	// one list, and rewrite the claims that the platform has lost.
 	rewriteTime = 6 * time.Second
-	// missingOwnerTime is how long nobody claims while an owner is missing: a caller that got no
-	// answer asks again within its deadline, below two minutes.
+	// missingOwnerTime is how long no request is claimed while an owner is missing. A caller
+	// without an answer retries within its deadline, which is below two minutes.
 	missingOwnerTime = 2 * time.Minute
-	// PermitDuration is how long a claim allows to send, from when it was written: one that the
-	// platform has lost must not be sent on when others may claim again.
+	// PermitDuration is how long after the write of a claim its request may be sent. A claim
+	// that the platform has lost must not permit a send once others may claim the request.
 	PermitDuration = 5 * time.Second
 )
 
-// EraTracker tells when the claims of an era can be relied on.
+// EraTracker tracks the platform's era, and whether the claims in it are complete. The platform
+// enters a later era when it is restored from a backup, which may lack the latest claims.
 type EraTracker struct {
 	known   bool
 	era     api.Era
 	entered time.Time
 }
 
-// Enter notes the platform's era and reports whether it is a later one than was known, so
-// that what was claimed may be lost.
+// Enter notes the platform's era and reports whether it is later than the one known before,
+// in which case claims may be lost.
 func (x *EraTracker) Enter(now time.Time, e api.Era) bool {
 	if x.known && e <= x.era {
 		return false
@@ -37,10 +38,10 @@
 	return later
 }
 
-// Settled reports whether a claim that is not there was not made either; all tells for an
-// era whether every entry VM has written its claims again: one that is cut off may hold what
-// the platform has lost. In the first era nothing was ever lost; an entry VM that has just
-// started sees its first era then.
+// Settled reports whether a claim that the platform lacks was never made. all reports whether
+// every entry VM has rewritten its claims in an era; one that can't be reached may own claims
+// that the platform has lost. In era 0 none were lost; in a later one, the time counts from
+// when this entry VM first saw the era, also if it has just started.
 func (x *EraTracker) Settled(now time.Time, all func(e api.Era) bool) bool {
 	if !x.known || x.era == 0 {
 		return x.known
@@ -49,13 +50,14 @@
 	return d >= missingOwnerTime || d >= rewriteTime && all(x.era)
 }
 
-// Era is the platform's, as far as known.
+// Era is the latest era of the platform that was seen.
 func (x *EraTracker) Era() api.Era {
 	return x.era
 }
 
-// Rewrite decides how an owner's claim is written again to a platform that holds another one
-// or none. It gives Create, TakeOver or AskOwner, and Keep where nothing can be done.
+// Rewrite decides how an owner rewrites its claim after the platform was restored, given the
+// claim found there, if any. It gives Create, TakeOver or RequestRelease, and NoChange where
+// the claim is up to date or another attempt is done.
 func Rewrite(own api.ClaimSpec, exists bool, found api.ClaimSpec, v api.Version) Action {
 	switch {
 	case !exists:
