--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -176,9 +176,9 @@
 // BenchmarkLease is one look at a held lease.
 func BenchmarkLease(b *testing.B) {
 	l := lease.New(lease.Owner{VM: "a"}, lease.Timing{Duration: 6 * time.Second, Skew: time.Second})
-	l.Observed(epoch, lease.Object{})
+	l.HandleRead(epoch, lease.Object{})
 	l.Step(epoch)
-	l.Written(1)
+	l.HandleWritten(1)
 	for range b.N {
 		l.Step(epoch)
 		l.Held(epoch)
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -25,8 +25,8 @@
 
 // Kinds of actions.
 const (
-	// Nothing has to be done now.
-	Nothing Kind = iota
+	// None has to be done now.
+	None Kind = iota
 	// Read reads the object.
 	Read
 	// Write writes Spec if the object still has Version.
@@ -84,13 +84,13 @@
 	return &Lease{owner: o, timing: t, wanted: true}
 }
 
-// Want tells whether this entry VM wants to hold the lease.
-func (l *Lease) Want(w bool) {
+// SetWanted tells whether this entry VM wants to hold the lease.
+func (l *Lease) SetWanted(w bool) {
 	l.wanted = w
 }
 
-// renewals is how many times a holder may renew within one duration.
-const renewals = 3
+// renewalsPerDuration is how many times a holder may renew within one duration.
+const renewalsPerDuration = 3
 
 // Step gives the next call, if one is due.
 func (l *Lease) Step(now time.Time) Action {
@@ -105,7 +105,7 @@
 		return l.renew(now)
 	case l.free(now):
 		return l.write(now, l.taken())
-	case now.Sub(l.read) >= l.timing.Duration/renewals:
+	case now.Sub(l.read) >= l.timing.Duration/renewalsPerDuration:
 		return Action{Kind: Read}
 	default:
 		return Action{}
@@ -137,7 +137,7 @@
 }
 
 func (l *Lease) renew(now time.Time) Action {
-	if !l.until.IsZero() && l.until.Sub(now) > l.timing.Duration*(renewals-1)/renewals {
+	if !l.until.IsZero() && l.until.Sub(now) > l.timing.Duration*(renewalsPerDuration-1)/renewalsPerDuration {
 		return Action{}
 	}
 	s := l.spec
@@ -182,8 +182,8 @@
 	return Action{Kind: Write, Spec: s, Version: l.version}
 }
 
-// Observed takes the object as read at a time.
-func (l *Lease) Observed(now time.Time, o Object) {
+// HandleRead takes the object as read at a time.
+func (l *Lease) HandleRead(now time.Time, o Object) {
 	l.read = now
 	later := l.enter(now, o.Era)
 	if !l.known || l.exists != o.Exists || l.version != o.Version {
@@ -229,17 +229,17 @@
 	}
 }
 
-// Written takes the version of a write that was answered as done. One that was carried out
+// HandleWritten takes the version of a write that was answered as done. One that was carried out
 // in a later era than it was decided in is no hold: its condition, that there is none or a
 // certain version, said nothing of who holds by what the platform has lost.
-func (l *Lease) Written(v api.Version) {
+func (l *Lease) HandleWritten(v api.Version) {
 	s := l.pending
 	if s.DurationMS == 0 {
 		return
 	}
 	if v.Era() != l.era {
 		l.pending = api.LeaseSpec{}
-		l.Unsettled()
+		l.Invalidate()
 		return
 	}
 	l.lapsed = false
@@ -252,9 +252,9 @@
 	l.settle(s)
 }
 
-// Unsettled notes that a write failed or that its answer was lost; the object
+// Invalidate notes that a write failed or that its answer was lost; the object
 // is read back before anything else.
-func (l *Lease) Unsettled() {
+func (l *Lease) Invalidate() {
 	l.known = false
 }
 
@@ -267,7 +267,7 @@
 	return l.spec.Fence, true
 }
 
-// Until is the end of the own hold; zero when there is none.
-func (l *Lease) Until() time.Time {
+// HeldUntil is the end of the own hold; zero when there is none.
+func (l *Lease) HeldUntil() time.Time {
 	return l.until
 }
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -32,7 +32,7 @@
 }
 
 func (s *store) read(now time.Time, l *lease.Lease) {
-	l.Observed(now, lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version})
+	l.HandleRead(now, lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version})
 }
 
 // turn carries out one step whose answer arrives at once.
@@ -43,9 +43,9 @@
 		s.read(now, l)
 	case lease.Write:
 		if s.write(a) {
-			l.Written(s.version)
+			l.HandleWritten(s.version)
 		} else {
-			l.Unsettled()
+			l.Invalidate()
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	a := l.Step(epoch)
 	s.write(a)
 	// The answer is four seconds late.
-	l.Written(s.version)
+	l.HandleWritten(s.version)
 	held(t, l, epoch.Add(4*time.Second), true)
 	held(t, l, epoch.Add(6*time.Second), false)
 }
@@ -74,7 +74,7 @@
 	l := lease.New(lease.Owner{VM: "a"}, timing)
 	s.turn(epoch, l)
 	s.write(l.Step(epoch))
-	l.Unsettled()
+	l.Invalidate()
 	held(t, l, epoch, false)
 	s.turn(epoch.Add(2*time.Second), l)
 	held(t, l, epoch.Add(3*time.Second), true)
@@ -109,7 +109,7 @@
 	s.turn(epoch, a)
 	s.turn(epoch, a)
 	s.turn(epoch, b)
-	a.Want(false)
+	a.SetWanted(false)
 	s.turn(epoch, a)
 	held(t, a, epoch, false)
 	now := epoch.Add(3 * time.Second)
@@ -138,11 +138,11 @@
 			case "lost":
 				if a := l.Step(now); a.Kind == lease.Write {
 					s.write(a)
-					l.Unsettled()
+					l.Invalidate()
 				}
 			case "failed":
 				if a := l.Step(now); a.Kind == lease.Write {
-					l.Unsettled()
+					l.Invalidate()
 				}
 			case "restart":
 				inc++
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -58,14 +58,14 @@
 func (l *Leader) Left() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return max(0, l.lease.Until().Sub(l.now()))
+	return max(0, l.lease.HeldUntil().Sub(l.now()))
 }
 
 // Want tells whether this entry VM is to hold the duty.
 func (l *Leader) Want(w bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.lease.Want(w)
+	l.lease.SetWanted(w)
 }
 
 // every is the time between looks at the lease.
@@ -111,7 +111,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.lease.Observed(l.now(), o)
+	l.lease.HandleRead(l.now(), o)
 }
 
 func (l *Leader) write(ctx context.Context, a lease.Action) {
@@ -125,10 +125,10 @@
 	defer l.mutex.Unlock()
 	if err != nil {
 		l.metrics.Add(metric.PlatformFailures, 1)
-		l.lease.Unsettled()
+		l.lease.Invalidate()
 		return
 	}
-	l.lease.Written(o.Version)
+	l.lease.HandleWritten(o.Version)
 }
 
 // report logs when the hold begins and ends.
--- a/spec/lease.go
+++ b/spec/lease.go
@@ -201,10 +201,10 @@
 	n := s
 	switch a := n.lease[i].Step(at(s.now)); a.Kind {
 	case lease.Read:
-		n.lease[i].Observed(at(s.now), s.seen())
+		n.lease[i].HandleRead(at(s.now), s.seen())
 		if mutation == "no wait after a cold start" || mutation == mutateNoWait && s.era > 0 {
 			m := *lease.New(owner(i, s.life[i]), leaseTiming)
-			m.Observed(at(-100), s.seen())
+			m.HandleRead(at(-100), s.seen())
 			n.lease[i] = m
 		}
 		add("reads the lease", n)
@@ -234,7 +234,7 @@
 	}
 	n = s
 	n.call[i].late = true
-	n.lease[i].Unsettled()
+	n.lease[i].Invalidate()
 	add("gives up waiting, the write is late", n)
 }
 
@@ -246,20 +246,20 @@
 	if mutation == "deadline counted from receipt" && c.ok {
 		// The hold begins anew when the answer comes.
 		m := n.lease[i]
-		m.Unsettled()
+		m.Invalidate()
 		x := s.seen()
 		x.Version = c.expect
-		m.Observed(at(s.now), x)
+		m.HandleRead(at(s.now), x)
 		m.Step(at(s.now))
 		n.lease[i] = m
 	}
 	switch {
 	case c.ok && mutation == mutateAnyEra:
-		n.lease[i].Written(api.NewVersion(0, c.version.Revision()))
+		n.lease[i].HandleWritten(api.NewVersion(0, c.version.Revision()))
 	case c.ok:
-		n.lease[i].Written(c.version)
+		n.lease[i].HandleWritten(c.version)
 	default:
-		n.lease[i].Unsettled()
+		n.lease[i].Invalidate()
 	}
 	add("gets the answer", n)
 	if z.lossless {
@@ -267,10 +267,10 @@
 	}
 	n = s
 	n.call[i] = call{}
-	n.lease[i].Unsettled()
+	n.lease[i].Invalidate()
 	if mutation == "no read-back" {
 		n.lease[i] = s.lease[i]
-		n.lease[i].Written(c.expect + 1)
+		n.lease[i].HandleWritten(c.expect + 1)
 	}
 	add("loses the answer", n)
 }
