--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -61,22 +61,22 @@
 	version api.Version
 	// era is the platform's, once seen; entered is when it was, but for the first, in which
 	// nothing was ever lost.
-	era     api.Era
-	seen    bool
-	entered time.Time
+	era          api.Era
+	eraKnown     bool
+	eraEnteredAt time.Time
 	// lapsed is set where the object names this entry VM by a hold that is over: a copy that
 	// the platform came back from may be of an earlier one.
 	lapsed bool
-	// changed is when the object was first seen as it is, by the own clock.
-	changed time.Time
+	// changedAt is when the object was first seen as it is, by the own clock.
+	changedAt time.Time
 	// read is when the object was last read.
 	read time.Time
-	// until is the end of the own hold, counted from the send of a renewal.
-	until time.Time
+	// heldUntil is the end of the own hold, counted from the send of a renewal.
+	heldUntil time.Time
 	// pending is the write whose outcome is not known, sent at sent; one
 	// without a duration is none.
 	pending api.LeaseSpec
-	sent    time.Time
+	sentAt  time.Time
 }
 
 // New makes a view that has not read the lease yet.
@@ -125,7 +125,7 @@
 	if !l.exists || l.spec.Holder == "" {
 		return true
 	}
-	return now.Sub(l.changed) >= l.spec.DurationMS.Duration()+l.timing.Skew
+	return now.Sub(l.changedAt) >= l.spec.DurationMS.Duration()+l.timing.Skew
 }
 
 // outlived reports whether no hold of an earlier era is left. The platform may have come back
@@ -133,11 +133,11 @@
 // saw the era: that nobody is named, or that nothing changed, says nothing then. In the first
 // era nothing was ever lost.
 func (l *Lease) outlived(now time.Time) bool {
-	return l.era == 0 || now.Sub(l.entered) >= l.timing.Duration+l.timing.Skew
+	return l.era == 0 || now.Sub(l.eraEnteredAt) >= l.timing.Duration+l.timing.Skew
 }
 
 func (l *Lease) renew(now time.Time) Action {
-	if !l.until.IsZero() && l.until.Sub(now) > l.timing.Duration*(renewalsPerDuration-1)/renewalsPerDuration {
+	if !l.heldUntil.IsZero() && l.heldUntil.Sub(now) > l.timing.Duration*(renewalsPerDuration-1)/renewalsPerDuration {
 		return Action{}
 	}
 	s := l.spec
@@ -175,10 +175,10 @@
 func (l *Lease) write(now time.Time, s api.LeaseSpec) Action {
 	if s.Holder == "" {
 		// The hold ends before the write leaves.
-		l.until = time.Time{}
+		l.heldUntil = time.Time{}
 	}
 	l.pending = s
-	l.sent = now
+	l.sentAt = now
 	return Action{Kind: Write, Spec: s, Version: l.version}
 }
 
@@ -187,7 +187,7 @@
 	l.read = now
 	later := l.enter(now, o.Era)
 	if !l.known || l.exists != o.Exists || l.version != o.Version {
-		l.changed = now
+		l.changedAt = now
 	}
 	if l.known && o.Version < l.version && o.Exists && !later {
 		// An older answer says nothing new.
@@ -203,19 +203,19 @@
 	l.version = o.Version
 	l.settle(o.Spec)
 	if !l.mine() {
-		l.until = time.Time{}
+		l.heldUntil = time.Time{}
 	}
 }
 
 // enter notes the platform's era, and reports whether it is a later one than was known.
 func (l *Lease) enter(now time.Time, e api.Era) bool {
-	later := l.seen && e > l.era
-	if l.seen && !later {
+	later := l.eraKnown && e > l.era
+	if l.eraKnown && !later {
 		return false
 	}
-	l.seen, l.era = true, e
+	l.eraKnown, l.era = true, e
 	if e > 0 {
-		l.entered = now
+		l.eraEnteredAt = now
 	}
 	return later
 }
@@ -225,7 +225,7 @@
 	p := l.pending
 	l.pending = api.LeaseSpec{}
 	if p == s && l.mine() {
-		l.until = l.sent.Add(l.timing.Duration)
+		l.heldUntil = l.sentAt.Add(l.timing.Duration)
 	}
 }
 
@@ -247,8 +247,8 @@
 	l.exists = true
 	l.spec = s
 	l.version = v
-	l.changed = l.sent
-	l.read = l.sent
+	l.changedAt = l.sentAt
+	l.read = l.sentAt
 	l.settle(s)
 }
 
@@ -261,7 +261,7 @@
 // Held gives the fence while this entry VM may act. It has to be asked at the
 // last moment before each act, with the own monotonic clock.
 func (l *Lease) Held(now time.Time) (api.Fence, bool) {
-	if !l.mine() || !now.Before(l.until) {
+	if !l.mine() || !now.Before(l.heldUntil) {
 		return 0, false
 	}
 	return l.spec.Fence, true
@@ -269,5 +269,5 @@
 
 // HeldUntil is the end of the own hold; zero when there is none.
 func (l *Lease) HeldUntil() time.Time {
-	return l.until
+	return l.heldUntil
 }
