--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -97,14 +97,14 @@
 	switch {
 	case !l.known:
 		return Action{Kind: Read}
-	case l.mine() && !l.wanted:
-		return l.write(now, l.released())
+	case l.isHolder() && !l.wanted:
+		return l.write(now, l.releasedSpec())
 	case !l.wanted:
 		return Action{}
-	case l.mine():
+	case l.isHolder():
 		return l.renew(now)
-	case l.free(now):
-		return l.write(now, l.taken())
+	case l.available(now):
+		return l.write(now, l.takenSpec())
 	case now.Sub(l.read) >= l.timing.Duration/renewalsPerDuration:
 		return Action{Kind: Read}
 	default:
@@ -112,14 +112,14 @@
 	}
 }
 
-func (l *Lease) mine() bool {
+func (l *Lease) isHolder() bool {
 	return l.exists && !l.lapsed && l.spec.Holder == l.owner.VM && l.spec.Incarnation == l.owner.Incarnation
 }
 
-// free reports whether the lease may be taken: it does not exist, was given
+// available reports whether the lease may be taken: it does not exist, was given
 // back, or stood unchanged for longer than its holder can believe in it.
-func (l *Lease) free(now time.Time) bool {
-	if !l.outlived(now) {
+func (l *Lease) available(now time.Time) bool {
+	if !l.earlierHoldsExpired(now) {
 		return false
 	}
 	if !l.exists || l.spec.Holder == "" {
@@ -128,11 +128,11 @@
 	return now.Sub(l.changedAt) >= l.spec.DurationMS.Duration()+l.timing.Skew
 }
 
-// outlived reports whether no hold of an earlier era is left. The platform may have come back
+// earlierHoldsExpired reports whether no hold of an earlier era is left. The platform may have come back
 // from a copy of before the lease was taken or last renewed, just before this entry VM first
 // saw the era: that nobody is named, or that nothing changed, says nothing then. In the first
 // era nothing was ever lost.
-func (l *Lease) outlived(now time.Time) bool {
+func (l *Lease) earlierHoldsExpired(now time.Time) bool {
 	return l.era == 0 || now.Sub(l.eraEnteredAt) >= l.timing.Duration+l.timing.Skew
 }
 
@@ -145,11 +145,11 @@
 	return l.write(now, s)
 }
 
-func (l *Lease) taken() api.LeaseSpec {
+func (l *Lease) takenSpec() api.LeaseSpec {
 	return api.LeaseSpec{
 		Holder:      l.owner.VM,
 		Incarnation: l.owner.Incarnation,
-		Fence:       max(l.spec.Fence, firstFence(l.era)) + 1,
+		Fence:       max(l.spec.Fence, fenceBase(l.era)) + 1,
 		DurationMS:  api.ToMilliseconds(l.timing.Duration),
 	}
 }
@@ -158,13 +158,13 @@
 // one a lease's length 70 days of nothing but failures.
 const fencesPerEra = 1 << 20
 
-// firstFence is below all fences of an era and above those of earlier ones: the fences that a
+// fenceBase is below all fences of an era and above those of earlier ones: the fences that a
 // copy has lost were seen by engines, which refuse lower ones.
-func firstFence(e api.Era) api.Fence {
+func fenceBase(e api.Era) api.Fence {
 	return api.Fence(e) * fencesPerEra
 }
 
-func (l *Lease) released() api.LeaseSpec {
+func (l *Lease) releasedSpec() api.LeaseSpec {
 	s := l.spec
 	s.Holder = ""
 	s.Incarnation = 0
@@ -185,7 +185,7 @@
 // HandleRead takes the object as read at a time.
 func (l *Lease) HandleRead(now time.Time, o Object) {
 	l.read = now
-	later := l.enter(now, o.Era)
+	later := l.enterEra(now, o.Era)
 	if !l.known || l.exists != o.Exists || l.version != o.Version {
 		l.changedAt = now
 	}
@@ -201,14 +201,14 @@
 	l.exists = o.Exists
 	l.spec = o.Spec
 	l.version = o.Version
-	l.settle(o.Spec)
-	if !l.mine() {
+	l.confirmWrite(o.Spec)
+	if !l.isHolder() {
 		l.heldUntil = time.Time{}
 	}
 }
 
-// enter notes the platform's era, and reports whether it is a later one than was known.
-func (l *Lease) enter(now time.Time, e api.Era) bool {
+// enterEra notes the platform's era, and reports whether it is a later one than was known.
+func (l *Lease) enterEra(now time.Time, e api.Era) bool {
 	later := l.eraKnown && e > l.era
 	if l.eraKnown && !later {
 		return false
@@ -220,11 +220,11 @@
 	return later
 }
 
-// settle credits the last write if the object shows that it took effect.
-func (l *Lease) settle(s api.LeaseSpec) {
+// confirmWrite credits the last write if the object shows that it took effect.
+func (l *Lease) confirmWrite(s api.LeaseSpec) {
 	p := l.pending
 	l.pending = api.LeaseSpec{}
-	if p == s && l.mine() {
+	if p == s && l.isHolder() {
 		l.heldUntil = l.sentAt.Add(l.timing.Duration)
 	}
 }
@@ -249,7 +249,7 @@
 	l.version = v
 	l.changedAt = l.sentAt
 	l.read = l.sentAt
-	l.settle(s)
+	l.confirmWrite(s)
 }
 
 // Invalidate notes that a write failed or that its answer was lost; the object
@@ -261,7 +261,7 @@
 // Held gives the fence while this entry VM may act. It has to be asked at the
 // last moment before each act, with the own monotonic clock.
 func (l *Lease) Held(now time.Time) (api.Fence, bool) {
-	if !l.mine() || !now.Before(l.heldUntil) {
+	if !l.isHolder() || !now.Before(l.heldUntil) {
 		return 0, false
 	}
 	return l.spec.Fence, true
