--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -35,8 +35,8 @@
 	l.HandleRead(now, lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version})
 }
 
-// turn carries out one step whose answer arrives at once.
-func (s *store) turn(now time.Time, l *lease.Lease) {
+// step carries out one step whose answer arrives at once.
+func (s *store) step(now time.Time, l *lease.Lease) {
 	a := l.Step(now)
 	switch a.Kind {
 	case lease.Read:
@@ -50,53 +50,53 @@
 	}
 }
 
-func held(t *testing.T, l *lease.Lease, now time.Time, want bool) {
+func checkHeld(t *testing.T, l *lease.Lease, now time.Time, want bool) {
 	t.Helper()
 	if _, got := l.Held(now); got != want {
 		t.Errorf("held at %v: got %v, want %v", now.Sub(epoch), got, want)
 	}
 }
 
-func TestHoldCountsFromTheSend(t *testing.T) {
+func TestHoldIsCountedFromSendOfRenewal(t *testing.T) {
 	s := &store{}
 	l := lease.New(lease.Owner{VM: "a"}, timing)
-	s.turn(epoch, l)
+	s.step(epoch, l)
 	a := l.Step(epoch)
 	s.write(a)
 	// The answer is four seconds late.
 	l.HandleWritten(s.version)
-	held(t, l, epoch.Add(4*time.Second), true)
-	held(t, l, epoch.Add(6*time.Second), false)
+	checkHeld(t, l, epoch.Add(4*time.Second), true)
+	checkHeld(t, l, epoch.Add(6*time.Second), false)
 }
 
-func TestLostAnswerIsReadBack(t *testing.T) {
+func TestWriteWithLostAnswerIsReadBack(t *testing.T) {
 	s := &store{}
 	l := lease.New(lease.Owner{VM: "a"}, timing)
-	s.turn(epoch, l)
+	s.step(epoch, l)
 	s.write(l.Step(epoch))
 	l.Invalidate()
-	held(t, l, epoch, false)
-	s.turn(epoch.Add(2*time.Second), l)
-	held(t, l, epoch.Add(3*time.Second), true)
-	held(t, l, epoch.Add(6*time.Second), false)
+	checkHeld(t, l, epoch, false)
+	s.step(epoch.Add(2*time.Second), l)
+	checkHeld(t, l, epoch.Add(3*time.Second), true)
+	checkHeld(t, l, epoch.Add(6*time.Second), false)
 }
 
-func TestOthersWaitOutTheHolder(t *testing.T) {
+func TestOthersWaitUntilHoldExpires(t *testing.T) {
 	s := &store{}
 	a := lease.New(lease.Owner{VM: "a"}, timing)
 	b := lease.New(lease.Owner{VM: "b"}, timing)
-	s.turn(epoch, a)
-	s.turn(epoch, a)
+	s.step(epoch, a)
+	s.step(epoch, a)
 	for d := time.Duration(0); d < 20*time.Second; d += 100 * time.Millisecond {
 		now := epoch.Add(d)
-		s.turn(now, b)
+		s.step(now, b)
 		_, x := a.Held(now)
 		_, y := b.Held(now)
 		if x && y {
 			t.Fatalf("both hold at %v", d)
 		}
 	}
-	held(t, b, epoch.Add(20*time.Second), true)
+	checkHeld(t, b, epoch.Add(20*time.Second), true)
 	if got, want := s.spec.Fence, api.Fence(2); got != want {
 		t.Errorf("fence: got %d, want %d", got, want)
 	}
@@ -106,16 +106,16 @@
 	s := &store{}
 	a := lease.New(lease.Owner{VM: "a"}, timing)
 	b := lease.New(lease.Owner{VM: "b"}, timing)
-	s.turn(epoch, a)
-	s.turn(epoch, a)
-	s.turn(epoch, b)
+	s.step(epoch, a)
+	s.step(epoch, a)
+	s.step(epoch, b)
 	a.SetWanted(false)
-	s.turn(epoch, a)
-	held(t, a, epoch, false)
+	s.step(epoch, a)
+	checkHeld(t, a, epoch, false)
 	now := epoch.Add(3 * time.Second)
-	s.turn(now, b)
-	s.turn(now, b)
-	held(t, b, now, true)
+	s.step(now, b)
+	s.step(now, b)
+	checkHeld(t, b, now, true)
 }
 
 // Two candidates with lost and late answers, pauses and restarts never hold at the same time.
@@ -134,7 +134,7 @@
 			l := candidates[i]
 			switch rapid.SampledFrom([]string{"turn", "turn", "turn", "lost", "failed", "restart"}).Draw(t, "what") {
 			case "turn":
-				s.turn(now, l)
+				s.step(now, l)
 			case "lost":
 				if a := l.Step(now); a.Kind == lease.Write {
 					s.write(a)
