--- a/internal/decide/claim/era.go
+++ b/internal/decide/claim/era.go
@@ -22,9 +22,9 @@
 // EraTracker tracks the platform's era, and whether the claims in it are complete. The platform
 // enters a later era when it is restored from a backup, which may lack the latest claims.
 type EraTracker struct {
-	known   bool
-	era     api.Era
-	entered time.Time
+	known     bool
+	era       api.Era
+	enteredAt time.Time
 }
 
 // Enter notes the platform's era and reports whether it is later than the one known before,
@@ -34,7 +34,7 @@
 		return false
 	}
 	later := x.known
-	x.known, x.era, x.entered = true, e, now
+	x.known, x.era, x.enteredAt = true, e, now
 	return later
 }
 
@@ -42,12 +42,12 @@
 // every entry VM has rewritten its claims in an era; one that can't be reached may own claims
 // that the platform has lost. In era 0 none were lost; in a later one, the time counts from
 // when this entry VM first saw the era, also if it has just started.
-func (x *EraTracker) Settled(now time.Time, all func(e api.Era) bool) bool {
+func (x *EraTracker) Settled(now time.Time, rewritten func(e api.Era) bool) bool {
 	if !x.known || x.era == 0 {
 		return x.known
 	}
-	d := now.Sub(x.entered)
-	return d >= missingOwnerTime || d >= rewriteTime && all(x.era)
+	d := now.Sub(x.enteredAt)
+	return d >= missingOwnerTime || d >= rewriteTime && rewritten(x.era)
 }
 
 // Era is the latest era of the platform that was seen.
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -69,8 +69,8 @@
 	lapsed bool
 	// changedAt is when the object was first seen as it is, by the own clock.
 	changedAt time.Time
-	// read is when the object was last read.
-	read time.Time
+	// readAt is when the object was last readAt.
+	readAt time.Time
 	// heldUntil is the end of the own hold, counted from the send of a renewal.
 	heldUntil time.Time
 	// pending is the write whose outcome is not known, sent at sent; one
@@ -105,7 +105,7 @@
 		return l.renew(now)
 	case l.available(now):
 		return l.write(now, l.takenSpec())
-	case now.Sub(l.read) >= l.timing.Duration/renewalsPerDuration:
+	case now.Sub(l.readAt) >= l.timing.Duration/renewalsPerDuration:
 		return Action{Kind: Read}
 	default:
 		return Action{}
@@ -184,7 +184,7 @@
 
 // HandleRead takes the object as read at a time.
 func (l *Lease) HandleRead(now time.Time, o Object) {
-	l.read = now
+	l.readAt = now
 	later := l.enterEra(now, o.Era)
 	if !l.known || l.exists != o.Exists || l.version != o.Version {
 		l.changedAt = now
@@ -248,7 +248,7 @@
 	l.spec = s
 	l.version = v
 	l.changedAt = l.sentAt
-	l.read = l.sentAt
+	l.readAt = l.sentAt
 	l.confirmWrite(s)
 }
 
