--- a/internal/decide/claim/era.go
+++ b/internal/decide/claim/era.go
@@ -38,10 +38,10 @@
 	return later
 }
 
-// Settled reports whether a claim that the platform lacks was never made. all reports whether
-// every entry VM has rewritten its claims in an era; one that can't be reached may own claims
-// that the platform has lost. In era 0 none were lost; in a later one, the time counts from
-// when this entry VM first saw the era, also if it has just started.
+// Settled reports whether a claim that the platform lacks was never made. rewritten reports
+// whether every entry VM has rewritten its claims in an era; one that can't be reached may own
+// claims that the platform has lost. In era 0 none were lost; in a later one the time counts
+// from when this entry VM first saw the era, also if it has just started.
 func (x *EraTracker) Settled(now time.Time, rewritten func(e api.Era) bool) bool {
 	if !x.known || x.era == 0 {
 		return x.known
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -1,3 +1,3 @@
-// Package lease decides when this entry VM may act on a duty that one actor
-// does at a time.
+// Package lease decides when this entry VM may carry out a duty that only one
+// entry VM may carry out at a time.
 package lease
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -6,30 +6,30 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Owner identifies one life of an entry VM.
+// Owner identifies one incarnation of an entry VM.
 type Owner struct {
 	VM          api.VMName
 	Incarnation api.Incarnation
 }
 
-// Timing bounds a lease.
+// Timing is how long a lease is valid.
 type Timing struct {
-	// Duration counts from when a renewal was sent.
+	// Duration is how long a hold lasts from when its last renewal was sent.
 	Duration time.Duration
-	// Skew is what others wait beyond the duration.
+	// Skew is how much longer than the duration others wait, for differences between clocks.
 	Skew time.Duration
 }
 
-// Kind tells what to do with the lease object.
+// Kind is the kind of an action.
 type Kind int
 
 // Kinds of actions.
 const (
-	// None has to be done now.
+	// None makes no call now.
 	None Kind = iota
-	// Read reads the object.
+	// Read reads the lease object.
 	Read
-	// Write writes Spec if the object still has Version.
+	// Write writes Spec, provided that the object is still at Version.
 	Write
 )
 
@@ -40,17 +40,17 @@
 	Version api.Version
 }
 
-// Object is a lease as the platform has it.
+// Object is a lease object as read from the platform.
 type Object struct {
-	// Exists is set where there is one.
+	// Exists is set if the platform has the object.
 	Exists  bool
 	Spec    api.LeaseSpec
 	Version api.Version
-	// Era is the platform's present one, which may be later than that of the version.
+	// Era is the platform's era at the read, which may be later than that of Version.
 	Era api.Era
 }
 
-// Lease is one entry VM's view of one lease.
+// Lease is one entry VM's view of one lease, and its hold if it has one.
 type Lease struct {
 	owner   Owner
 	timing  Timing
@@ -59,40 +59,41 @@
 	exists  bool
 	spec    api.LeaseSpec
 	version api.Version
-	// era is the platform's, once seen; entered is when it was, but for the first, in which
-	// nothing was ever lost.
+	// era is the platform's latest era that was seen. eraEnteredAt is when it was first seen;
+	// it stays zero in era 0, before which there was nothing to lose.
 	era          api.Era
 	eraKnown     bool
 	eraEnteredAt time.Time
-	// lapsed is set where the object names this entry VM by a hold that is over: a copy that
-	// the platform came back from may be of an earlier one.
+	// lapsed is set if the object names this entry VM by a hold that has ended: a backup that
+	// the platform was restored from may be from the time of that hold.
 	lapsed bool
-	// changedAt is when the object was first seen as it is, by the own clock.
+	// changedAt is when the present form of the object was first seen, by the local clock.
 	changedAt time.Time
-	// readAt is when the object was last readAt.
+	// readAt is when the object was last read.
 	readAt time.Time
-	// heldUntil is the end of the own hold, counted from the send of a renewal.
+	// heldUntil is the end of the local hold, counted from the send of the last renewal.
 	heldUntil time.Time
-	// pending is the write whose outcome is not known, sent at sent; one
-	// without a duration is none.
+	// pending is the write, sent at sentAt, whose result is not known; a zero duration means
+	// that there is none.
 	pending api.LeaseSpec
 	sentAt  time.Time
 }
 
-// New makes a view that has not read the lease yet.
+// New makes the view of a lease that has not been read yet and is wanted.
 func New(o Owner, t Timing) *Lease {
 	return &Lease{owner: o, timing: t, wanted: true}
 }
 
-// SetWanted tells whether this entry VM wants to hold the lease.
+// SetWanted sets whether this entry VM should hold the lease. A lease that is held and no
+// longer wanted is released.
 func (l *Lease) SetWanted(w bool) {
 	l.wanted = w
 }
 
-// renewalsPerDuration is how many times a holder may renew within one duration.
+// renewalsPerDuration is how often a holder renews, and others read, within one duration.
 const renewalsPerDuration = 3
 
-// Step gives the next call, if one is due.
+// Step gives the next call to the platform, if one is due.
 func (l *Lease) Step(now time.Time) Action {
 	switch {
 	case !l.known:
@@ -116,8 +117,8 @@
 	return l.exists && !l.lapsed && l.spec.Holder == l.owner.VM && l.spec.Incarnation == l.owner.Incarnation
 }
 
-// available reports whether the lease may be taken: it does not exist, was given
-// back, or stood unchanged for longer than its holder can believe in it.
+// available reports whether the lease may be taken: it does not exist, was released, or has
+// not changed for so long that its holder no longer counts itself as such.
 func (l *Lease) available(now time.Time) bool {
 	if !l.earlierHoldsExpired(now) {
 		return false
@@ -128,10 +129,10 @@
 	return now.Sub(l.changedAt) >= l.spec.DurationMS.Duration()+l.timing.Skew
 }
 
-// earlierHoldsExpired reports whether no hold of an earlier era is left. The platform may have come back
-// from a copy of before the lease was taken or last renewed, just before this entry VM first
-// saw the era: that nobody is named, or that nothing changed, says nothing then. In the first
-// era nothing was ever lost.
+// earlierHoldsExpired reports whether all holds of earlier eras have expired. The platform may
+// have been restored, just before this entry VM first saw the era, from a backup that is older
+// than the last take or renewal of the lease: until these holds expire, an object that names no
+// holder or does not change is no proof that the lease is free. Era 0 has no earlier holds.
 func (l *Lease) earlierHoldsExpired(now time.Time) bool {
 	return l.era == 0 || now.Sub(l.eraEnteredAt) >= l.timing.Duration+l.timing.Skew
 }
@@ -154,12 +155,12 @@
 	}
 }
 
-// fencesPerEra is how many holders a lease may have in one era of the platform: a million, at
-// one a lease's length 70 days of nothing but failures.
+// fencesPerEra is how many holds a lease may have in one era of the platform. A million last
+// for 70 days if the lease changes its holder at every expiry.
 const fencesPerEra = 1 << 20
 
-// fenceBase is below all fences of an era and above those of earlier ones: the fences that a
-// copy has lost were seen by engines, which refuse lower ones.
+// fenceBase is below all fences of an era and above those of earlier ones. Engines refuse a
+// fence below the highest one seen, which a restored platform may no longer know.
 func fenceBase(e api.Era) api.Fence {
 	return api.Fence(e) * fencesPerEra
 }
@@ -174,7 +175,7 @@
 
 func (l *Lease) write(now time.Time, s api.LeaseSpec) Action {
 	if s.Holder == "" {
-		// The hold ends before the write leaves.
+		// The hold ends before the release is sent.
 		l.heldUntil = time.Time{}
 	}
 	l.pending = s
@@ -182,7 +183,7 @@
 	return Action{Kind: Write, Spec: s, Version: l.version}
 }
 
-// HandleRead takes the object as read at a time.
+// HandleRead takes the object as read at now.
 func (l *Lease) HandleRead(now time.Time, o Object) {
 	l.readAt = now
 	later := l.enterEra(now, o.Era)
@@ -190,7 +191,7 @@
 		l.changedAt = now
 	}
 	if l.known && o.Version < l.version && o.Exists && !later {
-		// An older answer says nothing new.
+		// An answer older than what is known is ignored.
 		return
 	}
 	_, held := l.Held(now)
@@ -207,7 +208,7 @@
 	}
 }
 
-// enterEra notes the platform's era, and reports whether it is a later one than was known.
+// enterEra notes the platform's era and reports whether it is later than the one known before.
 func (l *Lease) enterEra(now time.Time, e api.Era) bool {
 	later := l.eraKnown && e > l.era
 	if l.eraKnown && !later {
@@ -220,7 +221,7 @@
 	return later
 }
 
-// confirmWrite credits the last write if the object shows that it took effect.
+// confirmWrite extends the hold if the object shows that the pending write took effect.
 func (l *Lease) confirmWrite(s api.LeaseSpec) {
 	p := l.pending
 	l.pending = api.LeaseSpec{}
@@ -229,9 +230,9 @@
 	}
 }
 
-// HandleWritten takes the version of a write that was answered as done. One that was carried out
-// in a later era than it was decided in is no hold: its condition, that there is none or a
-// certain version, said nothing of who holds by what the platform has lost.
+// HandleWritten takes the version that a successful write has given the object. A write that
+// took effect in a later era than it was decided in gives no hold: its condition on the version
+// does not exclude a holder whose write the platform has lost.
 func (l *Lease) HandleWritten(v api.Version) {
 	s := l.pending
 	if s.DurationMS == 0 {
@@ -252,14 +253,14 @@
 	l.confirmWrite(s)
 }
 
-// Invalidate notes that a write failed or that its answer was lost; the object
-// is read back before anything else.
+// Invalidate notes that a write failed or that its answer was lost, so that the object is
+// read again before the next write.
 func (l *Lease) Invalidate() {
 	l.known = false
 }
 
-// Held gives the fence while this entry VM may act. It has to be asked at the
-// last moment before each act, with the own monotonic clock.
+// Held returns the fence while this entry VM holds the lease. It must be called immediately
+// before each action under the lease, with the local monotonic clock.
 func (l *Lease) Held(now time.Time) (api.Fence, bool) {
 	if !l.isHolder() || !now.Before(l.heldUntil) {
 		return 0, false
@@ -267,7 +268,7 @@
 	return l.spec.Fence, true
 }
 
-// HeldUntil is the end of the own hold; zero when there is none.
+// HeldUntil is the end of the local hold; zero if there is none.
 func (l *Lease) HeldUntil() time.Time {
 	return l.heldUntil
 }
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -14,7 +14,7 @@
 
 var timing = lease.Timing{Duration: 6 * time.Second, Skew: time.Second}
 
-// store is the platform's object as conditional updates see it.
+// store is the platform's lease object, written by conditional updates.
 type store struct {
 	exists  bool
 	spec    api.LeaseSpec
@@ -35,7 +35,7 @@
 	l.HandleRead(now, lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version})
 }
 
-// step carries out one step whose answer arrives at once.
+// step carries out the next action of a lease, with an immediate answer.
 func (s *store) step(now time.Time, l *lease.Lease) {
 	a := l.Step(now)
 	switch a.Kind {
@@ -63,7 +63,7 @@
 	s.step(epoch, l)
 	a := l.Step(epoch)
 	s.write(a)
-	// The answer is four seconds late.
+	// The answer arrives four seconds after the send; the hold still ends six seconds after it.
 	l.HandleWritten(s.version)
 	checkHeld(t, l, epoch.Add(4*time.Second), true)
 	checkHeld(t, l, epoch.Add(6*time.Second), false)
@@ -93,7 +93,7 @@
 		_, x := a.Held(now)
 		_, y := b.Held(now)
 		if x && y {
-			t.Fatalf("both hold at %v", d)
+			t.Fatalf("at %v: got two holders, want at most one", d)
 		}
 	}
 	checkHeld(t, b, epoch.Add(20*time.Second), true)
@@ -118,7 +118,8 @@
 	checkHeld(t, b, now, true)
 }
 
-// Two candidates with lost and late answers, pauses and restarts never hold at the same time.
+// Two candidates with lost answers, failed writes, pauses and restarts must never hold the
+// lease at the same time.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{}
@@ -151,7 +152,7 @@
 			_, a := candidates[0].Held(now)
 			_, b := candidates[1].Held(now)
 			if a && b {
-				t.Fatalf("both hold")
+				t.Fatalf("got two holders, want at most one")
 			}
 		}
 	})
