--- a/internal/decide/config/config_test.go
+++ b/internal/decide/config/config_test.go
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestOnce(t *testing.T) {
+func TestAtMostOnce(t *testing.T) {
 	s := config.Service{ServiceSpec: api.ServiceSpec{NotRepeatable: []api.CallRule{
 		{Method: api.CallRuleMethodPOST, Path: "/orders"},
 		{Method: api.CallRuleMethodPOST, Path: "/confirm/*"},
@@ -116,7 +116,7 @@
 		{"POST", "/confirmed", false},
 	}
 	for _, c := range tests {
-		if got := s.Once(c.method, c.path); got != c.want {
+		if got := s.AtMostOnce(c.method, c.path); got != c.want {
 			t.Errorf("%s %s: got %v, want %v", c.method, c.path, got, c.want)
 		}
 	}
--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -162,9 +162,9 @@
 	return slices.Contains(w.Services, s)
 }
 
-// Once reports whether a call of the service may run at most once; a rule's
+// AtMostOnce reports whether a call of the service may run at most once; a rule's
 // path ending in /* covers everything below it.
-func (s Service) Once(method, path string) bool {
+func (s Service) AtMostOnce(method, path string) bool {
 	for _, r := range s.NotRepeatable {
 		if string(r.Method) == method && covers(r.Path, path) {
 			return true
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -87,7 +87,7 @@
 		request: q, service: x, method: r.Method, query: r.URL.RawQuery, body: b, header: r.Header,
 		path: "/" + strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, PathServices+"/"+string(n)), "/"),
 	}
-	c.once = c.once || x.Once(c.method, c.path)
+	c.once = c.once || x.AtMostOnce(c.method, c.path)
 	return c, nil
 }
 
