--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -113,7 +113,7 @@
 	for _, n := range []int{10, 200, 1600} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			l := objects(n, n*3/2)
-			s := config.Of(l)
+			s := config.FromList(l)
 			v, _ := config.Build(s, nil, resource.Decode)
 			text, err := json.Marshal(l)
 			if err != nil {
@@ -224,7 +224,7 @@
 		return p
 	})
 	measure("declared-object", 250, 2500, func(n int) any {
-		s := config.Of(objects(n/2, n/2))
+		s := config.FromList(objects(n/2, n/2))
 		v, _ := config.Build(s, nil, resource.Decode)
 		return [2]any{s, v}
 	})
--- a/internal/decide/config/kept.go
+++ b/internal/decide/config/kept.go
@@ -29,7 +29,7 @@
 // than one that was written since.
 func (s *Store) keep(now time.Time, before Store) {
 	until := now.Add(keepTime)
-	for _, o := range before.inForce() {
+	for _, o := range before.effective() {
 		k := Key{o.Kind, o.Name}
 		if x, ok := s.objects[k]; !ok || x.Version < o.Version {
 			s.kept[k] = kept{object: o, until: until}
--- a/internal/decide/config/store.go
+++ b/internal/decide/config/store.go
@@ -19,8 +19,8 @@
 	Detail string
 }
 
-// Declared lists the kinds that operators declare.
-var Declared = []api.ResourceKind{
+// DeclaredKinds lists the kinds that operators declare.
+var DeclaredKinds = []api.ResourceKind{
 	api.ResourceKindModel,
 	api.ResourceKindAdapter,
 	api.ResourceKindWorkspace,
@@ -44,8 +44,8 @@
 	return &Store{objects: map[Key]api.Object{}, gone: map[Key]api.Version{}, kept: map[Key]kept{}}
 }
 
-// Of makes a store that knows one list.
-func Of(l api.ObjectList) *Store {
+// FromList makes a store that knows one list.
+func FromList(l api.ObjectList) *Store {
 	s := New()
 	s.Replace(time.Time{}, l)
 	return s
@@ -107,8 +107,8 @@
 	return api.ObjectList{Version: s.version, Items: sorted(s.objects), Kept: s.keptList(now)}
 }
 
-// inForce gives the objects in force in order of kind and name.
-func (s *Store) inForce() []api.Object {
+// effective gives the objects in force in order of kind and name.
+func (s *Store) effective() []api.Object {
 	if len(s.kept) == 0 {
 		return sorted(s.objects)
 	}
--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -67,7 +67,7 @@
 		taken:      make(map[Key]taken, len(s.objects)+len(s.kept)),
 	}
 	var l []Problem
-	for _, o := range s.inForce() {
+	for _, o := range s.effective() {
 		if p := v.take(o, before, decode); p != nil {
 			l = append(l, *p)
 		}
@@ -186,8 +186,8 @@
 	return s.State == api.ServerStateDraining || v.Domains[s.Domain].State == api.DomainStateClosed
 }
 
-// Items lists what an engine has to have loaded, as kind/name@weights.
-func (v *View) Items(s Server) []string {
+// RequiredItems lists what an engine has to have loaded, as kind/name@weights.
+func (v *View) RequiredItems(s Server) []string {
 	var l []string
 	for _, m := range s.Models {
 		if x, ok := v.Models[m]; ok {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -153,14 +153,14 @@
 	from := f.version()
 	if from > 0 {
 		f.metrics.Add(metric.PlatformWatches, 1)
-		l, err := f.source.Watch(ctx, from, f.watchTime(), config.Declared)
+		l, err := f.source.Watch(ctx, from, f.watchTime(), config.DeclaredKinds)
 		if !fault.Has(err, fault.WatchTooOld) {
 			return update{changes: &l, sent: sent}, err
 		}
 		f.log.Emit(event.WatchRestarted, zap.Stringer("version", from))
 	}
 	f.metrics.Add(metric.PlatformReads, 1)
-	l, err := f.source.List(ctx, config.Declared)
+	l, err := f.source.List(ctx, config.DeclaredKinds)
 	return update{list: &l, sent: sent}, err
 }
 
@@ -214,7 +214,7 @@
 func (f *Follower) Refresh(ctx context.Context) {
 	sent := f.life.Now()
 	f.metrics.Add(metric.PlatformReads, 1)
-	l, err := f.source.List(ctx, config.Declared)
+	l, err := f.source.List(ctx, config.DeclaredKinds)
 	if err != nil {
 		f.failed(ctx, err)
 		return
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -79,7 +79,7 @@
 		t := order.Target{
 			Server:      x.Name,
 			Role:        x.Role,
-			Items:       v.Items(x),
+			Items:       v.RequiredItems(x),
 			Sizes:       map[string]int{},
 			ChecksFence: x.ChecksFence,
 		}
--- a/internal/resource/refs.go
+++ b/internal/resource/refs.go
@@ -9,7 +9,7 @@
 
 // Dangling lists references to resources that the objects do not hold.
 func Dangling(l []api.Object) []string {
-	v, _ := config.Build(config.Of(api.ObjectList{Version: 1, Items: l}), nil, Decode)
+	v, _ := config.Build(config.FromList(api.ObjectList{Version: 1, Items: l}), nil, Decode)
 	var out []string
 	miss := func(k api.ResourceKind, n string, to api.ResourceKind, name string) {
 		out = append(out, fmt.Sprintf("%s %s names %s %s, which is not declared", k, n, to, name))
--- a/internal/upkeep/status.go
+++ b/internal/upkeep/status.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		l = append(l, status.Of(status.Server{
-			Name: s.Server, Seen: s.State, Version: d.Version, Want: v.Items(d), Have: r[s.Server].Loaded,
+			Name: s.Server, Seen: s.State, Version: d.Version, Want: v.RequiredItems(d), Have: r[s.Server].Loaded,
 		}))
 	}
 	return l
