--- a/internal/decide/config/kept.go
+++ b/internal/decide/config/kept.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// keepTime is how long an object stays in force that the platform's copy has lost:
+	// retentionTime is how long an object stays in force that the platform's copy has lost:
 	// operators write it again, and do not say when. After it the platform's word holds, so
 	// that entry VMs and the platform don't differ for good.
-	keepTime = 30 * time.Second
-	// goneMost bounds the removals that are remembered, some minutes of many changes.
-	goneMost = 512
+	retentionTime = 30 * time.Second
+	// maxRemovals bounds the removals that are remembered, some minutes of many changes.
+	maxRemovals = 512
 )
 
-// kept is an object that stays in force, or stays removed, in spite of the platform.
-type kept struct {
+// retainedObject is an object that stays in force, or stays removed, in spite of the platform.
+type retainedObject struct {
 	object  api.Object
 	removed bool
 	until   time.Time
@@ -28,87 +28,87 @@
 // back from. An object's version is that of its last write, so that one of the copy is older
 // than one that was written since.
 func (s *Store) keep(now time.Time, before Store) {
-	until := now.Add(keepTime)
+	until := now.Add(retentionTime)
 	for _, o := range before.effective() {
 		k := Key{o.Kind, o.Name}
 		if x, ok := s.objects[k]; !ok || x.Version < o.Version {
-			s.kept[k] = kept{object: o, until: until}
+			s.retained[k] = retainedObject{object: o, until: until}
 		}
 	}
-	for k, v := range before.gone {
+	for k, v := range before.removals {
 		if x, ok := s.objects[k]; ok && x.Version < v {
-			s.kept[k] = kept{object: api.Object{Kind: k.Kind, Name: k.Name, Version: v}, removed: true, until: until}
+			s.retained[k] = retainedObject{object: api.Object{Kind: k.Kind, Name: k.Name, Version: v}, removed: true, until: until}
 		}
 	}
 }
 
-// settle drops what is kept of objects that the platform has in a newer form.
-func (s *Store) settle() {
-	for k, x := range s.kept {
+// dropOutdated drops what is kept of objects that the platform has in a newer form.
+func (s *Store) dropOutdated() {
+	for k, x := range s.retained {
 		if o, ok := s.objects[k]; ok && o.Version > x.object.Version {
-			delete(s.kept, k)
+			delete(s.retained, k)
 		}
 	}
 }
 
-// take takes what a peer keeps, unless the platform has a newer form or it was removed since.
-func (s *Store) take(now time.Time, l []api.KeptObject) {
+// mergeRetained takes what a peer keeps, unless the platform has a newer form or it was removed since.
+func (s *Store) mergeRetained(now time.Time, l []api.KeptObject) {
 	for _, x := range l {
 		k := Key{x.Object.Kind, x.Object.Name}
-		_, known := s.kept[k]
-		if known || s.gone[k] > x.Object.Version || s.objects[k].Version >= x.Object.Version || x.LeftMS <= 0 {
+		_, known := s.retained[k]
+		if known || s.removals[k] > x.Object.Version || s.objects[k].Version >= x.Object.Version || x.LeftMS <= 0 {
 			continue
 		}
-		s.kept[k] = kept{object: x.Object, removed: x.Removed, until: now.Add(min(x.LeftMS.Duration(), keepTime))}
+		s.retained[k] = retainedObject{object: x.Object, removed: x.Removed, until: now.Add(min(x.LeftMS.Duration(), retentionTime))}
 	}
 }
 
-// missing remembers what a list of the same era no longer has: a copy may have it still,
+// recordMissing remembers what a list of the same era no longer has: a copy may have it still,
 // though no watch told of the removal.
-func (s *Store) missing(before Store) {
+func (s *Store) recordMissing(before Store) {
 	for k := range before.objects {
 		if _, ok := s.objects[k]; !ok {
-			s.remove(k, s.version)
+			s.recordRemoval(k, s.version)
 		}
 	}
 }
 
-// remove remembers a removal.
-func (s *Store) remove(k Key, v api.Version) {
-	s.gone[k] = v
-	if len(s.gone) <= goneMost {
+// recordRemoval remembers a removal.
+func (s *Store) recordRemoval(k Key, v api.Version) {
+	s.removals[k] = v
+	if len(s.removals) <= maxRemovals {
 		return
 	}
 	oldest := k
-	for x, v := range s.gone {
-		if v < s.gone[oldest] {
+	for x, v := range s.removals {
+		if v < s.removals[oldest] {
 			oldest = x
 		}
 	}
-	delete(s.gone, oldest)
+	delete(s.removals, oldest)
 }
 
 // Expire drops what was kept for its time, and reports whether the objects in force change
 // by that.
 func (s *Store) Expire(now time.Time) bool {
-	n := len(s.kept)
-	for k, x := range s.kept {
+	n := len(s.retained)
+	for k, x := range s.retained {
 		if !x.until.After(now) {
-			delete(s.kept, k)
+			delete(s.retained, k)
 		}
 	}
-	return len(s.kept) < n
+	return len(s.retained) < n
 }
 
-// Kept counts what stays in force in spite of the platform.
-func (s *Store) Kept() int {
-	return len(s.kept)
+// Retained counts what stays in force in spite of the platform.
+func (s *Store) Retained() int {
+	return len(s.retained)
 }
 
-// keptList gives what is kept for a peer, in order of kind and name.
-func (s *Store) keptList(now time.Time) []api.KeptObject {
+// retainedList gives what is kept for a peer, in order of kind and name.
+func (s *Store) retainedList(now time.Time) []api.KeptObject {
 	var l []api.KeptObject
-	for _, x := range s.kept {
+	for _, x := range s.retained {
 		l = append(l, api.KeptObject{Object: x.object, Removed: x.removed, LeftMS: api.ToMilliseconds(x.until.Sub(now))})
 	}
 	slices.SortFunc(l, func(a, b api.KeptObject) int {
--- a/internal/decide/config/kept_test.go
+++ b/internal/decide/config/kept_test.go
@@ -80,8 +80,8 @@
 			s.Replace(began, list(v(1, 31), first))
 			s.Apply(change(v(1, 45), second))
 			c.do(s)
-			if got := weights(s, "m"); got != c.want || s.Kept() != c.kept {
-				t.Errorf("got weights %q with %d kept, want %q with %d", got, s.Kept(), c.want, c.kept)
+			if got := weights(s, "m"); got != c.want || s.Retained() != c.kept {
+				t.Errorf("got weights %q with %d kept, want %q with %d", got, s.Retained(), c.want, c.kept)
 			}
 		})
 	}
@@ -95,8 +95,8 @@
 	b := config.New()
 	b.Replace(began, list(v(2, 40), model("m", v(1, 30), `{"weights":"1"}`)))
 	b.Replace(began.Add(10*time.Second), a.List(began.Add(10*time.Second)))
-	if x, y := weights(b, "m"), weights(b, "n"); x != "2" || y != "2" || b.Kept() != 2 {
-		t.Errorf("got %q and %q with %d kept, want both as peers have them", x, y, b.Kept())
+	if x, y := weights(b, "m"), weights(b, "n"); x != "2" || y != "2" || b.Retained() != 2 {
+		t.Errorf("got %q and %q with %d kept, want both as peers have them", x, y, b.Retained())
 	}
 	b.Apply(change(v(2, 41), model("m", 0, `{"weights":"3"}`)))
 	b.Apply(removed(v(2, 42), "n"))
@@ -109,10 +109,10 @@
 	}
 	c := config.New()
 	c.Replace(began, a.List(began.Add(20*time.Second)))
-	if c.Expire(began.Add(9 * time.Second)); c.Kept() != 2 {
-		t.Errorf("within the time that was left: got %d kept, want 2", c.Kept())
+	if c.Expire(began.Add(9 * time.Second)); c.Retained() != 2 {
+		t.Errorf("within the time that was left: got %d kept, want 2", c.Retained())
 	}
-	if c.Expire(began.Add(11 * time.Second)); c.Kept() != 0 {
-		t.Errorf("beyond it: got %d kept, want none", c.Kept())
+	if c.Expire(began.Add(11 * time.Second)); c.Retained() != 0 {
+		t.Errorf("beyond it: got %d kept, want none", c.Retained())
 	}
 }
--- a/internal/decide/config/store.go
+++ b/internal/decide/config/store.go
@@ -34,14 +34,14 @@
 type Store struct {
 	version api.Version
 	objects map[Key]api.Object
-	// gone holds the versions of lately removed objects, which a copy may still have.
-	gone map[Key]api.Version
-	kept map[Key]kept
+	// removals holds the versions of lately removed objects, which a copy may still have.
+	removals map[Key]api.Version
+	retained map[Key]retainedObject
 }
 
 // New makes an empty store.
 func New() *Store {
-	return &Store{objects: map[Key]api.Object{}, gone: map[Key]api.Version{}, kept: map[Key]kept{}}
+	return &Store{objects: map[Key]api.Object{}, removals: map[Key]api.Version{}, retained: map[Key]retainedObject{}}
 }
 
 // FromList makes a store that knows one list.
@@ -72,10 +72,10 @@
 	if before.version > 0 && l.Version.Era() > before.version.Era() {
 		s.keep(now, before)
 	} else {
-		s.missing(before)
+		s.recordMissing(before)
 	}
-	s.settle()
-	s.take(now, l.Kept)
+	s.dropOutdated()
+	s.mergeRetained(now, l.Kept)
 	return true
 }
 
@@ -89,11 +89,11 @@
 		k := Key{c.Object.Kind, c.Object.Name}
 		if c.Deleted {
 			delete(s.objects, k)
-			s.remove(k, c.Version)
+			s.recordRemoval(k, c.Version)
 		} else {
 			s.objects[k] = c.Object
 		}
-		delete(s.kept, k)
+		delete(s.retained, k)
 		s.version = c.Version
 		n++
 	}
@@ -104,16 +104,16 @@
 // List gives the platform's objects in order of kind and name, and what is kept in spite of
 // them, for a peer.
 func (s *Store) List(now time.Time) api.ObjectList {
-	return api.ObjectList{Version: s.version, Items: sorted(s.objects), Kept: s.keptList(now)}
+	return api.ObjectList{Version: s.version, Items: sorted(s.objects), Kept: s.retainedList(now)}
 }
 
 // effective gives the objects in force in order of kind and name.
 func (s *Store) effective() []api.Object {
-	if len(s.kept) == 0 {
+	if len(s.retained) == 0 {
 		return sorted(s.objects)
 	}
 	m := maps.Clone(s.objects)
-	for k, x := range s.kept {
+	for k, x := range s.retained {
 		if x.removed {
 			delete(m, k)
 			continue
--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -64,7 +64,7 @@
 		Servers:    map[api.ServerName]Server{},
 		Services:   map[api.ServiceName]Service{},
 		Domains:    map[api.DomainName]api.FailureDomainSpec{},
-		taken:      make(map[Key]taken, len(s.objects)+len(s.kept)),
+		taken:      make(map[Key]taken, len(s.objects)+len(s.retained)),
 	}
 	var l []Problem
 	for _, o := range s.effective() {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -96,7 +96,7 @@
 func (f *Follower) Kept() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.store.Kept()
+	return f.store.Retained()
 }
 
 // Age is the time since the platform last answered.
@@ -283,7 +283,7 @@
 		}
 		return n > 0 || expired, false
 	}
-	before, kept := f.store.Version(), f.store.Kept()
+	before, kept := f.store.Version(), f.store.Retained()
 	if !f.store.Replace(f.life.Now(), *u.list) {
 		f.log.Emit(event.ConfigStale, zap.Stringer("offered", u.list.Version), zap.Stringer("version", before))
 		return expired, true
@@ -294,9 +294,9 @@
 	now := f.store.Version()
 	if before > 0 && now.Era() > before.Era() {
 		f.metrics.Add(metric.PlatformRestores, 1)
-		f.log.Emit(event.EraChanged, zap.Stringer("from", before), zap.Stringer("version", now), zap.Int("kept", f.store.Kept()))
+		f.log.Emit(event.EraChanged, zap.Stringer("from", before), zap.Stringer("version", now), zap.Int("kept", f.store.Retained()))
 	}
-	return expired || now != before || f.store.Kept() != kept || f.view.Load().Models == nil, false
+	return expired || now != before || f.store.Retained() != kept || f.view.Load().Models == nil, false
 }
 
 // expire drops what stayed in force in spite of the platform for its time; the mutex is held.
