--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -39,11 +39,11 @@
 	// Domains are the failure domains that were declared; others are open.
 	Domains map[api.DomainName]api.FailureDomainSpec
 
-	taken map[Key]taken
+	taken map[Key]parsed
 }
 
-// taken is the typed form of one object, and the version it was read from.
-type taken struct {
+// parsed is the typed form of one object, and the version it was read from.
+type parsed struct {
 	version api.Version
 	value   any
 }
@@ -64,20 +64,20 @@
 		Servers:    map[api.ServerName]Server{},
 		Services:   map[api.ServiceName]Service{},
 		Domains:    map[api.DomainName]api.FailureDomainSpec{},
-		taken:      make(map[Key]taken, len(s.objects)+len(s.retained)),
+		taken:      make(map[Key]parsed, len(s.objects)+len(s.retained)),
 	}
 	var l []Problem
 	for _, o := range s.effective() {
-		if p := v.take(o, before, decode); p != nil {
+		if p := v.parse(o, before, decode); p != nil {
 			l = append(l, *p)
 		}
 	}
 	return v, l
 }
 
-func (v *View) take(o api.Object, before *View, decode Decoder) *Problem {
+func (v *View) parse(o api.Object, before *View, decode Decoder) *Problem {
 	k := Key{o.Kind, o.Name}
-	var last taken
+	var last parsed
 	if before != nil {
 		last = before.taken[k]
 	}
@@ -87,7 +87,7 @@
 	}
 	x, err := read(o, decode)
 	if err == nil {
-		v.add(k, taken{version: o.Version, value: x})
+		v.add(k, parsed{version: o.Version, value: x})
 		return nil
 	}
 	if last.value != nil {
@@ -127,7 +127,7 @@
 }
 
 // add puts a typed object into its place.
-func (v *View) add(k Key, t taken) {
+func (v *View) add(k Key, t parsed) {
 	v.taken[k] = t
 	switch x := t.value.(type) {
 	case api.ModelSpec:
@@ -166,14 +166,14 @@
 // path ending in /* covers everything below it.
 func (s Service) AtMostOnce(method, path string) bool {
 	for _, r := range s.NotRepeatable {
-		if string(r.Method) == method && covers(r.Path, path) {
+		if string(r.Method) == method && matchesPath(r.Path, path) {
 			return true
 		}
 	}
 	return false
 }
 
-func covers(rule, path string) bool {
+func matchesPath(rule, path string) bool {
 	if p, ok := strings.CutSuffix(rule, "/*"); ok {
 		return path == p || strings.HasPrefix(path, p+"/")
 	}
