--- a/internal/decide/config/config_test.go
+++ b/internal/decide/config/config_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestUnreadableObjectKeepsItsLastGoodForm(t *testing.T) {
+func TestUnreadableObjectKeepsLastGoodSpec(t *testing.T) {
 	s := config.New()
 	s.Replace(time.Time{}, api.ObjectList{Version: 1, Items: []api.Object{model("m", 1, `{"weights":"1"}`), model("n", 1, `{"weights":"1"}`)}})
 	v, _ := config.Build(s, nil, plain)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestVersionNeverGoesBack(t *testing.T) {
+func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := config.New()
 		last := api.Version(0)
--- a/internal/decide/config/kept_test.go
+++ b/internal/decide/config/kept_test.go
@@ -30,7 +30,7 @@
 }
 
 // The store knows the weights "1" of version 30, then "2" of version 45; the copy is of 40.
-func TestAcceptedChangesOutlastACopy(t *testing.T) {
+func TestAcceptedChangesOutlastRestore(t *testing.T) {
 	v := api.NewVersion
 	first, second := model("m", v(1, 30), `{"weights":"1"}`), model("m", v(1, 45), `{"weights":"2"}`)
 	restored := list(v(2, 40), first)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestKeptObjectsArePassedOn(t *testing.T) {
+func TestRetainedObjectsReachPeers(t *testing.T) {
 	v := api.NewVersion
 	a := config.New()
 	a.Replace(began, list(v(1, 45), model("m", v(1, 45), `{"weights":"2"}`), model("n", v(1, 44), `{"weights":"2"}`)))
