--- a/internal/decide/config/retained.go
+++ b/internal/decide/config/retained.go
@@ -24,10 +24,10 @@
 	until   time.Time
 }
 
-// keep keeps what was in force before and is newer than in the copy that the platform came
+// retain keeps what was in force before and is newer than in the copy that the platform came
 // back from. An object's version is that of its last write, so that one of the copy is older
 // than one that was written since.
-func (s *Store) keep(now time.Time, before Store) {
+func (s *Store) retain(now time.Time, before Store) {
 	until := now.Add(retentionTime)
 	for _, o := range before.effective() {
 		k := Key{o.Kind, o.Name}
--- a/internal/decide/config/store.go
+++ b/internal/decide/config/store.go
@@ -70,7 +70,7 @@
 	}
 	s.version = l.Version
 	if before.version > 0 && l.Version.Era() > before.version.Era() {
-		s.keep(now, before)
+		s.retain(now, before)
 	} else {
 		s.recordMissing(before)
 	}
