--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -39,7 +39,7 @@
 	// Domains are the failure domains that were declared; others are open.
 	Domains map[api.DomainName]api.FailureDomainSpec
 
-	taken map[Key]parsed
+	parsed map[Key]parsed
 }
 
 // parsed is the typed form of one object, and the version it was read from.
@@ -64,7 +64,7 @@
 		Servers:    map[api.ServerName]Server{},
 		Services:   map[api.ServiceName]Service{},
 		Domains:    map[api.DomainName]api.FailureDomainSpec{},
-		taken:      make(map[Key]parsed, len(s.objects)+len(s.retained)),
+		parsed:     make(map[Key]parsed, len(s.objects)+len(s.retained)),
 	}
 	var l []Problem
 	for _, o := range s.effective() {
@@ -79,13 +79,13 @@
 	k := Key{o.Kind, o.Name}
 	var last parsed
 	if before != nil {
-		last = before.taken[k]
+		last = before.parsed[k]
 	}
 	if last.value != nil && last.version == o.Version {
 		v.add(k, last)
 		return nil
 	}
-	x, err := read(o, decode)
+	x, err := decodeSpec(o, decode)
 	if err == nil {
 		v.add(k, parsed{version: o.Version, value: x})
 		return nil
@@ -96,8 +96,8 @@
 	return &Problem{Key: k, Detail: err.Error()}
 }
 
-// read types an object's spec.
-func read(o api.Object, decode Decoder) (any, error) {
+// decodeSpec types an object's spec.
+func decodeSpec(o api.Object, decode Decoder) (any, error) {
 	switch o.Kind {
 	case api.ResourceKindModel:
 		var x api.ModelSpec
@@ -128,7 +128,7 @@
 
 // add puts a typed object into its place.
 func (v *View) add(k Key, t parsed) {
-	v.taken[k] = t
+	v.parsed[k] = t
 	switch x := t.value.(type) {
 	case api.ModelSpec:
 		v.Models[api.ModelName(k.Name)] = x
