--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -29,13 +29,13 @@
 
 // View is the typed form of a store; it does not change once built.
 type View struct {
-	Version    api.Version
-	Models     map[api.ModelName]api.ModelSpec
-	Adapters   map[api.AdapterName]api.AdapterSpec
-	Workspaces map[api.WorkspaceName]Workspace
-	Keys       map[string]api.WorkspaceName
-	Servers    map[api.ServerName]Server
-	Services   map[api.ServiceName]Service
+	Version        api.Version
+	Models         map[api.ModelName]api.ModelSpec
+	Adapters       map[api.AdapterName]api.AdapterSpec
+	Workspaces     map[api.WorkspaceName]Workspace
+	WorkspaceByKey map[string]api.WorkspaceName
+	Servers        map[api.ServerName]Server
+	Services       map[api.ServiceName]Service
 	// Domains are the failure domains that were declared; others are open.
 	Domains map[api.DomainName]api.FailureDomainSpec
 
@@ -56,15 +56,15 @@
 // in that view, and is listed as a problem.
 func Build(s *Store, before *View, decode Decoder) (*View, []Problem) {
 	v := &View{
-		Version:    s.version,
-		Models:     map[api.ModelName]api.ModelSpec{},
-		Adapters:   map[api.AdapterName]api.AdapterSpec{},
-		Workspaces: map[api.WorkspaceName]Workspace{},
-		Keys:       map[string]api.WorkspaceName{},
-		Servers:    map[api.ServerName]Server{},
-		Services:   map[api.ServiceName]Service{},
-		Domains:    map[api.DomainName]api.FailureDomainSpec{},
-		parsed:     make(map[Key]parsed, len(s.objects)+len(s.retained)),
+		Version:        s.version,
+		Models:         map[api.ModelName]api.ModelSpec{},
+		Adapters:       map[api.AdapterName]api.AdapterSpec{},
+		Workspaces:     map[api.WorkspaceName]Workspace{},
+		WorkspaceByKey: map[string]api.WorkspaceName{},
+		Servers:        map[api.ServerName]Server{},
+		Services:       map[api.ServiceName]Service{},
+		Domains:        map[api.DomainName]api.FailureDomainSpec{},
+		parsed:         make(map[Key]parsed, len(s.objects)+len(s.retained)),
 	}
 	var l []Problem
 	for _, o := range s.effective() {
@@ -136,9 +136,9 @@
 		v.Adapters[api.AdapterName(k.Name)] = x
 	case Workspace:
 		v.Workspaces[x.Name] = x
-		if _, ok := v.Keys[x.KeySha256]; !ok {
+		if _, ok := v.WorkspaceByKey[x.KeySha256]; !ok {
 			// Of two workspaces with one key the first by name has it.
-			v.Keys[x.KeySha256] = x.Name
+			v.WorkspaceByKey[x.KeySha256] = x.Name
 		}
 	case Server:
 		v.Servers[x.Name] = x
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -23,8 +23,8 @@
 	s.Life = lifecycle.New(func() time.Time { return began })
 	s.Life.Serve()
 	v := &config.View{
-		Models: map[api.ModelName]api.ModelSpec{"desk": {ContextTokens: 1000}},
-		Keys:   map[string]api.WorkspaceName{"2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683": "w"},
+		Models:         map[api.ModelName]api.ModelSpec{"desk": {ContextTokens: 1000}},
+		WorkspaceByKey: map[string]api.WorkspaceName{"2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683": "w"},
 		Workspaces: map[api.WorkspaceName]config.Workspace{"w": {Name: "w", WorkspaceSpec: api.WorkspaceSpec{
 			Models: []api.ModelName{"desk"}, RequestsPerSecond: 1000000, Concurrent: 1000000, Priority: api.PriorityStandard,
 		}}},
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -70,7 +70,7 @@
 		return config.Workspace{}, fault.New(fault.UnknownWorkspace, "the Authorization header has no bearer key")
 	}
 	h := sha256.Sum256([]byte(k))
-	n, ok := v.Keys[hex.EncodeToString(h[:])]
+	n, ok := v.WorkspaceByKey[hex.EncodeToString(h[:])]
 	if !ok {
 		return config.Workspace{}, fault.New(fault.UnknownWorkspace, "no workspace has this key")
 	}
