--- a/internal/decide/config/config_test.go
+++ b/internal/decide/config/config_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Operators drain a server itself, or all of its failure domain by closing that.
+// Operators drain a server itself, or its whole failure domain by closing the domain.
 func TestDraining(t *testing.T) {
 	s := config.New()
 	object := func(k api.ResourceKind, name, spec string) api.Object {
@@ -90,11 +90,11 @@
 				s.Apply(api.ChangeList{Version: v, Changes: []api.Change{{Version: v, Object: o}}})
 			}
 			if s.Version() < last {
-				t.Fatalf("version went from %d to %d", last, s.Version())
+				t.Fatalf("version: was %d, got %d, want no lower one", s.Version(), last)
 			}
 			last = s.Version()
 			if l := s.List(time.Time{}).Items; len(l) == 1 && l[0].Version > last {
-				t.Fatalf("object at %d in a store at %d", l[0].Version, last)
+				t.Fatalf("object: got version %d, want at most the store's %d", l[0].Version, last)
 			}
 		}
 	})
--- a/internal/decide/config/doc.go
+++ b/internal/decide/config/doc.go
@@ -1,3 +1,3 @@
-// Package config keeps the configuration in force: it follows the platform's
-// order of versions and never goes back.
+// Package config holds the configuration in force. It follows the platform's order of versions
+// and never returns to an earlier one.
 package config
--- a/internal/decide/config/retained.go
+++ b/internal/decide/config/retained.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// retentionTime is how long an object stays in force that the platform's copy has lost:
-	// operators write it again, and do not say when. After it the platform's word holds, so
-	// that entry VMs and the platform don't differ for good.
+	// retentionTime is how long an object stays in force that a restored platform has lost.
+	// Operators are to write it again, at a time that is not known here. Afterwards the
+	// platform's state is in force, so that entry VMs don't differ from it for good.
 	retentionTime = 30 * time.Second
-	// maxRemovals bounds the removals that are remembered, some minutes of many changes.
+	// maxRemovals bounds the removals that are remembered; it is enough for some minutes with
+	// many changes.
 	maxRemovals = 512
 )
 
-// retainedObject is an object that stays in force, or stays removed, in spite of the platform.
+// retainedObject is an object that stays in force, or stays removed, until a deadline although
+// the restored platform has it otherwise.
 type retainedObject struct {
 	object  api.Object
 	removed bool
 	until   time.Time
 }
 
-// retain keeps what was in force before and is newer than in the copy that the platform came
-// back from. An object's version is that of its last write, so that one of the copy is older
-// than one that was written since.
+// retain retains the objects and removals that were in force before the platform was restored
+// and are newer than in its backup. An object's version is that of its last write, so an object
+// of the backup has a lower version than one written after the backup.
 func (s *Store) retain(now time.Time, before Store) {
 	until := now.Add(retentionTime)
 	for _, o := range before.effective() {
@@ -42,7 +44,7 @@
 	}
 }
 
-// dropOutdated drops what is kept of objects that the platform has in a newer form.
+// dropOutdated drops retained objects that the platform has at a later version.
 func (s *Store) dropOutdated() {
 	for k, x := range s.retained {
 		if o, ok := s.objects[k]; ok && o.Version > x.object.Version {
@@ -51,7 +53,8 @@
 	}
 }
 
-// mergeRetained takes what a peer keeps, unless the platform has a newer form or it was removed since.
+// mergeRetained adds the objects that a peer retains, except those that the platform has at the
+// same or a later version, that were removed since, or whose time is over.
 func (s *Store) mergeRetained(now time.Time, l []api.KeptObject) {
 	for _, x := range l {
 		k := Key{x.Object.Kind, x.Object.Name}
@@ -63,8 +66,8 @@
 	}
 }
 
-// recordMissing remembers what a list of the same era no longer has: a copy may have it still,
-// though no watch told of the removal.
+// recordMissing records as removed the objects that a later list of the same era lacks. A backup
+// may still have them, and no watch has reported their removal.
 func (s *Store) recordMissing(before Store) {
 	for k := range before.objects {
 		if _, ok := s.objects[k]; !ok {
@@ -73,7 +76,7 @@
 	}
 }
 
-// recordRemoval remembers a removal.
+// recordRemoval records a removal, and drops the oldest one beyond the bound.
 func (s *Store) recordRemoval(k Key, v api.Version) {
 	s.removals[k] = v
 	if len(s.removals) <= maxRemovals {
@@ -88,8 +91,8 @@
 	delete(s.removals, oldest)
 }
 
-// Expire drops what was kept for its time, and reports whether the objects in force change
-// by that.
+// Expire drops the retained objects whose retention time is over, and reports whether that
+// changes the objects in force.
 func (s *Store) Expire(now time.Time) bool {
 	n := len(s.retained)
 	for k, x := range s.retained {
@@ -100,12 +103,12 @@
 	return len(s.retained) < n
 }
 
-// Retained counts what stays in force in spite of the platform.
+// Retained counts the objects and removals that are in force although the platform has lost them.
 func (s *Store) Retained() int {
 	return len(s.retained)
 }
 
-// retainedList gives what is kept for a peer, in order of kind and name.
+// retainedList gives the retained objects, for a peer, in order of kind and name.
 func (s *Store) retainedList(now time.Time) []api.KeptObject {
 	var l []api.KeptObject
 	for _, x := range s.retained {
--- a/internal/decide/config/retained_test.go
+++ b/internal/decide/config/retained_test.go
@@ -10,7 +10,7 @@
 
 var began = time.Unix(1000, 0)
 
-// weights gives a model's weights in force, empty for none.
+// weights returns a model's weights in force; empty if the model is not in force.
 func weights(s *config.Store, name api.ModelName) string {
 	v, _ := config.Build(s, nil, plain)
 	return v.Models[name].Weights
@@ -29,7 +29,8 @@
 	return api.ChangeList{Version: v, Changes: []api.Change{{Version: v, Deleted: true, Object: model(name, v, `{}`)}}}
 }
 
-// The store knows the weights "1" of version 30, then "2" of version 45; the copy is of 40.
+// Changes that the platform has accepted must stay in force after a restore from a backup that
+// lacks them. The weights are "1" since version 30 and "2" since 45; the backup is of 40.
 func TestAcceptedChangesOutlastRestore(t *testing.T) {
 	v := api.NewVersion
 	first, second := model("m", v(1, 30), `{"weights":"1"}`), model("m", v(1, 45), `{"weights":"2"}`)
@@ -40,12 +41,12 @@
 		want string
 		kept int
 	}{
-		{"a change that the copy lacks", func(s *config.Store) { s.Replace(began, restored) }, "2", 1},
-		{"until its time is over", func(s *config.Store) {
+		{"a change that the backup lacks", func(s *config.Store) { s.Replace(began, restored) }, "2", 1},
+		{"retention time is over", func(s *config.Store) {
 			s.Replace(began, restored)
 			s.Expire(began.Add(31 * time.Second))
 		}, "1", 0},
-		{"until it is written again", func(s *config.Store) {
+		{"written again after the restore", func(s *config.Store) {
 			s.Replace(began, restored)
 			s.Apply(change(v(2, 41), model("m", 0, `{"weights":"3"}`)))
 		}, "3", 0},
@@ -56,20 +57,20 @@
 			s.Replace(began, restored)
 			s.Apply(removed(v(2, 41), "m"))
 		}, "", 0},
-		{"an object that the copy lacks", func(s *config.Store) { s.Replace(began, list(v(2, 20))) }, "2", 1},
-		{"removed, and in the copy still", func(s *config.Store) {
+		{"an object that the backup lacks", func(s *config.Store) { s.Replace(began, list(v(2, 20))) }, "2", 1},
+		{"removed, but still in the backup", func(s *config.Store) {
 			s.Apply(removed(v(1, 50), "m"))
 			s.Replace(began, restored)
 		}, "", 1},
-		{"removed while nobody watched, and in the copy still", func(s *config.Store) {
+		{"removed without a watch, but still in the backup", func(s *config.Store) {
 			s.Replace(began, list(v(1, 50)))
 			s.Replace(began, restored)
 		}, "", 1},
-		{"lost twice", func(s *config.Store) {
+		{"restored twice", func(s *config.Store) {
 			s.Replace(began, restored)
 			s.Replace(began.Add(time.Second), list(v(3, 38), first))
 		}, "2", 1},
-		{"a list of the earlier era that comes late", func(s *config.Store) {
+		{"a late list of the earlier era", func(s *config.Store) {
 			s.Replace(began, restored)
 			s.Replace(began, list(v(1, 60), model("m", v(1, 60), `{"weights":"late"}`)))
 		}, "2", 1},
@@ -81,7 +82,7 @@
 			s.Apply(change(v(1, 45), second))
 			c.do(s)
 			if got := weights(s, "m"); got != c.want || s.Retained() != c.kept {
-				t.Errorf("got weights %q with %d kept, want %q with %d", got, s.Retained(), c.want, c.kept)
+				t.Errorf("got weights %q with %d retained, want %q with %d", got, s.Retained(), c.want, c.kept)
 			}
 		})
 	}
@@ -96,7 +97,7 @@
 	b.Replace(began, list(v(2, 40), model("m", v(1, 30), `{"weights":"1"}`)))
 	b.Replace(began.Add(10*time.Second), a.List(began.Add(10*time.Second)))
 	if x, y := weights(b, "m"), weights(b, "n"); x != "2" || y != "2" || b.Retained() != 2 {
-		t.Errorf("got %q and %q with %d kept, want both as peers have them", x, y, b.Retained())
+		t.Errorf("got %q and %q with %d retained, want both as peers have them", x, y, b.Retained())
 	}
 	b.Apply(change(v(2, 41), model("m", 0, `{"weights":"3"}`)))
 	b.Apply(removed(v(2, 42), "n"))
@@ -110,9 +111,9 @@
 	c := config.New()
 	c.Replace(began, a.List(began.Add(20*time.Second)))
 	if c.Expire(began.Add(9 * time.Second)); c.Retained() != 2 {
-		t.Errorf("within the time that was left: got %d kept, want 2", c.Retained())
+		t.Errorf("before the peer's time is over: got %d retained, want 2", c.Retained())
 	}
 	if c.Expire(began.Add(11 * time.Second)); c.Retained() != 0 {
-		t.Errorf("beyond it: got %d kept, want none", c.Retained())
+		t.Errorf("after the peer's time is over: got %d retained, want none", c.Retained())
 	}
 }
--- a/internal/decide/config/store.go
+++ b/internal/decide/config/store.go
@@ -7,19 +7,19 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Key names one object.
+// Key identifies one object.
 type Key struct {
 	Kind api.ResourceKind
 	Name string
 }
 
-// Problem is an object that could not be read; its last good form stays.
+// Problem is an object whose spec could not be decoded; its last good spec stays in force.
 type Problem struct {
 	Key    Key
 	Detail string
 }
 
-// DeclaredKinds lists the kinds that operators declare.
+// DeclaredKinds lists the kinds of objects that operators declare.
 var DeclaredKinds = []api.ResourceKind{
 	api.ResourceKindModel,
 	api.ResourceKindAdapter,
@@ -29,12 +29,13 @@
 	api.ResourceKindFailureDomain,
 }
 
-// Store holds declared objects at one version of the platform, and those that stay in
-// force in spite of it.
+// Store holds the declared objects at one version of the platform, and those retained after
+// the platform was restored without them.
 type Store struct {
 	version api.Version
 	objects map[Key]api.Object
-	// removals holds the versions of lately removed objects, which a copy may still have.
+	// removals holds the versions at which objects were lately removed; a backup of the
+	// platform may still have them.
 	removals map[Key]api.Version
 	retained map[Key]retainedObject
 }
@@ -44,7 +45,7 @@
 	return &Store{objects: map[Key]api.Object{}, removals: map[Key]api.Version{}, retained: map[Key]retainedObject{}}
 }
 
-// FromList makes a store that knows one list.
+// FromList makes a store of the objects of one list.
 func FromList(l api.ObjectList) *Store {
 	s := New()
 	s.Replace(time.Time{}, l)
@@ -56,9 +57,9 @@
 	return s.version
 }
 
-// Replace takes a whole list at a time; it reports false for a list that is older than what
-// is known, which is dropped. In a later era than what is known, the platform came back
-// from a copy: what was known and is newer than in the list stays in force.
+// Replace replaces all objects by a list, received at now. It drops a list that is older than
+// the store's version and reports false. A list of a later era comes from a platform that was
+// restored from a backup: objects known here that are newer than in the list are retained.
 func (s *Store) Replace(now time.Time, l api.ObjectList) bool {
 	if l.Version < s.version {
 		return false
@@ -79,7 +80,7 @@
 	return true
 }
 
-// Apply takes the changes of a watch and reports how many were new.
+// Apply applies the changes of a watch and returns how many were new.
 func (s *Store) Apply(l api.ChangeList) int {
 	n := 0
 	for _, c := range l.Changes {
@@ -101,13 +102,13 @@
 	return n
 }
 
-// List gives the platform's objects in order of kind and name, and what is kept in spite of
-// them, for a peer.
+// List returns the platform's objects and the retained ones, each in order of kind and name,
+// for a peer.
 func (s *Store) List(now time.Time) api.ObjectList {
 	return api.ObjectList{Version: s.version, Items: sorted(s.objects), Kept: s.retainedList(now)}
 }
 
-// effective gives the objects in force in order of kind and name.
+// effective returns the objects in force, retained ones included, in order of kind and name.
 func (s *Store) effective() []api.Object {
 	if len(s.retained) == 0 {
 		return sorted(s.objects)
--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -27,33 +27,34 @@
 	api.ServiceSpec
 }
 
-// View is the typed form of a store; it does not change once built.
+// View holds the decoded objects of a store; it does not change once built.
 type View struct {
 	Version        api.Version
 	Models         map[api.ModelName]api.ModelSpec
 	Adapters       map[api.AdapterName]api.AdapterSpec
 	Workspaces     map[api.WorkspaceName]Workspace
+	// WorkspaceByKey is indexed by the SHA-256 of a workspace's API key.
 	WorkspaceByKey map[string]api.WorkspaceName
 	Servers        map[api.ServerName]Server
 	Services       map[api.ServiceName]Service
-	// Domains are the failure domains that were declared; others are open.
+	// Domains holds the declared failure domains; one that is not declared is open.
 	Domains map[api.DomainName]api.FailureDomainSpec
 
 	parsed map[Key]parsed
 }
 
-// parsed is the typed form of one object, and the version it was read from.
+// parsed is the decoded spec of one object, and the version that it was decoded from.
 type parsed struct {
 	version api.Version
 	value   any
 }
 
-// Decoder checks a spec against its schema and fills its defaults in.
+// Decoder decodes a spec into out, checks it against its schema and fills in its defaults.
 type Decoder func(k api.ResourceKind, raw json.RawMessage, out any) error
 
-// Build makes the view of a store. An object that has not changed since the
-// view before is not read again; a spec that can't be read is taken as it was
-// in that view, and is listed as a problem.
+// Build makes the view of a store. An object that has not changed since the view before is not
+// decoded again. One whose spec can't be decoded stays as it was in that view, and is returned
+// as a problem.
 func Build(s *Store, before *View, decode Decoder) (*View, []Problem) {
 	v := &View{
 		Version:        s.version,
@@ -96,7 +97,7 @@
 	return &Problem{Key: k, Detail: err.Error()}
 }
 
-// decodeSpec types an object's spec.
+// decodeSpec decodes an object's spec into the type of its kind.
 func decodeSpec(o api.Object, decode Decoder) (any, error) {
 	switch o.Kind {
 	case api.ResourceKindModel:
@@ -126,7 +127,7 @@
 	}
 }
 
-// add puts a typed object into its place.
+// add adds a decoded object to the map of its kind.
 func (v *View) add(k Key, t parsed) {
 	v.parsed[k] = t
 	switch x := t.value.(type) {
@@ -137,7 +138,7 @@
 	case Workspace:
 		v.Workspaces[x.Name] = x
 		if _, ok := v.WorkspaceByKey[x.KeySha256]; !ok {
-			// Of two workspaces with one key the first by name has it.
+			// If two workspaces have the same key, it belongs to the first by name.
 			v.WorkspaceByKey[x.KeySha256] = x.Name
 		}
 	case Server:
@@ -162,8 +163,8 @@
 	return slices.Contains(w.Services, s)
 }
 
-// AtMostOnce reports whether a call of the service may run at most once; a rule's
-// path ending in /* covers everything below it.
+// AtMostOnce reports whether a call of the service may run at most once. A rule whose path ends
+// in /* matches that path and all below it.
 func (s Service) AtMostOnce(method, path string) bool {
 	for _, r := range s.NotRepeatable {
 		if string(r.Method) == method && matchesPath(r.Path, path) {
@@ -186,7 +187,8 @@
 	return s.State == api.ServerStateDraining || v.Domains[s.Domain].State == api.DomainStateClosed
 }
 
-// RequiredItems lists what an engine has to have loaded, as kind/name@weights.
+// RequiredItems lists the models and adapters that an engine has to have loaded, as
+// kind/name@weights.
 func (v *View) RequiredItems(s Server) []string {
 	var l []string
 	for _, m := range s.Models {
