--- a/internal/decide/config/retained_test.go
+++ b/internal/decide/config/retained_test.go
@@ -36,10 +36,10 @@
 	first, second := model("m", v(1, 30), `{"weights":"1"}`), model("m", v(1, 45), `{"weights":"2"}`)
 	restored := list(v(2, 40), first)
 	tests := []struct {
-		name string
-		do   func(s *config.Store)
-		want string
-		kept int
+		name     string
+		do       func(s *config.Store)
+		want     string
+		retained int
 	}{
 		{"a change that the backup lacks", func(s *config.Store) { s.Replace(began, restored) }, "2", 1},
 		{"retention time is over", func(s *config.Store) {
@@ -81,8 +81,8 @@
 			s.Replace(began, list(v(1, 31), first))
 			s.Apply(change(v(1, 45), second))
 			c.do(s)
-			if got := weights(s, "m"); got != c.want || s.Retained() != c.kept {
-				t.Errorf("got weights %q with %d retained, want %q with %d", got, s.Retained(), c.want, c.kept)
+			if got := weights(s, "m"); got != c.want || s.Retained() != c.retained {
+				t.Errorf("got weights %q with %d retained, want %q with %d", got, s.Retained(), c.want, c.retained)
 			}
 		})
 	}
--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -29,10 +29,10 @@
 
 // View holds the decoded objects of a store; it does not change once built.
 type View struct {
-	Version        api.Version
-	Models         map[api.ModelName]api.ModelSpec
-	Adapters       map[api.AdapterName]api.AdapterSpec
-	Workspaces     map[api.WorkspaceName]Workspace
+	Version    api.Version
+	Models     map[api.ModelName]api.ModelSpec
+	Adapters   map[api.AdapterName]api.AdapterSpec
+	Workspaces map[api.WorkspaceName]Workspace
 	// WorkspaceByKey is indexed by the SHA-256 of a workspace's API key.
 	WorkspaceByKey map[string]api.WorkspaceName
 	Servers        map[api.ServerName]Server
