--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -227,7 +227,7 @@
 	defer k.mutex.Unlock()
 	n := k.store.At() + 1
 	o := replica.Object[T]{Name: name, Version: n, Value: v}
-	k.store.Apply(replica.Changes[T]{At: n, Items: []replica.Change[T]{{Object: o, Gone: gone}}})
+	k.store.Apply(replica.Changes[T]{At: n, Items: []replica.Change[T]{{Object: o, Removed: gone}}})
 	close(k.wake)
 	k.wake = make(chan struct{})
 }
--- a/internal/decide/replica/replica.go
+++ b/internal/decide/replica/replica.go
@@ -22,14 +22,14 @@
 	// Settled is set on what a peer has passed on where the platform has answered
 	// it for so long that nothing is missing for an outage.
 	Settled bool
-	// Kept names objects that could not be read and stay as they were.
-	Kept []string
+	// Unreadable names objects that could not be read and stay as they were.
+	Unreadable []string
 }
 
 // Change is one object that was written or, with Gone, removed.
 type Change[T any] struct {
 	Object[T]
-	Gone bool `json:"gone,omitempty"`
+	Removed bool `json:"gone,omitempty"`
 }
 
 // Changes are what happened up to a version.
@@ -102,8 +102,8 @@
 		s.changed = n.At
 	}
 	s.at = n.At
-	stays := make(map[string]bool, len(n.Items)+len(n.Kept))
-	for _, k := range n.Kept {
+	stays := make(map[string]bool, len(n.Items)+len(n.Unreadable))
+	for _, k := range n.Unreadable {
 		stays[k] = true
 	}
 	for _, o := range n.Items {
@@ -138,7 +138,7 @@
 }
 
 func (s *Store[T]) apply(c Change[T]) bool {
-	if !c.Gone {
+	if !c.Removed {
 		return s.put(c.Object)
 	}
 	o, ok := s.objects[c.Name]
@@ -215,7 +215,7 @@
 			continue
 		}
 		if from > 0 && r.at > from {
-			d.Items = append(d.Items, Change[T]{Object: Object[T]{Name: r.name, Version: r.at}, Gone: true})
+			d.Items = append(d.Items, Change[T]{Object: Object[T]{Name: r.name, Version: r.at}, Removed: true})
 		}
 	}
 	slices.SortFunc(d.Items, func(a, b Change[T]) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -35,13 +35,13 @@
 			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 3, "old")}}})
 		}, "new"},
 		{"older removal", func(s *replica.Store[string]) {
-			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 3, ""), Gone: true}}})
+			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 3, ""), Removed: true}}})
 		}, "new"},
 		{"removal", func(s *replica.Store[string]) {
-			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 5, ""), Gone: true}}})
+			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 5, ""), Removed: true}}})
 		}, ""},
 		{"newer list with an unreadable object", func(s *replica.Store[string]) {
-			s.Replace(replica.Snapshot[string]{At: 7, Kept: []string{"a"}})
+			s.Replace(replica.Snapshot[string]{At: 7, Unreadable: []string{"a"}})
 		}, "new"},
 		{"newer list without it", func(s *replica.Store[string]) { s.Replace(replica.Snapshot[string]{At: 7}) }, ""},
 	}
@@ -92,7 +92,7 @@
 			case 0:
 				a.Apply(replica.Changes[string]{At: at, Items: []replica.Change[string]{{Object: object(n, at, n)}}})
 			case 1:
-				a.Apply(replica.Changes[string]{At: at, Items: []replica.Change[string]{{Object: object(n, at, ""), Gone: true}}})
+				a.Apply(replica.Changes[string]{At: at, Items: []replica.Change[string]{{Object: object(n, at, ""), Removed: true}}})
 			case 2:
 				a.Replace(replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object(n, at, n)}})
 			case 3:
@@ -125,7 +125,7 @@
 func TestLateWatchBringsNothingBack(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 10, Items: []replica.Object[string]{object("a", 9, "x")}})
-	s.Offer(replica.Delta[string]{From: 10, At: 20, Items: []replica.Change[string]{{Object: object("a", 15, ""), Gone: true}}})
+	s.Offer(replica.Delta[string]{From: 10, At: 20, Items: []replica.Change[string]{{Object: object("a", 15, ""), Removed: true}}})
 	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 12, "x")}}})
 	if got := value(s, "a"); got != "" {
 		t.Errorf("got %q, want it gone", got)
@@ -141,7 +141,7 @@
 	if got := s.Changed(); got != 5 {
 		t.Errorf("changed: got %d, want 5", got)
 	}
-	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 13, ""), Gone: true}}})
+	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 13, ""), Removed: true}}})
 	if got := s.Changed(); got != 13 {
 		t.Errorf("changed after a removal: got %d, want 13", got)
 	}
@@ -156,7 +156,7 @@
 	a.Replace(first)
 	b.Replace(first)
 	a.Apply(replica.Changes[int]{At: 30, Items: []replica.Change[int]{
-		{Object: object(29), Gone: true}, {Object: object(30)}, {Object: replica.Object[int]{Name: "b", Version: 30}, Gone: true},
+		{Object: object(29), Removed: true}, {Object: object(30)}, {Object: replica.Object[int]{Name: "b", Version: 30}, Removed: true},
 	}})
 	if !b.Offer(a.Since(27)) {
 		t.Fatal("the delta: got nothing new of it, want the changes")
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -88,7 +88,7 @@
 	until(t, "configuration and servers everywhere", l, func() bool {
 		return b.config.At() == 7 && c.config.At() == 7 && b.servers.At() == 8 && c.servers.At() == 8
 	})
-	a.servers.Offer(replica.Delta[roster.Server]{From: 8, At: 9, Items: []replica.Change[roster.Server]{{Object: replica.Object[roster.Server]{Name: "i-1", Version: 9}, Gone: true}}})
+	a.servers.Offer(replica.Delta[roster.Server]{From: 8, At: 9, Items: []replica.Change[roster.Server]{{Object: replica.Object[roster.Server]{Name: "i-1", Version: 9}, Removed: true}}})
 	until(t, "the removal everywhere", l, func() bool {
 		return len(b.servers.Since(0).Items) == 0 && len(c.servers.Since(0).Items) == 0
 	})
--- a/internal/standin/hosted/store.go
+++ b/internal/standin/hosted/store.go
@@ -119,7 +119,7 @@
 		return false
 	}
 	delete(s.objects[e.Kind], e.Name)
-	s.note(e.Kind, Change{Object: o, Gone: true})
+	s.note(e.Kind, Change{Object: o, Removed: true})
 	return true
 }
 
