--- a/internal/decide/replica/replica.go
+++ b/internal/decide/replica/replica.go
@@ -47,9 +47,9 @@
 	Settled bool        `json:"settled"`
 }
 
-// removalsKept bounds the removals that are remembered for deltas: a few
+// maxRemovals bounds the removals that are remembered for deltas: a few
 // minutes of servers that come and go.
-const removalsKept = 512
+const maxRemovals = 512
 
 // removal is an object that is gone.
 type removal struct {
@@ -62,21 +62,21 @@
 // later era replaces all that is known of an earlier one: its versions are above, however low
 // the platform's own numbers begin again.
 type Store[T any] struct {
-	at      api.Version
-	changed api.Version
-	objects map[string]Object[T]
+	at        api.Version
+	changedAt api.Version
+	objects   map[string]Object[T]
 	// names are those of the objects, in order.
 	names []string
-	// seen is when this store learned of each object's present form.
-	seen     map[string]api.Version
-	removals []removal
-	// floor is the version from which removals are remembered.
-	floor api.Version
+	// learnedAt is when this store learned of each object's present form.
+	learnedAt map[string]api.Version
+	removals  []removal
+	// removalsSince is the version from which removals are remembered.
+	removalsSince api.Version
 }
 
 // New makes a store that knows nothing.
 func New[T any]() *Store[T] {
-	return &Store[T]{objects: map[string]Object[T]{}, seen: map[string]api.Version{}}
+	return &Store[T]{objects: map[string]Object[T]{}, learnedAt: map[string]api.Version{}}
 }
 
 // At is the version up to which every change is known.
@@ -84,9 +84,9 @@
 	return s.at
 }
 
-// Changed is the version at which an object last changed, as far as known.
-func (s *Store[T]) Changed() api.Version {
-	return s.changed
+// ChangedAt is the version at which an object last changed, as far as known.
+func (s *Store[T]) ChangedAt() api.Version {
+	return s.changedAt
 }
 
 // Replace takes a snapshot; it reports false for one that is older than what
@@ -96,10 +96,10 @@
 		return false
 	}
 	if s.at == 0 || n.At.Era() != s.at.Era() {
-		s.floor = n.At
+		s.removalsSince = n.At
 		s.removals = nil
 		// That there is nothing of a kind is news to who knows nothing, or an earlier era.
-		s.changed = n.At
+		s.changedAt = n.At
 	}
 	s.at = n.At
 	stays := make(map[string]bool, len(n.Items)+len(n.Unreadable))
@@ -158,8 +158,8 @@
 		s.names = slices.Insert(s.names, i, o.Name)
 	}
 	s.objects[o.Name] = o
-	s.seen[o.Name] = s.at
-	s.changed = s.at
+	s.learnedAt[o.Name] = s.at
+	s.changedAt = s.at
 	return true
 }
 
@@ -168,22 +168,22 @@
 		s.names = slices.Delete(s.names, i, i+1)
 	}
 	delete(s.objects, name)
-	delete(s.seen, name)
-	s.changed = s.at
+	delete(s.learnedAt, name)
+	s.changedAt = s.at
 	s.removals = append(s.removals, removal{name: name, at: s.at})
-	if len(s.removals) > removalsKept {
-		s.floor = s.removals[0].at
+	if len(s.removals) > maxRemovals {
+		s.removalsSince = s.removals[0].at
 		s.removals = s.removals[1:]
 	}
 }
 
-// Offer takes a peer's delta; it reports whether anything was new. A delta from
+// Merge takes a peer's delta; it reports whether anything was new. A delta from
 // a version that is not yet known here is dropped, as is one from another era than its own.
-func (s *Store[T]) Offer(d Delta[T]) bool {
+func (s *Store[T]) Merge(d Delta[T]) bool {
 	if d.At <= s.at || d.From > s.at || d.From > 0 && d.From.Era() != d.At.Era() {
 		return false
 	}
-	before := s.changed
+	before := s.changedAt
 	if d.From == 0 {
 		n := Snapshot[T]{At: d.At}
 		for _, c := range d.Items {
@@ -193,18 +193,18 @@
 	} else {
 		s.Apply(Changes[T]{At: d.At, Items: d.Items})
 	}
-	return s.changed != before
+	return s.changedAt != before
 }
 
 // Since gives what a peer that knows everything up to a version has missed.
 func (s *Store[T]) Since(from api.Version) Delta[T] {
 	d := Delta[T]{From: from, At: s.at}
-	if from < s.floor || from > s.at || from.Era() != s.at.Era() {
+	if from < s.removalsSince || from > s.at || from.Era() != s.at.Era() {
 		// What the peer has of an earlier era may never have been in this one.
 		d.From, from = 0, 0
 	}
 	for name, o := range s.objects {
-		if from == 0 || s.seen[name] > from {
+		if from == 0 || s.learnedAt[name] > from {
 			d.Items = append(d.Items, Change[T]{Object: o})
 		}
 	}
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -96,7 +96,7 @@
 			case 2:
 				a.Replace(replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object(n, at, n)}})
 			case 3:
-				b.Offer(a.Since(b.At()))
+				b.Merge(a.Since(b.At()))
 				same(t, a, b)
 			case 4:
 				// The platform comes back from a copy, which has one object alone.
@@ -104,7 +104,7 @@
 				a.Replace(replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object(n, at, n)}})
 			}
 		}
-		b.Offer(a.Since(b.At()))
+		b.Merge(a.Since(b.At()))
 		same(t, a, b)
 	})
 }
@@ -125,7 +125,7 @@
 func TestLateWatchBringsNothingBack(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 10, Items: []replica.Object[string]{object("a", 9, "x")}})
-	s.Offer(replica.Delta[string]{From: 10, At: 20, Items: []replica.Change[string]{{Object: object("a", 15, ""), Removed: true}}})
+	s.Merge(replica.Delta[string]{From: 10, At: 20, Items: []replica.Change[string]{{Object: object("a", 15, ""), Removed: true}}})
 	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 12, "x")}}})
 	if got := value(s, "a"); got != "" {
 		t.Errorf("got %q, want it gone", got)
@@ -138,11 +138,11 @@
 	s.Replace(replica.Snapshot[string]{At: 5, Items: []replica.Object[string]{object("a", 5, "x")}})
 	s.Apply(replica.Changes[string]{At: 9})
 	s.Replace(replica.Snapshot[string]{At: 12, Items: []replica.Object[string]{object("a", 5, "x")}})
-	if got := s.Changed(); got != 5 {
+	if got := s.ChangedAt(); got != 5 {
 		t.Errorf("changed: got %d, want 5", got)
 	}
 	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 13, ""), Removed: true}}})
-	if got := s.Changed(); got != 13 {
+	if got := s.ChangedAt(); got != 13 {
 		t.Errorf("changed after a removal: got %d, want 13", got)
 	}
 }
@@ -158,7 +158,7 @@
 	a.Apply(replica.Changes[int]{At: 30, Items: []replica.Change[int]{
 		{Object: object(29), Removed: true}, {Object: object(30)}, {Object: replica.Object[int]{Name: "b", Version: 30}, Removed: true},
 	}})
-	if !b.Offer(a.Since(27)) {
+	if !b.Merge(a.Since(27)) {
 		t.Fatal("the delta: got nothing new of it, want the changes")
 	}
 	if l := b.Snapshot().Items; len(l) != 1 || l[0] != object(30) {
@@ -190,10 +190,10 @@
 			s.Apply(replica.Changes[string]{At: v(2, 30), Items: []replica.Change[string]{{Object: object("a", v(2, 30), "part")}}})
 		}, "known"},
 		{"a peer's changes from an earlier era into a later one", func(s *replica.Store[string]) {
-			s.Offer(replica.Delta[string]{From: v(1, 25), At: v(2, 30), Items: []replica.Change[string]{{Object: object("a", v(2, 30), "part")}}})
+			s.Merge(replica.Delta[string]{From: v(1, 25), At: v(2, 30), Items: []replica.Change[string]{{Object: object("a", v(2, 30), "part")}}})
 		}, "known"},
 		{"a peer's whole copy of a later era", func(s *replica.Store[string]) {
-			s.Offer(replica.Delta[string]{At: v(2, 3), Items: []replica.Change[string]{{Object: object("a", v(2, 2), "restored")}}})
+			s.Merge(replica.Delta[string]{At: v(2, 3), Items: []replica.Change[string]{{Object: object("a", v(2, 2), "restored")}}})
 		}, "restored"},
 		{"two eras in a row", func(s *replica.Store[string]) {
 			s.Replace(one(v(2, 21), v(2, 20), "restored"))
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -194,11 +194,11 @@
 		m.Log.Emit(event.ConfigStale, zap.String("kind", m.Name), zap.Stringer("offered", s.At), zap.Stringer("version", m.store.At()))
 		return nil
 	}
-	before := m.store.Changed()
+	before := m.store.ChangedAt()
 	known := m.store.At()
 	m.store.Replace(s)
 	m.enter(known)
-	if m.store.Changed() != before {
+	if m.store.ChangedAt() != before {
 		m.Take(m.store.Snapshot())
 	}
 	return nil
@@ -247,7 +247,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	known := m.store.At()
-	if !m.store.Offer(d) {
+	if !m.store.Merge(d) {
 		return
 	}
 	m.enter(known)
@@ -314,7 +314,7 @@
 func (m *Mirror[T]) Changed() api.Version {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.store.Changed()
+	return m.store.ChangedAt()
 }
 
 func (m *Mirror[T]) reached() {
