--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -22,7 +22,7 @@
 	return ""
 }
 
-func TestOlderWordIsDropped(t *testing.T) {
+func TestOlderUpdateIsDropped(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(s *replica.Store[string])
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestNeverGoesBack(t *testing.T) {
+func TestVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := replica.New[string]()
 		at, version := api.Version(0), api.Version(0)
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestDeltasPassEverythingOn(t *testing.T) {
+func TestDeltasMakeReplicasEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := replica.New[string](), replica.New[string]()
 		at := api.Version(1)
@@ -122,7 +122,7 @@
 }
 
 // The answer to a watch that was sent before a peer told more must not bring back what is gone.
-func TestLateWatchBringsNothingBack(t *testing.T) {
+func TestLateWatchDoesNotRestoreRemovedObject(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 10, Items: []replica.Object[string]{object("a", 9, "x")}})
 	s.Merge(replica.Delta[string]{From: 10, At: 20, Items: []replica.Change[string]{{Object: object("a", 15, ""), Removed: true}}})
@@ -133,7 +133,7 @@
 }
 
 // A version that moves on without a change of the kind is no reason to ask.
-func TestChangedStandsStillWithoutChanges(t *testing.T) {
+func TestChangedAtStaysWithoutChanges(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 5, Items: []replica.Object[string]{object("a", 5, "x")}})
 	s.Apply(replica.Changes[string]{At: 9})
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestMadeAgainWithinOneBatch(t *testing.T) {
+func TestObjectRecreatedWithinOneBatchIsNotRemoved(t *testing.T) {
 	object := func(v api.Version) replica.Object[int] {
 		return replica.Object[int]{Name: "a", Version: v, Value: int(v)}
 	}
@@ -167,7 +167,7 @@
 }
 
 // A snapshot of a later era replaces what an earlier one had, whatever the platform's own numbers.
-func TestLaterEraReplacesEarlierOne(t *testing.T) {
+func TestLaterEraReplacesEarlierEra(t *testing.T) {
 	v := api.NewVersion
 	one := func(at, version api.Version, x string) replica.Snapshot[string] {
 		return replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object("a", version, x)}}
