--- a/internal/decide/replica/replica.go
+++ b/internal/decide/replica/replica.go
@@ -22,8 +22,8 @@
 	// Settled is set on what a peer has passed on where the platform has answered
 	// it for so long that nothing is missing for an outage.
 	Settled bool
-	// Unreadable names objects that could not be read and stay as they were.
-	Unreadable []string
+	// Retained names objects that could not be read and stay as they were.
+	Retained []string
 }
 
 // Change is one object that was written or, with Gone, removed.
@@ -102,8 +102,8 @@
 		s.changedAt = n.At
 	}
 	s.at = n.At
-	stays := make(map[string]bool, len(n.Items)+len(n.Unreadable))
-	for _, k := range n.Unreadable {
+	stays := make(map[string]bool, len(n.Items)+len(n.Retained))
+	for _, k := range n.Retained {
 		stays[k] = true
 	}
 	for _, o := range n.Items {
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -41,7 +41,7 @@
 			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 5, ""), Removed: true}}})
 		}, ""},
 		{"newer list with an unreadable object", func(s *replica.Store[string]) {
-			s.Replace(replica.Snapshot[string]{At: 7, Unreadable: []string{"a"}})
+			s.Replace(replica.Snapshot[string]{At: 7, Retained: []string{"a"}})
 		}, "new"},
 		{"newer list without it", func(s *replica.Store[string]) { s.Replace(replica.Snapshot[string]{At: 7}) }, ""},
 	}
