--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -97,7 +97,7 @@
 				a.Replace(replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object(n, at, n)}})
 			case 3:
 				b.Merge(a.Since(b.At()))
-				same(t, a, b)
+				checkEqual(t, a, b)
 			case 4:
 				// The platform comes back from a copy, which has one object alone.
 				at = api.NewVersion(at.Era()+1, api.Revision(rapid.IntRange(1, 9).Draw(t, "copy")))
@@ -105,11 +105,11 @@
 			}
 		}
 		b.Merge(a.Since(b.At()))
-		same(t, a, b)
+		checkEqual(t, a, b)
 	})
 }
 
-func same(t *rapid.T, a, b *replica.Store[string]) {
+func checkEqual(t *rapid.T, a, b *replica.Store[string]) {
 	x, y := a.Snapshot(), b.Snapshot()
 	if len(x.Items) != len(y.Items) {
 		t.Fatalf("got %v, want %v", y.Items, x.Items)
