--- a/internal/decide/replica/doc.go
+++ b/internal/decide/replica/doc.go
@@ -1,3 +1,3 @@
-// Package replica keeps a copy of one kind of the platform's objects in the
-// platform's order of versions and never goes back in it.
+// Package replica keeps a replica of one kind of the platform's objects. It follows the
+// platform's order of versions and never returns to an earlier one.
 package replica
--- a/internal/decide/replica/replica.go
+++ b/internal/decide/replica/replica.go
@@ -7,39 +7,39 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Object is one object as the platform has it.
+// Object is one object of the platform.
 type Object[T any] struct {
 	Name string `json:"name"`
-	// Version is that of the object's last change.
+	// Version is the version of the object's last change.
 	Version api.Version `json:"version"`
 	Value   T           `json:"value"`
 }
 
-// Snapshot is every object of a kind at a version of the platform.
+// Snapshot holds all objects of a kind at a version of the platform.
 type Snapshot[T any] struct {
 	At    api.Version
 	Items []Object[T]
-	// Settled is set on what a peer has passed on where the platform has answered
-	// it for so long that nothing is missing for an outage.
+	// Settled is set on the snapshot of a peer for which the platform has answered for so long
+	// that no object is missing because of an outage.
 	Settled bool
-	// Retained names objects that could not be read and stay as they were.
+	// Retained names objects that could not be read and keep their last known value.
 	Retained []string
 }
 
-// Change is one object that was written or, with Gone, removed.
+// Change is an object that was written or, if Removed is set, removed.
 type Change[T any] struct {
 	Object[T]
 	Removed bool `json:"gone,omitempty"`
 }
 
-// Changes are what happened up to a version.
+// Changes holds the changes up to the version At.
 type Changes[T any] struct {
 	At    api.Version
 	Items []Change[T]
 }
 
-// Delta is what a peer passes on: what has changed after From, or everything
-// where From is zero.
+// Delta is what one peer sends to another: the changes after From up to At, or all objects if
+// From is zero.
 type Delta[T any] struct {
 	From    api.Version `json:"from"`
 	At      api.Version `json:"at"`
@@ -47,34 +47,35 @@
 	Settled bool        `json:"settled"`
 }
 
-// maxRemovals bounds the removals that are remembered for deltas: a few
-// minutes of servers that come and go.
+// maxRemovals bounds the removals that are remembered for deltas. It is enough for a few minutes
+// in which servers come and go.
 const maxRemovals = 512
 
-// removal is an object that is gone.
+// removal is the record of a removed object.
 type removal struct {
 	name string
-	// at is when it was known to be gone.
+	// at is the version of the store at which it learned of the removal.
 	at api.Version
 }
 
-// Store is a copy of a kind; the zero value of At means that nothing is known. A snapshot of a
-// later era replaces all that is known of an earlier one: its versions are above, however low
-// the platform's own numbers begin again.
+// Store is a replica of all objects of a kind; At is zero while nothing is known. A snapshot of
+// a later era replaces all objects of an earlier one: a version of a later era is higher, even
+// if the platform's own revisions start again at a low number.
 type Store[T any] struct {
 	at        api.Version
 	changedAt api.Version
 	objects   map[string]Object[T]
-	// names are those of the objects, in order.
+	// names holds the names of the objects in order.
 	names []string
-	// learnedAt is when this store learned of each object's present form.
+	// learnedAt holds, for each object, the version of the store at which it learned of the
+	// object's last change.
 	learnedAt map[string]api.Version
 	removals  []removal
-	// removalsSince is the version from which removals are remembered.
+	// removalsSince is the version after which all removals are remembered.
 	removalsSince api.Version
 }
 
-// New makes a store that knows nothing.
+// New makes a store without objects, at version zero.
 func New[T any]() *Store[T] {
 	return &Store[T]{objects: map[string]Object[T]{}, learnedAt: map[string]api.Version{}}
 }
@@ -84,13 +85,13 @@
 	return s.at
 }
 
-// ChangedAt is the version at which an object last changed, as far as known.
+// ChangedAt is the version of the store at which its objects last changed.
 func (s *Store[T]) ChangedAt() api.Version {
 	return s.changedAt
 }
 
-// Replace takes a snapshot; it reports false for one that is older than what
-// is known, which is dropped.
+// Replace replaces all objects by a snapshot. It drops a snapshot that is older than the store
+// and reports false.
 func (s *Store[T]) Replace(n Snapshot[T]) bool {
 	if n.At < s.at {
 		return false
@@ -98,7 +99,7 @@
 	if s.at == 0 || n.At.Era() != s.at.Era() {
 		s.removalsSince = n.At
 		s.removals = nil
-		// That there is nothing of a kind is news to who knows nothing, or an earlier era.
+		// The first snapshot, or the first one of an era, is a change even without objects.
 		s.changedAt = n.At
 	}
 	s.at = n.At
@@ -118,13 +119,13 @@
 	return true
 }
 
-// Apply takes changes and counts those that were new. A change that is not
-// newer than the object known is dropped; a removal carries the version of the
-// object that it removes.
+// Apply applies changes and returns how many were new. It drops a write that is not newer than
+// the known object, and a removal that is older; a removal has the version of the object that
+// it removes.
 func (s *Store[T]) Apply(c Changes[T]) int {
 	if c.At <= s.at || c.At.Era() != s.at.Era() {
-		// All of it is known, and what is gone since must not come back; or it goes on from
-		// another era than this copy, which takes a snapshot.
+		// Either all of it is known, and an object removed since must not be restored; or the
+		// changes continue another era, which only a snapshot can begin.
 		return 0
 	}
 	s.at = c.At
@@ -149,7 +150,7 @@
 	return true
 }
 
-// put reports whether the object was not known in this form.
+// put stores an object and reports whether it is newer than the known one.
 func (s *Store[T]) put(o Object[T]) bool {
 	if x, ok := s.objects[o.Name]; ok && x.Version >= o.Version {
 		return false
@@ -177,8 +178,8 @@
 	}
 }
 
-// Merge takes a peer's delta; it reports whether anything was new. A delta from
-// a version that is not yet known here is dropped, as is one from another era than its own.
+// Merge applies a peer's delta and reports whether that changed anything. It drops a delta that
+// starts at a version not yet known here, or in another era than the one it ends in.
 func (s *Store[T]) Merge(d Delta[T]) bool {
 	if d.At <= s.at || d.From > s.at || d.From > 0 && d.From.Era() != d.At.Era() {
 		return false
@@ -196,11 +197,12 @@
 	return s.changedAt != before
 }
 
-// Since gives what a peer that knows everything up to a version has missed.
+// Since returns the delta for a peer that knows all changes up to a version.
 func (s *Store[T]) Since(from api.Version) Delta[T] {
 	d := Delta[T]{From: from, At: s.at}
 	if from < s.removalsSince || from > s.at || from.Era() != s.at.Era() {
-		// What the peer has of an earlier era may never have been in this one.
+		// The peer gets all objects: removals before removalsSince are not remembered, and
+		// objects that it has of another era may not exist in this one.
 		d.From, from = 0, 0
 	}
 	for name, o := range s.objects {
@@ -210,8 +212,8 @@
 	}
 	for _, r := range s.removals {
 		if _, again := s.objects[r.name]; again {
-			// It was made again. Within one batch both have the version of the batch, and
-			// which of them would come last is not known.
+			// The object was created again. If that was within one batch, removal and creation
+			// both have the version of the batch, and their order in the delta would be lost.
 			continue
 		}
 		if from > 0 && r.at > from {
@@ -222,7 +224,7 @@
 	return d
 }
 
-// Snapshot gives every object in order of name.
+// Snapshot returns all objects in order of name.
 func (s *Store[T]) Snapshot() Snapshot[T] {
 	l := make([]Object[T], 0, len(s.objects))
 	for _, n := range s.names {
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -69,7 +69,7 @@
 				s.Apply(replica.Changes[string]{At: v, Items: []replica.Change[string]{{Object: object("a", v, "")}}})
 			}
 			if s.At() < at {
-				t.Fatalf("store went from %d to %d", at, s.At())
+				t.Fatalf("store: was at %d, got %d, want no lower version", at, s.At())
 			}
 			at = s.At()
 			l := s.Snapshot().Items
@@ -99,7 +99,7 @@
 				b.Merge(a.Since(b.At()))
 				checkEqual(t, a, b)
 			case 4:
-				// The platform comes back from a copy, which has one object alone.
+				// The platform is restored from a backup that has a single object.
 				at = api.NewVersion(at.Era()+1, api.Revision(rapid.IntRange(1, 9).Draw(t, "copy")))
 				a.Replace(replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object(n, at, n)}})
 			}
@@ -121,18 +121,20 @@
 	}
 }
 
-// The answer to a watch that was sent before a peer told more must not bring back what is gone.
+// The late answer to a watch must not restore an object whose removal a peer's delta has
+// reported since the watch was sent.
 func TestLateWatchDoesNotRestoreRemovedObject(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 10, Items: []replica.Object[string]{object("a", 9, "x")}})
 	s.Merge(replica.Delta[string]{From: 10, At: 20, Items: []replica.Change[string]{{Object: object("a", 15, ""), Removed: true}}})
 	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 12, "x")}}})
 	if got := value(s, "a"); got != "" {
-		t.Errorf("got %q, want it gone", got)
+		t.Errorf("got %q, want the object removed", got)
 	}
 }
 
-// A version that moves on without a change of the kind is no reason to ask.
+// ChangedAt must not follow the platform's version while no object of the kind changes, or peers
+// would request deltas in vain.
 func TestChangedAtStaysWithoutChanges(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 5, Items: []replica.Object[string]{object("a", 5, "x")}})
@@ -159,14 +161,15 @@
 		{Object: object(29), Removed: true}, {Object: object(30)}, {Object: replica.Object[int]{Name: "b", Version: 30}, Removed: true},
 	}})
 	if !b.Merge(a.Since(27)) {
-		t.Fatal("the delta: got nothing new of it, want the changes")
+		t.Fatal("delta: got nothing new, want the changes")
 	}
 	if l := b.Snapshot().Items; len(l) != 1 || l[0] != object(30) {
-		t.Errorf("got %+v, want the object that was made again alone", l)
+		t.Errorf("got %+v, want only the object that was created again", l)
 	}
 }
 
-// A snapshot of a later era replaces what an earlier one had, whatever the platform's own numbers.
+// A snapshot of a later era must replace all objects of an earlier one, even if the platform's
+// own revisions are lower.
 func TestLaterEraReplacesEarlierEra(t *testing.T) {
 	v := api.NewVersion
 	one := func(at, version api.Version, x string) replica.Snapshot[string] {
@@ -178,11 +181,11 @@
 		want string
 	}{
 		{"list of the later era at a lower revision", func(s *replica.Store[string]) { s.Replace(one(v(2, 21), v(2, 20), "restored")) }, "restored"},
-		{"list of the earlier era that comes late", func(s *replica.Store[string]) {
+		{"late list of the earlier era", func(s *replica.Store[string]) {
 			s.Replace(one(v(2, 21), v(2, 20), "restored"))
 			s.Replace(one(v(1, 40), v(1, 40), "late"))
 		}, "restored"},
-		{"changes of the earlier era that come late", func(s *replica.Store[string]) {
+		{"late changes of the earlier era", func(s *replica.Store[string]) {
 			s.Replace(one(v(2, 21), v(2, 20), "restored"))
 			s.Apply(replica.Changes[string]{At: v(1, 40), Items: []replica.Change[string]{{Object: object("a", v(1, 40), "late")}}})
 		}, "restored"},
@@ -192,7 +195,7 @@
 		{"a peer's changes from an earlier era into a later one", func(s *replica.Store[string]) {
 			s.Merge(replica.Delta[string]{From: v(1, 25), At: v(2, 30), Items: []replica.Change[string]{{Object: object("a", v(2, 30), "part")}}})
 		}, "known"},
-		{"a peer's whole copy of a later era", func(s *replica.Store[string]) {
+		{"a peer's full delta of a later era", func(s *replica.Store[string]) {
 			s.Merge(replica.Delta[string]{At: v(2, 3), Items: []replica.Change[string]{{Object: object("a", v(2, 2), "restored")}}})
 		}, "restored"},
 		{"two eras in a row", func(s *replica.Store[string]) {
