--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -140,15 +140,15 @@
 			for i := range n {
 				l = append(l, api.VM{Name: fmt.Sprint(i), Role: api.VMRoleEntry, Address: "x"})
 			}
-			m.Listed(epoch, l)
+			m.ApplyList(epoch, l)
 			b.ResetTimer()
 			for k := range b.N {
 				at := epoch.Add(time.Duration(k) * time.Second)
 				for i := range n {
-					m.Heard(at, api.Heartbeat{VM: api.VMName(fmt.Sprint(i)), State: api.PeerStateServing})
+					m.HandleHeartbeat(at, api.Heartbeat{VM: api.VMName(fmt.Sprint(i)), State: api.PeerStateServing})
 				}
-				m.Step(at)
-				m.Candidate("orders")
+				m.DetectLost(at)
+				m.IsCandidate("orders")
 			}
 		})
 	}
--- a/internal/decide/member/candidate.go
+++ b/internal/decide/member/candidate.go
@@ -9,10 +9,10 @@
 // candidates is how many entry VMs read the lease of a duty.
 const candidates = 3
 
-// Candidate reports whether this entry VM is among the few that may hold a
+// IsCandidate reports whether this entry VM is among the few that may hold a
 // duty, by rendezvous hash over those that serve. Views may differ: the lease
 // settles it.
-func (m *Members) Candidate(duty string) bool {
+func (m *Members) IsCandidate(duty string) bool {
 	own := weight(m.self, duty)
 	above := 0
 	for _, p := range m.peers {
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -53,9 +53,9 @@
 	return &Members{self: self, suspect: suspect, peers: map[api.VMName]*Peer{}}
 }
 
-// Listed takes the platform's list. A VM that is gone from it stays while it
+// ApplyList takes the platform's list. A VM that is gone from it stays while it
 // answers heartbeats, as the list lags.
-func (m *Members) Listed(now time.Time, l []api.VM) {
+func (m *Members) ApplyList(now time.Time, l []api.VM) {
 	seen := map[api.VMName]bool{}
 	for _, v := range l {
 		n := api.VMName(v.Name)
@@ -81,9 +81,9 @@
 	p.Address = address
 }
 
-// Heard takes a heartbeat that a listed peer answered with; one from an
+// HandleHeartbeat takes a heartbeat that a listed peer answered with; one from an
 // earlier life than the last is dropped.
-func (m *Members) Heard(now time.Time, b api.Heartbeat) (Change, bool) {
+func (m *Members) HandleHeartbeat(now time.Time, b api.Heartbeat) (Change, bool) {
 	p, ok := m.peers[b.VM]
 	if !ok || b.Incarnation < p.beat.Incarnation {
 		return Change{}, false
@@ -104,8 +104,8 @@
 	return Change{VM: b.VM}, true
 }
 
-// Step finds the peers that were not heard for too long.
-func (m *Members) Step(now time.Time) []Change {
+// DetectLost finds the peers that were not heard for too long.
+func (m *Members) DetectLost(now time.Time) []Change {
 	var l []Change
 	for _, p := range m.Peers() {
 		if p.alive && now.Sub(p.heard) > m.suspect {
@@ -128,8 +128,8 @@
 	return l
 }
 
-// Find gives a peer's address.
-func (m *Members) Find(n api.VMName) (string, bool) {
+// Address gives a peer's address.
+func (m *Members) Address(n api.VMName) (string, bool) {
 	p, ok := m.peers[n]
 	if !ok {
 		return "", false
@@ -137,8 +137,8 @@
 	return p.Address, true
 }
 
-// Serving counts the entry VMs that serve, this one among them.
-func (m *Members) Serving() int {
+// ServingCount counts the entry VMs that serve, this one among them.
+func (m *Members) ServingCount() int {
 	n := 1
 	for _, p := range m.peers {
 		if p.alive && p.beat.State == api.PeerStateServing {
@@ -148,9 +148,9 @@
 	return n
 }
 
-// Rewritten reports whether every other entry VM has written its claims again in an era of
+// ClaimsRewritten reports whether every other entry VM has written its claims again in an era of
 // the platform; one that was never heard has not.
-func (m *Members) Rewritten(e api.Era) bool {
+func (m *Members) ClaimsRewritten(e api.Era) bool {
 	for _, p := range m.peers {
 		if p.beat.ClaimsEra < e {
 			return false
@@ -159,8 +159,8 @@
 	return true
 }
 
-// Newest is the highest configuration version that a peer has in force.
-func (m *Members) Newest() api.Version {
+// MaxConfigVersion is the highest configuration version that a peer has in force.
+func (m *Members) MaxConfigVersion() api.Version {
 	var v api.Version
 	for _, p := range m.peers {
 		if p.alive {
--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -20,83 +20,83 @@
 
 func TestPeerIsCountedOnceHeardAndLostOnceSilent(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.Listed(epoch, []api.VM{entry("a"), entry("b")})
-	if got := m.Serving(); got != 1 {
+	m.ApplyList(epoch, []api.VM{entry("a"), entry("b")})
+	if got := m.ServingCount(); got != 1 {
 		t.Errorf("before a heartbeat: got %d, want 1", got)
 	}
-	if _, ok := m.Heard(epoch, beat("b", 1, 3)); !ok {
+	if _, ok := m.HandleHeartbeat(epoch, beat("b", 1, 3)); !ok {
 		t.Errorf("first heartbeat: got no change, want one")
 	}
-	if got := m.Serving(); got != 2 {
+	if got := m.ServingCount(); got != 2 {
 		t.Errorf("after a heartbeat: got %d, want 2", got)
 	}
-	l := m.Step(epoch.Add(2 * time.Second))
+	l := m.DetectLost(epoch.Add(2 * time.Second))
 	if len(l) != 1 || !l[0].Lost {
 		t.Errorf("after silence: got %v, want b lost", l)
 	}
-	if got := m.Serving(); got != 1 {
+	if got := m.ServingCount(); got != 1 {
 		t.Errorf("after silence: got %d, want 1", got)
 	}
 }
 
 func TestHeartbeatOfAnEarlierLifeIsDropped(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.Listed(epoch, []api.VM{entry("b")})
-	m.Heard(epoch, beat("b", 2, 9))
-	m.Heard(epoch, beat("b", 1, 50))
-	if got, want := m.Newest(), api.Version(9); got != want {
+	m.ApplyList(epoch, []api.VM{entry("b")})
+	m.HandleHeartbeat(epoch, beat("b", 2, 9))
+	m.HandleHeartbeat(epoch, beat("b", 1, 50))
+	if got, want := m.MaxConfigVersion(), api.Version(9); got != want {
 		t.Errorf("newest: got %d, want %d", got, want)
 	}
 }
 
 func TestListThatLagsDoesNotRemoveALivePeer(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.Listed(epoch, []api.VM{entry("b")})
-	m.Heard(epoch, beat("b", 1, 1))
-	m.Listed(epoch.Add(500*time.Millisecond), nil)
-	if _, ok := m.Find("b"); !ok {
+	m.ApplyList(epoch, []api.VM{entry("b")})
+	m.HandleHeartbeat(epoch, beat("b", 1, 1))
+	m.ApplyList(epoch.Add(500*time.Millisecond), nil)
+	if _, ok := m.Address("b"); !ok {
 		t.Errorf("live peer: got removed, want kept")
 	}
-	m.Listed(epoch.Add(5*time.Second), nil)
-	if _, ok := m.Find("b"); ok {
+	m.ApplyList(epoch.Add(5*time.Second), nil)
+	if _, ok := m.Address("b"); ok {
 		t.Errorf("silent peer off the list: got kept, want removed")
 	}
 }
 
 func TestPeerOnABadLinkDoesNotFlap(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.Listed(epoch, []api.VM{entry("b")})
+	m.ApplyList(epoch, []api.VM{entry("b")})
 	changes := 0
 	now := epoch
 	// The link is there for two beats and gone for two seconds, again and again.
 	for range 50 {
 		for range 2 {
 			now = now.Add(300 * time.Millisecond)
-			if _, ok := m.Heard(now, beat("b", 1, 1)); ok {
+			if _, ok := m.HandleHeartbeat(now, beat("b", 1, 1)); ok {
 				changes++
 			}
 		}
 		now = now.Add(2 * time.Second)
-		changes += len(m.Step(now))
+		changes += len(m.DetectLost(now))
 	}
 	if changes > 4 {
 		t.Errorf("changes over 50 breaks: got %d, want at most 4", changes)
 	}
 	for range 10 {
 		now = now.Add(300 * time.Millisecond)
-		m.Heard(now, beat("b", 1, 1))
+		m.HandleHeartbeat(now, beat("b", 1, 1))
 	}
-	if got := m.Serving(); got != 2 {
+	if got := m.ServingCount(); got != 2 {
 		t.Errorf("after the link has mended: got %d serving, want 2", got)
 	}
 }
 
 func TestRestartedPeerIsTrustedAtOnce(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.Listed(epoch, []api.VM{entry("b")})
-	m.Heard(epoch, beat("b", 1, 1))
-	m.Step(epoch.Add(2 * time.Second))
-	if _, ok := m.Heard(epoch.Add(3*time.Second), beat("b", 2, 1)); !ok {
+	m.ApplyList(epoch, []api.VM{entry("b")})
+	m.HandleHeartbeat(epoch, beat("b", 1, 1))
+	m.DetectLost(epoch.Add(2 * time.Second))
+	if _, ok := m.HandleHeartbeat(epoch.Add(3*time.Second), beat("b", 2, 1)); !ok {
 		t.Errorf("new life: got no change, want it to count at once")
 	}
 }
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -105,19 +105,19 @@
 func (k *Keeper) heard(b api.Heartbeat) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if c, ok := k.members.Heard(time.Now(), b); ok {
+	if c, ok := k.members.HandleHeartbeat(time.Now(), b); ok {
 		k.log.Emit(event.PeerJoined, zap.String("vm", string(c.VM)))
 	}
-	k.metrics.Put(metric.MembersServing, int64(k.members.Serving()))
+	k.metrics.Put(metric.MembersServing, int64(k.members.ServingCount()))
 }
 
 func (k *Keeper) step() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	for _, c := range k.members.Step(time.Now()) {
+	for _, c := range k.members.DetectLost(time.Now()) {
 		k.log.Emit(event.PeerLost, zap.String("vm", string(c.VM)))
 	}
-	k.metrics.Put(metric.MembersServing, int64(k.members.Serving()))
+	k.metrics.Put(metric.MembersServing, int64(k.members.ServingCount()))
 }
 
 // Answer takes a peer's heartbeat and gives the own one.
@@ -134,42 +134,42 @@
 func (k *Keeper) Rewritten(e api.Era) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.members.Rewritten(e)
+	return k.members.ClaimsRewritten(e)
 }
 
 // Listed takes the platform's list of VMs.
 func (k *Keeper) Listed(l []api.VM) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.members.Listed(time.Now(), l)
+	k.members.ApplyList(time.Now(), l)
 }
 
 // Serving counts the entry VMs that serve, this one among them.
 func (k *Keeper) Serving() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.members.Serving()
+	return k.members.ServingCount()
 }
 
 // Newest is the highest configuration version that a peer has in force.
 func (k *Keeper) Newest() api.Version {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.members.Newest()
+	return k.members.MaxConfigVersion()
 }
 
 // Candidate reports whether this entry VM is one of those that may hold a duty.
 func (k *Keeper) Candidate(duty string) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.members.Candidate(duty)
+	return k.members.IsCandidate(duty)
 }
 
 // Find gives a peer's address.
 func (k *Keeper) Find(n api.VMName) (string, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.members.Find(n)
+	return k.members.Address(n)
 }
 
 // Addresses gives every peer's address.
