--- a/internal/decide/member/candidate.go
+++ b/internal/decide/member/candidate.go
@@ -6,8 +6,8 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// candidates is how many entry VMs read the lease of a duty.
-const candidates = 3
+// maxCandidates is how many entry VMs read the lease of a duty.
+const maxCandidates = 3
 
 // IsCandidate reports whether this entry VM is among the few that may hold a
 // duty, by rendezvous hash over those that serve. Views may differ: the lease
@@ -16,11 +16,11 @@
 	own := weight(m.self, duty)
 	above := 0
 	for _, p := range m.peers {
-		if p.alive && p.beat.State == api.PeerStateServing && weight(p.VM, duty) > own {
+		if p.alive && p.heartbeat.State == api.PeerStateServing && weight(p.VM, duty) > own {
 			above++
 		}
 	}
-	return above < candidates
+	return above < maxCandidates
 }
 
 func weight(n api.VMName, duty string) uint64 {
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -19,38 +19,38 @@
 
 // Peer is another entry VM.
 type Peer struct {
-	VM      api.VMName
-	Address string
-	beat    api.Heartbeat
-	heard   time.Time
-	alive   bool
+	VM          api.VMName
+	Address     string
+	heartbeat   api.Heartbeat
+	heartbeatAt time.Time
+	alive       bool
 	// losses counts how often it was lost in this life, and answers how often
 	// it answered since.
 	losses  int
 	answers int
 }
 
-// trustMost bounds the answers in a row that a peer has to give after losses.
-const trustMost = 8
+// maxTrustAnswers bounds the answers in a row that a peer has to give after losses.
+const maxTrustAnswers = 8
 
 // trusted reports whether a peer that answers counts as there: at once the
 // first time, and after each loss only when it has answered twice as often, so
 // that a link that comes and goes does not make it flap.
 func (p *Peer) trusted() bool {
-	return p.losses == 0 || p.answers >= min(1<<p.losses, trustMost)
+	return p.losses == 0 || p.answers >= min(1<<p.losses, maxTrustAnswers)
 }
 
 // Members is one entry VM's view of the others.
 type Members struct {
-	self    api.VMName
-	suspect time.Duration
-	peers   map[api.VMName]*Peer
+	self           api.VMName
+	suspectTimeout time.Duration
+	peers          map[api.VMName]*Peer
 }
 
 // New makes a view without peers; a peer that was not heard for suspect is
 // taken for lost.
-func New(self api.VMName, suspect time.Duration) *Members {
-	return &Members{self: self, suspect: suspect, peers: map[api.VMName]*Peer{}}
+func New(self api.VMName, suspectTimeout time.Duration) *Members {
+	return &Members{self: self, suspectTimeout: suspectTimeout, peers: map[api.VMName]*Peer{}}
 }
 
 // ApplyList takes the platform's list. A VM that is gone from it stays while it
@@ -63,16 +63,16 @@
 			continue
 		}
 		seen[n] = true
-		m.note(n, v.Address)
+		m.setAddress(n, v.Address)
 	}
 	for n, p := range m.peers {
-		if !seen[n] && now.Sub(p.heard) > m.suspect {
+		if !seen[n] && now.Sub(p.heartbeatAt) > m.suspectTimeout {
 			delete(m.peers, n)
 		}
 	}
 }
 
-func (m *Members) note(n api.VMName, address string) {
+func (m *Members) setAddress(n api.VMName, address string) {
 	p, ok := m.peers[n]
 	if !ok {
 		p = &Peer{VM: n}
@@ -85,17 +85,17 @@
 // earlier life than the last is dropped.
 func (m *Members) HandleHeartbeat(now time.Time, b api.Heartbeat) (Change, bool) {
 	p, ok := m.peers[b.VM]
-	if !ok || b.Incarnation < p.beat.Incarnation {
+	if !ok || b.Incarnation < p.heartbeat.Incarnation {
 		return Change{}, false
 	}
-	if b.Incarnation > p.beat.Incarnation {
+	if b.Incarnation > p.heartbeat.Incarnation {
 		p.losses, p.answers = 0, 0
 	}
-	if now.Sub(p.heard) > m.suspect {
+	if now.Sub(p.heartbeatAt) > m.suspectTimeout {
 		p.answers = 0
 	}
-	p.beat = b
-	p.heard = now
+	p.heartbeat = b
+	p.heartbeatAt = now
 	p.answers++
 	if p.alive || !p.trusted() {
 		return Change{}, false
@@ -108,7 +108,7 @@
 func (m *Members) DetectLost(now time.Time) []Change {
 	var l []Change
 	for _, p := range m.Peers() {
-		if p.alive && now.Sub(p.heard) > m.suspect {
+		if p.alive && now.Sub(p.heartbeatAt) > m.suspectTimeout {
 			p.alive = false
 			p.losses++
 			p.answers = 0
@@ -141,7 +141,7 @@
 func (m *Members) ServingCount() int {
 	n := 1
 	for _, p := range m.peers {
-		if p.alive && p.beat.State == api.PeerStateServing {
+		if p.alive && p.heartbeat.State == api.PeerStateServing {
 			n++
 		}
 	}
@@ -152,7 +152,7 @@
 // the platform; one that was never heard has not.
 func (m *Members) ClaimsRewritten(e api.Era) bool {
 	for _, p := range m.peers {
-		if p.beat.ClaimsEra < e {
+		if p.heartbeat.ClaimsEra < e {
 			return false
 		}
 	}
@@ -164,7 +164,7 @@
 	var v api.Version
 	for _, p := range m.peers {
 		if p.alive {
-			v = max(v, p.beat.ConfigVersion)
+			v = max(v, p.heartbeat.ConfigVersion)
 		}
 	}
 	return v
@@ -177,15 +177,15 @@
 		s := api.MemberStatus{
 			VM:            p.VM,
 			State:         api.MemberStatusStateSuspect,
-			ConfigVersion: p.beat.ConfigVersion,
-			InFlight:      p.beat.InFlight,
+			ConfigVersion: p.heartbeat.ConfigVersion,
+			InFlight:      p.heartbeat.InFlight,
 			AgeMS:         -1,
 		}
-		if !p.heard.IsZero() {
-			s.AgeMS = api.ToMilliseconds(now.Sub(p.heard))
+		if !p.heartbeatAt.IsZero() {
+			s.AgeMS = api.ToMilliseconds(now.Sub(p.heartbeatAt))
 		}
 		if p.alive {
-			s.State = api.MemberStatusState(p.beat.State)
+			s.State = api.MemberStatusState(p.heartbeat.State)
 		}
 		l = append(l, s)
 	}
