--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -10,21 +10,21 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func entry(n string) api.VM {
+func entryVM(n string) api.VM {
 	return api.VM{Name: n, Role: api.VMRoleEntry, State: api.VMStateLive, Address: n + ":1"}
 }
 
-func beat(n api.VMName, i api.Incarnation, v api.Version) api.Heartbeat {
+func heartbeat(n api.VMName, i api.Incarnation, v api.Version) api.Heartbeat {
 	return api.Heartbeat{Protocol: member.Protocol, VM: n, Incarnation: i, State: api.PeerStateServing, ConfigVersion: v}
 }
 
-func TestPeerIsCountedOnceHeardAndLostOnceSilent(t *testing.T) {
+func TestPeerCountsFromFirstHeartbeatUntilTimeout(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.ApplyList(epoch, []api.VM{entry("a"), entry("b")})
+	m.ApplyList(epoch, []api.VM{entryVM("a"), entryVM("b")})
 	if got := m.ServingCount(); got != 1 {
 		t.Errorf("before a heartbeat: got %d, want 1", got)
 	}
-	if _, ok := m.HandleHeartbeat(epoch, beat("b", 1, 3)); !ok {
+	if _, ok := m.HandleHeartbeat(epoch, heartbeat("b", 1, 3)); !ok {
 		t.Errorf("first heartbeat: got no change, want one")
 	}
 	if got := m.ServingCount(); got != 2 {
@@ -39,20 +39,20 @@
 	}
 }
 
-func TestHeartbeatOfAnEarlierLifeIsDropped(t *testing.T) {
+func TestHeartbeatOfEarlierIncarnationIsDropped(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.ApplyList(epoch, []api.VM{entry("b")})
-	m.HandleHeartbeat(epoch, beat("b", 2, 9))
-	m.HandleHeartbeat(epoch, beat("b", 1, 50))
+	m.ApplyList(epoch, []api.VM{entryVM("b")})
+	m.HandleHeartbeat(epoch, heartbeat("b", 2, 9))
+	m.HandleHeartbeat(epoch, heartbeat("b", 1, 50))
 	if got, want := m.MaxConfigVersion(), api.Version(9); got != want {
 		t.Errorf("newest: got %d, want %d", got, want)
 	}
 }
 
-func TestListThatLagsDoesNotRemoveALivePeer(t *testing.T) {
+func TestLaggingListDoesNotRemoveLivePeer(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.ApplyList(epoch, []api.VM{entry("b")})
-	m.HandleHeartbeat(epoch, beat("b", 1, 1))
+	m.ApplyList(epoch, []api.VM{entryVM("b")})
+	m.HandleHeartbeat(epoch, heartbeat("b", 1, 1))
 	m.ApplyList(epoch.Add(500*time.Millisecond), nil)
 	if _, ok := m.Address("b"); !ok {
 		t.Errorf("live peer: got removed, want kept")
@@ -63,16 +63,16 @@
 	}
 }
 
-func TestPeerOnABadLinkDoesNotFlap(t *testing.T) {
+func TestPeerOnUnstableLinkDoesNotFlap(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.ApplyList(epoch, []api.VM{entry("b")})
+	m.ApplyList(epoch, []api.VM{entryVM("b")})
 	changes := 0
 	now := epoch
 	// The link is there for two beats and gone for two seconds, again and again.
 	for range 50 {
 		for range 2 {
 			now = now.Add(300 * time.Millisecond)
-			if _, ok := m.HandleHeartbeat(now, beat("b", 1, 1)); ok {
+			if _, ok := m.HandleHeartbeat(now, heartbeat("b", 1, 1)); ok {
 				changes++
 			}
 		}
@@ -84,7 +84,7 @@
 	}
 	for range 10 {
 		now = now.Add(300 * time.Millisecond)
-		m.HandleHeartbeat(now, beat("b", 1, 1))
+		m.HandleHeartbeat(now, heartbeat("b", 1, 1))
 	}
 	if got := m.ServingCount(); got != 2 {
 		t.Errorf("after the link has mended: got %d serving, want 2", got)
@@ -93,10 +93,10 @@
 
 func TestRestartedPeerIsTrustedAtOnce(t *testing.T) {
 	m := member.New("a", time.Second)
-	m.ApplyList(epoch, []api.VM{entry("b")})
-	m.HandleHeartbeat(epoch, beat("b", 1, 1))
+	m.ApplyList(epoch, []api.VM{entryVM("b")})
+	m.HandleHeartbeat(epoch, heartbeat("b", 1, 1))
 	m.DetectLost(epoch.Add(2 * time.Second))
-	if _, ok := m.HandleHeartbeat(epoch.Add(3*time.Second), beat("b", 2, 1)); !ok {
+	if _, ok := m.HandleHeartbeat(epoch.Add(3*time.Second), heartbeat("b", 2, 1)); !ok {
 		t.Errorf("new life: got no change, want it to count at once")
 	}
 }
