--- a/internal/decide/member/candidate.go
+++ b/internal/decide/member/candidate.go
@@ -6,12 +6,12 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// maxCandidates is how many entry VMs read the lease of a duty.
+// maxCandidates is how many entry VMs compete for the lease of a duty.
 const maxCandidates = 3
 
-// IsCandidate reports whether this entry VM is among the few that may hold a
-// duty, by rendezvous hash over those that serve. Views may differ: the lease
-// settles it.
+// IsCandidate reports whether this entry VM is among the few that may hold a duty, by rendezvous
+// hashing over the entry VMs that serve. Entry VMs may differ in whom they count as serving; the
+// lease of the duty still admits a single holder.
 func (m *Members) IsCandidate(duty string) bool {
 	own := weight(m.self, duty)
 	above := 0
--- a/internal/decide/member/doc.go
+++ b/internal/decide/member/doc.go
@@ -1,3 +1,3 @@
-// Package member decides which entry VMs are there, from the platform's late
-// list and from heartbeats.
+// Package member decides which entry VMs are alive, from heartbeats and from
+// the platform's list, which lags.
 package member
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -8,10 +8,10 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Protocol is the version of the protocol between entry VMs.
+// Protocol is the version of the protocol that entry VMs use with each other.
 const Protocol = 1
 
-// Change tells what a step found out about one entry VM.
+// Change reports that another entry VM has joined or, if Lost is set, was lost.
 type Change struct {
 	VM   api.VMName
 	Lost bool
@@ -24,37 +24,37 @@
 	heartbeat   api.Heartbeat
 	heartbeatAt time.Time
 	alive       bool
-	// losses counts how often it was lost in this life, and answers how often
-	// it answered since.
+	// losses counts how often the peer was lost in its present incarnation; answers counts its
+	// heartbeats since the last loss or gap.
 	losses  int
 	answers int
 }
 
-// maxTrustAnswers bounds the answers in a row that a peer has to give after losses.
+// maxTrustAnswers bounds the heartbeats in a row that a peer has to answer after losses.
 const maxTrustAnswers = 8
 
-// trusted reports whether a peer that answers counts as there: at once the
-// first time, and after each loss only when it has answered twice as often, so
-// that a link that comes and goes does not make it flap.
+// trusted reports whether a peer that answers heartbeats counts as alive: after its first answer
+// if it was never lost, else after a number of answers that doubles with each loss. So a peer on
+// an unstable link does not flap.
 func (p *Peer) trusted() bool {
 	return p.losses == 0 || p.answers >= min(1<<p.losses, maxTrustAnswers)
 }
 
-// Members is one entry VM's view of the others.
+// Members is one entry VM's view of the other entry VMs.
 type Members struct {
 	self           api.VMName
 	suspectTimeout time.Duration
 	peers          map[api.VMName]*Peer
 }
 
-// New makes a view without peers; a peer that was not heard for suspect is
-// taken for lost.
+// New makes a view without peers. A peer whose last heartbeat is older than suspectTimeout is
+// counted as lost.
 func New(self api.VMName, suspectTimeout time.Duration) *Members {
 	return &Members{self: self, suspectTimeout: suspectTimeout, peers: map[api.VMName]*Peer{}}
 }
 
-// ApplyList takes the platform's list. A VM that is gone from it stays while it
-// answers heartbeats, as the list lags.
+// ApplyList applies the platform's list of VMs. A peer that is not in it stays while it answers
+// heartbeats, as the list lags.
 func (m *Members) ApplyList(now time.Time, l []api.VM) {
 	seen := map[api.VMName]bool{}
 	for _, v := range l {
@@ -81,8 +81,8 @@
 	p.Address = address
 }
 
-// HandleHeartbeat takes a heartbeat that a listed peer answered with; one from an
-// earlier life than the last is dropped.
+// HandleHeartbeat takes the heartbeat that a listed peer has answered with, and returns a change
+// if the peer has joined by it. A heartbeat of an earlier incarnation than the last is dropped.
 func (m *Members) HandleHeartbeat(now time.Time, b api.Heartbeat) (Change, bool) {
 	p, ok := m.peers[b.VM]
 	if !ok || b.Incarnation < p.heartbeat.Incarnation {
@@ -104,7 +104,7 @@
 	return Change{VM: b.VM}, true
 }
 
-// DetectLost finds the peers that were not heard for too long.
+// DetectLost marks the peers whose last heartbeat is too old as lost, and returns them.
 func (m *Members) DetectLost(now time.Time) []Change {
 	var l []Change
 	for _, p := range m.Peers() {
@@ -128,7 +128,7 @@
 	return l
 }
 
-// Address gives a peer's address.
+// Address returns a peer's address, and false for an unknown peer.
 func (m *Members) Address(n api.VMName) (string, bool) {
 	p, ok := m.peers[n]
 	if !ok {
@@ -137,7 +137,7 @@
 	return p.Address, true
 }
 
-// ServingCount counts the entry VMs that serve, this one among them.
+// ServingCount counts the entry VMs that serve, this one included.
 func (m *Members) ServingCount() int {
 	n := 1
 	for _, p := range m.peers {
@@ -148,8 +148,8 @@
 	return n
 }
 
-// ClaimsRewritten reports whether every other entry VM has written its claims again in an era of
-// the platform; one that was never heard has not.
+// ClaimsRewritten reports whether every other entry VM has rewritten its claims in an era of the
+// platform. One that has never sent a heartbeat has not.
 func (m *Members) ClaimsRewritten(e api.Era) bool {
 	for _, p := range m.peers {
 		if p.heartbeat.ClaimsEra < e {
@@ -159,7 +159,7 @@
 	return true
 }
 
-// MaxConfigVersion is the highest configuration version that a peer has in force.
+// MaxConfigVersion is the highest configuration version in force at a live peer.
 func (m *Members) MaxConfigVersion() api.Version {
 	var v api.Version
 	for _, p := range m.peers {
@@ -170,7 +170,7 @@
 	return v
 }
 
-// Status lists the peers as this entry VM sees them.
+// Status lists the peers and their states as this entry VM sees them, in order of name.
 func (m *Members) Status(now time.Time) []api.MemberStatus {
 	l := []api.MemberStatus{}
 	for _, p := range m.Peers() {
--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -55,11 +55,11 @@
 	m.HandleHeartbeat(epoch, heartbeat("b", 1, 1))
 	m.ApplyList(epoch.Add(500*time.Millisecond), nil)
 	if _, ok := m.Address("b"); !ok {
-		t.Errorf("live peer: got removed, want kept")
+		t.Errorf("live peer that is not listed: got removed, want kept")
 	}
 	m.ApplyList(epoch.Add(5*time.Second), nil)
 	if _, ok := m.Address("b"); ok {
-		t.Errorf("silent peer off the list: got kept, want removed")
+		t.Errorf("silent peer that is not listed: got kept, want removed")
 	}
 }
 
@@ -68,7 +68,7 @@
 	m.ApplyList(epoch, []api.VM{entryVM("b")})
 	changes := 0
 	now := epoch
-	// The link is there for two beats and gone for two seconds, again and again.
+	// The link alternates between two heartbeats and two seconds of silence.
 	for range 50 {
 		for range 2 {
 			now = now.Add(300 * time.Millisecond)
@@ -80,14 +80,14 @@
 		changes += len(m.DetectLost(now))
 	}
 	if changes > 4 {
-		t.Errorf("changes over 50 breaks: got %d, want at most 4", changes)
+		t.Errorf("changes over 50 interruptions: got %d, want at most 4", changes)
 	}
 	for range 10 {
 		now = now.Add(300 * time.Millisecond)
 		m.HandleHeartbeat(now, heartbeat("b", 1, 1))
 	}
 	if got := m.ServingCount(); got != 2 {
-		t.Errorf("after the link has mended: got %d serving, want 2", got)
+		t.Errorf("on a stable link again: got %d serving, want 2", got)
 	}
 }
 
@@ -97,6 +97,6 @@
 	m.HandleHeartbeat(epoch, heartbeat("b", 1, 1))
 	m.DetectLost(epoch.Add(2 * time.Second))
 	if _, ok := m.HandleHeartbeat(epoch.Add(3*time.Second), heartbeat("b", 2, 1)); !ok {
-		t.Errorf("new life: got no change, want it to count at once")
+		t.Errorf("heartbeat of a new incarnation: got no change, want the peer alive at once")
 	}
 }
