--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -74,16 +74,16 @@
 	s.pacer.Forget(known)
 }
 
-// Listed notes whether the platform's list says that a server is leaving.
-func (s *Servers) Listed(n api.ServerName, leaving bool) {
+// SetListedLeaving notes whether the platform's list says that a server is leaving.
+func (s *Servers) SetListedLeaving(n api.ServerName, leaving bool) {
 	if x, ok := s.states[n]; ok {
 		x.leaving = leaving
 	}
 }
 
-// Say notes that a server said in an answer, here or to a peer, that it leaves, and reports
+// AnnounceLeaving notes that a server said in an answer, here or to a peer, that it leaves, and reports
 // whether that is new.
-func (s *Servers) Say(now time.Time, n api.ServerName, here bool) bool {
+func (s *Servers) AnnounceLeaving(now time.Time, n api.ServerName, here bool) bool {
 	x, ok := s.states[n]
 	if !ok || x.says(now) && x.heard {
 		return false
@@ -98,9 +98,9 @@
 	return !x.said.IsZero() && now.Sub(x.said) < sayTime
 }
 
-// Said lists the servers that said so to this entry VM, in order. What peers told is not
+// AnnouncedLeaving lists the servers that said so to this entry VM, in order. What peers told is not
 // passed on: between them it would never end.
-func (s *Servers) Said(now time.Time) []api.ServerName {
+func (s *Servers) AnnouncedLeaving(now time.Time) []api.ServerName {
 	var l []api.ServerName
 	for n, x := range s.states {
 		if x.heard && x.says(now) {
@@ -111,20 +111,20 @@
 	return l
 }
 
-// Rest notes that a server wants no calls of this entry VM for a time.
-func (s *Servers) Rest(now time.Time, n api.ServerName, d time.Duration) {
+// SetBackoff notes that a server wants no calls of this entry VM for a time.
+func (s *Servers) SetBackoff(now time.Time, n api.ServerName, d time.Duration) {
 	if x, ok := s.states[n]; ok && now.Add(d).After(x.rests) {
 		x.rests = now.Add(d)
 	}
 }
 
-// Members sets the number of entry VMs that share the limits of servers.
-func (s *Servers) Members(now time.Time, n int) {
+// SetMembers sets the number of entry VMs that share the limits of servers.
+func (s *Servers) SetMembers(now time.Time, n int) {
 	s.fleet.Note(now, n)
 }
 
-// Limited takes the limit in an answer, or that it names none, and reports whether that is new.
-func (s *Servers) Limited(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
+// NoteLimit takes the limit in an answer, or that it names none, and reports whether that is new.
+func (s *Servers) NoteLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
 	return s.limits.Note(now, sent, n, l)
 }
 
--- a/internal/decide/backend/backend_test.go
+++ b/internal/decide/backend/backend_test.go
@@ -30,7 +30,7 @@
 	}{
 		{"fewest in flight", func(s *backend.Servers) { s.Pick(epoch, both, nil) }, nil, "b"},
 		{"not tried before", func(*backend.Servers) {}, []api.ServerName{"a"}, "b"},
-		{"not leaving", func(s *backend.Servers) { s.Listed("a", true) }, nil, "b"},
+		{"not leaving", func(s *backend.Servers) { s.SetListedLeaving("a", true) }, nil, "b"},
 		{"not draining", func(s *backend.Servers) { s.Declare([]backend.Server{{Name: "a", Draining: true}, {Name: "b"}}) }, nil, "b"},
 		{"not just failed", func(s *backend.Servers) { s.Done(epoch, "a", true) }, nil, "b"},
 		{"failed is better than none", func(s *backend.Servers) { s.Done(epoch, "a", true) }, []api.ServerName{"b"}, "a"},
@@ -50,9 +50,9 @@
 // A server that has named a limit takes calls in turns, of which this entry VM has its share.
 func TestPickKeepsToLimits(t *testing.T) {
 	s := servers()
-	s.Members(epoch, 4)
+	s.SetMembers(epoch, 4)
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
-	s.Limited(epoch, epoch.Add(-time.Millisecond), "a", throttle.Limit{Named: true, Rate: 2})
+	s.NoteLimit(epoch, epoch.Add(-time.Millisecond), "a", throttle.Limit{Named: true, Rate: 2})
 	got := 0
 	for ms := 0; ms < 20_000; ms += 50 {
 		if s.Pick(at(ms), []api.ServerName{"a"}, nil).Name == "a" {
@@ -68,7 +68,7 @@
 	if x := s.Pick(at(20_000), both, nil); x.Name != "b" {
 		t.Errorf("beside another server: got %+v, want that one", x)
 	}
-	s.Limited(at(20_100), at(20_050), "a", throttle.Limit{})
+	s.NoteLimit(at(20_100), at(20_050), "a", throttle.Limit{})
 	if x := s.Pick(at(20_100), []api.ServerName{"a"}, nil); x.Name != "a" {
 		t.Errorf("after the limit was taken back: got %+v, want the server", x)
 	}
@@ -77,16 +77,16 @@
 // What a server said to a peer is kept and not passed on, so that it ends.
 func TestLeavesThatAnswersTell(t *testing.T) {
 	s := servers()
-	if !s.Say(epoch, "a", true) || s.Say(epoch.Add(time.Second), "a", true) || !s.Say(epoch, "b", false) {
+	if !s.AnnounceLeaving(epoch, "a", true) || s.AnnounceLeaving(epoch.Add(time.Second), "a", true) || !s.AnnounceLeaving(epoch, "b", false) {
 		t.Error("what is new: got another, want the first word of each server")
 	}
-	if got, want := s.Said(epoch.Add(2*time.Second)), []api.ServerName{"a"}; !slices.Equal(got, want) {
+	if got, want := s.AnnouncedLeaving(epoch.Add(2*time.Second)), []api.ServerName{"a"}; !slices.Equal(got, want) {
 		t.Errorf("to be passed on: got %v, want %v", got, want)
 	}
 	if x := s.Pick(epoch.Add(2*time.Second), both, nil); x.Name != "" || x.Wait != 0 {
 		t.Errorf("while they leave: got %+v, want none", x)
 	}
-	s.Say(epoch.Add(50*time.Second), "b", false)
+	s.AnnounceLeaving(epoch.Add(50*time.Second), "b", false)
 	if x := s.Pick(epoch.Add(61*time.Second), both, nil); x.Name != "a" {
 		t.Errorf("a minute after its word: got %+v, want the server tried", x)
 	}
@@ -97,8 +97,8 @@
 
 func TestPickLeavesRestingServersAlone(t *testing.T) {
 	s := servers()
-	s.Rest(epoch, "a", 3*time.Second)
-	s.Rest(epoch, "a", time.Second)
+	s.SetBackoff(epoch, "a", 3*time.Second)
+	s.SetBackoff(epoch, "a", time.Second)
 	if x := s.Pick(epoch.Add(2*time.Second), both, nil); x.Name != "b" {
 		t.Errorf("beside another server: got %+v, want that one", x)
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -188,7 +188,7 @@
 func (s *Server) Listed(n api.ServerName, leaving bool) {
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
-	s.services.Listed(n, leaving)
+	s.services.SetListedLeaving(n, leaving)
 }
 
 // Members sets the number of entry VMs that share the limits of workspaces and servers.
@@ -198,7 +198,7 @@
 	s.limitMutex.Unlock()
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
-	s.services.Members(time.Now(), n)
+	s.services.SetMembers(time.Now(), n)
 }
 
 // admit holds a workspace to its limits; the clean-up ends the request.
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -31,7 +31,7 @@
 		return
 	}
 	s.serviceMutex.Lock()
-	changed := s.services.Limited(time.Now(), sent, n, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
+	changed := s.services.NoteLimit(time.Now(), sent, n, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
 	s.serviceMutex.Unlock()
 	if changed {
 		s.noteLimit(n, x.Limited, x.Limit, false)
@@ -66,7 +66,7 @@
 func (s *Server) Leaving() []api.ServerName {
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
-	return s.services.Said(time.Now())
+	return s.services.AnnouncedLeaving(time.Now())
 }
 
 // MergeLeaving takes servers that said in an answer to a peer that they leave.
@@ -78,7 +78,7 @@
 
 func (s *Server) noteLeaving(n api.ServerName, here bool) {
 	s.serviceMutex.Lock()
-	changed := s.services.Say(time.Now(), n, here)
+	changed := s.services.AnnounceLeaving(time.Now(), n, here)
 	s.serviceMutex.Unlock()
 	if changed {
 		s.Log.Emit(event.ServerNotice, zap.String("server", string(n)))
@@ -90,5 +90,5 @@
 	s.Log.Emit(event.ServerRest, zap.String("server", string(n)), zap.Duration("rest", d))
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
-	s.services.Rest(time.Now(), n, d)
+	s.services.SetBackoff(time.Now(), n, d)
 }
