--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -15,43 +15,43 @@
 	Draining bool
 }
 
-// rest is how long a server that could not be reached is left alone while
+// failureBackoff is how long a server that could not be reached is left alone while
 // others can be.
-const rest = time.Second
+const failureBackoff = time.Second
 
-type state struct {
-	draining bool
-	leaving  bool
-	// said is when the server last said in an answer that it leaves, zero for never, and
+type serverState struct {
+	draining      bool
+	listedLeaving bool
+	// announcedAt is when the server last announcedAt in an answer that it leaves, zero for never, and
 	// heard is set where that was an answer to this entry VM.
-	said   time.Time
-	heard  bool
-	active int
-	failed time.Time
-	// rests is the end of the rest that the server asked this entry VM for.
-	rests time.Time
+	announcedAt   time.Time
+	announcedHere bool
+	inFlight      int
+	failedAt      time.Time
+	// backoffUntil is the end of the rest that the server asked this entry VM for.
+	backoffUntil time.Time
 }
 
-// sayTime is how long the word of a server that it leaves holds: if it serves on under its
+// announcementTTL is how long the word of a server that it leaves holds: if it serves on under its
 // name after that, its next answer says whether that is another life of it.
-const sayTime = time.Minute
+const announcementTTL = time.Minute
 
-// gone reports whether the server takes no new calls for good.
-func (x *state) gone(now time.Time) bool {
-	return x.draining || x.leaving || x.says(now)
+// unavailable reports whether the server takes no new calls for good.
+func (x *serverState) unavailable(now time.Time) bool {
+	return x.draining || x.listedLeaving || x.announcesLeaving(now)
 }
 
 // Servers is one entry VM's view of the servers of plain services.
 type Servers struct {
-	states map[api.ServerName]*state
-	limits *throttle.Limits
-	pacer  *throttle.Pacer
-	fleet  throttle.Fleet
+	states  map[api.ServerName]*serverState
+	limits  *throttle.Limits
+	pacer   *throttle.Pacer
+	members throttle.Fleet
 }
 
 // New makes a view without servers that draws from a source.
 func New(s rand.Source) *Servers {
-	return &Servers{states: map[api.ServerName]*state{}, limits: throttle.NewLimits(), pacer: throttle.NewPacer(rand.New(s))}
+	return &Servers{states: map[api.ServerName]*serverState{}, limits: throttle.NewLimits(), pacer: throttle.NewPacer(rand.New(s))}
 }
 
 // Declare takes the servers in force.
@@ -60,7 +60,7 @@
 	for _, x := range l {
 		seen[x.Name] = true
 		if s.states[x.Name] == nil {
-			s.states[x.Name] = &state{}
+			s.states[x.Name] = &serverState{}
 		}
 		s.states[x.Name].draining = x.Draining
 	}
@@ -77,7 +77,7 @@
 // SetListedLeaving notes whether the platform's list says that a server is leaving.
 func (s *Servers) SetListedLeaving(n api.ServerName, leaving bool) {
 	if x, ok := s.states[n]; ok {
-		x.leaving = leaving
+		x.listedLeaving = leaving
 	}
 }
 
@@ -85,17 +85,17 @@
 // whether that is new.
 func (s *Servers) AnnounceLeaving(now time.Time, n api.ServerName, here bool) bool {
 	x, ok := s.states[n]
-	if !ok || x.says(now) && x.heard {
+	if !ok || x.announcesLeaving(now) && x.announcedHere {
 		return false
 	}
-	changed := !x.says(now)
-	x.said, x.heard = now, here
+	changed := !x.announcesLeaving(now)
+	x.announcedAt, x.announcedHere = now, here
 	return changed
 }
 
-// says reports whether the server's word that it leaves still holds.
-func (x *state) says(now time.Time) bool {
-	return !x.said.IsZero() && now.Sub(x.said) < sayTime
+// announcesLeaving reports whether the server's word that it leaves still holds.
+func (x *serverState) announcesLeaving(now time.Time) bool {
+	return !x.announcedAt.IsZero() && now.Sub(x.announcedAt) < announcementTTL
 }
 
 // AnnouncedLeaving lists the servers that said so to this entry VM, in order. What peers told is not
@@ -103,7 +103,7 @@
 func (s *Servers) AnnouncedLeaving(now time.Time) []api.ServerName {
 	var l []api.ServerName
 	for n, x := range s.states {
-		if x.heard && x.says(now) {
+		if x.announcedHere && x.announcesLeaving(now) {
 			l = append(l, n)
 		}
 	}
@@ -113,14 +113,14 @@
 
 // SetBackoff notes that a server wants no calls of this entry VM for a time.
 func (s *Servers) SetBackoff(now time.Time, n api.ServerName, d time.Duration) {
-	if x, ok := s.states[n]; ok && now.Add(d).After(x.rests) {
-		x.rests = now.Add(d)
+	if x, ok := s.states[n]; ok && now.Add(d).After(x.backoffUntil) {
+		x.backoffUntil = now.Add(d)
 	}
 }
 
 // SetMembers sets the number of entry VMs that share the limits of servers.
 func (s *Servers) SetMembers(now time.Time, n int) {
-	s.fleet.Note(now, n)
+	s.members.Note(now, n)
 }
 
 // NoteLimit takes the limit in an answer, or that it names none, and reports whether that is new.
@@ -150,47 +150,47 @@
 // Pick takes the server with the fewest calls in flight, leaving out those tried before.
 func (s *Servers) Pick(now time.Time, servers, tried []api.ServerName) Choice {
 	var best api.ServerName
-	var b *state
+	var b *serverState
 	var wait time.Duration
 	for _, n := range servers {
 		x := s.states[n]
-		if x == nil || x.gone(now) || slices.Contains(tried, n) {
+		if x == nil || x.unavailable(now) || slices.Contains(tried, n) {
 			continue
 		}
-		if w := max(s.turn(now, n), x.rests.Sub(now)); w > 0 {
+		if w := max(s.sendWait(now, n), x.backoffUntil.Sub(now)); w > 0 {
 			if wait == 0 || w < wait {
 				wait = w
 			}
 			continue
 		}
-		if b == nil || x.before(b, now) {
+		if b == nil || x.preferredTo(b, now) {
 			best, b = n, x
 		}
 	}
 	if b == nil {
 		return Choice{Wait: wait}
 	}
-	b.active++
+	b.inFlight++
 	s.pacer.Sent(now, best)
 	return Choice{Name: best}
 }
 
-// turn is the time until a server takes a call of this entry VM.
-func (s *Servers) turn(now time.Time, n api.ServerName) time.Duration {
+// sendWait is the time until a server takes a call of this entry VM.
+func (s *Servers) sendWait(now time.Time, n api.ServerName) time.Duration {
 	r, ok := s.limits.Find(n)
 	if !ok {
 		return 0
 	}
-	t := throttle.Terms{Rate: r, Part: throttle.Equal, Members: s.fleet.Most()}
+	t := throttle.Terms{Rate: r, Part: throttle.Equal, Members: s.members.Most()}
 	return s.pacer.Next(now, n, t).Sub(now)
 }
 
-func (x *state) before(y *state, now time.Time) bool {
-	p, q := now.Sub(x.failed) < rest, now.Sub(y.failed) < rest
+func (x *serverState) preferredTo(y *serverState, now time.Time) bool {
+	p, q := now.Sub(x.failedAt) < failureBackoff, now.Sub(y.failedAt) < failureBackoff
 	if p != q {
 		return q
 	}
-	return x.active < y.active
+	return x.inFlight < y.inFlight
 }
 
 // Done ends a call; failed tells that the server could not be reached.
@@ -199,8 +199,8 @@
 	if !ok {
 		return
 	}
-	x.active = max(0, x.active-1)
+	x.inFlight = max(0, x.inFlight-1)
 	if failed {
-		x.failed = now
+		x.failedAt = now
 	}
 }
