--- a/internal/decide/backend/backend_test.go
+++ b/internal/decide/backend/backend_test.go
@@ -48,7 +48,7 @@
 }
 
 // A server that has named a limit takes calls in turns, of which this entry VM has its share.
-func TestPickKeepsToLimits(t *testing.T) {
+func TestPickHonorsLimits(t *testing.T) {
 	s := servers()
 	s.SetMembers(epoch, 4)
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
@@ -75,7 +75,7 @@
 }
 
 // What a server said to a peer is kept and not passed on, so that it ends.
-func TestLeavesThatAnswersTell(t *testing.T) {
+func TestAnnouncedLeaveHoldsForAMinute(t *testing.T) {
 	s := servers()
 	if !s.AnnounceLeaving(epoch, "a", true) || s.AnnounceLeaving(epoch.Add(time.Second), "a", true) || !s.AnnounceLeaving(epoch, "b", false) {
 		t.Error("what is new: got another, want the first word of each server")
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestPickLeavesRestingServersAlone(t *testing.T) {
+func TestPickHonorsBackoff(t *testing.T) {
 	s := servers()
 	s.SetBackoff(epoch, "a", 3*time.Second)
 	s.SetBackoff(epoch, "a", time.Second)
