--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// AnnounceLeaving notes that a server said in an answer, here or to a peer, that it leaves, and reports
+// NoteLeaving notes that a server said in an answer, here or to a peer, that it leaves, and reports
 // whether that is new.
-func (s *Servers) AnnounceLeaving(now time.Time, n api.ServerName, here bool) bool {
+func (s *Servers) NoteLeaving(now time.Time, n api.ServerName, here bool) bool {
 	x, ok := s.states[n]
 	if !ok || x.announcesLeaving(now) && x.announcedHere {
 		return false
--- a/internal/decide/backend/backend_test.go
+++ b/internal/decide/backend/backend_test.go
@@ -77,7 +77,7 @@
 // What a server said to a peer is kept and not passed on, so that it ends.
 func TestAnnouncedLeaveHoldsForAMinute(t *testing.T) {
 	s := servers()
-	if !s.AnnounceLeaving(epoch, "a", true) || s.AnnounceLeaving(epoch.Add(time.Second), "a", true) || !s.AnnounceLeaving(epoch, "b", false) {
+	if !s.NoteLeaving(epoch, "a", true) || s.NoteLeaving(epoch.Add(time.Second), "a", true) || !s.NoteLeaving(epoch, "b", false) {
 		t.Error("what is new: got another, want the first word of each server")
 	}
 	if got, want := s.AnnouncedLeaving(epoch.Add(2*time.Second)), []api.ServerName{"a"}; !slices.Equal(got, want) {
@@ -86,7 +86,7 @@
 	if x := s.Pick(epoch.Add(2*time.Second), both, nil); x.Name != "" || x.Wait != 0 {
 		t.Errorf("while they leave: got %+v, want none", x)
 	}
-	s.AnnounceLeaving(epoch.Add(50*time.Second), "b", false)
+	s.NoteLeaving(epoch.Add(50*time.Second), "b", false)
 	if x := s.Pick(epoch.Add(61*time.Second), both, nil); x.Name != "a" {
 		t.Errorf("a minute after its word: got %+v, want the server tried", x)
 	}
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -78,7 +78,7 @@
 
 func (s *Server) noteLeaving(n api.ServerName, here bool) {
 	s.serviceMutex.Lock()
-	changed := s.services.AnnounceLeaving(time.Now(), n, here)
+	changed := s.services.NoteLeaving(time.Now(), n, here)
 	s.serviceMutex.Unlock()
 	if changed {
 		s.Log.Emit(event.ServerNotice, zap.String("server", string(n)))
