--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -9,39 +9,40 @@
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 )
 
-// Server is a backend server as declared.
+// Server is a declared backend server.
 type Server struct {
 	Name     api.ServerName
 	Draining bool
 }
 
-// failureBackoff is how long a server that could not be reached is left alone while
-// others can be.
+// failureBackoff is how long after a failed call other servers are preferred to a server that
+// could not be reached.
 const failureBackoff = time.Second
 
 type serverState struct {
 	draining      bool
 	listedLeaving bool
-	// announcedAt is when the server last announcedAt in an answer that it leaves, zero for never, and
-	// heard is set where that was an answer to this entry VM.
+	// announcedAt is when the server last announced in an answer that it is leaving, zero for
+	// never; announcedHere is set if that was an answer to this entry VM, not to a peer.
 	announcedAt   time.Time
 	announcedHere bool
 	inFlight      int
 	failedAt      time.Time
-	// backoffUntil is the end of the rest that the server asked this entry VM for.
+	// backoffUntil is the end of the backoff that the server has requested of this entry VM.
 	backoffUntil time.Time
 }
 
-// announcementTTL is how long the word of a server that it leaves holds: if it serves on under its
-// name after that, its next answer says whether that is another life of it.
+// announcementTTL is how long a server's announcement that it is leaving holds. Afterwards the
+// server is tried again if it is still declared: its next answer tells whether it is still
+// leaving, or a new incarnation serves under its name.
 const announcementTTL = time.Minute
 
-// unavailable reports whether the server takes no new calls for good.
+// unavailable reports whether the server is draining or leaving, and thus takes no new calls.
 func (x *serverState) unavailable(now time.Time) bool {
 	return x.draining || x.listedLeaving || x.announcesLeaving(now)
 }
 
-// Servers is one entry VM's view of the servers of plain services.
+// Servers is one entry VM's view of the backend servers of plain services.
 type Servers struct {
 	states  map[api.ServerName]*serverState
 	limits  *throttle.Limits
@@ -49,12 +50,12 @@
 	members throttle.Fleet
 }
 
-// New makes a view without servers that draws from a source.
+// New makes a view without servers. The pacer of limited servers draws random numbers from s.
 func New(s rand.Source) *Servers {
 	return &Servers{states: map[api.ServerName]*serverState{}, limits: throttle.NewLimits(), pacer: throttle.NewPacer(rand.New(s))}
 }
 
-// Declare takes the servers in force.
+// Declare sets the declared servers, and forgets all others.
 func (s *Servers) Declare(l []Server) {
 	seen := map[api.ServerName]bool{}
 	for _, x := range l {
@@ -74,15 +75,15 @@
 	s.pacer.Forget(known)
 }
 
-// SetListedLeaving notes whether the platform's list says that a server is leaving.
+// SetListedLeaving sets whether a server is leaving by the platform's list.
 func (s *Servers) SetListedLeaving(n api.ServerName, leaving bool) {
 	if x, ok := s.states[n]; ok {
 		x.listedLeaving = leaving
 	}
 }
 
-// NoteLeaving notes that a server said in an answer, here or to a peer, that it leaves, and reports
-// whether that is new.
+// NoteLeaving notes that a server has announced in an answer that it is leaving, and reports
+// whether that is new. here is set if the answer was to this entry VM, not to a peer.
 func (s *Servers) NoteLeaving(now time.Time, n api.ServerName, here bool) bool {
 	x, ok := s.states[n]
 	if !ok || x.announcesLeaving(now) && x.announcedHere {
@@ -93,13 +94,14 @@
 	return changed
 }
 
-// announcesLeaving reports whether the server's word that it leaves still holds.
+// announcesLeaving reports whether the server's announcement that it is leaving still holds.
 func (x *serverState) announcesLeaving(now time.Time) bool {
 	return !x.announcedAt.IsZero() && now.Sub(x.announcedAt) < announcementTTL
 }
 
-// AnnouncedLeaving lists the servers that said so to this entry VM, in order. What peers told is not
-// passed on: between them it would never end.
+// AnnouncedLeaving lists, in order of name, the servers that have announced to this entry VM that
+// they are leaving. Announcements to peers are not passed on, as entry VMs would keep renewing
+// them among each other and they would never expire.
 func (s *Servers) AnnouncedLeaving(now time.Time) []api.ServerName {
 	var l []api.ServerName
 	for n, x := range s.states {
@@ -111,43 +113,47 @@
 	return l
 }
 
-// SetBackoff notes that a server wants no calls of this entry VM for a time.
+// SetBackoff notes that a server has requested a backoff: it gets no calls from this entry VM for
+// a time. A backoff that ends earlier than the present one has no effect.
 func (s *Servers) SetBackoff(now time.Time, n api.ServerName, d time.Duration) {
 	if x, ok := s.states[n]; ok && now.Add(d).After(x.backoffUntil) {
 		x.backoffUntil = now.Add(d)
 	}
 }
 
-// SetMembers sets the number of entry VMs that share the limits of servers.
+// SetMembers sets the number of entry VMs, which share the rate limits of servers.
 func (s *Servers) SetMembers(now time.Time, n int) {
 	s.members.Note(now, n)
 }
 
-// NoteLimit takes the limit in an answer, or that it names none, and reports whether that is new.
+// NoteLimit takes the rate limit that the answer to a call sent at sent names, or that it names
+// none, and reports whether that is new.
 func (s *Servers) NoteLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
 	return s.limits.Note(now, sent, n, l)
 }
 
-// Limits lists what servers have named, for peers.
+// Limits lists the rate limits that servers have named, for peers.
 func (s *Servers) Limits(now time.Time) []api.ServerLimit {
 	return s.limits.Reports(now)
 }
 
-// MergeLimit takes what a server has named to a peer, and reports whether that is new.
+// MergeLimit takes the rate limit that a server has named to a peer, and reports whether that is
+// new.
 func (s *Servers) MergeLimit(now time.Time, l api.ServerLimit) bool {
 	_, ok := s.states[l.Server]
 	return ok && s.limits.Merge(now, l)
 }
 
-// Choice is the server that a call was given, or why it was given none.
+// Choice is the server for a call, or the time until there may be one.
 type Choice struct {
-	// Name is empty for none.
+	// Name is the chosen server; empty if none takes the call now.
 	Name api.ServerName
-	// Wait is the time until one takes calls again, zero where none is expected to.
+	// Wait is the time until a server takes calls again; zero if none is expected to.
 	Wait time.Duration
 }
 
-// Pick takes the server with the fewest calls in flight, leaving out those tried before.
+// Pick chooses the server with the fewest calls in flight, leaving out those tried before and
+// avoiding those that could not be reached lately. It counts the call as in flight until Done.
 func (s *Servers) Pick(now time.Time, servers, tried []api.ServerName) Choice {
 	var best api.ServerName
 	var b *serverState
@@ -175,7 +181,8 @@
 	return Choice{Name: best}
 }
 
-// sendWait is the time until a server takes a call of this entry VM.
+// sendWait is the time until the next send slot of this entry VM at a server; zero or less if
+// the call may be sent now.
 func (s *Servers) sendWait(now time.Time, n api.ServerName) time.Duration {
 	r, ok := s.limits.Find(n)
 	if !ok {
@@ -193,7 +200,7 @@
 	return x.inFlight < y.inFlight
 }
 
-// Done ends a call; failed tells that the server could not be reached.
+// Done ends a call; failed is set if the server could not be reached.
 func (s *Servers) Done(now time.Time, n api.ServerName, failed bool) {
 	x, ok := s.states[n]
 	if !ok {
--- a/internal/decide/backend/backend_test.go
+++ b/internal/decide/backend/backend_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// A server that has named a limit takes calls in turns, of which this entry VM has its share.
+// A server with a rate limit must get only this entry VM's share of the limit.
 func TestPickHonorsLimits(t *testing.T) {
 	s := servers()
 	s.SetMembers(epoch, 4)
@@ -63,35 +63,36 @@
 		t.Errorf("calls in 20 s: got %d, want a quarter of 2 a second", got)
 	}
 	if x := s.Pick(at(20_000), []api.ServerName{"a"}, nil); x.Name != "" || x.Wait <= 0 || x.Wait > 2*time.Second {
-		t.Errorf("between two turns: got %+v, want the time until the next", x)
+		t.Errorf("between two send slots: got %+v, want the time until the next", x)
 	}
 	if x := s.Pick(at(20_000), both, nil); x.Name != "b" {
-		t.Errorf("beside another server: got %+v, want that one", x)
+		t.Errorf("with a server without limit: got %+v, want that one", x)
 	}
 	s.NoteLimit(at(20_100), at(20_050), "a", throttle.Limit{})
 	if x := s.Pick(at(20_100), []api.ServerName{"a"}, nil); x.Name != "a" {
-		t.Errorf("after the limit was taken back: got %+v, want the server", x)
+		t.Errorf("after the limit was withdrawn: got %+v, want the server", x)
 	}
 }
 
-// What a server said to a peer is kept and not passed on, so that it ends.
+// An announcement that a server is leaving holds for a minute. One made to a peer must not be
+// passed on, or it would never expire.
 func TestAnnouncedLeaveHoldsForAMinute(t *testing.T) {
 	s := servers()
 	if !s.NoteLeaving(epoch, "a", true) || s.NoteLeaving(epoch.Add(time.Second), "a", true) || !s.NoteLeaving(epoch, "b", false) {
-		t.Error("what is new: got another, want the first word of each server")
+		t.Error("new announcements: got another answer, want only the first of each server to be new")
 	}
 	if got, want := s.AnnouncedLeaving(epoch.Add(2*time.Second)), []api.ServerName{"a"}; !slices.Equal(got, want) {
-		t.Errorf("to be passed on: got %v, want %v", got, want)
+		t.Errorf("servers for peers: got %v, want %v", got, want)
 	}
 	if x := s.Pick(epoch.Add(2*time.Second), both, nil); x.Name != "" || x.Wait != 0 {
-		t.Errorf("while they leave: got %+v, want none", x)
+		t.Errorf("while both are leaving: got %+v, want none", x)
 	}
 	s.NoteLeaving(epoch.Add(50*time.Second), "b", false)
 	if x := s.Pick(epoch.Add(61*time.Second), both, nil); x.Name != "a" {
-		t.Errorf("a minute after its word: got %+v, want the server tried", x)
+		t.Errorf("a minute after its announcement: got %+v, want the server", x)
 	}
 	if x := s.Pick(epoch.Add(61*time.Second), []api.ServerName{"b"}, nil); x.Name != "" {
-		t.Errorf("one that a peer told of again: got %+v, want none", x)
+		t.Errorf("after another announcement to a peer: got %+v, want none", x)
 	}
 }
 
@@ -100,12 +101,12 @@
 	s.SetBackoff(epoch, "a", 3*time.Second)
 	s.SetBackoff(epoch, "a", time.Second)
 	if x := s.Pick(epoch.Add(2*time.Second), both, nil); x.Name != "b" {
-		t.Errorf("beside another server: got %+v, want that one", x)
+		t.Errorf("with a server without backoff: got %+v, want that one", x)
 	}
 	if x := s.Pick(epoch.Add(2*time.Second), []api.ServerName{"a"}, nil); x.Name != "" || x.Wait != time.Second {
-		t.Errorf("alone: got %+v, want none for a second", x)
+		t.Errorf("during its backoff: got %+v, want none for a second", x)
 	}
 	if x := s.Pick(epoch.Add(3*time.Second), []api.ServerName{"a"}, nil); x.Name != "a" {
-		t.Errorf("after its rest: got %+v, want the server", x)
+		t.Errorf("after its backoff: got %+v, want the server", x)
 	}
 }
--- a/internal/decide/backend/doc.go
+++ b/internal/decide/backend/doc.go
@@ -1,2 +1,2 @@
-// Package backend chooses the backend server of a plain service.
+// Package backend chooses the backend server for a call of a plain service.
 package backend
