--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -191,7 +191,7 @@
 
 // Submit decides on a new request.
 func (d *Dispatcher) Submit(now time.Time, w Work) []Action {
-	d.budget.Fresh()
+	d.budget.CountFresh()
 	return d.place(now, w)
 }
 
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -18,8 +18,8 @@
 	return &Budget{permille: permille, credit: min(permille, 1) * burst * unit}
 }
 
-// Fresh notes a request that is asked for the first time.
-func (b *Budget) Fresh() {
+// CountFresh notes a request that is asked for the first time.
+func (b *Budget) CountFresh() {
 	b.credit = min(b.credit+b.permille, burst*unit)
 }
 
--- a/internal/decide/retry/budget_test.go
+++ b/internal/decide/retry/budget_test.go
@@ -11,7 +11,7 @@
 	got := 0
 	const fresh = 10000
 	for range fresh {
-		b.Fresh()
+		b.CountFresh()
 		// Every attempt fails and asks for as many retries as it can get.
 		for b.Allow() {
 			got++
@@ -24,7 +24,7 @@
 
 func TestZeroBudgetAllowsNone(t *testing.T) {
 	b := retry.New(0)
-	b.Fresh()
+	b.CountFresh()
 	if got := b.Allow(); got {
 		t.Errorf("Allow: got %v, want false", got)
 	}
--- a/internal/decide/retry/window.go
+++ b/internal/decide/retry/window.go
@@ -30,19 +30,19 @@
 	return &Window{span: span, ratio: ratio, slack: slack, shares: 1}
 }
 
-// Bound changes the bounds, as NewWindow sets them; what was sent stays
+// SetBounds changes the bounds, as NewWindow sets them; what was sent stays
 // counted.
-func (w *Window) Bound(span time.Duration, ratio, slack float64) {
+func (w *Window) SetBounds(span time.Duration, ratio, slack float64) {
 	w.span, w.ratio, w.slack = span, ratio, slack
 }
 
-// Members sets the number of members that share the slack.
-func (w *Window) Members(n int) {
+// SetMembers sets the number of members that share the slack.
+func (w *Window) SetMembers(n int) {
 	w.shares = max(1, n)
 }
 
-// Fresh notes a request that is sent for the first time.
-func (w *Window) Fresh(now time.Time) {
+// CountFresh notes a request that is sent for the first time.
+func (w *Window) CountFresh(now time.Time) {
 	w.fresh = append(recent(w.fresh, now, w.span), now)
 }
 
@@ -74,25 +74,25 @@
 	return &Windows{span: span, ratio: ratio, slack: slack, shares: 1, services: map[api.ServiceName]*Window{}}
 }
 
-// Bound changes the bounds of all services.
-func (w *Windows) Bound(span time.Duration, ratio, slack float64) {
+// SetBounds changes the bounds of all services.
+func (w *Windows) SetBounds(span time.Duration, ratio, slack float64) {
 	w.span, w.ratio, w.slack = span, ratio, slack
 	for _, x := range w.services {
-		x.Bound(span, ratio, slack)
+		x.SetBounds(span, ratio, slack)
 	}
 }
 
-// Members sets the number of members that share the slack of each service.
-func (w *Windows) Members(n int) {
+// SetMembers sets the number of members that share the slack of each service.
+func (w *Windows) SetMembers(n int) {
 	w.shares = n
 	for _, x := range w.services {
-		x.Members(n)
+		x.SetMembers(n)
 	}
 }
 
-// Fresh notes a request for a service that is sent for the first time.
-func (w *Windows) Fresh(now time.Time, s api.ServiceName) {
-	w.service(s).Fresh(now)
+// CountFresh notes a request for a service that is sent for the first time.
+func (w *Windows) CountFresh(now time.Time, s api.ServiceName) {
+	w.service(s).CountFresh(now)
 }
 
 // Allow takes one more send to a service out of its window or reports false.
@@ -100,8 +100,8 @@
 	return w.service(s).Allow(now)
 }
 
-// Keep forgets services that are no longer configured.
-func (w *Windows) Keep(configured func(s api.ServiceName) bool) {
+// Prune forgets services that are no longer configured.
+func (w *Windows) Prune(configured func(s api.ServiceName) bool) {
 	maps.DeleteFunc(w.services, func(s api.ServiceName, _ *Window) bool { return !configured(s) })
 }
 
@@ -110,7 +110,7 @@
 	x, ok := w.services[s]
 	if !ok {
 		x = NewWindow(w.span, w.ratio, w.slack)
-		x.Members(w.shares)
+		x.SetMembers(w.shares)
 		w.services[s] = x
 	}
 	return x
--- a/internal/decide/retry/window_test.go
+++ b/internal/decide/retry/window_test.go
@@ -18,7 +18,7 @@
 	var l [members]*retry.Window
 	for i := range l {
 		l[i] = retry.NewWindow(span, 0.2, slack)
-		l[i].Members(members)
+		l[i].SetMembers(members)
 	}
 	var fresh, spent []time.Time
 	for ms := 0; ms < 30000; ms += 25 {
@@ -26,7 +26,7 @@
 		w := l[ms/25%members]
 		// The traffic stops for a while: the bound follows it.
 		if ms < 8000 || ms > 20000 {
-			w.Fresh(now)
+			w.CountFresh(now)
 			fresh = append(fresh, now)
 		}
 		for w.Allow(now) {
@@ -55,7 +55,7 @@
 	w := retry.NewWindow(time.Second, 0.2, 0)
 	now := time.Unix(100, 0)
 	for range 10 {
-		w.Fresh(now)
+		w.CountFresh(now)
 	}
 	got := 0
 	for w.Allow(now) {
@@ -71,13 +71,13 @@
 // of 1,735.
 func TestServicesDoNotAllowEachOthersRepeats(t *testing.T) {
 	w := retry.NewWindows(10*time.Second, 0.2, 3)
-	w.Members(3)
+	w.SetMembers(3)
 	now := time.Unix(100, 0)
 	for range 1000 {
-		w.Fresh(now, "engines")
+		w.CountFresh(now, "engines")
 	}
 	for range 10 {
-		w.Fresh(now, "orders")
+		w.CountFresh(now, "orders")
 	}
 	allowed := func(s api.ServiceName) int {
 		n := 0
@@ -92,11 +92,11 @@
 	if got, want := allowed("engines"), 201; got != want {
 		t.Errorf("engines: got %d repeated sends, want %d", got, want)
 	}
-	w.Bound(10*time.Second, 0.4, 3)
+	w.SetBounds(10*time.Second, 0.4, 3)
 	if got, want := allowed("orders"), 2; got != want {
 		t.Errorf("orders with twice the ratio: got %d more, want %d", got, want)
 	}
-	w.Keep(func(s api.ServiceName) bool { return s == "engines" })
+	w.Prune(func(s api.ServiceName) bool { return s == "engines" })
 	if got, want := allowed("orders"), 1; got != want {
 		t.Errorf("orders once forgotten: got %d, want %d", got, want)
 	}
@@ -111,13 +111,13 @@
 	var l [members]*retry.Window
 	for i := range l {
 		l[i] = retry.NewWindow(span, ratio, slack)
-		l[i].Members(members)
+		l[i].SetMembers(members)
 	}
 	var fresh, arrived []time.Time
 	for ms := range 40000 {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
 		w := l[ms%members]
-		w.Fresh(now)
+		w.CountFresh(now)
 		fresh = append(fresh, now)
 		for w.Allow(now) {
 			arrived = append(arrived, now.Add(time.Millisecond+time.Duration(r.Int64N(int64(39*time.Millisecond)))))
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -186,7 +186,7 @@
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
 	if len(c.tried) == 0 {
-		s.budget.Fresh()
+		s.budget.CountFresh()
 	}
 	x := s.services.Pick(time.Now(), c.service.Servers, c.tried)
 	c.tried = append(c.tried, x.Name)
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -44,7 +44,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.Retries.Keep(configured)
+	g.Retries.Prune(configured)
 	for n, a := range g.admissions {
 		a.backlog.Keep(func(route string) bool { return routes[route] })
 		if !configured(n) && a.backlog.Len() == 0 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -205,7 +205,7 @@
 	ctx, q.deadline, stop = g.Deadlines.Context(ctx, r.Arrived.Add(q.hold))
 	defer stop()
 	g.mutex.Lock()
-	g.Retries.Fresh(time.Now(), q.service.Name)
+	g.Retries.CountFresh(time.Now(), q.service.Name)
 	g.mutex.Unlock()
 	if q.route.Kind == directory.Stream {
 		g.stream(ctx, q)
@@ -319,7 +319,7 @@
 func (g *Gateway) Bound(span time.Duration, ratio, slack float64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.Retries.Bound(span, ratio, slack)
+	g.Retries.SetBounds(span, ratio, slack)
 }
 
 // again takes one more send to a service out of the fleet's bound.
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -50,7 +50,7 @@
 	g.Metrics.Retain(metric.ByServer, func(n string) bool { return known(api.ServerName(n)) })
 	g.picker.Engines.Expire(now)
 	n := g.picker.Table.Members(now)
-	g.Retries.Members(n)
+	g.Retries.SetMembers(n)
 	g.fleet.Note(now, n)
 	g.mutex.Unlock()
 	g.reopen(now)
