--- a/internal/decide/retry/window.go
+++ b/internal/decide/retry/window.go
@@ -7,9 +7,9 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// travelTime is how much longer than the span a send counts. The bound is on what arrives
+// transitTime is how much longer than the span a send counts. The bound is on what arrives
 // at servers, and sends take from a millisecond to some hundred on links that are full.
-const travelTime = 500 * time.Millisecond
+const transitTime = 500 * time.Millisecond
 
 // Window allows sends beyond the first of each request within a bound that
 // holds over every span of a length, for a fleet whose members don't ask each
@@ -19,15 +19,15 @@
 	ratio float64
 	slack float64
 
-	fresh  []time.Time
-	spent  []time.Time
-	shares int
+	fresh   []time.Time
+	repeats []time.Time
+	members int
 }
 
 // NewWindow makes a window that allows ratio times the fresh requests of a
 // span, and slack more over the whole fleet.
 func NewWindow(span time.Duration, ratio, slack float64) *Window {
-	return &Window{span: span, ratio: ratio, slack: slack, shares: 1}
+	return &Window{span: span, ratio: ratio, slack: slack, members: 1}
 }
 
 // SetBounds changes the bounds, as NewWindow sets them; what was sent stays
@@ -38,23 +38,23 @@
 
 // SetMembers sets the number of members that share the slack.
 func (w *Window) SetMembers(n int) {
-	w.shares = max(1, n)
+	w.members = max(1, n)
 }
 
 // CountFresh notes a request that is sent for the first time.
 func (w *Window) CountFresh(now time.Time) {
-	w.fresh = append(recent(w.fresh, now, w.span), now)
+	w.fresh = append(dropExpired(w.fresh, now, w.span), now)
 }
 
 // Allow takes one more send out of the window or reports false.
 func (w *Window) Allow(now time.Time) bool {
-	w.fresh = recent(w.fresh, now, w.span)
-	w.spent = recent(w.spent, now, w.span+travelTime)
-	most := w.ratio*float64(len(w.fresh)) + w.slack/float64(w.shares)
-	if float64(len(w.spent)+1) > most {
+	w.fresh = dropExpired(w.fresh, now, w.span)
+	w.repeats = dropExpired(w.repeats, now, w.span+transitTime)
+	limit := w.ratio*float64(len(w.fresh)) + w.slack/float64(w.members)
+	if float64(len(w.repeats)+1) > limit {
 		return false
 	}
-	w.spent = append(w.spent, now)
+	w.repeats = append(w.repeats, now)
 	return true
 }
 
@@ -92,12 +92,12 @@
 
 // CountFresh notes a request for a service that is sent for the first time.
 func (w *Windows) CountFresh(now time.Time, s api.ServiceName) {
-	w.service(s).CountFresh(now)
+	w.window(s).CountFresh(now)
 }
 
 // Allow takes one more send to a service out of its window or reports false.
 func (w *Windows) Allow(now time.Time, s api.ServiceName) bool {
-	return w.service(s).Allow(now)
+	return w.window(s).Allow(now)
 }
 
 // Prune forgets services that are no longer configured.
@@ -105,8 +105,8 @@
 	maps.DeleteFunc(w.services, func(s api.ServiceName, _ *Window) bool { return !configured(s) })
 }
 
-// service gives the window of a service.
-func (w *Windows) service(s api.ServiceName) *Window {
+// window gives the window of a window.
+func (w *Windows) window(s api.ServiceName) *Window {
 	x, ok := w.services[s]
 	if !ok {
 		x = NewWindow(w.span, w.ratio, w.slack)
@@ -116,8 +116,8 @@
 	return x
 }
 
-// recent drops the times that have left a span.
-func recent(l []time.Time, now time.Time, span time.Duration) []time.Time {
+// dropExpired drops the times that have left a span.
+func dropExpired(l []time.Time, now time.Time, span time.Duration) []time.Time {
 	i := 0
 	for i < len(l) && now.Sub(l[i]) > span {
 		i++
