--- a/internal/decide/retry/budget_test.go
+++ b/internal/decide/retry/budget_test.go
@@ -6,7 +6,7 @@
 	"github.com/wardridge/wardridge/internal/decide/retry"
 )
 
-func TestBudgetBoundsRetriesThroughBrownOut(t *testing.T) {
+func TestBudgetBoundsRetriesWhileAllFail(t *testing.T) {
 	b := retry.New(100)
 	got := 0
 	const fresh = 10000
--- a/internal/decide/retry/window_test.go
+++ b/internal/decide/retry/window_test.go
@@ -12,7 +12,7 @@
 
 // Over every span, nine members that spend all they may stay within the
 // fleet's bound.
-func TestWindowHoldsOverTheFleet(t *testing.T) {
+func TestWindowsOfMembersHoldFleetBound(t *testing.T) {
 	const members, span, slack = 9, 10 * time.Second, 50.0
 	begin := time.Unix(100, 0)
 	var l [members]*retry.Window
@@ -20,7 +20,7 @@
 		l[i] = retry.NewWindow(span, 0.2, slack)
 		l[i].SetMembers(members)
 	}
-	var fresh, spent []time.Time
+	var fresh, repeats []time.Time
 	for ms := 0; ms < 30000; ms += 25 {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
 		w := l[ms/25%members]
@@ -30,11 +30,11 @@
 			fresh = append(fresh, now)
 		}
 		for w.Allow(now) {
-			spent = append(spent, now)
+			repeats = append(repeats, now)
 		}
 		// A send may outlast the requests that allowed it in the span by as much
 		// as a span's share, which the operators' count forgives.
-		got := float64(within(spent, now, span))
+		got := float64(within(repeats, now, span))
 		if want := 0.2*float64(within(fresh, now, span)) + slack + 0.2*400; got > want {
 			t.Fatalf("at %d ms: got %v sends in a span, want at most %v", ms, got, want)
 		}
@@ -69,7 +69,7 @@
 // Found where four times the usual load of all services came at once: the requests of
 // model engines allowed a plain service that shed its own 2,481 repeated sends in 10 s,
 // of 1,735.
-func TestServicesDoNotAllowEachOthersRepeats(t *testing.T) {
+func TestRequestsOfOneServiceAllowNoRepeatsOfAnother(t *testing.T) {
 	w := retry.NewWindows(10*time.Second, 0.2, 3)
 	w.SetMembers(3)
 	now := time.Unix(100, 0)
@@ -104,7 +104,7 @@
 
 // What arrives at servers holds the bound over every span as well, although sends take
 // from one to forty ms: eight members that spend all they may, each with a request every 8 ms.
-func TestArrivalsHoldTheBound(t *testing.T) {
+func TestArrivalsAtServersHoldBound(t *testing.T) {
 	const members, span, ratio, slack = 8, 10 * time.Second, 0.2, 50.0
 	begin := time.Unix(100, 0)
 	r := rand.New(rand.NewPCG(1, 2))
