--- a/internal/decide/retry/budget_test.go
+++ b/internal/decide/retry/budget_test.go
@@ -12,7 +12,7 @@
 	const fresh = 10000
 	for range fresh {
 		b.CountFresh()
-		// Every attempt fails and asks for as many retries as it can get.
+		// Every attempt fails, and is retried as often as the budget allows.
 		for b.Allow() {
 			got++
 		}
--- a/internal/decide/retry/doc.go
+++ b/internal/decide/retry/doc.go
@@ -1,2 +1,2 @@
-// Package retry bounds repeated work by a share of fresh work.
+// Package retry bounds retries and other repeated sends by a share of the requests that are new.
 package retry
--- a/internal/decide/retry/window.go
+++ b/internal/decide/retry/window.go
@@ -7,13 +7,13 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// transitTime is how much longer than the span a send counts. The bound is on what arrives
-// at servers, and sends take from a millisecond to some hundred on links that are full.
+// transitTime is how much longer than the span a repeated send counts. The bound is on arrivals
+// at servers, and a send takes from one millisecond to some hundred on congested links.
 const transitTime = 500 * time.Millisecond
 
-// Window allows sends beyond the first of each request within a bound that
-// holds over every span of a length, for a fleet whose members don't ask each
-// other.
+// Window allows repeated sends, those beyond the first of each request, within a bound that
+// holds over every time span of a length. The bound holds for a fleet of members, each with a
+// window of its own, that do not coordinate.
 type Window struct {
 	span  time.Duration
 	ratio float64
@@ -24,14 +24,13 @@
 	members int
 }
 
-// NewWindow makes a window that allows ratio times the fresh requests of a
-// span, and slack more over the whole fleet.
+// NewWindow makes a window that allows, within each span, ratio times the fresh requests of the
+// span, and slack more that all members of the fleet share.
 func NewWindow(span time.Duration, ratio, slack float64) *Window {
 	return &Window{span: span, ratio: ratio, slack: slack, members: 1}
 }
 
-// SetBounds changes the bounds, as NewWindow sets them; what was sent stays
-// counted.
+// SetBounds changes the bounds that NewWindow has set. Earlier sends stay counted.
 func (w *Window) SetBounds(span time.Duration, ratio, slack float64) {
 	w.span, w.ratio, w.slack = span, ratio, slack
 }
@@ -41,12 +40,12 @@
 	w.members = max(1, n)
 }
 
-// CountFresh notes a request that is sent for the first time.
+// CountFresh counts a request that is sent for the first time.
 func (w *Window) CountFresh(now time.Time) {
 	w.fresh = append(dropExpired(w.fresh, now, w.span), now)
 }
 
-// Allow takes one more send out of the window or reports false.
+// Allow reports whether the window allows one more repeated send, and counts it if so.
 func (w *Window) Allow(now time.Time) bool {
 	w.fresh = dropExpired(w.fresh, now, w.span)
 	w.repeats = dropExpired(w.repeats, now, w.span+transitTime)
@@ -58,9 +57,9 @@
 	return true
 }
 
-// Windows are the windows of all services. Each has its own: what one service is asked
-// for must not allow repeated sends to another, or a service that sheds its requests is
-// sent each of them several times while others are busy.
+// Windows holds one window for each service. Requests of one service must not allow repeated
+// sends to another: a service that sheds load would get each of its requests several times
+// while other services are busy.
 type Windows struct {
 	span     time.Duration
 	ratio    float64
@@ -69,7 +68,7 @@
 	services map[api.ServiceName]*Window
 }
 
-// NewWindows makes windows of which each allows what NewWindow tells.
+// NewWindows makes windows with the bounds of NewWindow for each service.
 func NewWindows(span time.Duration, ratio, slack float64) *Windows {
 	return &Windows{span: span, ratio: ratio, slack: slack, shares: 1, services: map[api.ServiceName]*Window{}}
 }
@@ -90,22 +89,22 @@
 	}
 }
 
-// CountFresh notes a request for a service that is sent for the first time.
+// CountFresh counts a request to a service that is sent for the first time.
 func (w *Windows) CountFresh(now time.Time, s api.ServiceName) {
 	w.window(s).CountFresh(now)
 }
 
-// Allow takes one more send to a service out of its window or reports false.
+// Allow reports whether a service's window allows one more repeated send, and counts it if so.
 func (w *Windows) Allow(now time.Time, s api.ServiceName) bool {
 	return w.window(s).Allow(now)
 }
 
-// Prune forgets services that are no longer configured.
+// Prune drops the windows of services that are no longer configured.
 func (w *Windows) Prune(configured func(s api.ServiceName) bool) {
 	maps.DeleteFunc(w.services, func(s api.ServiceName, _ *Window) bool { return !configured(s) })
 }
 
-// window gives the window of a window.
+// window returns the window of a service, and makes it if there is none yet.
 func (w *Windows) window(s api.ServiceName) *Window {
 	x, ok := w.services[s]
 	if !ok {
@@ -116,7 +115,7 @@
 	return x
 }
 
-// dropExpired drops the times that have left a span.
+// dropExpired drops the times that are longer ago than a span.
 func dropExpired(l []time.Time, now time.Time, span time.Duration) []time.Time {
 	i := 0
 	for i < len(l) && now.Sub(l[i]) > span {
--- a/internal/decide/retry/window_test.go
+++ b/internal/decide/retry/window_test.go
@@ -10,8 +10,7 @@
 	"github.com/wardridge/wardridge/internal/decide/retry"
 )
 
-// Over every span, nine members that spend all they may stay within the
-// fleet's bound.
+// Nine members that send all repeats they may must stay within the fleet's bound over every span.
 func TestWindowsOfMembersHoldFleetBound(t *testing.T) {
 	const members, span, slack = 9, 10 * time.Second, 50.0
 	begin := time.Unix(100, 0)
@@ -24,7 +23,7 @@
 	for ms := 0; ms < 30000; ms += 25 {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
 		w := l[ms/25%members]
-		// The traffic stops for a while: the bound follows it.
+		// No request comes for a while, so that the bound falls.
 		if ms < 8000 || ms > 20000 {
 			w.CountFresh(now)
 			fresh = append(fresh, now)
@@ -32,8 +31,9 @@
 		for w.Allow(now) {
 			repeats = append(repeats, now)
 		}
-		// A send may outlast the requests that allowed it in the span by as much
-		// as a span's share, which the operators' count forgives.
+		// A repeat may still be in the span when the requests that allowed it no longer are.
+		// That exceeds the bound by at most the share of one span's 400 requests, which the
+		// operators' count tolerates.
 		got := float64(within(repeats, now, span))
 		if want := 0.2*float64(within(fresh, now, span)) + slack + 0.2*400; got > want {
 			t.Fatalf("at %d ms: got %v sends in a span, want at most %v", ms, got, want)
@@ -66,9 +66,9 @@
 	}
 }
 
-// Found where four times the usual load of all services came at once: the requests of
-// model engines allowed a plain service that shed its own 2,481 repeated sends in 10 s,
-// of 1,735.
+// Requests of one service must not allow repeated sends to another. At four times the usual
+// load of all services at once, requests of model engines allowed a plain service that shed
+// its own requests 2,481 repeated sends in 10 s, of 1,735.
 func TestRequestsOfOneServiceAllowNoRepeatsOfAnother(t *testing.T) {
 	w := retry.NewWindows(10*time.Second, 0.2, 3)
 	w.SetMembers(3)
@@ -98,12 +98,12 @@
 	}
 	w.Prune(func(s api.ServiceName) bool { return s == "engines" })
 	if got, want := allowed("orders"), 1; got != want {
-		t.Errorf("orders once forgotten: got %d, want %d", got, want)
+		t.Errorf("orders after its window was dropped: got %d, want %d", got, want)
 	}
 }
 
-// What arrives at servers holds the bound over every span as well, although sends take
-// from one to forty ms: eight members that spend all they may, each with a request every 8 ms.
+// Arrivals at servers must hold the bound over every span as well, although sends take from one
+// to forty ms. Eight members with a request every 8 ms each send all repeats they may.
 func TestArrivalsAtServersHoldBound(t *testing.T) {
 	const members, span, ratio, slack = 8, 10 * time.Second, 0.2, 50.0
 	begin := time.Unix(100, 0)
