--- a/internal/decide/config/config_test.go
+++ b/internal/decide/config/config_test.go
@@ -90,7 +90,7 @@
 				s.Apply(api.ChangeList{Version: v, Changes: []api.Change{{Version: v, Object: o}}})
 			}
 			if s.Version() < last {
-				t.Fatalf("version: was %d, got %d, want no lower one", s.Version(), last)
+				t.Fatalf("version: was %d, got %d, want no lower one", last, s.Version())
 			}
 			last = s.Version()
 			if l := s.List(time.Time{}).Items; len(l) == 1 && l[0].Version > last {
