--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -126,8 +126,8 @@
 	s.members.Note(now, n)
 }
 
-// NoteLimit takes the rate limit that the answer to a call sent at sent names, or that it names
-// none, and reports whether that is new.
+// NoteLimit takes the rate limit, or its absence, in the answer to a call that was sent at sent,
+// and reports whether that is new.
 func (s *Servers) NoteLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
 	return s.limits.Note(now, sent, n, l)
 }
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -7,7 +7,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Kind is the kind of an action.
+// Kind tells what an Action does.
 type Kind int
 
 // Kinds of actions.
@@ -105,8 +105,8 @@
 	return Action{Kind: Read}
 }
 
-// UnsettledError is the refusal of a request, not sent, while the platform may have lost an
-// earlier claim of the same key.
+// UnsettledError is the error for a request that is refused before its send, while the platform
+// may have lost an earlier claim of the same key.
 func UnsettledError() *fault.Error {
 	return fault.New(fault.ClaimUnavailable, "the platform was restored from a backup and claims are being rewritten; the request was not sent").After(retryAfter)
 }
@@ -130,8 +130,8 @@
 	return c.refuseUnavailable()
 }
 
-// HandleRead takes the object as read. Without exists there is none; without settled the
-// platform may have lost an earlier claim of the same key.
+// HandleRead takes the object as read. If exists is false there is none; if settled is false,
+// the platform may have lost an earlier claim of the same key.
 func (c *Claim) HandleRead(exists bool, s api.ClaimSpec, v api.Version, settled bool) Action {
 	if !exists {
 		// The write of this attempt may still take effect. The request was not sent.
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -77,7 +77,7 @@
 		t.Fatalf("Release of an unsent attempt: got %v, want true", got)
 	}
 	if got := a.TrySend("r"); got {
-		t.Errorf("Send after a release: got %v, want false", got)
+		t.Errorf("TrySend after a release: got %v, want false", got)
 	}
 }
 
--- a/internal/decide/config/retained.go
+++ b/internal/decide/config/retained.go
@@ -103,7 +103,8 @@
 	return len(s.retained) < n
 }
 
-// Retained counts the objects and removals that are in force although the platform has lost them.
+// Retained counts the objects and removals that are in force although the restored platform
+// lacks them.
 func (s *Store) Retained() int {
 	return len(s.retained)
 }
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -16,11 +16,11 @@
 type Timing struct {
 	// Duration is how long a hold lasts from when its last renewal was sent.
 	Duration time.Duration
-	// Skew is how much longer than the duration others wait, for differences between clocks.
+	// Skew is how much longer than the duration others wait before they take the lease.
 	Skew time.Duration
 }
 
-// Kind is the kind of an action.
+// Kind tells what an Action does.
 type Kind int
 
 // Kinds of actions.
--- a/internal/decide/member/candidate.go
+++ b/internal/decide/member/candidate.go
@@ -10,8 +10,8 @@
 const maxCandidates = 3
 
 // IsCandidate reports whether this entry VM is among the few that may hold a duty, by rendezvous
-// hashing over the entry VMs that serve. Entry VMs may differ in whom they count as serving; the
-// lease of the duty still admits a single holder.
+// hashing over the entry VMs that serve. Entry VMs may differ in which peers they count as
+// serving; the lease of the duty still admits a single holder.
 func (m *Members) IsCandidate(duty string) bool {
 	own := weight(m.self, duty)
 	above := 0
--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -45,7 +45,7 @@
 	m.HandleHeartbeat(epoch, heartbeat("b", 2, 9))
 	m.HandleHeartbeat(epoch, heartbeat("b", 1, 50))
 	if got, want := m.MaxConfigVersion(), api.Version(9); got != want {
-		t.Errorf("newest: got %d, want %d", got, want)
+		t.Errorf("highest configuration version: got %d, want %d", got, want)
 	}
 }
 
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -141,11 +141,11 @@
 	s.Apply(replica.Changes[string]{At: 9})
 	s.Replace(replica.Snapshot[string]{At: 12, Items: []replica.Object[string]{object("a", 5, "x")}})
 	if got := s.ChangedAt(); got != 5 {
-		t.Errorf("changed: got %d, want 5", got)
+		t.Errorf("ChangedAt: got %d, want 5", got)
 	}
 	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 13, ""), Removed: true}}})
 	if got := s.ChangedAt(); got != 13 {
-		t.Errorf("changed after a removal: got %d, want 13", got)
+		t.Errorf("ChangedAt after a removal: got %d, want 13", got)
 	}
 }
 
