--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -113,7 +113,7 @@
 	for _, n := range []int{10, 200, 1600} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			l := objects(n, n*3/2)
-			s := config.Of(l)
+			s := config.FromList(l)
 			v, _ := config.Build(s, nil, resource.Decode)
 			text, err := json.Marshal(l)
 			if err != nil {
@@ -140,15 +140,15 @@
 			for i := range n {
 				l = append(l, api.VM{Name: fmt.Sprint(i), Role: api.VMRoleEntry, Address: "x"})
 			}
-			m.Listed(epoch, l)
+			m.ApplyList(epoch, l)
 			b.ResetTimer()
 			for k := range b.N {
 				at := epoch.Add(time.Duration(k) * time.Second)
 				for i := range n {
-					m.Heard(at, api.Heartbeat{VM: api.VMName(fmt.Sprint(i)), State: api.PeerStateServing})
+					m.HandleHeartbeat(at, api.Heartbeat{VM: api.VMName(fmt.Sprint(i)), State: api.PeerStateServing})
 				}
-				m.Step(at)
-				m.Candidate("orders")
+				m.DetectLost(at)
+				m.IsCandidate("orders")
 			}
 		})
 	}
@@ -176,9 +176,9 @@
 // BenchmarkLease is one look at a held lease.
 func BenchmarkLease(b *testing.B) {
 	l := lease.New(lease.Owner{VM: "a"}, lease.Timing{Duration: 6 * time.Second, Skew: time.Second})
-	l.Observed(epoch, lease.Object{})
+	l.HandleRead(epoch, lease.Object{})
 	l.Step(epoch)
-	l.Written(1)
+	l.HandleWritten(1)
 	for range b.N {
 		l.Step(epoch)
 		l.Held(epoch)
@@ -224,7 +224,7 @@
 		return p
 	})
 	measure("declared-object", 250, 2500, func(n int) any {
-		s := config.Of(objects(n/2, n/2))
+		s := config.FromList(objects(n/2, n/2))
 		v, _ := config.Build(s, nil, resource.Decode)
 		return [2]any{s, v}
 	})
--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -54,7 +54,7 @@
 
 	mutex    sync.Mutex
 	attempts *claim.Attempts
-	eras     claim.Eras
+	eras     claim.EraTracker
 	// lost is set while claims are to be written again, since the platform came back from a
 	// copy.
 	lost bool
@@ -99,7 +99,7 @@
 	s.Incarnation = k.owner.Incarnation
 	s.CreatedMS = api.UnixMilliseconds(time.Now())
 	if !k.settled() {
-		return nil, nil, k.refused(s, name, claim.Unsettled())
+		return nil, nil, k.refused(s, name, claim.UnsettledError())
 	}
 	k.add(s.Request)
 	p, a, err := k.course(ctx, name, s)
@@ -117,11 +117,11 @@
 	for {
 		switch m.Kind {
 		case claim.Create, claim.TakeOver:
-			m = c.Wrote(k.write(ctx, p, m))
+			m = c.HandleWrite(k.write(ctx, p, m))
 		case claim.Read:
 			m = k.read(ctx, p, c)
-		case claim.AskOwner:
-			m = c.Answered(k.ask(ctx, name, m.Spec), m.Version)
+		case claim.RequestRelease:
+			m = c.HandleRelease(k.ask(ctx, name, m.Spec), m.Version)
 		case claim.Abandon:
 			k.claimed(p)
 			p.Abandon(ctx)
@@ -152,27 +152,27 @@
 func (k *Keeper) claimed(p *Permit) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.attempts.Claimed(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
+	k.attempts.SetClaim(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
 }
 
-func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Move) claim.Written {
+func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
 	k.metrics.Add(metric.PlatformWrites, 1)
-	p.until = k.now().Add(claim.PermitTime)
+	p.until = k.now().Add(claim.PermitDuration)
 	o, err := k.put(ctx, p.name, m.Spec, m.Version, k.store.Put)
 	switch {
 	case err == nil:
 		p.spec, p.version = m.Spec, o.Version
 		if !k.seen(o.Version) {
-			return claim.Early
+			return claim.WriteUnsettled
 		}
-		return claim.Done
+		return claim.WriteDone
 	case fault.Has(err, fault.VersionConflict):
-		return claim.Conflict
+		return claim.WriteConflict
 	case fault.Has(err, fault.NotStarted), fault.Has(err, fault.PlatformDown), fault.Has(err, fault.PlatformThrottled):
-		return claim.Refused
+		return claim.WriteRefused
 	default:
 		k.log.Emit(event.ClaimReadBack, zap.String("claim", p.name), zap.Error(err))
-		return claim.Lost
+		return claim.WriteUnknown
 	}
 }
 
@@ -186,21 +186,21 @@
 	return f(ctx, api.Object{Kind: api.ResourceKindClaim, Name: name, Version: v, Spec: b})
 }
 
-func (k *Keeper) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Move {
+func (k *Keeper) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Action {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, p.name)
 	if fault.Has(err, fault.NotFound) {
-		return c.Found(false, api.ClaimSpec{}, 0, true)
+		return c.HandleRead(false, api.ClaimSpec{}, 0, true)
 	}
 	var s api.ClaimSpec
 	if err == nil {
 		err = json.Unmarshal(o.Spec, &s)
 	}
 	if err != nil {
-		return c.Unreadable()
+		return c.HandleReadError()
 	}
 	p.version = o.Version
-	return c.Found(true, s, o.Version, k.seen(o.Version))
+	return c.HandleRead(true, s, o.Version, k.seen(o.Version))
 }
 
 // ask asks the owner of a claim to give its attempt up unsent.
@@ -249,7 +249,7 @@
 func (p *Permit) Send() bool {
 	p.keeper.mutex.Lock()
 	defer p.keeper.mutex.Unlock()
-	return p.keeper.now().Before(p.until) && p.keeper.attempts.Send(p.spec.Request)
+	return p.keeper.now().Before(p.until) && p.keeper.attempts.TrySend(p.spec.Request)
 }
 
 // Unsent takes a send back that provably reached nobody, so that the request
@@ -283,7 +283,7 @@
 func (p *Permit) record(ctx context.Context, s api.ClaimSpec) {
 	k := p.keeper
 	k.mutex.Lock()
-	k.attempts.Over(s.Request, s)
+	k.attempts.SetOutcome(s.Request, s)
 	k.mutex.Unlock()
 	k.metrics.Add(metric.PlatformWrites, 1)
 	o, err := k.put(ctx, p.name, s, p.version, k.store.PutConfirmed)
@@ -294,6 +294,6 @@
 	k.seen(o.Version)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.attempts.Recorded(k.now(), s.Request)
+	k.attempts.MarkRecorded(k.now(), s.Request)
 	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
 }
--- a/internal/claims/restore.go
+++ b/internal/claims/restore.go
@@ -74,7 +74,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if !k.lost {
-		k.attempts.Forget(k.now(), answered)
+		k.attempts.Expire(k.now(), answered)
 		return k.eras.Era(), nil
 	}
 	k.lost = false
@@ -102,7 +102,7 @@
 	c, cancel := context.WithTimeout(ctx, rewriteTime)
 	defer cancel()
 	m, err := k.compare(c, r)
-	if err == nil && m.Kind == claim.AskOwner {
+	if err == nil && m.Kind == claim.RequestRelease {
 		m = k.displace(c, r, m)
 	}
 	if err == nil && (m.Kind == claim.Create || m.Kind == claim.TakeOver) {
@@ -114,7 +114,7 @@
 		k.again()
 		return
 	}
-	if m.Kind != claim.Keep {
+	if m.Kind != claim.NoChange {
 		k.log.Emit(event.ClaimRewritten, zap.String("request", string(r.Spec.Request)), zap.String("claim", r.Name), zap.String("state", string(m.Spec.State)))
 	}
 }
@@ -127,27 +127,27 @@
 }
 
 // compare decides what to do about one claim by what the platform has.
-func (k *Keeper) compare(ctx context.Context, r claim.Record) (claim.Move, error) {
+func (k *Keeper) compare(ctx context.Context, r claim.Record) (claim.Action, error) {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, r.Name)
 	if fault.Has(err, fault.NotFound) {
 		return claim.Rewrite(r.Spec, false, api.ClaimSpec{}, 0), nil
 	}
 	if err != nil {
-		return claim.Move{}, err
+		return claim.Action{}, err
 	}
 	var s api.ClaimSpec
 	if err := json.Unmarshal(o.Spec, &s); err != nil {
-		return claim.Move{}, fault.Wrap(fault.InvalidResource, err, "reading a claim")
+		return claim.Action{}, fault.Wrap(fault.InvalidResource, err, "reading a claim")
 	}
 	return claim.Rewrite(r.Spec, true, s, o.Version), nil
 }
 
 // displace asks the owner of a claim that came after this one to give its attempt up unsent.
-func (k *Keeper) displace(ctx context.Context, r claim.Record, m claim.Move) claim.Move {
+func (k *Keeper) displace(ctx context.Context, r claim.Record, m claim.Action) claim.Action {
 	if k.ask(ctx, r.Name, m.Spec) {
-		return claim.Move{Kind: claim.TakeOver, Spec: r.Spec, Version: m.Version}
+		return claim.Action{Kind: claim.TakeOver, Spec: r.Spec, Version: m.Version}
 	}
 	k.log.Emit(event.ClaimHeldTwice, zap.String("request", string(r.Spec.Request)), zap.String("other", string(m.Spec.Request)), zap.String("claim", r.Name))
-	return claim.Move{Kind: claim.Keep}
+	return claim.Action{Kind: claim.NoChange}
 }
--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -9,58 +9,59 @@
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 )
 
-// Server is a backend server as declared.
+// Server is a declared backend server.
 type Server struct {
 	Name     api.ServerName
 	Draining bool
 }
 
-// rest is how long a server that could not be reached is left alone while
-// others can be.
-const rest = time.Second
+// failureBackoff is how long after a failed call other servers are preferred to a server that
+// could not be reached.
+const failureBackoff = time.Second
 
-type state struct {
-	draining bool
-	leaving  bool
-	// said is when the server last said in an answer that it leaves, zero for never, and
-	// heard is set where that was an answer to this entry VM.
-	said   time.Time
-	heard  bool
-	active int
-	failed time.Time
-	// rests is the end of the rest that the server asked this entry VM for.
-	rests time.Time
+type serverState struct {
+	draining      bool
+	listedLeaving bool
+	// announcedAt is when the server last announced in an answer that it is leaving, zero for
+	// never; announcedHere is set if that was an answer to this entry VM, not to a peer.
+	announcedAt   time.Time
+	announcedHere bool
+	inFlight      int
+	failedAt      time.Time
+	// backoffUntil is the end of the backoff that the server has requested of this entry VM.
+	backoffUntil time.Time
 }
 
-// sayTime is how long the word of a server that it leaves holds: if it serves on under its
-// name after that, its next answer says whether that is another life of it.
-const sayTime = time.Minute
+// announcementTTL is how long a server's announcement that it is leaving holds. Afterwards the
+// server is tried again if it is still declared: its next answer tells whether it is still
+// leaving, or a new incarnation serves under its name.
+const announcementTTL = time.Minute
 
-// gone reports whether the server takes no new calls for good.
-func (x *state) gone(now time.Time) bool {
-	return x.draining || x.leaving || x.says(now)
+// unavailable reports whether the server is draining or leaving, and thus takes no new calls.
+func (x *serverState) unavailable(now time.Time) bool {
+	return x.draining || x.listedLeaving || x.announcesLeaving(now)
 }
 
-// Servers is one entry VM's view of the servers of plain services.
+// Servers is one entry VM's view of the backend servers of plain services.
 type Servers struct {
-	states map[api.ServerName]*state
-	limits *throttle.Limits
-	pacer  *throttle.Pacer
-	fleet  throttle.Fleet
+	states  map[api.ServerName]*serverState
+	limits  *throttle.Limits
+	pacer   *throttle.Pacer
+	members throttle.Fleet
 }
 
-// New makes a view without servers that draws from a source.
+// New makes a view without servers. The pacer of limited servers draws random numbers from s.
 func New(s rand.Source) *Servers {
-	return &Servers{states: map[api.ServerName]*state{}, limits: throttle.NewLimits(), pacer: throttle.NewPacer(rand.New(s))}
+	return &Servers{states: map[api.ServerName]*serverState{}, limits: throttle.NewLimits(), pacer: throttle.NewPacer(rand.New(s))}
 }
 
-// Declare takes the servers in force.
+// Declare sets the declared servers, and forgets all others.
 func (s *Servers) Declare(l []Server) {
 	seen := map[api.ServerName]bool{}
 	for _, x := range l {
 		seen[x.Name] = true
 		if s.states[x.Name] == nil {
-			s.states[x.Name] = &state{}
+			s.states[x.Name] = &serverState{}
 		}
 		s.states[x.Name].draining = x.Draining
 	}
@@ -74,36 +75,37 @@
 	s.pacer.Forget(known)
 }
 
-// Listed notes whether the platform's list says that a server is leaving.
-func (s *Servers) Listed(n api.ServerName, leaving bool) {
+// SetListedLeaving sets whether a server is leaving by the platform's list.
+func (s *Servers) SetListedLeaving(n api.ServerName, leaving bool) {
 	if x, ok := s.states[n]; ok {
-		x.leaving = leaving
+		x.listedLeaving = leaving
 	}
 }
 
-// Say notes that a server said in an answer, here or to a peer, that it leaves, and reports
-// whether that is new.
-func (s *Servers) Say(now time.Time, n api.ServerName, here bool) bool {
+// NoteLeaving notes that a server has announced in an answer that it is leaving, and reports
+// whether that is new. here is set if the answer was to this entry VM, not to a peer.
+func (s *Servers) NoteLeaving(now time.Time, n api.ServerName, here bool) bool {
 	x, ok := s.states[n]
-	if !ok || x.says(now) && x.heard {
+	if !ok || x.announcesLeaving(now) && x.announcedHere {
 		return false
 	}
-	changed := !x.says(now)
-	x.said, x.heard = now, here
+	changed := !x.announcesLeaving(now)
+	x.announcedAt, x.announcedHere = now, here
 	return changed
 }
 
-// says reports whether the server's word that it leaves still holds.
-func (x *state) says(now time.Time) bool {
-	return !x.said.IsZero() && now.Sub(x.said) < sayTime
+// announcesLeaving reports whether the server's announcement that it is leaving still holds.
+func (x *serverState) announcesLeaving(now time.Time) bool {
+	return !x.announcedAt.IsZero() && now.Sub(x.announcedAt) < announcementTTL
 }
 
-// Said lists the servers that said so to this entry VM, in order. What peers told is not
-// passed on: between them it would never end.
-func (s *Servers) Said(now time.Time) []api.ServerName {
+// AnnouncedLeaving lists, in order of name, the servers that have announced to this entry VM that
+// they are leaving. Announcements to peers are not passed on, as entry VMs would keep renewing
+// them among each other and they would never expire.
+func (s *Servers) AnnouncedLeaving(now time.Time) []api.ServerName {
 	var l []api.ServerName
 	for n, x := range s.states {
-		if x.heard && x.says(now) {
+		if x.announcedHere && x.announcesLeaving(now) {
 			l = append(l, n)
 		}
 	}
@@ -111,96 +113,101 @@
 	return l
 }
 
-// Rest notes that a server wants no calls of this entry VM for a time.
-func (s *Servers) Rest(now time.Time, n api.ServerName, d time.Duration) {
-	if x, ok := s.states[n]; ok && now.Add(d).After(x.rests) {
-		x.rests = now.Add(d)
+// SetBackoff notes that a server has requested a backoff: it gets no calls from this entry VM for
+// a time. A backoff that ends earlier than the present one has no effect.
+func (s *Servers) SetBackoff(now time.Time, n api.ServerName, d time.Duration) {
+	if x, ok := s.states[n]; ok && now.Add(d).After(x.backoffUntil) {
+		x.backoffUntil = now.Add(d)
 	}
 }
 
-// Members sets the number of entry VMs that share the limits of servers.
-func (s *Servers) Members(now time.Time, n int) {
-	s.fleet.Observe(now, n)
+// SetMembers sets the number of entry VMs, which share the rate limits of servers.
+func (s *Servers) SetMembers(now time.Time, n int) {
+	s.members.Observe(now, n)
 }
 
-// Limited takes the limit in an answer, or that it names none, and reports whether that is new.
-func (s *Servers) Limited(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
+// NoteLimit takes the rate limit, or its absence, in the answer to a call that was sent at sent,
+// and reports whether that is new.
+func (s *Servers) NoteLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
 	return s.limits.Record(now, sent, n, l)
 }
 
-// Limits lists what servers have named, for peers.
+// Limits lists the rate limits that servers have named, for peers.
 func (s *Servers) Limits(now time.Time) []api.ServerLimit {
 	return s.limits.Reports(now)
 }
 
-// MergeLimit takes what a server has named to a peer, and reports whether that is new.
+// MergeLimit takes the rate limit that a server has named to a peer, and reports whether that is
+// new.
 func (s *Servers) MergeLimit(now time.Time, l api.ServerLimit) bool {
 	_, ok := s.states[l.Server]
 	return ok && s.limits.Merge(now, l)
 }
 
-// Choice is the server that a call was given, or why it was given none.
+// Choice is the server for a call, or the time until there may be one.
 type Choice struct {
-	// Name is empty for none.
+	// Name is the chosen server; empty if none takes the call now.
 	Name api.ServerName
-	// Wait is the time until one takes calls again, zero where none is expected to.
+	// Wait is the time until a server takes calls again; zero if none is expected to.
 	Wait time.Duration
 }
 
-// Pick takes the server with the fewest calls in flight, leaving out those tried before.
+// Pick chooses the server with the fewest calls in flight, leaving out those tried before and
+// avoiding those that could not be reached lately. It counts the call as in flight until Done.
 func (s *Servers) Pick(now time.Time, servers, tried []api.ServerName) Choice {
 	var best api.ServerName
-	var b *state
+	var b *serverState
 	var wait time.Duration
 	for _, n := range servers {
 		x := s.states[n]
-		if x == nil || x.gone(now) || slices.Contains(tried, n) {
+		if x == nil || x.unavailable(now) || slices.Contains(tried, n) {
 			continue
 		}
-		if w := max(s.turn(now, n), x.rests.Sub(now)); w > 0 {
+		if w := max(s.sendWait(now, n), x.backoffUntil.Sub(now)); w > 0 {
 			if wait == 0 || w < wait {
 				wait = w
 			}
 			continue
 		}
-		if b == nil || x.before(b, now) {
+		if b == nil || x.preferredTo(b, now) {
 			best, b = n, x
 		}
 	}
 	if b == nil {
 		return Choice{Wait: wait}
 	}
-	b.active++
+	b.inFlight++
 	s.pacer.RecordSend(now, best)
 	return Choice{Name: best}
 }
 
-// turn is the time until a server takes a call of this entry VM.
-func (s *Servers) turn(now time.Time, n api.ServerName) time.Duration {
+// sendWait is the time until the next send slot of this entry VM at a server; zero or less if
+// the call may be sent now.
+func (s *Servers) sendWait(now time.Time, n api.ServerName) time.Duration {
 	r, ok := s.limits.Find(n)
 	if !ok {
 		return 0
 	}
-	t := throttle.Quota{Rate: r, Share: throttle.Equal, Members: s.fleet.Peak()}
+	t := throttle.Quota{Rate: r, Share: throttle.Equal, Members: s.members.Peak()}
 	return s.pacer.NextSlot(now, n, t).Sub(now)
 }
 
-func (x *state) before(y *state, now time.Time) bool {
-	p, q := now.Sub(x.failed) < rest, now.Sub(y.failed) < rest
+func (x *serverState) preferredTo(y *serverState, now time.Time) bool {
+	p, q := now.Sub(x.failedAt) < failureBackoff, now.Sub(y.failedAt) < failureBackoff
 	if p != q {
 		return q
 	}
-	return x.active < y.active
+	return x.inFlight < y.inFlight
 }
 
-// Done ends a call; failed tells that the server could not be reached.
+// Done ends a call; failed is set if the server could not be reached.
 func (s *Servers) Done(now time.Time, n api.ServerName, failed bool) {
 	x, ok := s.states[n]
 	if !ok {
 		return
 	}
-	x.active = max(0, x.active-1)
+	x.inFlight = max(0, x.inFlight-1)
 	if failed {
-		x.failed = now
+		x.failedAt = now
 	}
 }
--- a/internal/decide/claim/attempts.go
+++ b/internal/decide/claim/attempts.go
@@ -8,7 +8,7 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// progress is how far an attempt of this life of the entry VM has come.
+// progress is the state of an attempt made by this incarnation of the entry VM.
 type progress int
 
 const (
@@ -20,107 +20,108 @@
 type attempt struct {
 	progress progress
 	record   Record
-	// over is when its outcome was recorded, zero until then.
-	over time.Time
+	// recordedAt is when the platform recorded the outcome; zero until then.
+	recordedAt time.Time
 }
 
-// Record is a claim as its owner has written it.
+// Record is a claim as its owner last wrote it.
 type Record struct {
 	Name string
 	Spec api.ClaimSpec
 }
 
-// rememberTime is how long an attempt is remembered whose outcome is recorded: a copy that
-// the platform comes back from is some seconds old, and has the claim without its outcome
-// or not at all. At 50 claims a second it is some 2 MB.
-const rememberTime = 2 * time.Minute
+// attemptRetention is how long an attempt is remembered after its outcome was recorded. A
+// backup that the platform is restored from is some seconds old, and lacks the claim or its
+// outcome. At 50 claims a second the attempts take about 2 MB.
+const attemptRetention = 2 * time.Minute
 
-// Attempts knows which claimed requests of this life were sent. A request is added before
-// its claim is written and stays until its outcome has been recorded for so long that no
-// copy of the platform can lack it, so one that is not known was never sent or can be read.
+// Attempts tracks which claimed requests of this incarnation were sent. A request is added
+// before its claim is written and stays until every backup of the platform has its outcome,
+// so an unknown request was never sent, or its outcome can be read from the platform.
 type Attempts struct {
 	incarnation api.Incarnation
-	states      map[api.RequestID]attempt
+	attempts    map[api.RequestID]attempt
 }
 
-// NewAttempts makes the attempts of one life.
+// NewAttempts makes an empty set of attempts for one incarnation of the entry VM.
 func NewAttempts(i api.Incarnation) *Attempts {
-	return &Attempts{incarnation: i, states: map[api.RequestID]attempt{}}
+	return &Attempts{incarnation: i, attempts: map[api.RequestID]attempt{}}
 }
 
-// Add notes an attempt whose claim is about to be written, or whose send reached nobody.
+// Add records an attempt as not sent: its claim is about to be written, or its send reached
+// no server.
 func (a *Attempts) Add(r api.RequestID) {
-	x := a.states[r]
+	x := a.attempts[r]
 	x.progress = pending
-	a.states[r] = x
+	a.attempts[r] = x
 }
 
-// Claimed notes the claim that was written for an attempt.
-func (a *Attempts) Claimed(r api.RequestID, c Record) {
-	if x, ok := a.states[r]; ok {
+// SetClaim stores the claim that was written for an attempt.
+func (a *Attempts) SetClaim(r api.RequestID, c Record) {
+	if x, ok := a.attempts[r]; ok {
 		x.record = c
-		a.states[r] = x
+		a.attempts[r] = x
 	}
 }
 
-// Send reports whether the attempt may be sent, and notes that it is. It has
-// to be asked at the last moment before the send.
-func (a *Attempts) Send(r api.RequestID) bool {
-	x, ok := a.states[r]
+// TrySend reports whether the attempt may be sent, and if so marks it as sent. It must be
+// called immediately before the send.
+func (a *Attempts) TrySend(r api.RequestID) bool {
+	x, ok := a.attempts[r]
 	if !ok || x.progress != pending {
 		return false
 	}
 	x.progress = sent
-	a.states[r] = x
+	a.attempts[r] = x
 	return true
 }
 
 // Remove forgets an attempt that was not sent.
 func (a *Attempts) Remove(r api.RequestID) {
-	delete(a.states, r)
+	delete(a.attempts, r)
 }
 
-// Over notes the outcome of an attempt that is about to be recorded. One that was abandoned
-// was not sent, and is forgotten.
-func (a *Attempts) Over(r api.RequestID, s api.ClaimSpec) {
-	x, ok := a.states[r]
+// SetOutcome stores the outcome of an attempt, which the caller is about to record at the
+// platform. An abandoned attempt was not sent and is forgotten.
+func (a *Attempts) SetOutcome(r api.RequestID, s api.ClaimSpec) {
+	x, ok := a.attempts[r]
 	if !ok {
 		return
 	}
 	if s.State == api.ClaimStateAbandoned {
-		delete(a.states, r)
+		delete(a.attempts, r)
 		return
 	}
 	x.record.Spec = s
-	a.states[r] = x
+	a.attempts[r] = x
 }
 
-// Recorded notes that the platform has the outcome of an attempt.
-func (a *Attempts) Recorded(now time.Time, r api.RequestID) {
-	if x, ok := a.states[r]; ok {
-		x.over = now
-		a.states[r] = x
+// MarkRecorded notes that the platform has recorded the outcome of an attempt.
+func (a *Attempts) MarkRecorded(now time.Time, r api.RequestID) {
+	if x, ok := a.attempts[r]; ok {
+		x.recordedAt = now
+		a.attempts[r] = x
 	}
 }
 
-// Forget drops the attempts whose outcomes every copy has that the platform, which answered
-// for so long, may come back from.
-func (a *Attempts) Forget(now time.Time, answered time.Duration) {
-	if answered < rememberTime {
+// Expire drops the attempts whose outcomes are in every backup that the platform may be
+// restored from. It drops none before the platform has answered for the retention time.
+func (a *Attempts) Expire(now time.Time, answered time.Duration) {
+	if answered < attemptRetention {
 		return
 	}
-	for r, x := range a.states {
-		if !x.over.IsZero() && now.Sub(x.over) > rememberTime {
-			delete(a.states, r)
+	for r, x := range a.attempts {
+		if !x.recordedAt.IsZero() && now.Sub(x.recordedAt) > attemptRetention {
+			delete(a.attempts, r)
 		}
 	}
 }
 
-// Records gives the claims that were written, in order of name, for a platform that may have
-// lost them.
+// Records returns the claims that were written, in order of name, to write them again to a
+// platform that may have lost them.
 func (a *Attempts) Records() []Record {
 	var l []Record
-	for _, x := range a.states {
+	for _, x := range a.attempts {
 		if x.record.Name != "" {
 			l = append(l, x.record)
 		}
@@ -131,20 +132,21 @@
 	return l
 }
 
-// Release gives an attempt up for another entry VM and reports whether it was
-// not sent and never will be. Another life's attempts can't be answered for.
+// Release gives up an attempt at the request of another entry VM, and reports whether it was
+// not sent and never will be. It reports false for attempts of another incarnation, of which
+// nothing is known here.
 func (a *Attempts) Release(r api.RequestID, i api.Incarnation) bool {
 	if i != a.incarnation {
 		return false
 	}
-	if x, ok := a.states[r]; ok && x.progress == sent {
+	if x, ok := a.attempts[r]; ok && x.progress == sent {
 		return false
 	}
-	delete(a.states, r)
+	delete(a.attempts, r)
 	return true
 }
 
-// Len counts the attempts kept.
+// Len counts the attempts that are remembered.
 func (a *Attempts) Len() int {
-	return len(a.states)
+	return len(a.attempts)
 }
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -7,180 +7,181 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Kind tells what to do next for a claimed request.
+// Kind tells what an Action does.
 type Kind int
 
-// Kinds of moves.
+// Kinds of actions.
 const (
-	// Create creates the claim's object with Spec if there is none.
+	// Create creates the claim's object with Spec, provided that there is none.
 	Create Kind = iota
 	// Read reads the claim's object.
 	Read
-	// AskOwner asks the claim's owner to give an unsent attempt up.
-	AskOwner
-	// TakeOver replaces the claim at Version by Spec.
+	// RequestRelease asks the claim's owner to give up its attempt, if that was not sent.
+	RequestRelease
+	// TakeOver replaces the claim by Spec, provided that it is still at Version.
 	TakeOver
-	// Send sends the request, if the attempt is still allowed to.
+	// Send sends the request, provided that the attempt may still be sent.
 	Send
-	// Replay answers with the kept answer of the first attempt.
+	// Replay answers with the stored answer of an earlier attempt, which is in Spec.
 	Replay
 	// Refuse answers with Fault.
 	Refuse
 	// Abandon records that the request was not sent, and answers with Fault.
 	Abandon
-	// Keep leaves the object as it is.
-	Keep
+	// NoChange leaves the claim's object as it is.
+	NoChange
 )
 
-// Move is the next thing to do.
-type Move struct {
+// Action is the next step for a claimed request; Kind tells which of the other fields it uses.
+type Action struct {
 	Kind    Kind
 	Spec    api.ClaimSpec
 	Version api.Version
 	Fault   *fault.Error
 }
 
-// Written is the outcome of a conditional write.
-type Written int
+// WriteResult is the result of a conditional write of a claim.
+type WriteResult int
 
-// Outcomes of writes.
+// Results of writes.
 const (
-	// Done means that the write took effect.
-	Done Written = iota
-	// Conflict means that the object is not at the version expected.
-	Conflict
-	// Lost means that the write may have taken effect or may yet.
-	Lost
-	// Refused means that the write did not and will not take effect.
-	Refused
-	// Early means that the write took effect, in an era in which owners may not have written
-	// again yet what the platform has lost.
-	Early
+	// WriteDone means that the write took effect.
+	WriteDone WriteResult = iota
+	// WriteConflict means that the object is not at the expected version.
+	WriteConflict
+	// WriteUnknown means that the write may have taken effect or may still do so.
+	WriteUnknown
+	// WriteRefused means that the write did not take effect and never will.
+	WriteRefused
+	// WriteUnsettled means that the write took effect, but in an era in which owners may not
+	// yet have rewritten the claims that the platform has lost.
+	WriteUnsettled
 )
 
-// comeback is when a caller may ask again about a claim that is held.
-const comeback = 2 * time.Second
+// retryAfter is how long a caller whose request is refused should wait before a retry.
+const retryAfter = 2 * time.Second
 
-// rounds bounds how often a claim that changes under the reader is read.
-const rounds = 4
+// maxReads bounds the reads of a claim that changes between the read and the write.
+const maxReads = 4
 
-// Claim is the course of one request's claim.
+// Claim is the state machine that makes the claim of one request. Begin gives the first
+// action; the Handle methods take the result of an action and give the next.
 type Claim struct {
-	spec  api.ClaimSpec
-	left  int
-	asked bool
+	spec             api.ClaimSpec
+	readsLeft        int
+	releaseRequested bool
 }
 
-// New starts the course of a claim with the record that this attempt wants.
+// New makes the state machine of an attempt that is to claim its request by s.
 func New(s api.ClaimSpec) *Claim {
 	s.State = api.ClaimStateClaimed
-	return &Claim{spec: s, left: rounds}
+	return &Claim{spec: s, readsLeft: maxReads}
 }
 
-// Begin gives the first move.
-func (c *Claim) Begin() Move {
-	return Move{Kind: Create, Spec: c.spec}
+// Begin gives the first action.
+func (c *Claim) Begin() Action {
+	return Action{Kind: Create, Spec: c.spec}
 }
 
-// Wrote takes the outcome of a create or a take-over.
-func (c *Claim) Wrote(w Written) Move {
+// HandleWrite takes the result of a create or a take-over.
+func (c *Claim) HandleWrite(w WriteResult) Action {
 	switch w {
-	case Done:
-		return Move{Kind: Send}
-	case Refused:
-		return c.unavailable()
-	case Early:
+	case WriteDone:
+		return Action{Kind: Send}
+	case WriteRefused:
+		return c.refuseUnavailable()
+	case WriteUnsettled:
 		return c.abandon()
 	default:
 		return c.read()
 	}
 }
 
-func (c *Claim) read() Move {
-	if c.left == 0 {
-		return c.unavailable()
+func (c *Claim) read() Action {
+	if c.readsLeft == 0 {
+		return c.refuseUnavailable()
 	}
-	c.left--
-	return Move{Kind: Read}
+	c.readsLeft--
+	return Action{Kind: Read}
 }
 
-// Unsettled refuses a request while claims may be lost that come before its own; nothing of
-// it was sent.
-func Unsettled() *fault.Error {
-	return fault.New(fault.ClaimUnavailable, "the platform came back from a copy; claims are being written again, and the request was not sent").After(comeback)
+// UnsettledError is the error for a request that is refused before its send, while the platform
+// may have lost an earlier claim of the same key.
+func UnsettledError() *fault.Error {
+	return fault.New(fault.ClaimUnavailable, "the platform was restored from a backup and claims are being rewritten; the request was not sent").After(retryAfter)
 }
 
-// unavailable refuses a request of which nothing was sent.
-func (c *Claim) unavailable() Move {
+// refuseUnavailable refuses a request that was not sent, as it could not be claimed.
+func (c *Claim) refuseUnavailable() Action {
 	f := fault.New(fault.ClaimUnavailable, "the claim could not be recorded; the request was not sent")
-	return Move{Kind: Refuse, Fault: f.After(comeback)}
+	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
-// abandon gives a claim up that another one may have come before.
-func (c *Claim) abandon() Move {
-	m := c.unavailable()
+// abandon gives up a claim, as the platform may have lost an earlier one of the same key.
+func (c *Claim) abandon() Action {
+	m := c.refuseUnavailable()
 	m.Kind, m.Spec = Abandon, c.spec
 	m.Spec.State = api.ClaimStateAbandoned
 	return m
 }
 
-// Unreadable notes that the object could not be read.
-func (c *Claim) Unreadable() Move {
-	return c.unavailable()
+// HandleReadError takes a failure to read the claim's object.
+func (c *Claim) HandleReadError() Action {
+	return c.refuseUnavailable()
 }
 
-// Found takes the object as read; exists is false for none, and settled is false where
-// another claim may have come before it that the platform has lost.
-func (c *Claim) Found(exists bool, s api.ClaimSpec, v api.Version, settled bool) Move {
+// HandleRead takes the object as read. If exists is false there is none; if settled is false,
+// the platform may have lost an earlier claim of the same key.
+func (c *Claim) HandleRead(exists bool, s api.ClaimSpec, v api.Version, settled bool) Action {
 	if !exists {
-		// The write may yet land; it is this attempt's and was not sent.
-		return c.unavailable()
+		// The write of this attempt may still take effect. The request was not sent.
+		return c.refuseUnavailable()
 	}
-	if c.own(s) {
+	if c.owns(s) {
 		if !settled {
 			return c.abandon()
 		}
-		return Move{Kind: Send}
+		return Action{Kind: Send}
 	}
 	if s.BodyHash != c.spec.BodyHash || s.Workspace != c.spec.Workspace {
 		f := fault.New(fault.ReusedKey, "the idempotency key was used for another request")
-		return Move{Kind: Refuse, Fault: f}
+		return Action{Kind: Refuse, Fault: f}
 	}
 	switch s.State {
 	case api.ClaimStateDone:
-		return Move{Kind: Replay, Spec: s}
+		return Action{Kind: Replay, Spec: s}
 	case api.ClaimStateAbandoned:
-		return Move{Kind: TakeOver, Spec: c.spec, Version: v}
+		return Action{Kind: TakeOver, Spec: c.spec, Version: v}
 	default:
-		return c.ask(s, v)
+		return c.requestRelease(s, v)
 	}
 }
 
-func (c *Claim) own(s api.ClaimSpec) bool {
+func (c *Claim) owns(s api.ClaimSpec) bool {
 	return s.State == api.ClaimStateClaimed && s.Owner == c.spec.Owner &&
 		s.Incarnation == c.spec.Incarnation && s.Request == c.spec.Request
 }
 
-func (c *Claim) ask(s api.ClaimSpec, v api.Version) Move {
-	if c.asked {
-		return c.held()
+func (c *Claim) requestRelease(s api.ClaimSpec, v api.Version) Action {
+	if c.releaseRequested {
+		return c.refuseHeld()
 	}
-	c.asked = true
-	return Move{Kind: AskOwner, Spec: s, Version: v}
+	c.releaseRequested = true
+	return Action{Kind: RequestRelease, Spec: s, Version: v}
 }
 
-// held refuses because an earlier attempt may have run or may yet run.
-func (c *Claim) held() Move {
+// refuseHeld refuses a request of which an earlier attempt may have run or may still run.
+func (c *Claim) refuseHeld() Action {
 	f := fault.New(fault.ClaimHeld, "an earlier attempt with this key has no known outcome")
-	return Move{Kind: Refuse, Fault: f.After(comeback)}
+	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
-// Answered takes the owner's answer; released is true only if the owner's
-// attempt was not sent and never will be.
-func (c *Claim) Answered(released bool, v api.Version) Move {
+// HandleRelease takes the owner's answer to a request for release; released is true only if
+// the owner's attempt was not sent and never will be.
+func (c *Claim) HandleRelease(released bool, v api.Version) Action {
 	if !released {
-		return c.held()
+		return c.refuseHeld()
 	}
-	c.asked = false
-	return Move{Kind: TakeOver, Spec: c.spec, Version: v}
+	c.releaseRequested = false
+	return Action{Kind: TakeOver, Spec: c.spec, Version: v}
 }
--- a/internal/decide/config/config_test.go
+++ b/internal/decide/config/config_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestUnreadableObjectKeepsItsLastGoodForm(t *testing.T) {
+func TestUnreadableObjectKeepsLastGoodSpec(t *testing.T) {
 	s := config.New()
 	s.Replace(time.Time{}, api.ObjectList{Version: 1, Items: []api.Object{model("m", 1, `{"weights":"1"}`), model("n", 1, `{"weights":"1"}`)}})
 	v, _ := config.Build(s, nil, plain)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Operators drain a server itself, or all of its failure domain by closing that.
+// Operators drain a server itself, or its whole failure domain by closing the domain.
 func TestDraining(t *testing.T) {
 	s := config.New()
 	object := func(k api.ResourceKind, name, spec string) api.Object {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestVersionNeverGoesBack(t *testing.T) {
+func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := config.New()
 		last := api.Version(0)
@@ -90,17 +90,17 @@
 				s.Apply(api.ChangeList{Version: v, Changes: []api.Change{{Version: v, Object: o}}})
 			}
 			if s.Version() < last {
-				t.Fatalf("version went from %d to %d", last, s.Version())
+				t.Fatalf("version: was %d, got %d, want no lower one", last, s.Version())
 			}
 			last = s.Version()
 			if l := s.List(time.Time{}).Items; len(l) == 1 && l[0].Version > last {
-				t.Fatalf("object at %d in a store at %d", l[0].Version, last)
+				t.Fatalf("object: got version %d, want at most the store's %d", l[0].Version, last)
 			}
 		}
 	})
 }
 
-func TestOnce(t *testing.T) {
+func TestAtMostOnce(t *testing.T) {
 	s := config.Service{ServiceSpec: api.ServiceSpec{NotRepeatable: []api.CallRule{
 		{Method: api.CallRuleMethodPOST, Path: "/orders"},
 		{Method: api.CallRuleMethodPOST, Path: "/confirm/*"},
@@ -116,7 +116,7 @@
 		{"POST", "/confirmed", false},
 	}
 	for _, c := range tests {
-		if got := s.Once(c.method, c.path); got != c.want {
+		if got := s.AtMostOnce(c.method, c.path); got != c.want {
 			t.Errorf("%s %s: got %v, want %v", c.method, c.path, got, c.want)
 		}
 	}
--- a/internal/decide/config/store.go
+++ b/internal/decide/config/store.go
@@ -7,20 +7,20 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Key names one object.
+// Key identifies one object.
 type Key struct {
 	Kind api.ResourceKind
 	Name string
 }
 
-// Problem is an object that could not be read; its last good form stays.
+// Problem is an object whose spec could not be decoded; its last good spec stays in force.
 type Problem struct {
 	Key    Key
 	Detail string
 }
 
-// Declared lists the kinds that operators declare.
-var Declared = []api.ResourceKind{
+// DeclaredKinds lists the kinds of objects that operators declare.
+var DeclaredKinds = []api.ResourceKind{
 	api.ResourceKindModel,
 	api.ResourceKindAdapter,
 	api.ResourceKindWorkspace,
@@ -29,23 +29,24 @@
 	api.ResourceKindFailureDomain,
 }
 
-// Store holds declared objects at one version of the platform, and those that stay in
-// force in spite of it.
+// Store holds the declared objects at one version of the platform, and those retained after
+// the platform was restored without them.
 type Store struct {
 	version api.Version
 	objects map[Key]api.Object
-	// gone holds the versions of lately removed objects, which a copy may still have.
-	gone map[Key]api.Version
-	kept map[Key]kept
+	// removals holds the versions at which objects were lately removed; a backup of the
+	// platform may still have them.
+	removals map[Key]api.Version
+	retained map[Key]retainedObject
 }
 
 // New makes an empty store.
 func New() *Store {
-	return &Store{objects: map[Key]api.Object{}, gone: map[Key]api.Version{}, kept: map[Key]kept{}}
+	return &Store{objects: map[Key]api.Object{}, removals: map[Key]api.Version{}, retained: map[Key]retainedObject{}}
 }
 
-// Of makes a store that knows one list.
-func Of(l api.ObjectList) *Store {
+// FromList makes a store of the objects of one list.
+func FromList(l api.ObjectList) *Store {
 	s := New()
 	s.Replace(time.Time{}, l)
 	return s
@@ -56,9 +57,9 @@
 	return s.version
 }
 
-// Replace takes a whole list at a time; it reports false for a list that is older than what
-// is known, which is dropped. In a later era than what is known, the platform came back
-// from a copy: what was known and is newer than in the list stays in force.
+// Replace replaces all objects by a list, received at now. It drops a list that is older than
+// the store's version and reports false. A list of a later era comes from a platform that was
+// restored from a backup: objects known here that are newer than in the list are retained.
 func (s *Store) Replace(now time.Time, l api.ObjectList) bool {
 	if l.Version < s.version {
 		return false
@@ -70,16 +71,16 @@
 	}
 	s.version = l.Version
 	if before.version > 0 && l.Version.Era() > before.version.Era() {
-		s.keep(now, before)
+		s.retain(now, before)
 	} else {
-		s.missing(before)
+		s.recordMissing(before)
 	}
-	s.settle()
-	s.take(now, l.Kept)
+	s.dropOutdated()
+	s.mergeRetained(now, l.Kept)
 	return true
 }
 
-// Apply takes the changes of a watch and reports how many were new.
+// Apply applies the changes of a watch and returns how many were new.
 func (s *Store) Apply(l api.ChangeList) int {
 	n := 0
 	for _, c := range l.Changes {
@@ -89,11 +90,11 @@
 		k := Key{c.Object.Kind, c.Object.Name}
 		if c.Deleted {
 			delete(s.objects, k)
-			s.remove(k, c.Version)
+			s.recordRemoval(k, c.Version)
 		} else {
 			s.objects[k] = c.Object
 		}
-		delete(s.kept, k)
+		delete(s.retained, k)
 		s.version = c.Version
 		n++
 	}
@@ -101,19 +102,19 @@
 	return n
 }
 
-// List gives the platform's objects in order of kind and name, and what is kept in spite of
-// them, for a peer.
+// List returns the platform's objects and the retained ones, each in order of kind and name,
+// for a peer.
 func (s *Store) List(now time.Time) api.ObjectList {
-	return api.ObjectList{Version: s.version, Items: sorted(s.objects), Kept: s.keptList(now)}
+	return api.ObjectList{Version: s.version, Items: sorted(s.objects), Kept: s.retainedList(now)}
 }
 
-// inForce gives the objects in force in order of kind and name.
-func (s *Store) inForce() []api.Object {
-	if len(s.kept) == 0 {
+// effective returns the objects in force, retained ones included, in order of kind and name.
+func (s *Store) effective() []api.Object {
+	if len(s.retained) == 0 {
 		return sorted(s.objects)
 	}
 	m := maps.Clone(s.objects)
-	for k, x := range s.kept {
+	for k, x := range s.retained {
 		if x.removed {
 			delete(m, k)
 			continue
--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -27,67 +27,68 @@
 	api.ServiceSpec
 }
 
-// View is the typed form of a store; it does not change once built.
+// View holds the decoded objects of a store; it does not change once built.
 type View struct {
 	Version    api.Version
 	Models     map[api.ModelName]api.ModelSpec
 	Adapters   map[api.AdapterName]api.AdapterSpec
 	Workspaces map[api.WorkspaceName]Workspace
-	Keys       map[string]api.WorkspaceName
-	Servers    map[api.ServerName]Server
-	Services   map[api.ServiceName]Service
-	// Domains are the failure domains that were declared; others are open.
+	// WorkspaceByKey is indexed by the SHA-256 of a workspace's API key.
+	WorkspaceByKey map[string]api.WorkspaceName
+	Servers        map[api.ServerName]Server
+	Services       map[api.ServiceName]Service
+	// Domains holds the declared failure domains; one that is not declared is open.
 	Domains map[api.DomainName]api.FailureDomainSpec
 
-	taken map[Key]taken
+	parsed map[Key]parsed
 }
 
-// taken is the typed form of one object, and the version it was read from.
-type taken struct {
+// parsed is the decoded spec of one object, and the version that it was decoded from.
+type parsed struct {
 	version api.Version
 	value   any
 }
 
-// Decoder checks a spec against its schema and fills its defaults in.
+// Decoder decodes a spec into out, checks it against its schema and fills in its defaults.
 type Decoder func(k api.ResourceKind, raw json.RawMessage, out any) error
 
-// Build makes the view of a store. An object that has not changed since the
-// view before is not read again; a spec that can't be read is taken as it was
-// in that view, and is listed as a problem.
+// Build makes the view of a store. An object that has not changed since the view before is not
+// decoded again. One whose spec can't be decoded stays as it was in that view, and is returned
+// as a problem.
 func Build(s *Store, before *View, decode Decoder) (*View, []Problem) {
 	v := &View{
-		Version:    s.version,
-		Models:     map[api.ModelName]api.ModelSpec{},
-		Adapters:   map[api.AdapterName]api.AdapterSpec{},
-		Workspaces: map[api.WorkspaceName]Workspace{},
-		Keys:       map[string]api.WorkspaceName{},
-		Servers:    map[api.ServerName]Server{},
-		Services:   map[api.ServiceName]Service{},
-		Domains:    map[api.DomainName]api.FailureDomainSpec{},
-		taken:      make(map[Key]taken, len(s.objects)+len(s.kept)),
+		Version:        s.version,
+		Models:         map[api.ModelName]api.ModelSpec{},
+		Adapters:       map[api.AdapterName]api.AdapterSpec{},
+		Workspaces:     map[api.WorkspaceName]Workspace{},
+		WorkspaceByKey: map[string]api.WorkspaceName{},
+		Servers:        map[api.ServerName]Server{},
+		Services:       map[api.ServiceName]Service{},
+		Domains:        map[api.DomainName]api.FailureDomainSpec{},
+		parsed:         make(map[Key]parsed, len(s.objects)+len(s.retained)),
 	}
 	var l []Problem
-	for _, o := range s.inForce() {
-		if p := v.take(o, before, decode); p != nil {
+	for _, o := range s.effective() {
+		if p := v.parse(o, before, decode); p != nil {
 			l = append(l, *p)
 		}
 	}
 	return v, l
 }
 
-func (v *View) take(o api.Object, before *View, decode Decoder) *Problem {
+func (v *View) parse(o api.Object, before *View, decode Decoder) *Problem {
 	k := Key{o.Kind, o.Name}
-	var last taken
+	var last parsed
 	if before != nil {
-		last = before.taken[k]
+		last = before.parsed[k]
 	}
 	if last.value != nil && last.version == o.Version {
 		v.add(k, last)
 		return nil
 	}
-	x, err := read(o, decode)
+	x, err := decodeSpec(o, decode)
 	if err == nil {
-		v.add(k, taken{version: o.Version, value: x})
+		v.add(k, parsed{version: o.Version, value: x})
 		return nil
 	}
 	if last.value != nil {
@@ -96,8 +97,8 @@
 	return &Problem{Key: k, Detail: err.Error()}
 }
 
-// read types an object's spec.
-func read(o api.Object, decode Decoder) (any, error) {
+// decodeSpec decodes an object's spec into the type of its kind.
+func decodeSpec(o api.Object, decode Decoder) (any, error) {
 	switch o.Kind {
 	case api.ResourceKindModel:
 		var x api.ModelSpec
@@ -126,9 +127,9 @@
 	}
 }
 
-// add puts a typed object into its place.
-func (v *View) add(k Key, t taken) {
-	v.taken[k] = t
+// add adds a decoded object to the map of its kind.
+func (v *View) add(k Key, t parsed) {
+	v.parsed[k] = t
 	switch x := t.value.(type) {
 	case api.ModelSpec:
 		v.Models[api.ModelName(k.Name)] = x
@@ -136,9 +137,9 @@
 		v.Adapters[api.AdapterName(k.Name)] = x
 	case Workspace:
 		v.Workspaces[x.Name] = x
-		if _, ok := v.Keys[x.KeySha256]; !ok {
-			// Of two workspaces with one key the first by name has it.
-			v.Keys[x.KeySha256] = x.Name
+		if _, ok := v.WorkspaceByKey[x.KeySha256]; !ok {
+			// If two workspaces have the same key, it belongs to the first by name.
+			v.WorkspaceByKey[x.KeySha256] = x.Name
 		}
 	case Server:
 		v.Servers[x.Name] = x
@@ -162,18 +163,18 @@
 	return slices.Contains(w.Services, s)
 }
 
-// Once reports whether a call of the service may run at most once; a rule's
-// path ending in /* covers everything below it.
-func (s Service) Once(method, path string) bool {
+// AtMostOnce reports whether a call of the service may run at most once. A rule whose path ends
+// in /* matches that path and all below it.
+func (s Service) AtMostOnce(method, path string) bool {
 	for _, r := range s.NotRepeatable {
-		if string(r.Method) == method && covers(r.Path, path) {
+		if string(r.Method) == method && matchesPath(r.Path, path) {
 			return true
 		}
 	}
 	return false
 }
 
-func covers(rule, path string) bool {
+func matchesPath(rule, path string) bool {
 	if p, ok := strings.CutSuffix(rule, "/*"); ok {
 		return path == p || strings.HasPrefix(path, p+"/")
 	}
@@ -186,8 +187,9 @@
 	return s.State == api.ServerStateDraining || v.Domains[s.Domain].State == api.DomainStateClosed
 }
 
-// Items lists what an engine has to have loaded, as kind/name@weights.
-func (v *View) Items(s Server) []string {
+// RequiredItems lists the models and adapters that an engine has to have loaded, as
+// kind/name@weights.
+func (v *View) RequiredItems(s Server) []string {
 	var l []string
 	for _, m := range s.Models {
 		if x, ok := v.Models[m]; ok {
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -206,7 +206,7 @@
 
 // Submit starts, queues or refuses a new request.
 func (d *Dispatcher) Submit(now time.Time, w Work) []Action {
-	d.budget.Fresh()
+	d.budget.CountFresh()
 	return d.place(now, w)
 }
 
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -6,30 +6,30 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Owner identifies one life of an entry VM.
+// Owner identifies one incarnation of an entry VM.
 type Owner struct {
 	VM          api.VMName
 	Incarnation api.Incarnation
 }
 
-// Timing bounds a lease.
+// Timing is how long a lease is valid.
 type Timing struct {
-	// Duration counts from when a renewal was sent.
+	// Duration is how long a hold lasts from when its last renewal was sent.
 	Duration time.Duration
-	// Skew is what others wait beyond the duration.
+	// Skew is how much longer than the duration others wait before they take the lease.
 	Skew time.Duration
 }
 
-// Kind tells what to do with the lease object.
+// Kind tells what an Action does.
 type Kind int
 
 // Kinds of actions.
 const (
-	// Nothing has to be done now.
-	Nothing Kind = iota
-	// Read reads the object.
+	// None makes no call now.
+	None Kind = iota
+	// Read reads the lease object.
 	Read
-	// Write writes Spec if the object still has Version.
+	// Write writes Spec, provided that the object is still at Version.
 	Write
 )
 
@@ -40,17 +40,17 @@
 	Version api.Version
 }
 
-// Object is a lease as the platform has it.
+// Object is a lease object as read from the platform.
 type Object struct {
-	// Exists is set where there is one.
+	// Exists is set if the platform has the object.
 	Exists  bool
 	Spec    api.LeaseSpec
 	Version api.Version
-	// Era is the platform's present one, which may be later than that of the version.
+	// Era is the platform's era at the read, which may be later than that of Version.
 	Era api.Era
 }
 
-// Lease is one entry VM's view of one lease.
+// Lease is one entry VM's view of one lease, and its hold if it has one.
 type Lease struct {
 	owner   Owner
 	timing  Timing
@@ -59,85 +59,86 @@
 	exists  bool
 	spec    api.LeaseSpec
 	version api.Version
-	// era is the platform's, once seen; entered is when it was, but for the first, in which
-	// nothing was ever lost.
-	era     api.Era
-	seen    bool
-	entered time.Time
-	// lapsed is set where the object names this entry VM by a hold that is over: a copy that
-	// the platform came back from may be of an earlier one.
+	// era is the platform's latest era that was seen. eraEnteredAt is when it was first seen;
+	// it stays zero in era 0, before which there was nothing to lose.
+	era          api.Era
+	eraKnown     bool
+	eraEnteredAt time.Time
+	// lapsed is set if the object names this entry VM by a hold that has ended: a backup that
+	// the platform was restored from may be from the time of that hold.
 	lapsed bool
-	// changed is when the object was first seen as it is, by the own clock.
-	changed time.Time
-	// read is when the object was last read.
-	read time.Time
-	// until is the end of the own hold, counted from the send of a renewal.
-	until time.Time
-	// pending is the write whose outcome is not known, sent at sent; one
-	// without a duration is none.
+	// changedAt is when the present form of the object was first seen, by the local clock.
+	changedAt time.Time
+	// readAt is when the object was last read.
+	readAt time.Time
+	// heldUntil is the end of the local hold, counted from the send of the last renewal.
+	heldUntil time.Time
+	// pending is the write, sent at sentAt, whose result is not known; a zero duration means
+	// that there is none.
 	pending api.LeaseSpec
-	sent    time.Time
+	sentAt  time.Time
 }
 
-// New makes a view that has not read the lease yet.
+// New makes the view of a lease that has not been read yet and is wanted.
 func New(o Owner, t Timing) *Lease {
 	return &Lease{owner: o, timing: t, wanted: true}
 }
 
-// Want tells whether this entry VM wants to hold the lease.
-func (l *Lease) Want(w bool) {
+// SetWanted sets whether this entry VM should hold the lease. A lease that is held and no
+// longer wanted is released.
+func (l *Lease) SetWanted(w bool) {
 	l.wanted = w
 }
 
-// renewals is how many times a holder may renew within one duration.
-const renewals = 3
+// renewalsPerDuration is how often a holder renews, and others read, within one duration.
+const renewalsPerDuration = 3
 
-// Step gives the next call, if one is due.
+// Step gives the next call to the platform, if one is due.
 func (l *Lease) Step(now time.Time) Action {
 	switch {
 	case !l.known:
 		return Action{Kind: Read}
-	case l.mine() && !l.wanted:
-		return l.write(now, l.released())
+	case l.isHolder() && !l.wanted:
+		return l.write(now, l.releasedSpec())
 	case !l.wanted:
 		return Action{}
-	case l.mine():
+	case l.isHolder():
 		return l.renew(now)
-	case l.free(now):
-		return l.write(now, l.taken())
-	case now.Sub(l.read) >= l.timing.Duration/renewals:
+	case l.available(now):
+		return l.write(now, l.takenSpec())
+	case now.Sub(l.readAt) >= l.timing.Duration/renewalsPerDuration:
 		return Action{Kind: Read}
 	default:
 		return Action{}
 	}
 }
 
-func (l *Lease) mine() bool {
+func (l *Lease) isHolder() bool {
 	return l.exists && !l.lapsed && l.spec.Holder == l.owner.VM && l.spec.Incarnation == l.owner.Incarnation
 }
 
-// free reports whether the lease may be taken: it does not exist, was given
-// back, or stood unchanged for longer than its holder can believe in it.
-func (l *Lease) free(now time.Time) bool {
-	if !l.outlived(now) {
+// available reports whether the lease may be taken: it does not exist, was released, or has
+// not changed for so long that its holder no longer counts itself as such.
+func (l *Lease) available(now time.Time) bool {
+	if !l.earlierHoldsExpired(now) {
 		return false
 	}
 	if !l.exists || l.spec.Holder == "" {
 		return true
 	}
-	return now.Sub(l.changed) >= l.spec.DurationMS.Duration()+l.timing.Skew
+	return now.Sub(l.changedAt) >= l.spec.DurationMS.Duration()+l.timing.Skew
 }
 
-// outlived reports whether no hold of an earlier era is left. The platform may have come back
-// from a copy of before the lease was taken or last renewed, just before this entry VM first
-// saw the era: that nobody is named, or that nothing changed, says nothing then. In the first
-// era nothing was ever lost.
-func (l *Lease) outlived(now time.Time) bool {
-	return l.era == 0 || now.Sub(l.entered) >= l.timing.Duration+l.timing.Skew
+// earlierHoldsExpired reports whether all holds of earlier eras have expired. The platform may
+// have been restored, just before this entry VM first saw the era, from a backup that is older
+// than the last take or renewal of the lease: until these holds expire, an object that names no
+// holder or does not change is no proof that the lease is free. Era 0 has no earlier holds.
+func (l *Lease) earlierHoldsExpired(now time.Time) bool {
+	return l.era == 0 || now.Sub(l.eraEnteredAt) >= l.timing.Duration+l.timing.Skew
 }
 
 func (l *Lease) renew(now time.Time) Action {
-	if !l.until.IsZero() && l.until.Sub(now) > l.timing.Duration*(renewals-1)/renewals {
+	if !l.heldUntil.IsZero() && l.heldUntil.Sub(now) > l.timing.Duration*(renewalsPerDuration-1)/renewalsPerDuration {
 		return Action{}
 	}
 	s := l.spec
@@ -145,26 +146,26 @@
 	return l.write(now, s)
 }
 
-func (l *Lease) taken() api.LeaseSpec {
+func (l *Lease) takenSpec() api.LeaseSpec {
 	return api.LeaseSpec{
 		Holder:      l.owner.VM,
 		Incarnation: l.owner.Incarnation,
-		Fence:       max(l.spec.Fence, firstFence(l.era)) + 1,
+		Fence:       max(l.spec.Fence, fenceBase(l.era)) + 1,
 		DurationMS:  api.ToMilliseconds(l.timing.Duration),
 	}
 }
 
-// fencesPerEra is how many holders a lease may have in one era of the platform: a million, at
-// one a lease's length 70 days of nothing but failures.
+// fencesPerEra is how many holds a lease may have in one era of the platform. A million last
+// for 70 days if the lease changes its holder at every expiry.
 const fencesPerEra = 1 << 20
 
-// firstFence is below all fences of an era and above those of earlier ones: the fences that a
-// copy has lost were seen by engines, which refuse lower ones.
-func firstFence(e api.Era) api.Fence {
+// fenceBase is below all fences of an era and above those of earlier ones. Engines refuse a
+// fence below the highest one seen, which a restored platform may no longer know.
+func fenceBase(e api.Era) api.Fence {
 	return api.Fence(e) * fencesPerEra
 }
 
-func (l *Lease) released() api.LeaseSpec {
+func (l *Lease) releasedSpec() api.LeaseSpec {
 	s := l.spec
 	s.Holder = ""
 	s.Incarnation = 0
@@ -174,23 +175,23 @@
 
 func (l *Lease) write(now time.Time, s api.LeaseSpec) Action {
 	if s.Holder == "" {
-		// The hold ends before the write leaves.
-		l.until = time.Time{}
+		// The hold ends before the release is sent.
+		l.heldUntil = time.Time{}
 	}
 	l.pending = s
-	l.sent = now
+	l.sentAt = now
 	return Action{Kind: Write, Spec: s, Version: l.version}
 }
 
-// Observed takes the object as read at a time.
-func (l *Lease) Observed(now time.Time, o Object) {
-	l.read = now
-	later := l.enter(now, o.Era)
+// HandleRead takes the object as read at now.
+func (l *Lease) HandleRead(now time.Time, o Object) {
+	l.readAt = now
+	later := l.enterEra(now, o.Era)
 	if !l.known || l.exists != o.Exists || l.version != o.Version {
-		l.changed = now
+		l.changedAt = now
 	}
 	if l.known && o.Version < l.version && o.Exists && !later {
-		// An older answer says nothing new.
+		// An answer older than what is known is ignored.
 		return
 	}
 	_, held := l.Held(now)
@@ -201,45 +202,45 @@
 	l.exists = o.Exists
 	l.spec = o.Spec
 	l.version = o.Version
-	l.settle(o.Spec)
-	if !l.mine() {
-		l.until = time.Time{}
+	l.confirmWrite(o.Spec)
+	if !l.isHolder() {
+		l.heldUntil = time.Time{}
 	}
 }
 
-// enter notes the platform's era, and reports whether it is a later one than was known.
-func (l *Lease) enter(now time.Time, e api.Era) bool {
-	later := l.seen && e > l.era
-	if l.seen && !later {
+// enterEra notes the platform's era and reports whether it is later than the one known before.
+func (l *Lease) enterEra(now time.Time, e api.Era) bool {
+	later := l.eraKnown && e > l.era
+	if l.eraKnown && !later {
 		return false
 	}
-	l.seen, l.era = true, e
+	l.eraKnown, l.era = true, e
 	if e > 0 {
-		l.entered = now
+		l.eraEnteredAt = now
 	}
 	return later
 }
 
-// settle credits the last write if the object shows that it took effect.
-func (l *Lease) settle(s api.LeaseSpec) {
+// confirmWrite extends the hold if the object shows that the pending write took effect.
+func (l *Lease) confirmWrite(s api.LeaseSpec) {
 	p := l.pending
 	l.pending = api.LeaseSpec{}
-	if p == s && l.mine() {
-		l.until = l.sent.Add(l.timing.Duration)
+	if p == s && l.isHolder() {
+		l.heldUntil = l.sentAt.Add(l.timing.Duration)
 	}
 }
 
-// Written takes the version of a write that was answered as done. One that was carried out
-// in a later era than it was decided in is no hold: its condition, that there is none or a
-// certain version, said nothing of who holds by what the platform has lost.
-func (l *Lease) Written(v api.Version) {
+// HandleWritten takes the version that a successful write has given the object. A write that
+// took effect in a later era than it was decided in gives no hold: its condition on the version
+// does not exclude a holder whose write the platform has lost.
+func (l *Lease) HandleWritten(v api.Version) {
 	s := l.pending
 	if s.DurationMS == 0 {
 		return
 	}
 	if v.Era() != l.era {
 		l.pending = api.LeaseSpec{}
-		l.Unsettled()
+		l.Invalidate()
 		return
 	}
 	l.lapsed = false
@@ -247,27 +248,27 @@
 	l.exists = true
 	l.spec = s
 	l.version = v
-	l.changed = l.sent
-	l.read = l.sent
-	l.settle(s)
+	l.changedAt = l.sentAt
+	l.readAt = l.sentAt
+	l.confirmWrite(s)
 }
 
-// Unsettled notes that a write failed or that its answer was lost; the object
-// is read back before anything else.
-func (l *Lease) Unsettled() {
+// Invalidate notes that a write failed or that its answer was lost, so that the object is
+// read again before the next write.
+func (l *Lease) Invalidate() {
 	l.known = false
 }
 
-// Held gives the fence while this entry VM may act. It has to be asked at the
-// last moment before each act, with the own monotonic clock.
+// Held returns the fence while this entry VM holds the lease. It must be called immediately
+// before each action under the lease, with the local monotonic clock.
 func (l *Lease) Held(now time.Time) (api.Fence, bool) {
-	if !l.mine() || !now.Before(l.until) {
+	if !l.isHolder() || !now.Before(l.heldUntil) {
 		return 0, false
 	}
 	return l.spec.Fence, true
 }
 
-// Until is the end of the own hold; zero when there is none.
-func (l *Lease) Until() time.Time {
-	return l.until
+// HeldUntil is the end of the local hold; zero if there is none.
+func (l *Lease) HeldUntil() time.Time {
+	return l.heldUntil
 }
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -14,7 +14,7 @@
 
 var timing = lease.Timing{Duration: 6 * time.Second, Skew: time.Second}
 
-// store is the platform's object as conditional updates see it.
+// store is the platform's lease object, written by conditional updates.
 type store struct {
 	exists  bool
 	spec    api.LeaseSpec
@@ -32,71 +32,71 @@
 }
 
 func (s *store) read(now time.Time, l *lease.Lease) {
-	l.Observed(now, lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version})
+	l.HandleRead(now, lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version})
 }
 
-// turn carries out one step whose answer arrives at once.
-func (s *store) turn(now time.Time, l *lease.Lease) {
+// step carries out the next action of a lease, with an immediate answer.
+func (s *store) step(now time.Time, l *lease.Lease) {
 	a := l.Step(now)
 	switch a.Kind {
 	case lease.Read:
 		s.read(now, l)
 	case lease.Write:
 		if s.write(a) {
-			l.Written(s.version)
+			l.HandleWritten(s.version)
 		} else {
-			l.Unsettled()
+			l.Invalidate()
 		}
 	}
 }
 
-func held(t *testing.T, l *lease.Lease, now time.Time, want bool) {
+func checkHeld(t *testing.T, l *lease.Lease, now time.Time, want bool) {
 	t.Helper()
 	if _, got := l.Held(now); got != want {
 		t.Errorf("held at %v: got %v, want %v", now.Sub(epoch), got, want)
 	}
 }
 
-func TestHoldCountsFromTheSend(t *testing.T) {
+func TestHoldIsCountedFromSendOfRenewal(t *testing.T) {
 	s := &store{}
 	l := lease.New(lease.Owner{VM: "a"}, timing)
-	s.turn(epoch, l)
+	s.step(epoch, l)
 	a := l.Step(epoch)
 	s.write(a)
-	// The answer is four seconds late.
-	l.Written(s.version)
-	held(t, l, epoch.Add(4*time.Second), true)
-	held(t, l, epoch.Add(6*time.Second), false)
+	// The answer arrives four seconds after the send; the hold still ends six seconds after it.
+	l.HandleWritten(s.version)
+	checkHeld(t, l, epoch.Add(4*time.Second), true)
+	checkHeld(t, l, epoch.Add(6*time.Second), false)
 }
 
-func TestLostAnswerIsReadBack(t *testing.T) {
+func TestWriteWithLostAnswerIsReadBack(t *testing.T) {
 	s := &store{}
 	l := lease.New(lease.Owner{VM: "a"}, timing)
-	s.turn(epoch, l)
+	s.step(epoch, l)
 	s.write(l.Step(epoch))
-	l.Unsettled()
-	held(t, l, epoch, false)
-	s.turn(epoch.Add(2*time.Second), l)
-	held(t, l, epoch.Add(3*time.Second), true)
-	held(t, l, epoch.Add(6*time.Second), false)
+	l.Invalidate()
+	checkHeld(t, l, epoch, false)
+	s.step(epoch.Add(2*time.Second), l)
+	checkHeld(t, l, epoch.Add(3*time.Second), true)
+	checkHeld(t, l, epoch.Add(6*time.Second), false)
 }
 
-func TestOthersWaitOutTheHolder(t *testing.T) {
+func TestOthersWaitUntilHoldExpires(t *testing.T) {
 	s := &store{}
 	a := lease.New(lease.Owner{VM: "a"}, timing)
 	b := lease.New(lease.Owner{VM: "b"}, timing)
-	s.turn(epoch, a)
-	s.turn(epoch, a)
+	s.step(epoch, a)
+	s.step(epoch, a)
 	for d := time.Duration(0); d < 20*time.Second; d += 100 * time.Millisecond {
 		now := epoch.Add(d)
-		s.turn(now, b)
+		s.step(now, b)
 		_, x := a.Held(now)
 		_, y := b.Held(now)
 		if x && y {
-			t.Fatalf("both hold at %v", d)
+			t.Fatalf("at %v: got two holders, want at most one", d)
 		}
 	}
-	held(t, b, epoch.Add(20*time.Second), true)
+	checkHeld(t, b, epoch.Add(20*time.Second), true)
 	if got, want := s.spec.Fence, api.Fence(2); got != want {
 		t.Errorf("fence: got %d, want %d", got, want)
 	}
@@ -106,19 +106,20 @@
 	s := &store{}
 	a := lease.New(lease.Owner{VM: "a"}, timing)
 	b := lease.New(lease.Owner{VM: "b"}, timing)
-	s.turn(epoch, a)
-	s.turn(epoch, a)
-	s.turn(epoch, b)
-	a.Want(false)
-	s.turn(epoch, a)
-	held(t, a, epoch, false)
+	s.step(epoch, a)
+	s.step(epoch, a)
+	s.step(epoch, b)
+	a.SetWanted(false)
+	s.step(epoch, a)
+	checkHeld(t, a, epoch, false)
 	now := epoch.Add(3 * time.Second)
-	s.turn(now, b)
-	s.turn(now, b)
-	held(t, b, now, true)
+	s.step(now, b)
+	s.step(now, b)
+	checkHeld(t, b, now, true)
 }
 
-// Two candidates with lost and late answers, pauses and restarts never hold at the same time.
+// Two candidates with lost answers, failed writes, pauses and restarts must never hold the
+// lease at the same time.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{}
@@ -134,15 +135,15 @@
 			l := candidates[i]
 			switch rapid.SampledFrom([]string{"turn", "turn", "turn", "lost", "failed", "restart"}).Draw(t, "what") {
 			case "turn":
-				s.turn(now, l)
+				s.step(now, l)
 			case "lost":
 				if a := l.Step(now); a.Kind == lease.Write {
 					s.write(a)
-					l.Unsettled()
+					l.Invalidate()
 				}
 			case "failed":
 				if a := l.Step(now); a.Kind == lease.Write {
-					l.Unsettled()
+					l.Invalidate()
 				}
 			case "restart":
 				inc++
@@ -151,7 +152,7 @@
 			_, a := candidates[0].Held(now)
 			_, b := candidates[1].Held(now)
 			if a && b {
-				t.Fatalf("both hold")
+				t.Fatalf("got two holders, want at most one")
 			}
 		}
 	})
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -8,10 +8,10 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Protocol is the version of the protocol between entry VMs.
+// Protocol is the version of the protocol that entry VMs use with each other.
 const Protocol = 1
 
-// Change tells what a step found out about one entry VM.
+// Change reports that another entry VM has joined or, if Lost is set, was lost.
 type Change struct {
 	VM   api.VMName
 	Lost bool
@@ -19,43 +19,43 @@
 
 // Peer is another entry VM.
 type Peer struct {
-	VM      api.VMName
-	Address string
-	beat    api.Heartbeat
-	heard   time.Time
-	alive   bool
-	// losses counts how often it was lost in this life, and answers how often
-	// it answered since.
+	VM          api.VMName
+	Address     string
+	heartbeat   api.Heartbeat
+	heartbeatAt time.Time
+	alive       bool
+	// losses counts how often the peer was lost in its present incarnation; answers counts its
+	// heartbeats since the last loss or gap.
 	losses  int
 	answers int
 }
 
-// trustMost bounds the answers in a row that a peer has to give after losses.
-const trustMost = 8
+// maxTrustAnswers bounds the heartbeats in a row that a peer has to answer after losses.
+const maxTrustAnswers = 8
 
-// trusted reports whether a peer that answers counts as there: at once the
-// first time, and after each loss only when it has answered twice as often, so
-// that a link that comes and goes does not make it flap.
+// trusted reports whether a peer that answers heartbeats counts as alive: after its first answer
+// if it was never lost, else after a number of answers that doubles with each loss. So a peer on
+// an unstable link does not flap.
 func (p *Peer) trusted() bool {
-	return p.losses == 0 || p.answers >= min(1<<p.losses, trustMost)
+	return p.losses == 0 || p.answers >= min(1<<p.losses, maxTrustAnswers)
 }
 
-// Members is one entry VM's view of the others.
+// Members is one entry VM's view of the other entry VMs.
 type Members struct {
-	self    api.VMName
-	suspect time.Duration
-	peers   map[api.VMName]*Peer
+	self           api.VMName
+	suspectTimeout time.Duration
+	peers          map[api.VMName]*Peer
 }
 
-// New makes a view without peers; a peer that was not heard for suspect is
-// taken for lost.
-func New(self api.VMName, suspect time.Duration) *Members {
-	return &Members{self: self, suspect: suspect, peers: map[api.VMName]*Peer{}}
+// New makes a view without peers. A peer whose last heartbeat is older than suspectTimeout is
+// counted as lost.
+func New(self api.VMName, suspectTimeout time.Duration) *Members {
+	return &Members{self: self, suspectTimeout: suspectTimeout, peers: map[api.VMName]*Peer{}}
 }
 
-// Listed takes the platform's list. A VM that is gone from it stays while it
-// answers heartbeats, as the list lags.
-func (m *Members) Listed(now time.Time, l []api.VM) {
+// ApplyList applies the platform's list of VMs. A peer that is not in it stays while it answers
+// heartbeats, as the list lags.
+func (m *Members) ApplyList(now time.Time, l []api.VM) {
 	seen := map[api.VMName]bool{}
 	for _, v := range l {
 		n := api.VMName(v.Name)
@@ -63,16 +63,16 @@
 			continue
 		}
 		seen[n] = true
-		m.note(n, v.Address)
+		m.setAddress(n, v.Address)
 	}
 	for n, p := range m.peers {
-		if !seen[n] && now.Sub(p.heard) > m.suspect {
+		if !seen[n] && now.Sub(p.heartbeatAt) > m.suspectTimeout {
 			delete(m.peers, n)
 		}
 	}
 }
 
-func (m *Members) note(n api.VMName, address string) {
+func (m *Members) setAddress(n api.VMName, address string) {
 	p, ok := m.peers[n]
 	if !ok {
 		p = &Peer{VM: n}
@@ -81,21 +81,21 @@
 	p.Address = address
 }
 
-// Heard takes a heartbeat that a listed peer answered with; one from an
-// earlier life than the last is dropped.
-func (m *Members) Heard(now time.Time, b api.Heartbeat) (Change, bool) {
+// HandleHeartbeat takes the heartbeat that a listed peer has answered with, and returns a change
+// if the peer has joined by it. A heartbeat of an earlier incarnation than the last is dropped.
+func (m *Members) HandleHeartbeat(now time.Time, b api.Heartbeat) (Change, bool) {
 	p, ok := m.peers[b.VM]
-	if !ok || b.Incarnation < p.beat.Incarnation {
+	if !ok || b.Incarnation < p.heartbeat.Incarnation {
 		return Change{}, false
 	}
-	if b.Incarnation > p.beat.Incarnation {
+	if b.Incarnation > p.heartbeat.Incarnation {
 		p.losses, p.answers = 0, 0
 	}
-	if now.Sub(p.heard) > m.suspect {
+	if now.Sub(p.heartbeatAt) > m.suspectTimeout {
 		p.answers = 0
 	}
-	p.beat = b
-	p.heard = now
+	p.heartbeat = b
+	p.heartbeatAt = now
 	p.answers++
 	if p.alive || !p.trusted() {
 		return Change{}, false
@@ -104,11 +104,11 @@
 	return Change{VM: b.VM}, true
 }
 
-// Step finds the peers that were not heard for too long.
-func (m *Members) Step(now time.Time) []Change {
+// DetectLost marks the peers whose last heartbeat is too old as lost, and returns them.
+func (m *Members) DetectLost(now time.Time) []Change {
 	var l []Change
 	for _, p := range m.Peers() {
-		if p.alive && now.Sub(p.heard) > m.suspect {
+		if p.alive && now.Sub(p.heartbeatAt) > m.suspectTimeout {
 			p.alive = false
 			p.losses++
 			p.answers = 0
@@ -128,8 +128,8 @@
 	return l
 }
 
-// Find gives a peer's address.
-func (m *Members) Find(n api.VMName) (string, bool) {
+// Address returns a peer's address, and false for an unknown peer.
+func (m *Members) Address(n api.VMName) (string, bool) {
 	p, ok := m.peers[n]
 	if !ok {
 		return "", false
@@ -137,55 +137,55 @@
 	return p.Address, true
 }
 
-// Serving counts the entry VMs that serve, this one among them.
-func (m *Members) Serving() int {
+// ServingCount counts the entry VMs that serve, this one included.
+func (m *Members) ServingCount() int {
 	n := 1
 	for _, p := range m.peers {
-		if p.alive && p.beat.State == api.PeerStateServing {
+		if p.alive && p.heartbeat.State == api.PeerStateServing {
 			n++
 		}
 	}
 	return n
 }
 
-// Rewritten reports whether every other entry VM has written its claims again in an era of
-// the platform; one that was never heard has not.
-func (m *Members) Rewritten(e api.Era) bool {
+// ClaimsRewritten reports whether every other entry VM has rewritten its claims in an era of the
+// platform. One that has never sent a heartbeat has not.
+func (m *Members) ClaimsRewritten(e api.Era) bool {
 	for _, p := range m.peers {
-		if p.beat.ClaimsEra < e {
+		if p.heartbeat.ClaimsEra < e {
 			return false
 		}
 	}
 	return true
 }
 
-// Newest is the highest configuration version that a peer has in force.
-func (m *Members) Newest() api.Version {
+// MaxConfigVersion is the highest configuration version in force at a live peer.
+func (m *Members) MaxConfigVersion() api.Version {
 	var v api.Version
 	for _, p := range m.peers {
 		if p.alive {
-			v = max(v, p.beat.ConfigVersion)
+			v = max(v, p.heartbeat.ConfigVersion)
 		}
 	}
 	return v
 }
 
-// Status lists the peers as this entry VM sees them.
+// Status lists the peers and their states as this entry VM sees them, in order of name.
 func (m *Members) Status(now time.Time) []api.MemberStatus {
 	l := []api.MemberStatus{}
 	for _, p := range m.Peers() {
 		s := api.MemberStatus{
 			VM:            p.VM,
 			State:         api.MemberStatusStateSuspect,
-			ConfigVersion: p.beat.ConfigVersion,
-			InFlight:      p.beat.InFlight,
+			ConfigVersion: p.heartbeat.ConfigVersion,
+			InFlight:      p.heartbeat.InFlight,
 			AgeMS:         -1,
 		}
-		if !p.heard.IsZero() {
-			s.AgeMS = api.ToMilliseconds(now.Sub(p.heard))
+		if !p.heartbeatAt.IsZero() {
+			s.AgeMS = api.ToMilliseconds(now.Sub(p.heartbeatAt))
 		}
 		if p.alive {
-			s.State = api.MemberStatusState(p.beat.State)
+			s.State = api.MemberStatusState(p.heartbeat.State)
 		}
 		l = append(l, s)
 	}
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -22,7 +22,7 @@
 	return ""
 }
 
-func TestOlderWordIsDropped(t *testing.T) {
+func TestOlderUpdateIsDropped(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(s *replica.Store[string])
@@ -35,13 +35,13 @@
 			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 3, "old")}}})
 		}, "new"},
 		{"older removal", func(s *replica.Store[string]) {
-			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 3, ""), Gone: true}}})
+			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 3, ""), Removed: true}}})
 		}, "new"},
 		{"removal", func(s *replica.Store[string]) {
-			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 5, ""), Gone: true}}})
+			s.Apply(replica.Changes[string]{At: 6, Items: []replica.Change[string]{{Object: object("a", 5, ""), Removed: true}}})
 		}, ""},
 		{"newer list with an unreadable object", func(s *replica.Store[string]) {
-			s.Replace(replica.Snapshot[string]{At: 7, Kept: []string{"a"}})
+			s.Replace(replica.Snapshot[string]{At: 7, Retained: []string{"a"}})
 		}, "new"},
 		{"newer list without it", func(s *replica.Store[string]) { s.Replace(replica.Snapshot[string]{At: 7}) }, ""},
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestNeverGoesBack(t *testing.T) {
+func TestVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := replica.New[string]()
 		at, version := api.Version(0), api.Version(0)
@@ -69,7 +69,7 @@
 				s.Apply(replica.Changes[string]{At: v, Items: []replica.Change[string]{{Object: object("a", v, "")}}})
 			}
 			if s.At() < at {
-				t.Fatalf("store went from %d to %d", at, s.At())
+				t.Fatalf("store: was at %d, got %d, want no lower version", at, s.At())
 			}
 			at = s.At()
 			l := s.Snapshot().Items
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestDeltasPassEverythingOn(t *testing.T) {
+func TestDeltasMakeReplicasEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := replica.New[string](), replica.New[string]()
 		at := api.Version(1)
@@ -92,24 +92,24 @@
 			case 0:
 				a.Apply(replica.Changes[string]{At: at, Items: []replica.Change[string]{{Object: object(n, at, n)}}})
 			case 1:
-				a.Apply(replica.Changes[string]{At: at, Items: []replica.Change[string]{{Object: object(n, at, ""), Gone: true}}})
+				a.Apply(replica.Changes[string]{At: at, Items: []replica.Change[string]{{Object: object(n, at, ""), Removed: true}}})
 			case 2:
 				a.Replace(replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object(n, at, n)}})
 			case 3:
-				b.Offer(a.Since(b.At()))
-				same(t, a, b)
+				b.Merge(a.Since(b.At()))
+				checkEqual(t, a, b)
 			case 4:
-				// The platform comes back from a copy, which has one object alone.
+				// The platform is restored from a backup that has a single object.
 				at = api.NewVersion(at.Era()+1, api.Revision(rapid.IntRange(1, 9).Draw(t, "copy")))
 				a.Replace(replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object(n, at, n)}})
 			}
 		}
-		b.Offer(a.Since(b.At()))
-		same(t, a, b)
+		b.Merge(a.Since(b.At()))
+		checkEqual(t, a, b)
 	})
 }
 
-func same(t *rapid.T, a, b *replica.Store[string]) {
+func checkEqual(t *rapid.T, a, b *replica.Store[string]) {
 	x, y := a.Snapshot(), b.Snapshot()
 	if len(x.Items) != len(y.Items) {
 		t.Fatalf("got %v, want %v", y.Items, x.Items)
@@ -121,33 +121,35 @@
 	}
 }
 
-// The answer to a watch that was sent before a peer told more must not bring back what is gone.
-func TestLateWatchBringsNothingBack(t *testing.T) {
+// The late answer to a watch must not restore an object whose removal a peer's delta has
+// reported since the watch was sent.
+func TestLateWatchDoesNotRestoreRemovedObject(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 10, Items: []replica.Object[string]{object("a", 9, "x")}})
-	s.Offer(replica.Delta[string]{From: 10, At: 20, Items: []replica.Change[string]{{Object: object("a", 15, ""), Gone: true}}})
+	s.Merge(replica.Delta[string]{From: 10, At: 20, Items: []replica.Change[string]{{Object: object("a", 15, ""), Removed: true}}})
 	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 12, "x")}}})
 	if got := value(s, "a"); got != "" {
-		t.Errorf("got %q, want it gone", got)
+		t.Errorf("got %q, want the object removed", got)
 	}
 }
 
-// A version that moves on without a change of the kind is no reason to ask.
-func TestChangedStandsStillWithoutChanges(t *testing.T) {
+// ChangedAt must not follow the platform's version while no object of the kind changes, or peers
+// would request deltas in vain.
+func TestChangedAtStaysWithoutChanges(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 5, Items: []replica.Object[string]{object("a", 5, "x")}})
 	s.Apply(replica.Changes[string]{At: 9})
 	s.Replace(replica.Snapshot[string]{At: 12, Items: []replica.Object[string]{object("a", 5, "x")}})
-	if got := s.Changed(); got != 5 {
-		t.Errorf("changed: got %d, want 5", got)
+	if got := s.ChangedAt(); got != 5 {
+		t.Errorf("ChangedAt: got %d, want 5", got)
 	}
-	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 13, ""), Gone: true}}})
-	if got := s.Changed(); got != 13 {
-		t.Errorf("changed after a removal: got %d, want 13", got)
+	s.Apply(replica.Changes[string]{At: 13, Items: []replica.Change[string]{{Object: object("a", 13, ""), Removed: true}}})
+	if got := s.ChangedAt(); got != 13 {
+		t.Errorf("ChangedAt after a removal: got %d, want 13", got)
 	}
 }
 
-func TestMadeAgainWithinOneBatch(t *testing.T) {
+func TestObjectRecreatedWithinOneBatchIsNotRemoved(t *testing.T) {
 	object := func(v api.Version) replica.Object[int] {
 		return replica.Object[int]{Name: "a", Version: v, Value: int(v)}
 	}
@@ -156,18 +158,19 @@
 	a.Replace(first)
 	b.Replace(first)
 	a.Apply(replica.Changes[int]{At: 30, Items: []replica.Change[int]{
-		{Object: object(29), Gone: true}, {Object: object(30)}, {Object: replica.Object[int]{Name: "b", Version: 30}, Gone: true},
+		{Object: object(29), Removed: true}, {Object: object(30)}, {Object: replica.Object[int]{Name: "b", Version: 30}, Removed: true},
 	}})
-	if !b.Offer(a.Since(27)) {
-		t.Fatal("the delta: got nothing new of it, want the changes")
+	if !b.Merge(a.Since(27)) {
+		t.Fatal("delta: got nothing new, want the changes")
 	}
 	if l := b.Snapshot().Items; len(l) != 1 || l[0] != object(30) {
-		t.Errorf("got %+v, want the object that was made again alone", l)
+		t.Errorf("got %+v, want only the object that was created again", l)
 	}
 }
 
-// A snapshot of a later era replaces what an earlier one had, whatever the platform's own numbers.
-func TestLaterEraReplacesEarlierOne(t *testing.T) {
+// A snapshot of a later era must replace all objects of an earlier one, even if the platform's
+// own revisions are lower.
+func TestLaterEraReplacesEarlierEra(t *testing.T) {
 	v := api.NewVersion
 	one := func(at, version api.Version, x string) replica.Snapshot[string] {
 		return replica.Snapshot[string]{At: at, Items: []replica.Object[string]{object("a", version, x)}}
@@ -178,11 +181,11 @@
 		want string
 	}{
 		{"list of the later era at a lower revision", func(s *replica.Store[string]) { s.Replace(one(v(2, 21), v(2, 20), "restored")) }, "restored"},
-		{"list of the earlier era that comes late", func(s *replica.Store[string]) {
+		{"late list of the earlier era", func(s *replica.Store[string]) {
 			s.Replace(one(v(2, 21), v(2, 20), "restored"))
 			s.Replace(one(v(1, 40), v(1, 40), "late"))
 		}, "restored"},
-		{"changes of the earlier era that come late", func(s *replica.Store[string]) {
+		{"late changes of the earlier era", func(s *replica.Store[string]) {
 			s.Replace(one(v(2, 21), v(2, 20), "restored"))
 			s.Apply(replica.Changes[string]{At: v(1, 40), Items: []replica.Change[string]{{Object: object("a", v(1, 40), "late")}}})
 		}, "restored"},
@@ -190,10 +193,10 @@
 			s.Apply(replica.Changes[string]{At: v(2, 30), Items: []replica.Change[string]{{Object: object("a", v(2, 30), "part")}}})
 		}, "known"},
 		{"a peer's changes from an earlier era into a later one", func(s *replica.Store[string]) {
-			s.Offer(replica.Delta[string]{From: v(1, 25), At: v(2, 30), Items: []replica.Change[string]{{Object: object("a", v(2, 30), "part")}}})
+			s.Merge(replica.Delta[string]{From: v(1, 25), At: v(2, 30), Items: []replica.Change[string]{{Object: object("a", v(2, 30), "part")}}})
 		}, "known"},
-		{"a peer's whole copy of a later era", func(s *replica.Store[string]) {
-			s.Offer(replica.Delta[string]{At: v(2, 3), Items: []replica.Change[string]{{Object: object("a", v(2, 2), "restored")}}})
+		{"a peer's full delta of a later era", func(s *replica.Store[string]) {
+			s.Merge(replica.Delta[string]{At: v(2, 3), Items: []replica.Change[string]{{Object: object("a", v(2, 2), "restored")}}})
 		}, "restored"},
 		{"two eras in a row", func(s *replica.Store[string]) {
 			s.Replace(one(v(2, 21), v(2, 20), "restored"))
--- a/internal/decide/retry/budget_test.go
+++ b/internal/decide/retry/budget_test.go
@@ -6,13 +6,13 @@
 	"github.com/wardridge/wardridge/internal/decide/retry"
 )
 
-func TestBudgetBoundsRetriesThroughBrownOut(t *testing.T) {
+func TestBudgetBoundsRetriesWhileAllFail(t *testing.T) {
 	b := retry.New(100)
 	got := 0
 	const fresh = 10000
 	for range fresh {
-		b.Fresh()
-		// Every attempt fails and asks for as many retries as it can get.
+		b.CountFresh()
+		// Every attempt fails, and is retried as often as the budget allows.
 		for b.Allow() {
 			got++
 		}
@@ -24,7 +24,7 @@
 
 func TestZeroBudgetAllowsNone(t *testing.T) {
 	b := retry.New(0)
-	b.Fresh()
+	b.CountFresh()
 	if got := b.Allow(); got {
 		t.Errorf("Allow: got %v, want false", got)
 	}
--- a/internal/decide/retry/window_test.go
+++ b/internal/decide/retry/window_test.go
@@ -10,31 +10,31 @@
 	"github.com/wardridge/wardridge/internal/decide/retry"
 )
 
-// Over every span, nine members that spend all they may stay within the
-// fleet's bound.
-func TestWindowHoldsOverTheFleet(t *testing.T) {
+// Nine members that send all repeats they may must stay within the fleet's bound over every span.
+func TestWindowsOfMembersHoldFleetBound(t *testing.T) {
 	const members, span, slack = 9, 10 * time.Second, 50.0
 	begin := time.Unix(100, 0)
 	var l [members]*retry.Window
 	for i := range l {
 		l[i] = retry.NewWindow(span, 0.2, slack)
-		l[i].Members(members)
+		l[i].SetMembers(members)
 	}
-	var fresh, spent []time.Time
+	var fresh, repeats []time.Time
 	for ms := 0; ms < 30000; ms += 25 {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
 		w := l[ms/25%members]
-		// The traffic stops for a while: the bound follows it.
+		// No request comes for a while, so that the bound falls.
 		if ms < 8000 || ms > 20000 {
-			w.Fresh(now)
+			w.CountFresh(now)
 			fresh = append(fresh, now)
 		}
 		for w.Allow(now) {
-			spent = append(spent, now)
+			repeats = append(repeats, now)
 		}
-		// A send may outlast the requests that allowed it in the span by as much
-		// as a span's share, which the operators' count forgives.
-		got := float64(within(spent, now, span))
+		// A repeat may still be in the span when the requests that allowed it no longer are.
+		// That exceeds the bound by at most the share of one span's 400 requests, which the
+		// operators' count tolerates.
+		got := float64(within(repeats, now, span))
 		if want := 0.2*float64(within(fresh, now, span)) + slack + 0.2*400; got > want {
 			t.Fatalf("at %d ms: got %v sends in a span, want at most %v", ms, got, want)
 		}
@@ -55,7 +55,7 @@
 	w := retry.NewWindow(time.Second, 0.2, 0)
 	now := time.Unix(100, 0)
 	for range 10 {
-		w.Fresh(now)
+		w.CountFresh(now)
 	}
 	got := 0
 	for w.Allow(now) {
@@ -66,18 +66,18 @@
 	}
 }
 
-// Found where four times the usual load of all services came at once: the requests of
-// model engines allowed a plain service that shed its own 2,481 repeated sends in 10 s,
-// of 1,735.
-func TestServicesDoNotAllowEachOthersRepeats(t *testing.T) {
+// Requests of one service must not allow repeated sends to another. At four times the usual
+// load of all services at once, requests of model engines allowed a plain service that shed
+// its own requests 2,481 repeated sends in 10 s, of 1,735.
+func TestRequestsOfOneServiceAllowNoRepeatsOfAnother(t *testing.T) {
 	w := retry.NewWindows(10*time.Second, 0.2, 3)
-	w.Members(3)
+	w.SetMembers(3)
 	now := time.Unix(100, 0)
 	for range 1000 {
-		w.Fresh(now, "engines")
+		w.CountFresh(now, "engines")
 	}
 	for range 10 {
-		w.Fresh(now, "orders")
+		w.CountFresh(now, "orders")
 	}
 	allowed := func(s api.ServiceName) int {
 		n := 0
@@ -92,32 +92,32 @@
 	if got, want := allowed("engines"), 201; got != want {
 		t.Errorf("engines: got %d repeated sends, want %d", got, want)
 	}
-	w.Bound(10*time.Second, 0.4, 3)
+	w.SetBounds(10*time.Second, 0.4, 3)
 	if got, want := allowed("orders"), 2; got != want {
 		t.Errorf("orders with twice the ratio: got %d more, want %d", got, want)
 	}
-	w.Keep(func(s api.ServiceName) bool { return s == "engines" })
+	w.Prune(func(s api.ServiceName) bool { return s == "engines" })
 	if got, want := allowed("orders"), 1; got != want {
-		t.Errorf("orders once forgotten: got %d, want %d", got, want)
+		t.Errorf("orders after its window was dropped: got %d, want %d", got, want)
 	}
 }
 
-// What arrives at servers holds the bound over every span as well, although sends take
-// from one to forty ms: eight members that spend all they may, each with a request every 8 ms.
-func TestArrivalsHoldTheBound(t *testing.T) {
+// Arrivals at servers must hold the bound over every span as well, although sends take from one
+// to forty ms. Eight members with a request every 8 ms each send all repeats they may.
+func TestArrivalsAtServersHoldBound(t *testing.T) {
 	const members, span, ratio, slack = 8, 10 * time.Second, 0.2, 50.0
 	begin := time.Unix(100, 0)
 	r := rand.New(rand.NewPCG(1, 2))
 	var l [members]*retry.Window
 	for i := range l {
 		l[i] = retry.NewWindow(span, ratio, slack)
-		l[i].Members(members)
+		l[i].SetMembers(members)
 	}
 	var fresh, arrived []time.Time
 	for ms := range 40000 {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
 		w := l[ms%members]
-		w.Fresh(now)
+		w.CountFresh(now)
 		fresh = append(fresh, now)
 		for w.Allow(now) {
 			arrived = append(arrived, now.Add(time.Millisecond+time.Duration(r.Int64N(int64(39*time.Millisecond)))))
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -87,7 +87,7 @@
 		request: q, service: x, method: r.Method, query: r.URL.RawQuery, body: b, header: r.Header,
 		path: "/" + strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, PathServices+"/"+string(n)), "/"),
 	}
-	c.once = c.once || x.Once(c.method, c.path)
+	c.once = c.once || x.AtMostOnce(c.method, c.path)
 	return c, nil
 }
 
@@ -186,7 +186,7 @@
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
 	if len(c.tried) == 0 {
-		s.budget.Fresh()
+		s.budget.CountFresh()
 	}
 	x := s.services.Pick(time.Now(), c.service.Servers, c.tried)
 	c.tried = append(c.tried, x.Name)
