--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -21,8 +21,8 @@
 	var l gossip.Lag[api.Version]
 	got := false
 	for ms := 0; ms <= 1000; ms += 250 {
-		got = got || l.Ask(at(ms), 22, 40, false)
-		got = got || l.Ask(at(ms+10), 22, 22, false)
+		got = got || l.ShouldFetch(at(ms), 22, 40, false)
+		got = got || l.ShouldFetch(at(ms+10), 22, 22, false)
 	}
 	if !got {
 		t.Error("asked within a second: got false, want true")
@@ -31,20 +31,20 @@
 
 func TestLagWaitsForOwnWatch(t *testing.T) {
 	var l gossip.Lag[api.Version]
-	if got := l.Ask(at(0), 22, 40, false); got {
+	if got := l.ShouldFetch(at(0), 22, 40, false); got {
 		t.Error("first word of more: got true, want false")
 	}
-	if got := l.Ask(at(400), 41, 42, false); got {
+	if got := l.ShouldFetch(at(400), 41, 42, false); got {
 		t.Error("after the own watch moved on: got true, want false")
 	}
 }
 
 func TestLagAsksAtOnceWithoutPlatform(t *testing.T) {
 	var l gossip.Lag[api.Version]
-	if got := l.Ask(at(0), 22, 40, true); !got {
+	if got := l.ShouldFetch(at(0), 22, 40, true); !got {
 		t.Error("platform away: got false, want true")
 	}
-	if got := l.Ask(at(0), 0, 40, false); !got {
+	if got := l.ShouldFetch(at(0), 0, 40, false); !got {
 		t.Error("nothing known: got false, want true")
 	}
 }
@@ -80,11 +80,11 @@
 }
 
 // word is what a VM says.
-func (f *fleet) word(now time.Time, a string) gossip.Word {
+func (f *fleet) word(now time.Time, a string) gossip.Message {
 	m := f.self[a]
-	m.Hub = f.peers[a].Hub(now)
-	d := f.answered[a] && !f.peers[a].Guided(now)
-	return gossip.Word{Member: m, VM: api.VMName(a), Others: f.peers[a].Live(now), Direct: d, Informed: d || f.peers[a].Informed(now)}
+	m.Hub = f.peers[a].IsHub(now)
+	d := f.answered[a] && !f.peers[a].HasRelay(now)
+	return gossip.Message{Member: m, VM: api.VMName(a), Members: f.peers[a].Live(now), Direct: d, Informed: d || f.peers[a].Informed(now)}
 }
 
 // exchanges counts the exchanges from one time to another.
@@ -106,14 +106,14 @@
 			if f.dead[a] {
 				continue
 			}
-			for _, b := range p.Round(at(ms)) {
+			for _, b := range p.Due(at(ms)) {
 				f.sent[a]++
 				if f.dead[b] {
 					continue
 				}
 				f.sent[b]++
-				f.peers[b].Heard(at(ms+1), f.word(at(ms), a))
-				p.Heard(at(ms+2), f.word(at(ms), b))
+				f.peers[b].Receive(at(ms+1), f.word(at(ms), a))
+				p.Receive(at(ms+2), f.word(at(ms), b))
 			}
 		}
 	}
@@ -123,12 +123,12 @@
 // of changes from peers alone.
 func (f *fleet) tell(ms int) {
 	for a, p := range f.peers {
-		if f.dead[a] || p.Guided(at(ms)) || !p.Guided(at(ms-250)) {
+		if f.dead[a] || p.HasRelay(at(ms)) || !p.HasRelay(at(ms-250)) {
 			continue
 		}
-		for _, b := range p.Blind(at(ms), f.answered[a] && !p.Guided(at(ms))) {
+		for _, b := range p.RelayTargets(at(ms), f.answered[a] && !p.HasRelay(at(ms))) {
 			if !f.dead[b] {
-				f.peers[b].Heard(at(ms+1), f.word(at(ms), a))
+				f.peers[b].Receive(at(ms+1), f.word(at(ms), a))
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 func (f *fleet) hubs(now time.Time) []string {
 	var l []string
 	for a, p := range f.peers {
-		if !f.dead[a] && p.Hub(now) {
+		if !f.dead[a] && p.IsHub(now) {
 			l = append(l, a)
 		}
 	}
@@ -153,10 +153,10 @@
 		t.Errorf("hubs: got %v, want %v", got, want)
 	}
 	for a, p := range f.peers {
-		if first := a == address(0, 0); first == p.Guided(at(6000)) {
+		if first := a == address(0, 0); first == p.HasRelay(at(6000)) {
 			t.Errorf("%s is guided: got %v, want it for all but the first of all", a, !first)
 		}
-		if !p.Hub(at(6000)) && !p.Guided(at(6000)) {
+		if !p.IsHub(at(6000)) && !p.HasRelay(at(6000)) {
 			t.Errorf("%s: got no hub heard within a second, want one", a)
 		}
 	}
@@ -180,13 +180,13 @@
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	for a, p := range f.peers {
-		if got, want := p.Patient(at(6000), 2), a != address(0, 0) && a != address(1, 0); got != want {
+		if got, want := p.BacksOff(at(6000), 2), a != address(0, 0) && a != address(1, 0); got != want {
 			t.Errorf("%s: got patient %v, want %v", a, got, want)
 		}
-		if got, want := p.Patient(at(6000), 1), !p.Hub(at(6000)); got != want {
+		if got, want := p.BacksOff(at(6000), 1), !p.IsHub(at(6000)); got != want {
 			t.Errorf("%s after one failure: got patient %v, want %v", a, got, want)
 		}
-		if p.Patient(at(12000), 2) {
+		if p.BacksOff(at(12000), 2) {
 			t.Errorf("%s after 6 s without a word: got patient, want it to ask itself", a)
 		}
 	}
@@ -199,13 +199,13 @@
 	for ms := 6000; ms < 12000; ms += 250 {
 		f.run(ms, ms+250)
 		for a, p := range f.peers {
-			if !f.dead[a] && !p.Hub(at(ms)) && !p.Guided(at(ms)) {
+			if !f.dead[a] && !p.IsHub(at(ms)) && !p.HasRelay(at(ms)) {
 				t.Fatalf("%s at %d ms: got it to ask the platform itself, want the next hub to", a, ms)
 			}
 		}
 	}
 	for a, p := range f.peers {
-		if got, want := p.Guided(at(12000)), a != address(0, 1); !f.dead[a] && got != want {
+		if got, want := p.HasRelay(at(12000)), a != address(0, 1); !f.dead[a] && got != want {
 			t.Errorf("%s: got guided %v, want only the next one to follow the platform", a, got)
 		}
 	}
@@ -214,10 +214,10 @@
 // An entry VM that starts leaves the platform to others until it knows them.
 func TestStartLeavesThePlatformToOthers(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 2)
-	if !p.Guided(at(1000)) {
+	if !p.HasRelay(at(1000)) {
 		t.Error("a second after the start: got false, want guided")
 	}
-	if p.Guided(at(2600)) {
+	if p.HasRelay(at(2600)) {
 		t.Error("without peers: got guided, want it to follow the platform")
 	}
 }
@@ -232,7 +232,7 @@
 		t.Errorf("hubs: got %v, want the next two of domain 1", got)
 	}
 	for a, p := range f.peers {
-		if !f.dead[a] && !p.Hub(at(12000)) && !p.Guided(at(12000)) {
+		if !f.dead[a] && !p.IsHub(at(12000)) && !p.HasRelay(at(12000)) {
 			t.Errorf("%s: got no hub heard within a second, want one", a)
 		}
 	}
@@ -280,7 +280,7 @@
 		f.run(8000, 12000)
 		n := 0
 		for a, p := range f.peers {
-			if !p.Hub(at(12000)) {
+			if !p.IsHub(at(12000)) {
 				n = max(n, f.sent[a])
 			}
 		}
@@ -306,37 +306,37 @@
 func TestAddressesAreDropped(t *testing.T) {
 	self := gossip.Member{Address: "a:1", Domain: "d"}
 	p := gossip.New(at(0), self, []string{"b:1", "a:1"}, 3)
-	if got, want := p.Round(at(0)), []string{"b:1"}; !slices.Equal(got, want) {
+	if got, want := p.Due(at(0)), []string{"b:1"}; !slices.Equal(got, want) {
 		t.Fatalf("first round: got %v, want %v", got, want)
 	}
-	p.Heard(at(10), gossip.Word{Member: gossip.Member{Address: "b:1", Domain: "d", Hub: true}, Others: []gossip.Member{{Address: "c:1", Domain: "d"}}})
-	if got, want := p.Round(at(1000)), []string{"b:1", "c:1"}; !slices.Equal(got, want) {
+	p.Receive(at(10), gossip.Message{Member: gossip.Member{Address: "b:1", Domain: "d", Hub: true}, Members: []gossip.Member{{Address: "c:1", Domain: "d"}}})
+	if got, want := p.Due(at(1000)), []string{"b:1", "c:1"}; !slices.Equal(got, want) {
 		t.Errorf("after a message: got %v, want %v", got, want)
 	}
-	p.Round(at(40000))
-	if got := p.Round(at(42000)); slices.Contains(got, "c:1") {
+	p.Due(at(40000))
+	if got := p.Due(at(42000)); slices.Contains(got, "c:1") {
 		t.Errorf("after 42 s of silence: got %v, want no c:1", got)
 	}
-	if got := p.Round(at(44000)); !slices.Contains(got, "b:1") {
+	if got := p.Due(at(44000)); !slices.Contains(got, "b:1") {
 		t.Errorf("address of the settings: got %v, want b:1", got)
 	}
 }
 
 func TestBlindAndAlone(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 3)
-	if !p.Alone(at(0)) {
+	if !p.NoneInformed(at(0)) {
 		t.Error("without peers: got false, want alone")
 	}
-	p.Heard(at(0), gossip.Word{Member: gossip.Member{Address: "b:1"}})
-	p.Heard(at(0), gossip.Word{Member: gossip.Member{Address: "d:1"}})
-	if !p.Alone(at(10)) {
+	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "b:1"}})
+	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "d:1"}})
+	if !p.NoneInformed(at(10)) {
 		t.Error("peers that the platform does not answer: got false, want alone")
 	}
-	p.Heard(at(0), gossip.Word{Member: gossip.Member{Address: "c:1"}, Direct: true, Informed: true})
-	if p.Alone(at(10)) {
+	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "c:1"}, Direct: true, Informed: true})
+	if p.NoneInformed(at(10)) {
 		t.Error("peer that the platform answers: got alone, want false")
 	}
-	if got, want := p.Blind(at(10), false), []string{"b:1", "d:1"}; !slices.Equal(got, want) {
+	if got, want := p.RelayTargets(at(10), false), []string{"b:1", "d:1"}; !slices.Equal(got, want) {
 		t.Errorf("blind: got %v, want %v", got, want)
 	}
 }
@@ -356,14 +356,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := gossip.New(at(0), gossip.Member{Address: "z:1", Domain: "x"}, nil, 1)
 			hub := gossip.Member{Address: "a:1", Domain: "x", Hub: true, Capacity: 9}
-			w := gossip.Word{Member: hub}
+			w := gossip.Message{Member: hub}
 			for i := range c.members - 1 {
-				w.Others = append(w.Others, gossip.Member{Address: fmt.Sprintf("m%d:1", i), Domain: "x"})
+				w.Members = append(w.Members, gossip.Member{Address: fmt.Sprintf("m%d:1", i), Domain: "x"})
 			}
 			got := 0
 			for ms := 0; ms < 3000; ms += 240 {
-				p.Heard(at(ms), w)
-				for _, a := range p.Round(at(ms)) {
+				p.Receive(at(ms), w)
+				for _, a := range p.Due(at(ms)) {
 					if a == hub.Address && ms >= 2000 {
 						got++
 					}
@@ -379,7 +379,7 @@
 // The hubs of a failure domain allocate its engines, the strongest first.
 func TestAllocators(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "b:1", Domain: "x", Capacity: 5}, nil, 2)
-	p.Heard(at(0), gossip.Word{Member: gossip.Member{Address: "a:1", Domain: "x", Capacity: 9, Hub: true}, Others: []gossip.Member{
+	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "a:1", Domain: "x", Capacity: 9, Hub: true}, Members: []gossip.Member{
 		{Address: "c:1", Domain: "x", Capacity: 1},
 		{Address: "y2:1", Domain: "y", Capacity: 5, Hub: true},
 		{Address: "y1:1", Domain: "y", Capacity: 9, Hub: true},
@@ -401,8 +401,8 @@
 			t.Errorf("domain %s after %d ms: got %q, want %q", c.domain, c.at, got, c.want)
 		}
 	}
-	if p.First(at(10)) || !p.First(at(6000)) {
-		t.Errorf("first hub: got %v beside a stronger one and %v alone, want false and true", p.First(at(10)), p.First(at(6000)))
+	if p.IsFirstHub(at(10)) || !p.IsFirstHub(at(6000)) {
+		t.Errorf("first hub: got %v beside a stronger one and %v alone, want false and true", p.IsFirstHub(at(10)), p.IsFirstHub(at(6000)))
 	}
 }
 
@@ -414,16 +414,16 @@
 	for ms := 6000; ms < 12000; ms += 250 {
 		f.run(ms, ms+250)
 		for a, p := range f.peers {
-			if first := a == address(0, 0) || a == address(1, 0); !first && !p.Guided(at(ms+250)) {
+			if first := a == address(0, 0) || a == address(1, 0); !first && !p.HasRelay(at(ms+250)) {
 				t.Errorf("%s at %d ms: got it to follow the platform, want the first two leaders alone", a, ms)
 			}
 		}
 	}
-	if f.peers[address(1, 0)].Guided(at(12000)) {
+	if f.peers[address(1, 0)].HasRelay(at(12000)) {
 		t.Error("the next leader: got it guided, want it to follow the platform")
 	}
 	for a, p := range f.peers {
-		if p.Alone(at(12000)) {
+		if p.NoneInformed(at(12000)) {
 			t.Errorf("%s: got no peer that has word, want one", a)
 		}
 	}
@@ -438,13 +438,13 @@
 		}
 	}
 	f.run(6000, 7500)
-	if p := f.peers[address(2, 0)]; p.Guided(at(7500)) {
+	if p := f.peers[address(2, 0)]; p.HasRelay(at(7500)) {
 		t.Error("the third leader after 1.5 s: got it guided, want it to follow the platform")
 	}
 	f.run(7500, 10000)
 	for d := 2; d < 4; d++ {
 		for i := range 8 {
-			if got, want := f.peers[address(d, i)].Guided(at(10000)), d != 2 || i != 0; got != want {
+			if got, want := f.peers[address(d, i)].HasRelay(at(10000)), d != 2 || i != 0; got != want {
 				t.Errorf("%s after 4 s: got guided %v, want only the third leader to follow", address(d, i), got)
 			}
 		}
@@ -452,8 +452,8 @@
 }
 
 func TestBlindFollowsTheHubs(t *testing.T) {
-	word := func(a string, d api.DomainName, hub bool) gossip.Word {
-		return gossip.Word{Member: gossip.Member{Address: a, Domain: d, Hub: hub, Capacity: 5}, Informed: true}
+	word := func(a string, d api.DomainName, hub bool) gossip.Message {
+		return gossip.Message{Member: gossip.Member{Address: a, Domain: d, Hub: hub, Capacity: 5}, Informed: true}
 	}
 	tests := []struct {
 		name   string
@@ -467,10 +467,10 @@
 	}
 	for _, c := range tests {
 		p := gossip.New(at(0), c.self, nil, 1)
-		p.Heard(at(0), word("m:1", "x", false))
-		p.Heard(at(0), word("n:1", "y", false))
-		p.Heard(at(0), word("h:1", "y", true))
-		if got := p.Blind(at(10), c.direct); !slices.Equal(got, c.want) {
+		p.Receive(at(0), word("m:1", "x", false))
+		p.Receive(at(0), word("n:1", "y", false))
+		p.Receive(at(0), word("h:1", "y", true))
+		if got := p.RelayTargets(at(10), c.direct); !slices.Equal(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -483,8 +483,8 @@
 		a := fmt.Sprintf("m%d:1", start)
 		lists := 0
 		for ms := start; ms < 5000; ms += 480 {
-			p.Heard(at(ms), gossip.Word{Member: gossip.Member{Address: a, Domain: "x"}})
-			if len(p.List(at(ms), a)) > 0 {
+			p.Receive(at(ms), gossip.Message{Member: gossip.Member{Address: a, Domain: "x"}})
+			if len(p.MembersFor(at(ms), a)) > 0 {
 				lists++
 			}
 		}
@@ -492,7 +492,7 @@
 			t.Errorf("lists to the peer that starts at %d ms: got %d in 5 s, want about one a second", start, lists)
 		}
 	}
-	if len(p.List(at(4800), "stranger:1")) == 0 {
+	if len(p.MembersFor(at(4800), "stranger:1")) == 0 {
 		t.Error("a peer not heard before: got no list, want one")
 	}
 }
--- a/internal/decide/gossip/hubs.go
+++ b/internal/decide/gossip/hubs.go
@@ -12,11 +12,11 @@
 // Hubs lists the addresses of the hubs of the own failure domain in order, the
 // strongest first; the own one may be among them.
 func (p *Peers) Hubs(now time.Time) []string {
-	best := make([]Member, 0, p.hubs+1)
+	best := make([]Member, 0, p.maxHubs+1)
 	best = append(best, p.self)
 	for _, x := range p.peers {
-		if x.Domain == p.self.Domain && p.near(now, x) {
-			best = insert(best, x.Member, p.hubs)
+		if x.Domain == p.self.Domain && p.eligible(now, x) {
+			best = insertStrongest(best, x.Member, p.maxHubs)
 		}
 	}
 	h := make([]string, 0, len(best))
@@ -26,10 +26,10 @@
 	return h
 }
 
-// insert puts a member among the strongest n. The duties ask for the hubs several
+// insertStrongest puts a member among the strongest n. The duties ask for the hubs several
 // times a second, and to sort all members each time would grow with the domain.
-func insert(best []Member, m Member, n int) []Member {
-	i, _ := slices.BinarySearchFunc(best, m, stronger)
+func insertStrongest(best []Member, m Member, n int) []Member {
+	i, _ := slices.BinarySearchFunc(best, m, compareStrength)
 	if i >= n {
 		return best
 	}
@@ -37,9 +37,9 @@
 	return best[:min(len(best), n)]
 }
 
-// toldTime is how long a hub of another failure domain counts that only others
+// remoteHubTimeout is how long a hub of another failure domain counts that only others
 // heard: they pass on whom they hear every two seconds at least.
-const toldTime = 5 * time.Second
+const remoteHubTimeout = 5 * time.Second
 
 // Allocators lists the addresses of the entry VMs that may allocate the engines of
 // a failure domain, its hubs, the first choice first; the own one is empty.
@@ -56,40 +56,40 @@
 	}
 	var m []Member
 	for _, x := range p.peers {
-		if x.Domain == d && x.Hub && (p.alive(now, x) || now.Sub(x.told) < toldTime) {
+		if x.Domain == d && x.Hub && (p.alive(now, x) || now.Sub(x.relayedAt) < remoteHubTimeout) {
 			m = append(m, x.Member)
 		}
 	}
-	slices.SortFunc(m, stronger)
-	for _, x := range m[:min(p.hubs, len(m))] {
+	slices.SortFunc(m, compareStrength)
+	for _, x := range m[:min(p.maxHubs, len(m))] {
 		l = append(l, x.Address)
 	}
 	return l
 }
 
-// stronger orders members by what they could carry, and by address.
-func stronger(a, b Member) int {
+// compareStrength orders members by what they could carry, and by address.
+func compareStrength(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Address, b.Address))
 }
 
-// First reports whether this entry VM is the first hub of its failure domain, the
+// IsFirstHub reports whether this entry VM is the first hub of its failure domain, the
 // one that allocates its engines while it answers.
-func (p *Peers) First(now time.Time) bool {
+func (p *Peers) IsFirstHub(now time.Time) bool {
 	return p.Hubs(now)[0] == p.self.Address
 }
 
-// settle is how long an entry VM that has just started listens before it may
+// settleTime is how long an entry VM that has just started listens before it may
 // be a hub: where all start together, each would take itself for one.
-const settle = 1500 * time.Millisecond
+const settleTime = 1500 * time.Millisecond
 
-// Hub reports whether this entry VM is a hub.
-func (p *Peers) Hub(now time.Time) bool {
-	return now.Sub(p.began) >= settle && slices.Contains(p.Hubs(now), p.self.Address)
+// IsHub reports whether this entry VM is a hub.
+func (p *Peers) IsHub(now time.Time) bool {
+	return now.Sub(p.startedAt) >= settleTime && slices.Contains(p.Hubs(now), p.self.Address)
 }
 
-// Primary is the hub that carries this entry VM's load: the first one heard,
+// PrimaryHub is the hub that carries this entry VM's load: the first one heard,
 // or none for a hub.
-func (p *Peers) Primary(now time.Time) string {
+func (p *Peers) PrimaryHub(now time.Time) string {
 	l := p.Hubs(now)
 	if slices.Contains(l, p.self.Address) {
 		return ""
@@ -106,13 +106,13 @@
 // of loads.
 func (p *Peers) Relation(now time.Time, address string) placement.Relation {
 	x, ok := p.peers[address]
-	hub := p.Hub(now)
+	hub := p.IsHub(now)
 	switch {
 	case !ok:
 		return placement.Stranger
 	case hub && x.Hub && p.alive(now, x):
 		return placement.Hub
-	case !hub && address == p.Primary(now):
+	case !hub && address == p.PrimaryHub(now):
 		return placement.Primary
 	default:
 		return placement.Stranger
--- a/internal/decide/gossip/lag.go
+++ b/internal/decide/gossip/lag.go
@@ -6,23 +6,23 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// lagTime is how long a peer may know more before it is asked, so that the own
+// lagWait is how long a peer may know more before it is asked, so that the own
 // watch brings most changes.
-const lagTime = 300 * time.Millisecond
+const lagWait = 300 * time.Millisecond
 
 // Lag notices that peers know more of something numbered than this entry VM does.
 type Lag[N api.Version | api.ConfigNumber] struct {
-	own   N
+	local N
 	since time.Time
 }
 
-// Ask reports whether a peer that knows something up to a number is to be asked
+// ShouldFetch reports whether a peer that knows something up to a number is to be asked
 // for it: at once while the platform is away, the first peer and then one after
 // each while where nothing is known yet, and else once the own view stood still
 // behind a peer for long enough.
-func (l *Lag[N]) Ask(now time.Time, own, theirs N, away bool) bool {
-	if own != l.own {
-		l.own = own
+func (l *Lag[N]) ShouldFetch(now time.Time, own, theirs N, away bool) bool {
+	if own != l.local {
+		l.local = own
 		l.since = time.Time{}
 	}
 	if theirs <= own {
@@ -33,7 +33,7 @@
 		return true
 	}
 	first := l.since.IsZero()
-	if !first && now.Sub(l.since) < lagTime {
+	if !first && now.Sub(l.since) < lagWait {
 		return false
 	}
 	l.since = now
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -126,7 +126,7 @@
 	m.mutex.Lock()
 	now := time.Now()
 	m.noteLive(now)
-	l := m.free(m.peers.Round(now))
+	l := m.free(m.peers.Due(now))
 	m.mutex.Unlock()
 	m.begin(l)
 }
@@ -135,7 +135,7 @@
 // alone.
 func (m *Mesh) Tell() {
 	m.mutex.Lock()
-	l := m.free(m.peers.Blind(time.Now(), m.direct()))
+	l := m.free(m.peers.RelayTargets(time.Now(), m.direct()))
 	m.mutex.Unlock()
 	m.begin(l)
 }
@@ -184,28 +184,28 @@
 func (m *Mesh) Alone() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.peers.Alone(time.Now())
+	return m.peers.NoneInformed(time.Now())
 }
 
 // Guided reports whether a hub brings what changes.
 func (m *Mesh) Guided() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.peers.Guided(time.Now())
+	return m.peers.HasRelay(time.Now())
 }
 
 // Patient reports whether a hub asks the platform for this entry VM.
 func (m *Mesh) Patient(failures int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.peers.Patient(time.Now(), failures)
+	return m.peers.BacksOff(time.Now(), failures)
 }
 
 func (m *Mesh) exchange(ctx context.Context, address string) {
 	c, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	m.mutex.Lock()
-	vm := m.peers.Name(address)
+	vm := m.peers.VM(address)
 	r := m.peers.Relation(time.Now(), address)
 	m.mutex.Unlock()
 	var e api.Exchange
@@ -246,12 +246,12 @@
 	defer m.mutex.Unlock()
 	now := time.Now()
 	e.Self = message(m.Self)
-	e.Self.Hub = m.peers.Hub(now)
+	e.Self.Hub = m.peers.IsHub(now)
 	e.Informed = e.Direct || m.peers.Informed(now)
-	if r == placement.Hub && m.peers.First(now) {
+	if r == placement.Hub && m.peers.IsFirstHub(now) {
 		e.Pools = pools
 	}
-	for _, x := range m.peers.List(now, address) {
+	for _, x := range m.peers.MembersFor(now, address) {
 		e.Peers = append(e.Peers, message(x))
 	}
 	return e
@@ -296,12 +296,12 @@
 		m.Log.Emit(event.PeerRefused, zap.String("vm", string(e.VM)), zap.Int("protocol", e.Protocol))
 		return
 	}
-	w := gossip.Word{Member: fromMessage(e.Self), VM: e.VM, Direct: e.Direct, Informed: e.Informed}
+	w := gossip.Message{Member: fromMessage(e.Self), VM: e.VM, Direct: e.Direct, Informed: e.Informed}
 	for _, x := range e.Peers {
-		w.Others = append(w.Others, fromMessage(x))
+		w.Members = append(w.Members, fromMessage(x))
 	}
 	m.mutex.Lock()
-	m.peers.Heard(time.Now(), w)
+	m.peers.Receive(time.Now(), w)
 	m.mutex.Unlock()
 	x := placement.Report{Loads: make(placement.Loads, len(e.Loads)), Members: e.Members}
 	for n, l := range e.Loads {
@@ -340,7 +340,7 @@
 func catchUp[T any](m *Mesh, address, path string, theirs api.Version, k *mirror.Mirror[T]) {
 	own, away := k.At(), k.Lost() || m.Guided()
 	m.mutex.Lock()
-	ask := m.lag[path].Ask(time.Now(), own, theirs, away)
+	ask := m.lag[path].ShouldFetch(time.Now(), own, theirs, away)
 	m.mutex.Unlock()
 	if ask {
 		fetch(m, address, path, k)
@@ -352,7 +352,7 @@
 func (m *Mesh) apply(e api.Exchange) {
 	own, at := m.Applied.AppliedNumber(), m.Config.At()
 	m.mutex.Lock()
-	ask := at >= e.ConfigAt && m.behind.Ask(time.Now(), own, e.ConfigNumber, false)
+	ask := at >= e.ConfigAt && m.behind.ShouldFetch(time.Now(), own, e.ConfigNumber, false)
 	m.mutex.Unlock()
 	if ask {
 		m.fetchApplied(e.Self.Address)
