--- a/internal/decide/gossip/due.go
+++ b/internal/decide/gossip/due.go
@@ -35,7 +35,7 @@
 
 // expired reports whether an address is to be dropped.
 func (p *Peers) expired(now time.Time, x *peer) bool {
-	return !x.seed && now.Sub(x.addedAt) > addressTimeout && now.Sub(x.receivedAt) > addressTimeout && now.Sub(x.relayedAt) > addressTimeout
+	return !x.seed && now.Sub(x.addedAt) > addressTimeout && now.Sub(x.receivedAt) > addressTimeout && now.Sub(x.mentionedAt) > addressTimeout
 }
 
 const (
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -10,14 +10,14 @@
 	"github.com/wardridge/wardridge/internal/decide/gossip"
 )
 
-var begin = time.Unix(100, 0)
+var epoch = time.Unix(100, 0)
 
 func at(ms int) time.Time {
-	return begin.Add(time.Duration(ms) * time.Millisecond)
+	return epoch.Add(time.Duration(ms) * time.Millisecond)
 }
 
 // A peer that is behind as well must not hide that another one is ahead.
-func TestLagSeesPeerAheadBesidePeerBehind(t *testing.T) {
+func TestLagDetectsPeerAheadDespitePeerBehind(t *testing.T) {
 	var l gossip.Lag[api.Version]
 	got := false
 	for ms := 0; ms <= 1000; ms += 250 {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestLagWaitsForOwnWatch(t *testing.T) {
+func TestLagWaitsForLocalWatch(t *testing.T) {
 	var l gossip.Lag[api.Version]
 	if got := l.ShouldFetch(at(0), 22, 40, false); got {
 		t.Error("first word of more: got true, want false")
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestLagAsksAtOnceWithoutPlatform(t *testing.T) {
+func TestLagFetchesImmediatelyWithoutPlatform(t *testing.T) {
 	var l gossip.Lag[api.Version]
 	if got := l.ShouldFetch(at(0), 22, 40, true); !got {
 		t.Error("platform away: got false, want true")
@@ -54,21 +54,21 @@
 	peers map[string]*gossip.Peers
 	self  map[string]gossip.Member
 	dead  map[string]bool
-	// answered are those that the platform answers.
-	answered map[string]bool
+	// connected are those that the platform answers.
+	connected map[string]bool
 	// sent counts the exchanges that each has begun or answered.
 	sent map[string]int
 }
 
 // newFleet makes so many VMs in each of the domains; the first ones are seeds.
 func newFleet(domains, each, hubs int) *fleet {
-	f := &fleet{peers: map[string]*gossip.Peers{}, self: map[string]gossip.Member{}, dead: map[string]bool{}, answered: map[string]bool{}, sent: map[string]int{}}
+	f := &fleet{peers: map[string]*gossip.Peers{}, self: map[string]gossip.Member{}, dead: map[string]bool{}, connected: map[string]bool{}, sent: map[string]int{}}
 	seeds := []string{address(0, 0), address(1%domains, 0), address(0, 1%each)}
 	for d := range domains {
 		for i := range each {
 			m := gossip.Member{Address: address(d, i), Domain: api.DomainName(fmt.Sprint("d", d))}
 			f.self[m.Address] = m
-			f.answered[m.Address] = true
+			f.connected[m.Address] = true
 			f.peers[m.Address] = gossip.New(at(0), m, seeds, hubs)
 		}
 	}
@@ -79,11 +79,11 @@
 	return fmt.Sprintf("10.%d.0.%03d:1", d, i)
 }
 
-// word is what a VM says.
-func (f *fleet) word(now time.Time, a string) gossip.Message {
+// message is what a VM says.
+func (f *fleet) message(now time.Time, a string) gossip.Message {
 	m := f.self[a]
 	m.Hub = f.peers[a].IsHub(now)
-	d := f.answered[a] && !f.peers[a].HasRelay(now)
+	d := f.connected[a] && !f.peers[a].HasRelay(now)
 	return gossip.Message{Member: m, VM: api.VMName(a), Members: f.peers[a].Live(now), Direct: d, Informed: d || f.peers[a].Informed(now)}
 }
 
@@ -101,7 +101,7 @@
 // run plays rounds of 250 ms from one time to another.
 func (f *fleet) run(from, to int) {
 	for ms := from; ms < to; ms += 250 {
-		f.tell(ms)
+		f.relay(ms)
 		for a, p := range f.peers {
 			if f.dead[a] {
 				continue
@@ -112,23 +112,23 @@
 					continue
 				}
 				f.sent[b]++
-				f.peers[b].Receive(at(ms+1), f.word(at(ms), a))
-				p.Receive(at(ms+2), f.word(at(ms), b))
+				f.peers[b].Receive(at(ms+1), f.message(at(ms), a))
+				p.Receive(at(ms+2), f.message(at(ms), b))
 			}
 		}
 	}
 }
 
-// tell lets those that have just begun to follow the platform tell all who hear
+// relay lets those that have just begun to follow the platform relay all who hear
 // of changes from peers alone.
-func (f *fleet) tell(ms int) {
+func (f *fleet) relay(ms int) {
 	for a, p := range f.peers {
 		if f.dead[a] || p.HasRelay(at(ms)) || !p.HasRelay(at(ms-250)) {
 			continue
 		}
-		for _, b := range p.RelayTargets(at(ms), f.answered[a] && !p.HasRelay(at(ms))) {
+		for _, b := range p.RelayTargets(at(ms), f.connected[a] && !p.HasRelay(at(ms))) {
 			if !f.dead[b] {
-				f.peers[b].Receive(at(ms+1), f.word(at(ms), a))
+				f.peers[b].Receive(at(ms+1), f.message(at(ms), a))
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 	return l
 }
 
-func TestFleetFindsItsHubs(t *testing.T) {
+func TestFleetConvergesOnHubs(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	want := []string{address(0, 0), address(0, 1), address(1, 0), address(1, 1), address(2, 0), address(2, 1)}
@@ -176,7 +176,7 @@
 }
 
 // In an outage of the platform the hubs ask for the others.
-func TestMembersArePatientWhileTheyHearAHub(t *testing.T) {
+func TestMembersBackOffWhileAHubIsAlive(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	for a, p := range f.peers {
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestNextHubTakesOverForAll(t *testing.T) {
+func TestNextHubTakesOverRelay(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	f.dead[address(0, 0)] = true
@@ -212,7 +212,7 @@
 }
 
 // An entry VM that starts leaves the platform to others until it knows them.
-func TestStartLeavesThePlatformToOthers(t *testing.T) {
+func TestStartingVMWaitsBeforeFollowingThePlatform(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 2)
 	if !p.HasRelay(at(1000)) {
 		t.Error("a second after the start: got false, want guided")
@@ -222,7 +222,7 @@
 	}
 }
 
-func TestHubsThatDieAreReplaced(t *testing.T) {
+func TestDeadHubsAreReplaced(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	f.dead[address(1, 0)], f.dead[address(1, 1)] = true, true
@@ -239,7 +239,7 @@
 }
 
 // A hub answers all members of its domain: narrow VMs are hubs only where there are no others.
-func TestStrongestAreHubs(t *testing.T) {
+func TestStrongestMembersAreHubs(t *testing.T) {
 	f := newFleet(2, 6, 2)
 	for d := range 2 {
 		for _, i := range []int{3, 5} {
@@ -272,8 +272,8 @@
 }
 
 // The messages of a VM that is no hub must not grow with the fleet.
-func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
-	most := func(each int) int {
+func TestMemberMessagesDoNotGrowWithFleet(t *testing.T) {
+	maxSent := func(each int) int {
 		f := newFleet(3, each, 2)
 		f.run(0, 8000)
 		f.sent = map[string]int{}
@@ -286,14 +286,14 @@
 		}
 		return n
 	}
-	small, large := most(6), most(24)
+	small, large := maxSent(6), maxSent(24)
 	if large > small {
 		t.Errorf("exchanges in 4 s: got %d at 72 VMs, want at most the %d at 18", large, small)
 	}
 }
 
 // VMs that all start at the same moment must not cause a burst of exchanges.
-func TestStartIsNoStorm(t *testing.T) {
+func TestSimultaneousStartCausesNoBurst(t *testing.T) {
 	f := newFleet(4, 15, 3)
 	first := f.exchanges(0, 1000)
 	f.run(1000, 5000)
@@ -303,7 +303,7 @@
 	}
 }
 
-func TestAddressesAreDropped(t *testing.T) {
+func TestSilentAddressesAreDropped(t *testing.T) {
 	self := gossip.Member{Address: "a:1", Domain: "d"}
 	p := gossip.New(at(0), self, []string{"b:1", "a:1"}, 3)
 	if got, want := p.Due(at(0)), []string{"b:1"}; !slices.Equal(got, want) {
@@ -322,7 +322,7 @@
 	}
 }
 
-func TestBlindAndAlone(t *testing.T) {
+func TestRelayTargetsAndNoneInformed(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 3)
 	if !p.NoneInformed(at(0)) {
 		t.Error("without peers: got false, want alone")
@@ -345,8 +345,8 @@
 	tests := []struct {
 		name    string
 		members int
-		// least and most bound the exchanges of a second with the one hub.
-		least, most int
+		// minCount and maxCount bound the exchanges of a second with the one hub.
+		minCount, maxCount int
 	}{
 		{"small", 5, 4, 5},
 		{"large", 60, 2, 3},
@@ -369,8 +369,8 @@
 					}
 				}
 			}
-			if got < c.least || got > c.most {
-				t.Errorf("got %d exchanges in a second, want %d to %d", got, c.least, c.most)
+			if got < c.minCount || got > c.maxCount {
+				t.Errorf("got %d exchanges in a second, want %d to %d", got, c.minCount, c.maxCount)
 			}
 		})
 	}
@@ -407,10 +407,10 @@
 }
 
 // A platform that turns the first leader away is followed by the next one at once, and by no others.
-func TestNextLeaderFollowsWhereThePlatformTurnsTheFirstAway(t *testing.T) {
+func TestNextLeaderTakesOverWhenPlatformRefusesTheFirst(t *testing.T) {
 	f := newFleet(4, 8, 2)
 	f.run(0, 6000)
-	f.answered[address(0, 0)] = false
+	f.connected[address(0, 0)] = false
 	for ms := 6000; ms < 12000; ms += 250 {
 		f.run(ms, ms+250)
 		for a, p := range f.peers {
@@ -429,7 +429,7 @@
 	}
 }
 
-func TestOthersFollowWhereTheFirstTwoLeadersFallSilent(t *testing.T) {
+func TestThirdLeaderTakesOverWhenFirstTwoAreSilent(t *testing.T) {
 	f := newFleet(4, 8, 2)
 	f.run(0, 6000)
 	for d := range 2 {
@@ -451,8 +451,8 @@
 	}
 }
 
-func TestBlindFollowsTheHubs(t *testing.T) {
-	word := func(a string, d api.DomainName, hub bool) gossip.Message {
+func TestRelayTargetsByRole(t *testing.T) {
+	message := func(a string, d api.DomainName, hub bool) gossip.Message {
 		return gossip.Message{Member: gossip.Member{Address: a, Domain: d, Hub: hub, Capacity: 5}, Informed: true}
 	}
 	tests := []struct {
@@ -467,9 +467,9 @@
 	}
 	for _, c := range tests {
 		p := gossip.New(at(0), c.self, nil, 1)
-		p.Receive(at(0), word("m:1", "x", false))
-		p.Receive(at(0), word("n:1", "y", false))
-		p.Receive(at(0), word("h:1", "y", true))
+		p.Receive(at(0), message("m:1", "x", false))
+		p.Receive(at(0), message("n:1", "y", false))
+		p.Receive(at(0), message("h:1", "y", true))
 		if got := p.RelayTargets(at(10), c.direct); !slices.Equal(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
@@ -477,7 +477,7 @@
 }
 
 // A member whose exchanges keep step with a hub's rounds is passed the members as often as any other.
-func TestMembersArePassedOnToEachPeer(t *testing.T) {
+func TestMembersAreListedToEachPeer(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "h:1", Domain: "x"}, nil, 1)
 	for _, start := range []int{0, 240, 480, 720} {
 		a := fmt.Sprintf("m%d:1", start)
--- a/internal/decide/gossip/hubs.go
+++ b/internal/decide/gossip/hubs.go
@@ -56,7 +56,7 @@
 	}
 	var m []Member
 	for _, x := range p.peers {
-		if x.Domain == d && x.Hub && (p.alive(now, x) || now.Sub(x.relayedAt) < remoteHubTimeout) {
+		if x.Domain == d && x.Hub && (p.alive(now, x) || now.Sub(x.mentionedAt) < remoteHubTimeout) {
 			m = append(m, x.Member)
 		}
 	}
--- a/internal/decide/gossip/peers.go
+++ b/internal/decide/gossip/peers.go
@@ -79,8 +79,8 @@
 	directAt, informedAt time.Time
 	// listedAt is when the members were last passed on to the peer.
 	listedAt time.Time
-	// relayedAt is when another peer last passed the address on.
-	relayedAt   time.Time
+	// mentionedAt is when another peer last passed the address on.
+	mentionedAt time.Time
 	attemptedAt time.Time
 }
 
@@ -102,7 +102,7 @@
 		p.record(now, Member{Address: a})
 		if x, ok := p.peers[a]; ok {
 			x.seed = true
-			x.relayedAt = time.Time{}
+			x.mentionedAt = time.Time{}
 		}
 	}
 	return p
@@ -118,7 +118,7 @@
 		x.Member = m
 		p.peers[m.Address] = x
 	}
-	x.relayedAt = now
+	x.mentionedAt = now
 	if !p.alive(now, x) {
 		x.Domain, x.Hub, x.Capacity = m.Domain, m.Hub, m.Capacity
 	}
@@ -155,7 +155,7 @@
 	if p.alive(now, x) {
 		return true
 	}
-	return !x.relayedAt.IsZero() && now.Sub(x.relayedAt) < memberTimeout && (x.attemptedAt.IsZero() || x.attemptedAt.Before(x.addedAt.Add(retryInterval)))
+	return !x.mentionedAt.IsZero() && now.Sub(x.mentionedAt) < memberTimeout && (x.attemptedAt.IsZero() || x.attemptedAt.Before(x.addedAt.Add(retryInterval)))
 }
 
 // VM is the VM at an address, empty until it was heard.
