--- a/internal/decide/gossip/doc.go
+++ b/internal/decide/gossip/doc.go
@@ -1,4 +1,4 @@
-// Package gossip decides which entry VMs there are and whom to exchange state
-// with: addresses come from the settings and from peers, and only peers that
-// answer are passed on.
+// Package gossip tracks the entry VMs of a fleet and decides which of them to
+// exchange state with. Addresses come from the settings and from peers; only peers
+// that answer are passed on.
 package gossip
--- a/internal/decide/gossip/due.go
+++ b/internal/decide/gossip/due.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// role is this entry VM's role among the hubs.
+// role is the part of this entry VM in its failure domain.
 type role struct {
 	hubs    []string
 	isHub   bool
 	primary string
-	// minInterval is the least pause between exchanges with a hub.
+	// minInterval is the minimum time between exchanges with a hub.
 	minInterval time.Duration
 }
 
-// Due lists whom to begin an exchange with now.
+// Due lists the addresses to start an exchange with now, in order, and records the
+// attempts. It also drops the addresses that have expired.
 func (p *Peers) Due(now time.Time) []string {
 	var l []string
 	h := p.Hubs(now)
@@ -33,21 +34,24 @@
 	return l
 }
 
-// expired reports whether an address is to be dropped.
+// expired reports whether an address has neither answered nor been passed on for
+// addressTimeout, and does not come from the settings.
 func (p *Peers) expired(now time.Time, x *peer) bool {
 	return !x.seed && now.Sub(x.addedAt) > addressTimeout && now.Sub(x.receivedAt) > addressTimeout && now.Sub(x.mentionedAt) > addressTimeout
 }
 
 const (
-	// smallFleet is the number of peers up to which each round has an exchange
-	// with every hub.
+	// smallFleet is the number of peers up to which every round exchanges with each
+	// hub.
 	smallFleet = 16
-	// largeFleetInterval is the least pause between exchanges with a hub in larger fleets,
-	// just below two rounds: a hub answers a domain's members and all other hubs.
+	// largeFleetInterval is the minimum time between exchanges with a hub in larger
+	// fleets. It is just below two rounds and limits the load of a hub, which answers
+	// the members of its domain and all other hubs.
 	largeFleetInterval = 450 * time.Millisecond
 )
 
-// minHubInterval is the least pause between exchanges with a hub.
+// minHubInterval is the minimum time between exchanges with a hub, by the size of
+// the fleet.
 func (p *Peers) minHubInterval() time.Duration {
 	if len(p.peers) <= smallFleet {
 		return 0
@@ -55,15 +59,15 @@
 	return largeFleetInterval
 }
 
-// interval is the time between exchanges with a peer that this entry VM begins, or
-// false where the other side begins or nobody needs one.
+// interval is the time between exchanges that this entry VM starts with a peer. It
+// returns false where the peer starts them or none are needed.
 func (p *Peers) interval(now time.Time, x *peer, c role) (time.Duration, bool) {
 	live := p.alive(now, x)
 	switch {
 	case !live && x.seed:
 		return retryInterval, true
 	case c.isHub && live && x.Hub:
-		// Of two hubs the one with the lower address begins.
+		// Of two hubs, the one with the lower address starts the exchange.
 		if p.self.Address < x.Address {
 			return c.minInterval, true
 		}
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 	return epoch.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// A peer that is behind as well must not hide that another one is ahead.
+// A message from a peer that is not ahead must not reset the wait for one that is.
 func TestLagDetectsPeerAheadDespitePeerBehind(t *testing.T) {
 	var l gossip.Lag[api.Version]
 	got := false
@@ -25,42 +25,42 @@
 		got = got || l.ShouldFetch(at(ms+10), 22, 22, false)
 	}
 	if !got {
-		t.Error("asked within a second: got false, want true")
+		t.Error("peer ahead for a second: got no fetch, want one")
 	}
 }
 
 func TestLagWaitsForLocalWatch(t *testing.T) {
 	var l gossip.Lag[api.Version]
 	if got := l.ShouldFetch(at(0), 22, 40, false); got {
-		t.Error("first word of more: got true, want false")
+		t.Error("peer ahead for the first time: got a fetch, want none")
 	}
 	if got := l.ShouldFetch(at(400), 41, 42, false); got {
-		t.Error("after the own watch moved on: got true, want false")
+		t.Error("after the local version has advanced: got a fetch, want none")
 	}
 }
 
 func TestLagFetchesImmediatelyWithoutPlatform(t *testing.T) {
 	var l gossip.Lag[api.Version]
 	if got := l.ShouldFetch(at(0), 22, 40, true); !got {
-		t.Error("platform away: got false, want true")
+		t.Error("platform away: got no fetch, want one")
 	}
 	if got := l.ShouldFetch(at(0), 0, 40, false); !got {
-		t.Error("nothing known: got false, want true")
+		t.Error("no local version: got no fetch, want one")
 	}
 }
 
-// fleet is a set of entry VMs that exchange over a network without loss.
+// fleet simulates entry VMs that exchange over a network without loss.
 type fleet struct {
 	peers map[string]*gossip.Peers
 	self  map[string]gossip.Member
 	dead  map[string]bool
-	// connected are those that the platform answers.
+	// connected holds the VMs that the platform answers.
 	connected map[string]bool
-	// sent counts the exchanges that each has begun or answered.
+	// sent counts the exchanges that each VM has started or answered.
 	sent map[string]int
 }
 
-// newFleet makes so many VMs in each of the domains; the first ones are seeds.
+// newFleet creates the given number of VMs in each domain. The first VMs are seeds.
 func newFleet(domains, each, hubs int) *fleet {
 	f := &fleet{peers: map[string]*gossip.Peers{}, self: map[string]gossip.Member{}, dead: map[string]bool{}, connected: map[string]bool{}, sent: map[string]int{}}
 	seeds := []string{address(0, 0), address(1%domains, 0), address(0, 1%each)}
@@ -79,7 +79,7 @@
 	return fmt.Sprintf("10.%d.0.%03d:1", d, i)
 }
 
-// message is what a VM says.
+// message is what a VM reports to a peer.
 func (f *fleet) message(now time.Time, a string) gossip.Message {
 	m := f.self[a]
 	m.Hub = f.peers[a].IsHub(now)
@@ -87,7 +87,7 @@
 	return gossip.Message{Member: m, VM: api.VMName(a), Members: f.peers[a].Live(now), Direct: d, Informed: d || f.peers[a].Informed(now)}
 }
 
-// exchanges counts the exchanges from one time to another.
+// exchanges counts the exchanges between two times, in ms.
 func (f *fleet) exchanges(from, to int) int {
 	f.sent = map[string]int{}
 	f.run(from, to)
@@ -98,7 +98,7 @@
 	return n / 2
 }
 
-// run plays rounds of 250 ms from one time to another.
+// run simulates rounds of 250 ms between two times, in ms.
 func (f *fleet) run(from, to int) {
 	for ms := from; ms < to; ms += 250 {
 		f.relay(ms)
@@ -119,8 +119,8 @@
 	}
 }
 
-// relay lets those that have just begun to follow the platform relay all who hear
-// of changes from peers alone.
+// relay sends the messages of VMs that have just begun to follow the platform to
+// their relay targets.
 func (f *fleet) relay(ms int) {
 	for a, p := range f.peers {
 		if f.dead[a] || p.HasRelay(at(ms)) || !p.HasRelay(at(ms-250)) {
@@ -154,10 +154,10 @@
 	}
 	for a, p := range f.peers {
 		if first := a == address(0, 0); first == p.HasRelay(at(6000)) {
-			t.Errorf("%s is guided: got %v, want it for all but the first of all", a, !first)
+			t.Errorf("%s has a relay: got %v, want true for all but the first leader", a, !first)
 		}
 		if !p.IsHub(at(6000)) && !p.HasRelay(at(6000)) {
-			t.Errorf("%s: got no hub heard within a second, want one", a)
+			t.Errorf("%s: got no hub that relays to it, want one", a)
 		}
 	}
 }
@@ -170,24 +170,25 @@
 	}
 	for a, p := range f.peers {
 		if got := len(p.Live(at(3000))); got != 8 {
-			t.Errorf("%s hears %d peers, want 8", a, got)
+			t.Errorf("%s: got %d live peers, want 8", a, got)
 		}
 	}
 }
 
-// In an outage of the platform the hubs ask for the others.
+// During an outage of the platform only the first two leaders keep retrying at the
+// short interval.
 func TestMembersBackOffWhileAHubIsAlive(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	for a, p := range f.peers {
 		if got, want := p.BacksOff(at(6000), 2), a != address(0, 0) && a != address(1, 0); got != want {
-			t.Errorf("%s: got patient %v, want %v", a, got, want)
+			t.Errorf("%s: got backs off %v, want %v", a, got, want)
 		}
 		if got, want := p.BacksOff(at(6000), 1), !p.IsHub(at(6000)); got != want {
-			t.Errorf("%s after one failure: got patient %v, want %v", a, got, want)
+			t.Errorf("%s after one failure: got backs off %v, want %v", a, got, want)
 		}
 		if p.BacksOff(at(12000), 2) {
-			t.Errorf("%s after 6 s without a word: got patient, want it to ask itself", a)
+			t.Errorf("%s after 6 s without a message: got it to back off, want it to keep calling the platform", a)
 		}
 	}
 }
@@ -200,25 +201,25 @@
 		f.run(ms, ms+250)
 		for a, p := range f.peers {
 			if !f.dead[a] && !p.IsHub(at(ms)) && !p.HasRelay(at(ms)) {
-				t.Fatalf("%s at %d ms: got it to ask the platform itself, want the next hub to", a, ms)
+				t.Fatalf("%s at %d ms: got it to follow the platform itself, want the next hub to relay", a, ms)
 			}
 		}
 	}
 	for a, p := range f.peers {
 		if got, want := p.HasRelay(at(12000)), a != address(0, 1); !f.dead[a] && got != want {
-			t.Errorf("%s: got guided %v, want only the next one to follow the platform", a, got)
+			t.Errorf("%s: got a relay %v, want only the next hub to follow the platform", a, got)
 		}
 	}
 }
 
-// An entry VM that starts leaves the platform to others until it knows them.
+// An entry VM that starts must not follow the platform before it knows its peers.
 func TestStartingVMWaitsBeforeFollowingThePlatform(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 2)
 	if !p.HasRelay(at(1000)) {
-		t.Error("a second after the start: got false, want guided")
+		t.Error("a second after the start: got no relay, want it to rely on others")
 	}
 	if p.HasRelay(at(2600)) {
-		t.Error("without peers: got guided, want it to follow the platform")
+		t.Error("without peers: got a relay, want it to follow the platform")
 	}
 }
 
@@ -233,12 +234,13 @@
 	}
 	for a, p := range f.peers {
 		if !f.dead[a] && !p.IsHub(at(12000)) && !p.HasRelay(at(12000)) {
-			t.Errorf("%s: got no hub heard within a second, want one", a)
+			t.Errorf("%s: got no hub that relays to it, want one", a)
 		}
 	}
 }
 
-// A hub answers all members of its domain: narrow VMs are hubs only where there are no others.
+// A hub answers all members of its domain, so VMs of low capacity are hubs only
+// where there are no others.
 func TestStrongestMembersAreHubs(t *testing.T) {
 	f := newFleet(2, 6, 2)
 	for d := range 2 {
@@ -267,11 +269,11 @@
 		t.Errorf("got %d and %d, want the second larger", weak, strong)
 	}
 	if got, want := gossip.Capacity(0.192, 1e6), gossip.Capacity(0.192, 200); got != want {
-		t.Errorf("a wide link with few cores: got %d, want the %d that its cores carry", got, want)
+		t.Errorf("a fast link with few cores: got %d, want the %d that its cores can handle", got, want)
 	}
 }
 
-// The messages of a VM that is no hub must not grow with the fleet.
+// The messages of a VM that is not a hub must not grow with the fleet.
 func TestMemberMessagesDoNotGrowWithFleet(t *testing.T) {
 	maxSent := func(each int) int {
 		f := newFleet(3, each, 2)
@@ -318,26 +320,26 @@
 		t.Errorf("after 42 s of silence: got %v, want no c:1", got)
 	}
 	if got := p.Due(at(44000)); !slices.Contains(got, "b:1") {
-		t.Errorf("address of the settings: got %v, want b:1", got)
+		t.Errorf("address from the settings: got %v, want b:1", got)
 	}
 }
 
 func TestRelayTargetsAndNoneInformed(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 3)
 	if !p.NoneInformed(at(0)) {
-		t.Error("without peers: got false, want alone")
+		t.Error("without peers: got false, want none informed")
 	}
 	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "b:1"}})
 	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "d:1"}})
 	if !p.NoneInformed(at(10)) {
-		t.Error("peers that the platform does not answer: got false, want alone")
+		t.Error("peers that the platform does not answer: got false, want none informed")
 	}
 	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "c:1"}, Direct: true, Informed: true})
 	if p.NoneInformed(at(10)) {
-		t.Error("peer that the platform answers: got alone, want false")
+		t.Error("peer that the platform answers: got none informed, want false")
 	}
 	if got, want := p.RelayTargets(at(10), false), []string{"b:1", "d:1"}; !slices.Equal(got, want) {
-		t.Errorf("blind: got %v, want %v", got, want)
+		t.Errorf("relay targets: got %v, want %v", got, want)
 	}
 }
 
@@ -345,7 +347,7 @@
 	tests := []struct {
 		name    string
 		members int
-		// minCount and maxCount bound the exchanges of a second with the one hub.
+		// minCount and maxCount bound the exchanges per second with the only hub.
 		minCount, maxCount int
 	}{
 		{"small", 5, 4, 5},
@@ -376,7 +378,7 @@
 	}
 }
 
-// The hubs of a failure domain allocate its engines, the strongest first.
+// The hubs of a failure domain allocate its engines, highest capacity first.
 func TestAllocators(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "b:1", Domain: "x", Capacity: 5}, nil, 2)
 	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "a:1", Domain: "x", Capacity: 9, Hub: true}, Members: []gossip.Member{
@@ -406,7 +408,8 @@
 	}
 }
 
-// A platform that turns the first leader away is followed by the next one at once, and by no others.
+// When the platform refuses the first leader, the next one follows it at once, and no
+// other VM does.
 func TestNextLeaderTakesOverWhenPlatformRefusesTheFirst(t *testing.T) {
 	f := newFleet(4, 8, 2)
 	f.run(0, 6000)
@@ -415,16 +418,16 @@
 		f.run(ms, ms+250)
 		for a, p := range f.peers {
 			if first := a == address(0, 0) || a == address(1, 0); !first && !p.HasRelay(at(ms+250)) {
-				t.Errorf("%s at %d ms: got it to follow the platform, want the first two leaders alone", a, ms)
+				t.Errorf("%s at %d ms: got it to follow the platform, want only the first two leaders to", a, ms)
 			}
 		}
 	}
 	if f.peers[address(1, 0)].HasRelay(at(12000)) {
-		t.Error("the next leader: got it guided, want it to follow the platform")
+		t.Error("the next leader: got a relay, want it to follow the platform")
 	}
 	for a, p := range f.peers {
 		if p.NoneInformed(at(12000)) {
-			t.Errorf("%s: got no peer that has word, want one", a)
+			t.Errorf("%s: got no informed peer, want one", a)
 		}
 	}
 }
@@ -439,13 +442,13 @@
 	}
 	f.run(6000, 7500)
 	if p := f.peers[address(2, 0)]; p.HasRelay(at(7500)) {
-		t.Error("the third leader after 1.5 s: got it guided, want it to follow the platform")
+		t.Error("the third leader after 1.5 s: got a relay, want it to follow the platform")
 	}
 	f.run(7500, 10000)
 	for d := 2; d < 4; d++ {
 		for i := range 8 {
 			if got, want := f.peers[address(d, i)].HasRelay(at(10000)), d != 2 || i != 0; got != want {
-				t.Errorf("%s after 4 s: got guided %v, want only the third leader to follow", address(d, i), got)
+				t.Errorf("%s after 4 s: got a relay %v, want only the third leader to follow the platform", address(d, i), got)
 			}
 		}
 	}
@@ -461,9 +464,9 @@
 		direct bool
 		want   []string
 	}{
-		{"the hub that follows", gossip.Member{Address: "a:1", Domain: "x", Capacity: 9}, true, []string{"h:1", "m:1"}},
-		{"another hub", gossip.Member{Address: "a:1", Domain: "x", Capacity: 9}, false, []string{"m:1"}},
-		{"a member", gossip.Member{Address: "a:1", Domain: "y", Capacity: 1}, false, nil},
+		{"hub that the platform answers", gossip.Member{Address: "a:1", Domain: "x", Capacity: 9}, true, []string{"h:1", "m:1"}},
+		{"hub that the platform does not answer", gossip.Member{Address: "a:1", Domain: "x", Capacity: 9}, false, []string{"m:1"}},
+		{"member that is not a hub", gossip.Member{Address: "a:1", Domain: "y", Capacity: 1}, false, nil},
 	}
 	for _, c := range tests {
 		p := gossip.New(at(0), c.self, nil, 1)
@@ -476,7 +479,8 @@
 	}
 }
 
-// A member whose exchanges keep step with a hub's rounds is passed the members as often as any other.
+// A member whose exchanges are in step with a hub's rounds gets the list of members as
+// often as any other.
 func TestMembersAreListedToEachPeer(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "h:1", Domain: "x"}, nil, 1)
 	for _, start := range []int{0, 240, 480, 720} {
@@ -489,10 +493,10 @@
 			}
 		}
 		if lists < 4 || lists > 6 {
-			t.Errorf("lists to the peer that starts at %d ms: got %d in 5 s, want about one a second", start, lists)
+			t.Errorf("lists to the peer that starts at %d ms: got %d in 5 s, want about one per second", start, lists)
 		}
 	}
 	if len(p.MembersFor(at(4800), "stranger:1")) == 0 {
-		t.Error("a peer not heard before: got no list, want one")
+		t.Error("a peer without earlier messages: got no list, want one")
 	}
 }
--- a/internal/decide/gossip/hubs.go
+++ b/internal/decide/gossip/hubs.go
@@ -9,8 +9,8 @@
 	"github.com/wardridge/wardridge/internal/decide/placement"
 )
 
-// Hubs lists the addresses of the hubs of the own failure domain in order, the
-// strongest first; the own one may be among them.
+// Hubs lists the addresses of the hubs of the local failure domain, highest capacity
+// first. The address of this entry VM may be among them.
 func (p *Peers) Hubs(now time.Time) []string {
 	best := make([]Member, 0, p.maxHubs+1)
 	best = append(best, p.self)
@@ -26,8 +26,9 @@
 	return h
 }
 
-// insertStrongest puts a member among the strongest n. The duties ask for the hubs several
-// times a second, and to sort all members each time would grow with the domain.
+// insertStrongest inserts a member into the sorted list of the n strongest ones. The
+// hubs are needed several times a second; sorting all members each time would cost
+// more the larger the domain is.
 func insertStrongest(best []Member, m Member, n int) []Member {
 	i, _ := slices.BinarySearchFunc(best, m, compareStrength)
 	if i >= n {
@@ -37,12 +38,14 @@
 	return best[:min(len(best), n)]
 }
 
-// remoteHubTimeout is how long a hub of another failure domain counts that only others
-// heard: they pass on whom they hear every two seconds at least.
+// remoteHubTimeout is how long a hub of another failure domain that only other peers
+// hear from counts after they last named it. They name the peers that are alive at
+// least every two seconds.
 const remoteHubTimeout = 5 * time.Second
 
-// Allocators lists the addresses of the entry VMs that may allocate the engines of
-// a failure domain, its hubs, the first choice first; the own one is empty.
+// Allocators lists the addresses of the entry VMs that may allocate the engines of a
+// failure domain: its hubs, in order of preference. The address of this entry VM is
+// given as the empty string.
 func (p *Peers) Allocators(now time.Time, d api.DomainName) []string {
 	var l []string
 	if d == p.self.Domain {
@@ -67,28 +70,29 @@
 	return l
 }
 
-// compareStrength orders members by what they could carry, and by address.
+// compareStrength orders members by capacity, the highest first, then by address.
 func compareStrength(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Address, b.Address))
 }
 
-// IsFirstHub reports whether this entry VM is the first hub of its failure domain, the
-// one that allocates its engines while it answers.
+// IsFirstHub reports whether this entry VM is the first hub of its failure domain,
+// which allocates the engines of the domain as long as it answers.
 func (p *Peers) IsFirstHub(now time.Time) bool {
 	return p.Hubs(now)[0] == p.self.Address
 }
 
-// settleTime is how long an entry VM that has just started listens before it may
-// be a hub: where all start together, each would take itself for one.
+// settleTime is how long an entry VM that has just started only listens before it may
+// be a hub. Without it, each of several VMs that start together would consider itself
+// a hub.
 const settleTime = 1500 * time.Millisecond
 
-// IsHub reports whether this entry VM is a hub.
+// IsHub reports whether this entry VM is a hub; it is none during settleTime.
 func (p *Peers) IsHub(now time.Time) bool {
 	return now.Sub(p.startedAt) >= settleTime && slices.Contains(p.Hubs(now), p.self.Address)
 }
 
-// PrimaryHub is the hub that carries this entry VM's load: the first one heard,
-// or none for a hub.
+// PrimaryHub is the hub that relays the loads of this entry VM: the first live hub of
+// its domain, or the first of all if none is alive. It is empty for a hub.
 func (p *Peers) PrimaryHub(now time.Time) string {
 	l := p.Hubs(now)
 	if slices.Contains(l, p.self.Address) {
@@ -102,7 +106,7 @@
 	return l[0]
 }
 
-// Relation is what the peer at an address is to this entry VM in the exchange
+// Relation is the relation of the peer at an address to this entry VM in the exchange
 // of loads.
 func (p *Peers) Relation(now time.Time, address string) placement.Relation {
 	x, ok := p.peers[address]
--- a/internal/decide/gossip/lag.go
+++ b/internal/decide/gossip/lag.go
@@ -6,30 +6,32 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// lagWait is how long a peer may know more before it is asked, so that the own
-// watch brings most changes.
+// lagWait is how long this entry VM may stay behind a peer before it fetches from the
+// peer, so that its own watch delivers most changes.
 const lagWait = 300 * time.Millisecond
 
-// Lag notices that peers know more of something numbered than this entry VM does.
+// Lag detects that a peer has a newer version of some state than this entry VM.
 type Lag[N api.Version | api.ConfigNumber] struct {
 	local N
+	// since is when the local version was first found to be behind, or when it was
+	// last fetched from a peer.
 	since time.Time
 }
 
-// ShouldFetch reports whether a peer that knows something up to a number is to be asked
-// for it: at once while the platform is away, the first peer and then one after
-// each while where nothing is known yet, and else once the own view stood still
-// behind a peer for long enough.
-func (l *Lag[N]) ShouldFetch(now time.Time, own, theirs N, away bool) bool {
-	if own != l.local {
-		l.local = own
+// ShouldFetch reports whether to fetch the state from a peer that has the version
+// theirs: at once if away is set, as this entry VM does not follow the platform then,
+// and otherwise after the local version has been behind for lagWait. Without any local
+// version it is true for the first peer, and for another one after each lagWait.
+func (l *Lag[N]) ShouldFetch(now time.Time, local, theirs N, away bool) bool {
+	if local != l.local {
+		l.local = local
 		l.since = time.Time{}
 	}
-	if theirs <= own {
+	if theirs <= local {
 		// Another peer may still be ahead.
 		return false
 	}
-	if away && own > 0 {
+	if away && local > 0 {
 		return true
 	}
 	first := l.since.IsZero()
@@ -37,6 +39,6 @@
 		return false
 	}
 	l.since = now
-	// Who knows nothing asks the first peer that it hears.
-	return !first || own == 0
+	// Without a local version there is nothing to wait for.
+	return !first || local == 0
 }
--- a/internal/decide/gossip/peers.go
+++ b/internal/decide/gossip/peers.go
@@ -9,84 +9,88 @@
 )
 
 const (
-	// memberTimeout is how long a peer may be unheard before it no longer counts as a
-	// member: several rounds of the exchange.
+	// memberTimeout is how long after its last message a peer still counts as a live
+	// member: several rounds of exchanges.
 	memberTimeout = 2 * time.Second
-	// addressTimeout is how long an address that does not answer is tried and passed
-	// on before it is dropped; a VM that restarts is back sooner.
+	// addressTimeout is how long an address that does not answer is retried before it
+	// is dropped. A VM that restarts is back within that time.
 	addressTimeout = 20 * time.Second
-	// retryInterval is the pause between tries of an address that does not answer.
+	// retryInterval is the time between attempts at an address that does not answer.
 	retryInterval = time.Second
-	// secondaryHubInterval is the pause between exchanges with a hub that is not the primary
-	// one: often enough to notice that it is there when it is needed.
+	// secondaryHubInterval is the time between a member's exchanges with a hub that is
+	// not its primary one. They are frequent enough to know that the hub is alive when
+	// the primary one fails.
 	secondaryHubInterval = time.Second
-	// listInterval is the pause between lists of members to one peer: a hub that starts
-	// is known to all within two.
+	// listInterval is the minimum time between lists of members sent to one peer. All
+	// peers learn of a hub that starts within two intervals.
 	listInterval = 900 * time.Millisecond
-	// seedInterval is the pause between exchanges with an address of the settings
-	// that nothing else asks for, so that parts of the fleet find each other.
+	// seedInterval is the time between exchanges with an address from the settings
+	// that needs no exchange for any other reason. They let separated parts of the
+	// fleet find each other.
 	seedInterval = 5 * time.Second
 )
 
-// Protocol is the version of the exchange between entry VMs; those of another
-// one are refused.
+// Protocol is the version of the exchange protocol between entry VMs. Messages of
+// any other version are refused.
 const Protocol = 5
 
-// Member is an entry VM as peers pass it on.
+// Member describes an entry VM in the member lists that peers exchange.
 type Member struct {
 	Address string
 	Domain  api.DomainName
-	// Hub members exchange with every other hub.
+	// Hub is set for hubs, which exchange with all other hubs.
 	Hub bool
-	// Capacity ranks those that could be hubs.
+	// Capacity ranks the candidates for hubs; the highest ones are chosen.
 	Capacity int
 }
 
-// What one exchange in a domain of some 60 members costs. The ratio of the two ranks VMs.
+// Cost of one exchange in a domain of about 60 members. The ratio of the two
+// constants decides how VMs rank.
 const (
-	// exchangeCPUSeconds is processor time, in s.
+	// exchangeCPUSeconds is the processor time, in seconds.
 	exchangeCPUSeconds = 0.00077
-	// exchangeMbit is both messages, in Mbit.
+	// exchangeMbit is the size of both messages, in Mbit.
 	exchangeMbit = 0.08
 )
 
-// Capacity is the exchanges a second that an entry VM with so many cores and so
-// many Mbit/s could carry, if it did nothing else.
+// Capacity is the number of exchanges per second that an entry VM with the given
+// cores and link rate, in Mbit/s, could handle if it did nothing else.
 func Capacity(cores, mbps float64) int {
 	return int(min(cores/exchangeCPUSeconds, mbps/exchangeMbit))
 }
 
-// Message is what a peer said of itself and others.
+// Message is what a peer reports of itself and of the members that it knows.
 type Message struct {
 	Member
 	VM api.VMName
 	// Members are the members that answer the peer.
 	Members []Member
-	// Direct is set while the platform itself answers the peer, Informed while it
-	// has word from the platform itself or from a hub that has.
+	// Direct is set while the platform itself answers the peer. Informed is set while
+	// the peer gets changes from the platform itself or from a hub with Direct set.
 	Direct, Informed bool
 }
 
-// peer is one address and what is known of it.
+// peer is the state of one address.
 type peer struct {
 	Message
-	// seed addresses come from the settings and are never dropped.
+	// seed is set for addresses from the settings, which are never dropped.
 	seed       bool
 	addedAt    time.Time
 	receivedAt time.Time
-	// directAt is when the peer last said that the platform answers it, informedAt
-	// when it last had word.
+	// directAt and informedAt are when the peer last sent a message with Direct or
+	// Informed set.
 	directAt, informedAt time.Time
-	// listedAt is when the members were last passed on to the peer.
+	// listedAt is when the member list was last sent to the peer.
 	listedAt time.Time
-	// mentionedAt is when another peer last passed the address on.
+	// mentionedAt is when a message last named the address.
 	mentionedAt time.Time
 	attemptedAt time.Time
 }
 
-// Peers is what one entry VM knows of the others. In each failure domain the
-// strongest few members are hubs; the others exchange with the hubs of their own
-// domain only, so that no VM's messages grow with the fleet times the fleet.
+// Peers is what one entry VM knows of the others. In each failure domain the few
+// members with the highest capacity are hubs. All other members exchange only with
+// the hubs of their domain, so that the messages do not grow with the square of the
+// fleet.
 type Peers struct {
 	self      Member
 	startedAt time.Time
@@ -94,8 +98,8 @@
 	peers     map[string]*peer
 }
 
-// New makes the peers of an entry VM, from the addresses in its settings, with
-// so many hubs in each failure domain.
+// New creates the peers of an entry VM from the seed addresses in its settings. Each
+// failure domain has the given number of hubs.
 func New(now time.Time, self Member, seeds []string, hubs int) *Peers {
 	p := &Peers{self: self, startedAt: now, maxHubs: hubs, peers: map[string]*peer{}}
 	for _, a := range seeds {
@@ -108,6 +112,8 @@
 	return p
 }
 
+// record notes that a message names a member. What live peers report of themselves
+// takes precedence over what others report of them.
 func (p *Peers) record(now time.Time, m Member) {
 	if m.Address == p.self.Address || m.Address == "" {
 		return
@@ -124,7 +130,7 @@
 	}
 }
 
-// Receive notes a message of a peer and the members that it passes on.
+// Receive records a message from a peer and the members that it lists.
 func (p *Peers) Receive(now time.Time, w Message) {
 	if w.Address == p.self.Address || w.Address == "" {
 		return
@@ -145,12 +151,13 @@
 	}
 }
 
+// alive reports whether a peer has sent a message within memberTimeout.
 func (p *Peers) alive(now time.Time, x *peer) bool {
 	return !x.receivedAt.IsZero() && now.Sub(x.receivedAt) < memberTimeout
 }
 
-// eligible reports whether a peer counts as a member that may be a hub: it was
-// heard lately, or passed on lately and not yet tried in vain.
+// eligible reports whether a peer may be chosen as a hub: it is alive, or it was
+// named within memberTimeout and has not yet had time to fail to answer.
 func (p *Peers) eligible(now time.Time, x *peer) bool {
 	if p.alive(now, x) {
 		return true
@@ -158,7 +165,7 @@
 	return !x.mentionedAt.IsZero() && now.Sub(x.mentionedAt) < memberTimeout && (x.attemptedAt.IsZero() || x.attemptedAt.Before(x.addedAt.Add(retryInterval)))
 }
 
-// VM is the VM at an address, empty until it was heard.
+// VM is the name of the VM at an address, empty until it has sent a message.
 func (p *Peers) VM(address string) api.VMName {
 	if x, ok := p.peers[address]; ok {
 		return x.VM
@@ -166,9 +173,10 @@
 	return ""
 }
 
-// MembersFor gives the members to pass on to the peer at an address: those heard lately,
-// each second. Without a clock of its own for each peer, one whose exchanges keep
-// step with the rounds here would be told never.
+// MembersFor lists the live members to send to the peer at an address, or nothing if
+// the last list is more recent than listInterval. The interval is tracked for each
+// peer: with a common one, a peer whose exchanges always fall between two lists would
+// never receive any.
 func (p *Peers) MembersFor(now time.Time, address string) []Member {
 	x, ok := p.peers[address]
 	if ok && now.Sub(x.listedAt) < listInterval {
@@ -180,7 +188,7 @@
 	return p.Live(now)
 }
 
-// Live lists the members heard lately in order of address.
+// Live lists the members that are alive, in order of address.
 func (p *Peers) Live(now time.Time) []Member {
 	var l []Member
 	for _, x := range p.peers {
--- a/internal/decide/gossip/relay.go
+++ b/internal/decide/gossip/relay.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// hubTimeout is how lately a hub has to be heard to be left to follow the platform
-	// alone: two rounds and a lost message's repeat.
+	// hubTimeout is how long after its last message a hub is relied on to follow the
+	// platform for others: two rounds and the repeat of a lost message.
 	hubTimeout = 800 * time.Millisecond
-	// laterHubTimeout is the same for hubs that others come before: the next in turn takes
-	// over first, and has a round and a message to tell them.
+	// laterHubTimeout is the same for hubs that are not next in line: the next one
+	// takes over first and needs a round and a message to inform them.
 	laterHubTimeout = 1500 * time.Millisecond
-	// memberHubTimeout is the same for members that are no hubs, of the hubs of their
+	// memberHubTimeout is how long members that are not hubs rely on the hubs of their
 	// failure domain.
 	memberHubTimeout = 1300 * time.Millisecond
 )
 
-// leaders lists the first hub of each failure domain heard of, the strongest
-// first; the own one may be among them.
+// leaders lists the first hub of each known failure domain, highest capacity first.
+// This entry VM may be among them.
 func (p *Peers) leaders(now time.Time) []Member {
 	first := map[api.DomainName]Member{}
 	if p.IsFirstHub(now) {
@@ -42,40 +42,43 @@
 	return l
 }
 
-// rank is the place of this entry VM among the leaders, and those before it.
+// rank returns the index of this entry VM among the leaders, -1 if it is none, and the
+// leaders before it.
 func (p *Peers) rank(now time.Time) (int, []Member) {
 	l := p.leaders(now)
 	i := slices.IndexFunc(l, func(m Member) bool { return m.Address == p.self.Address })
 	return i, l[:max(i, 0)]
 }
 
-// HasRelay reports whether others bring what changes on the platform, so that it
-// need not be followed: calls are counted there. Of the leaders the first one
-// follows it for all, the next one when that falls silent or is not answered, and
-// the others when neither does. Within a failure domain it is the same among the
-// hubs, and members follow it only when no hub brings what changes. An entry VM
-// that has just started leaves it to those who were there before, or to whoever
-// turns out to be a hub.
+// HasRelay reports whether peers relay the changes on the platform, so that this entry
+// VM need not follow it; the platform counts the calls made to it.
+//
+// The first leader follows the platform for all. The next one does while the first is
+// silent or gets no answer from the platform, and the others while neither of the two
+// follows it. The hubs of a failure domain stand in for their leader in the same way,
+// and other members follow the platform only while no hub relays changes. An entry VM
+// that has just started relies on those that were there before it, or on the ones that
+// become hubs.
 func (p *Peers) HasRelay(now time.Time) bool {
 	l := p.Hubs(now)
 	switch i := slices.Index(l, p.self.Address); {
 	case now.Sub(p.startedAt) < settleTime:
 		return true
 	case i < 0 && now.Sub(p.startedAt) < settleTime+hubTimeout:
-		// The hubs have settled just now as well, and are about to tell.
+		// The hubs may have just started as well and are about to relay.
 		return true
 	case i == 0:
 		return p.leaderRelays(now)
 	case i > 0:
-		// A first hub that the platform turns away is about to have word from the next
-		// leader.
+		// A first hub that the platform refuses is informed by the next leader soon.
 		x := p.peers[l[0]]
 		return now.Sub(x.receivedAt) < hubTimeout && now.Sub(x.informedAt) < laterHubTimeout
 	}
 	return slices.ContainsFunc(l, func(a string) bool { return now.Sub(p.peers[a].informedAt) < memberHubTimeout })
 }
 
-// leaderRelays reports whether a leader before this one follows the platform.
+// leaderRelays reports whether a leader ranked before this entry VM follows the
+// platform.
 func (p *Peers) leaderRelays(now time.Time) bool {
 	i, before := p.rank(now)
 	return slices.ContainsFunc(before, func(m Member) bool {
@@ -87,8 +90,8 @@
 	})
 }
 
-// Informed reports whether this entry VM has word of what changes on the platform
-// from a hub that the platform answers itself.
+// Informed reports whether this entry VM gets the changes on the platform from a hub
+// that the platform itself answers.
 func (p *Peers) Informed(now time.Time) bool {
 	for _, x := range p.peers {
 		if x.Hub && now.Sub(x.directAt) < hubTimeout {
@@ -98,10 +101,11 @@
 	return false
 }
 
-// BacksOff reports whether this entry VM waits long after so many failed calls
-// of the platform in a row: it hears others that come before it, which ask as
-// well and would tell. A hub tries once more at first, and the first two leaders
-// try on, since the platform may turn the other one away alone.
+// BacksOff reports whether this entry VM waits longer before it calls the platform
+// again, after the given number of failed calls in a row. It does so while it hears
+// from a peer that comes before it, which calls the platform as well and relays the
+// answer. A hub retries once without the longer wait. The first two leaders never back
+// off, since the platform may refuse only one of them.
 func (p *Peers) BacksOff(now time.Time, failures int) bool {
 	l := p.Hubs(now)
 	i := slices.Index(l, p.self.Address)
@@ -123,9 +127,10 @@
 	return false
 }
 
-// RelayTargets lists the live peers that hear of changes from this entry VM, in order:
-// those without word from anyone, and for a hub its members, and all other hubs
-// where the platform answers it itself.
+// RelayTargets lists the live peers that this entry VM relays changes to, in order of
+// address: peers that nobody else informs, for a hub also the members of its domain,
+// and with direct, when the platform itself answers this entry VM, all hubs. Peers that
+// the platform answers are left out.
 func (p *Peers) RelayTargets(now time.Time, direct bool) []string {
 	hub := slices.Contains(p.Hubs(now), p.self.Address)
 	var l []string
@@ -133,8 +138,8 @@
 		if !p.alive(now, x) || x.Direct {
 			continue
 		}
-		own := hub && !x.Hub && x.Domain == p.self.Domain
-		if !x.Informed || own || direct && x.Hub {
+		member := hub && !x.Hub && x.Domain == p.self.Domain
+		if !x.Informed || member || direct && x.Hub {
 			l = append(l, a)
 		}
 	}
@@ -142,7 +147,7 @@
 	return l
 }
 
-// NoneInformed reports whether no live peer has word from the platform.
+// NoneInformed reports whether no live peer gets the changes on the platform.
 func (p *Peers) NoneInformed(now time.Time) bool {
 	for _, x := range p.peers {
 		if p.alive(now, x) && x.Informed {
