--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -175,8 +175,7 @@
 	}
 }
 
-// During an outage of the platform only the first two leaders keep retrying at the
-// short interval.
+// During an outage of the platform only the first two leaders keep retrying at the short interval.
 func TestMembersBackOffWhileAHubIsAlive(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
@@ -239,8 +238,7 @@
 	}
 }
 
-// A hub answers all members of its domain, so VMs of low capacity are hubs only
-// where there are no others.
+// A hub answers its whole domain, so VMs of low capacity are hubs only where there are no others.
 func TestStrongestMembersAreHubs(t *testing.T) {
 	f := newFleet(2, 6, 2)
 	for d := range 2 {
@@ -408,8 +406,7 @@
 	}
 }
 
-// When the platform refuses the first leader, the next one follows it at once, and no
-// other VM does.
+// When the platform refuses the first leader, the next one follows it at once, and no other VM does.
 func TestNextLeaderTakesOverWhenPlatformRefusesTheFirst(t *testing.T) {
 	f := newFleet(4, 8, 2)
 	f.run(0, 6000)
@@ -479,8 +476,7 @@
 	}
 }
 
-// A member whose exchanges are in step with a hub's rounds gets the list of members as
-// often as any other.
+// A member whose exchanges are in step with a hub's rounds gets the list of members as often as others.
 func TestMembersAreListedToEachPeer(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "h:1", Domain: "x"}, nil, 1)
 	for _, start := range []int{0, 240, 480, 720} {
