--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -96,7 +96,7 @@
 	if engine {
 		s.Service = "engines"
 	}
-	s.Name = roster.LifeName(s.ID, s.Born)
+	s.Name = roster.IncarnationName(s.ID, s.Born)
 	l, err := machine{b.net, host(a)}.listen(context.Background(), a)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/decide/roster/life_test.go
+++ b/internal/decide/roster/incarnation_test.go
@@ -9,13 +9,13 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// life is a server's entry in one of its lives.
-func life(born api.Birth, draining bool) roster.Server {
-	return roster.Server{Name: roster.LifeName("a", born), ID: "a", Born: born, Service: "s", Address: "10.0.0.1:1", Draining: draining}
+// incarnation is a server's entry in one of its lives.
+func incarnation(born api.Birth, draining bool) roster.Server {
+	return roster.Server{Name: roster.IncarnationName("a", born), ID: "a", Born: born, Service: "s", Address: "10.0.0.1:1", Draining: draining}
 }
 
 func TestLives(t *testing.T) {
-	first, second := string(roster.LifeName("a", 1000)), string(roster.LifeName("a", 2000))
+	first, second := string(roster.IncarnationName("a", 1000)), string(roster.IncarnationName("a", 2000))
 	tests := []struct {
 		name string
 		do   func(r *roster.Roster)
@@ -23,39 +23,39 @@
 		want [2]roster.State
 	}{
 		{"a later life ends the earlier one at once", func(r *roster.Roster) {
-			r.Update(at(10), []roster.Server{life(2000, false)}, false)
+			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"the notice of an earlier life is not the later one's", func(r *roster.Roster) {
 			r.Leave(at(5), api.ServerName(first))
-			r.Update(at(10), []roster.Server{life(2000, false)}, false)
+			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"a late notice of an earlier life changes nothing", func(r *roster.Roster) {
-			r.Update(at(10), []roster.Server{life(2000, false)}, false)
+			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 			r.Leave(at(20), api.ServerName(first))
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"a late entry of an earlier life changes nothing", func(r *roster.Roster) {
-			r.Update(at(10), []roster.Server{life(2000, false)}, false)
-			r.Update(at(20), []roster.Server{life(1000, true)}, false)
-			r.Update(at(30), []roster.Server{life(1000, false)}, false)
+			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
+			r.Update(at(20), []roster.Server{incarnation(1000, true)}, false)
+			r.Update(at(30), []roster.Server{incarnation(1000, false)}, false)
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"the later life leaves", func(r *roster.Roster) {
-			r.Update(at(10), []roster.Server{life(2000, false)}, false)
-			r.Update(at(20), []roster.Server{life(2000, true)}, false)
+			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
+			r.Update(at(20), []roster.Server{incarnation(2000, true)}, false)
 		}, [2]roster.State{roster.Ended, roster.Leaving}},
 		{"a later life in an outage of the store ends the earlier one, which is no lapse", func(r *roster.Roster) {
 			r.Away(at(5), true)
-			r.Update(at(10), []roster.Server{life(2000, false)}, false)
+			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"the server itself tells of a later life", func(r *roster.Roster) {
 			r.End(at(5), api.ServerName(first))
-			r.Update(at(8), []roster.Server{life(1000, false)}, false)
-			r.Update(at(10), []roster.Server{life(2000, false)}, false)
+			r.Update(at(8), []roster.Server{incarnation(1000, false)}, false)
+			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			r := settled()
-			r.Update(at(0), []roster.Server{life(1000, false)}, false)
+			r.Update(at(0), []roster.Server{incarnation(1000, false)}, false)
 			c.do(r)
 			if got := [2]roster.State{state(t, r, first), state(t, r, second)}; got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
@@ -67,19 +67,19 @@
 // The end of a life is told once, and it is forgotten without a trace on the next one.
 func TestEndedLifeIsForgotten(t *testing.T) {
 	r := settled()
-	r.Update(at(0), []roster.Server{life(1000, false)}, false)
-	l := r.Update(at(10), []roster.Server{life(2000, false)}, false)
+	r.Update(at(0), []roster.Server{incarnation(1000, false)}, false)
+	l := r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 	if len(l) != 2 || l[0].State != roster.Ended || l[1].State != roster.Ready {
 		t.Errorf("changes: got %+v, want the end of one life and another one", l)
 	}
-	if l := r.Update(at(20), []roster.Server{life(2000, false)}, false); len(l) != 0 {
+	if l := r.Update(at(20), []roster.Server{incarnation(2000, false)}, false); len(l) != 0 {
 		t.Errorf("changes of the same entry: got %+v, want none", l)
 	}
 	r.Step(at(20000))
-	if _, ok := r.Find(roster.LifeName("a", 1000)); ok {
+	if _, ok := r.Find(roster.IncarnationName("a", 1000)); ok {
 		t.Error("the life that ended: got it still, want it forgotten")
 	}
-	if l := r.Update(at(20010), []roster.Server{life(1000, false)}, false); len(l) != 0 {
+	if l := r.Update(at(20010), []roster.Server{incarnation(1000, false)}, false); len(l) != 0 {
 		t.Errorf("a late entry of it: got %+v, want nothing", l)
 	}
 }
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -93,8 +93,8 @@
 
 // Roster is the set of servers of all services.
 type Roster struct {
-	members map[api.ServerName]*Member
-	lives   lives
+	members      map[api.ServerName]*Member
+	incarnations incarnations
 	// closed holds the domains that are closed, as closures say.
 	closed   map[api.DomainName]bool
 	closures *closures
@@ -120,7 +120,7 @@
 
 // New makes a roster without servers, which the store has not answered yet.
 func New() *Roster {
-	return &Roster{members: map[api.ServerName]*Member{}, lives: lives{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, left: map[api.ServerName]Member{}, away: true}
+	return &Roster{members: map[api.ServerName]*Member{}, incarnations: incarnations{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, left: map[api.ServerName]Member{}, away: true}
 }
 
 // Away notes whether the store is unreachable.
@@ -162,14 +162,14 @@
 		m.update = r.updates
 		return nil
 	}
-	if r.lives.stale(e) {
+	if r.incarnations.stale(e) {
 		// It says nothing of the life that is known: that one stays as it is.
-		if m, ok := r.members[r.lives[e.ID].Name]; ok {
+		if m, ok := r.members[r.incarnations[e.ID].Name]; ok {
 			m.update = r.updates
 		}
 		return nil
 	}
-	l := r.begin(now, e)
+	l := r.observe(now, e)
 	if r.set(now, e, r.stated(e)) {
 		l = append(l, r.seen(e.Name))
 	}
@@ -177,9 +177,9 @@
 	return l
 }
 
-// begin notes the life of a server, and gives the one that it ends.
-func (r *Roster) begin(now time.Time, s Server) []Member {
-	e, ok := r.lives.begin(s)
+// observe notes the life of a server, and gives the one that it ends.
+func (r *Roster) observe(now time.Time, s Server) []Member {
+	e, ok := r.incarnations.observe(s)
 	if !ok {
 		return nil
 	}
@@ -271,7 +271,7 @@
 			clear(r.services)
 			l = append(l, r.seen(n))
 		case m.State.Going() && now.Sub(m.Since) > keepTime && !r.contradicted(m):
-			r.lives.forget(m.Server)
+			r.incarnations.remove(m.Server)
 			delete(r.members, n)
 			r.left[n] = *m
 			clear(r.services)
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -15,7 +15,7 @@
 	for n, at := range born {
 		x := server(n, "x", false)
 		x.ID, x.Born = api.ServerID(n), at
-		x.Name = roster.LifeName(x.ID, x.Born)
+		x.Name = roster.IncarnationName(x.ID, x.Born)
 		x.Address = string(x.Name)
 		l = append(l, x)
 	}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -61,7 +61,7 @@
 	}
 	born := api.Birth(time.Now().UnixMilli())
 	x := roster.Server{
-		Name: roster.LifeName(s.id, born), ID: s.id, Born: born, Service: s.service, Address: p.address(),
+		Name: roster.IncarnationName(s.id, born), ID: s.id, Born: born, Service: s.service, Address: p.address(),
 		Domain: domain(s.place), Slots: slots,
 	}
 	live, end := b.fleet.Start(x, s.service == engines, in)
--- a/spec/life.go
+++ b/spec/life.go
@@ -118,7 +118,7 @@
 	if mutation == mutateBirth {
 		s.Born = 0
 	}
-	s.Name = roster.LifeName(s.ID, s.Born)
+	s.Name = roster.IncarnationName(s.ID, s.Born)
 	return s
 }
 
