--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -140,7 +140,7 @@
 	var all []Choice
 	share := p.Health.share(names(l.Members))
 	for _, m := range l.Members {
-		if !m.Takes() || slices.Contains(tried, m.Name) || !p.bears(now, l, m) {
+		if !m.AcceptsRequests() || slices.Contains(tried, m.Name) || !p.bears(now, l, m) {
 			continue
 		}
 		if s, ok := p.score(now, l, m, n, share); ok {
--- a/internal/decide/placement/reserve.go
+++ b/internal/decide/placement/reserve.go
@@ -30,7 +30,7 @@
 	leaving, staying := 0, 0
 	for _, m := range l {
 		switch {
-		case !m.State.Going():
+		case !m.State.Departing():
 			staying++
 		case now.Sub(m.Since) <= leaveTime:
 			leaving++
--- a/internal/decide/placement/rest.go
+++ b/internal/decide/placement/rest.go
@@ -72,7 +72,7 @@
 	awake := false
 	for _, m := range l {
 		switch {
-		case !m.Takes():
+		case !m.AcceptsRequests():
 		case !r.Resting(now, m.Name):
 			awake = true
 		default:
--- a/internal/decide/roster/incarnation_test.go
+++ b/internal/decide/roster/incarnation_test.go
@@ -26,12 +26,12 @@
 			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"the notice of an earlier life is not the later one's", func(r *roster.Roster) {
-			r.Leave(at(5), api.ServerName(first))
+			r.MarkLeaving(at(5), api.ServerName(first))
 			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"a late notice of an earlier life changes nothing", func(r *roster.Roster) {
 			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
-			r.Leave(at(20), api.ServerName(first))
+			r.MarkLeaving(at(20), api.ServerName(first))
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"a late entry of an earlier life changes nothing", func(r *roster.Roster) {
 			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
@@ -106,14 +106,14 @@
 	}
 	a, _ := r.Find("a")
 	b, _ := r.Find("b")
-	if a.Takes() || a.State != roster.Ready || !b.Takes() {
+	if a.AcceptsRequests() || a.State != roster.Ready || !b.AcceptsRequests() {
 		t.Errorf("got a %+v and b %+v, want a ready and closed, b open", a, b)
 	}
 	// One that appears meanwhile is closed as well.
 	n := server("n", false)
 	n.Domain = "x"
 	r.Update(at(30), append(two(), n), false)
-	if m, _ := r.Find("n"); m.Takes() {
+	if m, _ := r.Find("n"); m.AcceptsRequests() {
 		t.Error("a new server of the closed domain: got it open, want it closed")
 	}
 	if _, opened := r.Close(at(40), 1, nil, warmup); !slices.Equal(opened, []api.DomainName{"x"}) {
@@ -121,7 +121,7 @@
 	}
 	a, _ = r.Find("a")
 	b, _ = r.Find("b")
-	if !a.Takes() || !a.Warm.Equal(at(1040)) || b.Warm.After(at(40)) {
+	if !a.AcceptsRequests() || !a.Warm.Equal(at(1040)) || b.Warm.After(at(40)) {
 		t.Errorf("after it opened: got a warm at %v and b at %v, want a cold for a second and b not", a.Warm, b.Warm)
 	}
 }
--- a/internal/decide/roster/leave_test.go
+++ b/internal/decide/roster/leave_test.go
@@ -16,17 +16,17 @@
 		want roster.State
 	}{
 		{"an entry that was written before", func(r *roster.Roster) {
-			r.Leave(at(10), "a")
+			r.MarkLeaving(at(10), "a")
 			r.Update(at(20), entries(ready), false)
 		}, roster.Leaving},
 		{"an entry that stays as it is", func(r *roster.Roster) {
-			r.Leave(at(10), "a")
+			r.MarkLeaving(at(10), "a")
 			r.Step(at(60_000))
 			r.Update(at(60_010), entries(ready), false)
 		}, roster.Leaving},
 		{"an entry that said so first", func(r *roster.Roster) {
 			r.Update(at(5), entries(leaving), false)
-			r.Leave(at(10), "a")
+			r.MarkLeaving(at(10), "a")
 			r.Update(at(20), entries(ready), false)
 		}, roster.Leaving},
 		{"an entry alone can take it back", func(r *roster.Roster) {
@@ -50,7 +50,7 @@
 func TestWordOfALeaveEndsWithTheEntry(t *testing.T) {
 	r := settled()
 	r.Update(at(0), []roster.Server{server("a", false)}, false)
-	r.Leave(at(10), "a")
+	r.MarkLeaving(at(10), "a")
 	r.Update(at(20_000), nil, false)
 	r.Step(at(20_010))
 	if _, ok := r.Find("a"); ok {
--- a/internal/decide/roster/restore.go
+++ b/internal/decide/roster/restore.go
@@ -22,13 +22,13 @@
 	}
 	r.era = e
 	r.entered, r.lost, r.back = now, now, now
-	for n, m := range r.left {
+	for n, m := range r.departed {
 		r.members[n] = &m
 	}
-	clear(r.left)
+	clear(r.departed)
 	for _, m := range r.members {
 		if m.State == Leaving {
-			m.said = true
+			m.announced = true
 			m.Since = now
 		}
 	}
@@ -51,7 +51,7 @@
 	if r.away {
 		return
 	}
-	maps.DeleteFunc(r.left, func(_ api.ServerName, m Member) bool {
+	maps.DeleteFunc(r.departed, func(_ api.ServerName, m Member) bool {
 		return now.Sub(m.Since) > copyTime && now.Sub(r.back) > copyTime
 	})
 }
--- a/internal/decide/roster/restore_test.go
+++ b/internal/decide/roster/restore_test.go
@@ -74,7 +74,7 @@
 	if got := state(t, r, "a"); got != roster.Ready {
 		t.Errorf("an entry that is ready again: got %v, want ready", got)
 	}
-	if l := r.Said(); len(l) != 0 {
+	if l := r.AnnouncedLeaving(); len(l) != 0 {
 		t.Errorf("servers said to leave: got %v, want none", l)
 	}
 }
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -48,8 +48,8 @@
 	return [...]string{"ready", "lapsed", "leaving", "ended"}[s]
 }
 
-// Going reports whether the server takes no new requests for good.
-func (s State) Going() bool {
+// Departing reports whether the server takes no new requests for good.
+func (s State) Departing() bool {
 	return s == Leaving || s == Ended
 }
 
@@ -67,19 +67,19 @@
 
 	// update is the last update whose entries told of the server.
 	update int
-	// said is set when the server itself told that it is leaving, which a late
+	// announced is set when the server itself told that it is leaving, which a late
 	// entry does not take back.
-	said bool
+	announced bool
 }
 
-// Silent reports whether the server went without a notice of its own.
-func (m Member) Silent() bool {
-	return m.State == Ended || m.State == Leaving && !m.Draining && !m.said
+// Unannounced reports whether the server went without a notice of its own.
+func (m Member) Unannounced() bool {
+	return m.State == Ended || m.State == Leaving && !m.Draining && !m.announced
 }
 
-// Takes reports whether new requests may be sent to the server.
-func (m Member) Takes() bool {
-	return !m.State.Going() && !m.Closed
+// AcceptsRequests reports whether new requests may be sent to the server.
+func (m Member) AcceptsRequests() bool {
+	return !m.State.Departing() && !m.Closed
 }
 
 const (
@@ -113,14 +113,14 @@
 	era api.Era
 	// entered is when the store was last seen to have come back from a copy.
 	entered time.Time
-	// left holds servers that are forgotten otherwise, for when the store comes back from a
+	// departed holds servers that are forgotten otherwise, for when the store comes back from a
 	// copy that still has them.
-	left map[api.ServerName]Member
+	departed map[api.ServerName]Member
 }
 
 // New makes a roster without servers, which the store has not answered yet.
 func New() *Roster {
-	return &Roster{members: map[api.ServerName]*Member{}, incarnations: incarnations{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, left: map[api.ServerName]Member{}, away: true}
+	return &Roster{members: map[api.ServerName]*Member{}, incarnations: incarnations{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, departed: map[api.ServerName]Member{}, away: true}
 }
 
 // Away notes whether the store is unreachable.
@@ -213,7 +213,7 @@
 	switch {
 	case ok && m.State == Ended:
 		return Ended
-	case e.Draining || ok && m.said:
+	case e.Draining || ok && m.announced:
 		return Leaving
 	default:
 		return Ready
@@ -222,7 +222,7 @@
 
 // missing is the state of a server without an entry.
 func (r *Roster) missing(now time.Time, m *Member) State {
-	if m.State.Going() {
+	if m.State.Departing() {
 		return m.State
 	}
 	if r.unsure(now) {
@@ -270,10 +270,10 @@
 			m.Since = now
 			clear(r.services)
 			l = append(l, r.seen(n))
-		case m.State.Going() && now.Sub(m.Since) > keepTime && !r.contradicted(m):
+		case m.State.Departing() && now.Sub(m.Since) > keepTime && !r.contradicted(m):
 			r.incarnations.remove(m.Server)
 			delete(r.members, n)
-			r.left[n] = *m
+			r.departed[n] = *m
 			clear(r.services)
 		}
 	}
@@ -285,16 +285,16 @@
 // contradicted reports whether a server's entry is still there though the server itself said
 // that it leaves: one that were forgotten would be taken for a new one.
 func (r *Roster) contradicted(m *Member) bool {
-	return m.said && m.State == Leaving && m.update == r.updates
+	return m.announced && m.State == Leaving && m.update == r.updates
 }
 
-// Leave notes that a server itself said that it is leaving.
-func (r *Roster) Leave(now time.Time, n api.ServerName) (Member, bool) {
+// MarkLeaving notes that a server itself said that it is leaving.
+func (r *Roster) MarkLeaving(now time.Time, n api.ServerName) (Member, bool) {
 	m, ok := r.members[n]
 	if !ok || m.State == Ended {
 		return Member{}, false
 	}
-	m.said = true
+	m.announced = true
 	if m.State == Leaving {
 		return Member{}, false
 	}
@@ -304,11 +304,11 @@
 	return r.seen(n), true
 }
 
-// Said lists the servers that themselves said that they are leaving, in order.
-func (r *Roster) Said() []api.ServerName {
+// AnnouncedLeaving lists the servers that themselves said that they are leaving, in order.
+func (r *Roster) AnnouncedLeaving() []api.ServerName {
 	var l []api.ServerName
 	for n, m := range r.members {
-		if m.said {
+		if m.announced {
 			l = append(l, n)
 		}
 	}
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -42,7 +42,7 @@
 		func() { r.Update(at(0), all, false) },
 		func() { r.Update(at(10), all[:1], false) },
 		func() { r.Update(at(20), all, false) },
-		func() { r.Leave(at(30), "a") },
+		func() { r.MarkLeaving(at(30), "a") },
 		func() { r.Close(at(40), 1, []roster.Closure{{Domain: "y"}}, warmup) },
 		func() { r.Close(at(50), 1, nil, warmup) },
 		func() { r.End(at(60), "b") },
@@ -129,7 +129,7 @@
 			r.Step(at(9000))
 		}, roster.Lapsed},
 		{"own word of leaving outlasts a late entry", func(r *roster.Roster) {
-			r.Leave(at(10), "a")
+			r.MarkLeaving(at(10), "a")
 			r.Update(at(20), []roster.Server{server("a", false)}, false)
 		}, roster.Leaving},
 		{"entry that was silent for a while", func(r *roster.Roster) {
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -103,7 +103,7 @@
 // offers is has under the mutex.
 func (g *Gateway) offers(now time.Time, d demand) bool {
 	return slices.ContainsFunc(g.engines(now, d).Members, func(m roster.Member) bool {
-		return m.Takes() && !slices.Contains(d.tried, m.Name)
+		return m.AcceptsRequests() && !slices.Contains(d.tried, m.Name)
 	})
 }
 
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -32,7 +32,7 @@
 	defer g.mutex.Unlock()
 	var l []roster.Server
 	for n := range g.runs {
-		if m, ok := g.roster.Find(n); ok && !m.State.Going() {
+		if m, ok := g.roster.Find(n); ok && !m.State.Departing() {
 			l = append(l, m.Server)
 		}
 	}
@@ -84,7 +84,7 @@
 	var c []roster.Member
 	g.mutex.Lock()
 	for _, n := range l {
-		if m, ok := g.roster.Leave(time.Now(), n); ok {
+		if m, ok := g.roster.MarkLeaving(time.Now(), n); ok {
 			c = append(c, m)
 		}
 	}
@@ -96,5 +96,5 @@
 func (g *Gateway) Leaving() []api.ServerName {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.roster.Said()
+	return g.roster.AnnouncedLeaving()
 }
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -220,7 +220,7 @@
 		}, true
 	}
 	m, ok := g.roster.Find(r.Server)
-	if !ok || !m.Takes() || d.recipient == nil && g.picker.Rests.Resting(time.Now(), m.Name) {
+	if !ok || !m.AcceptsRequests() || d.recipient == nil && g.picker.Rests.Resting(time.Now(), m.Name) {
 		return placed{}, false
 	}
 	p := placed{choice: placement.Choice{Server: m.Server, Score: r.Score, Of: r.Of}, copy: r.Copy}
@@ -233,7 +233,7 @@
 	now := time.Now()
 	p.reservation = g.reserve(now, m.Server, true, d.load())
 	p.reservation.ahead = p.choice.Load.Unread
-	if c, ok := g.roster.Find(r.Copy); ok && c.Takes() {
+	if c, ok := g.roster.Find(r.Copy); ok && c.AcceptsRequests() {
 		p.backup = &backup{at: c.Server, reservation: g.reserve(now, c.Server, true, d.copied(m.Server).load())}
 	}
 	return p, true
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -66,7 +66,7 @@
 	}
 	g.noteLeaving(l)
 	for _, m := range l {
-		if m.Silent() {
+		if m.Unannounced() {
 			g.Contents.Ended(m.Name)
 		}
 		g.Log.Emit(event.ServerState, zap.String("server", string(m.Name)), zap.String("address", m.Address), zap.String("state", m.State.String()))
@@ -76,7 +76,7 @@
 		switch s, ok := g.member(r.at().Name); {
 		case ok && s.State == roster.Ended:
 			g.watchdog.close(r)
-		case !ok || s.State.Going():
+		case !ok || s.State.Departing():
 			g.takeOff(r)
 		}
 	}
@@ -111,7 +111,7 @@
 // leaving reports whether a server takes no new requests for good.
 func (g *Gateway) leaving(n api.ServerName) bool {
 	m, ok := g.member(n)
-	return !ok || m.State.Going()
+	return !ok || m.State.Departing()
 }
 
 // takeOff moves a run off its server. A copy of it is no use while its holder takes nothing.
@@ -123,7 +123,7 @@
 // unusable reports whether a run may not go on at a server that it is not at yet.
 func (g *Gateway) unusable(s roster.Server) bool {
 	m, ok := g.member(s.Name)
-	return !ok || !m.Takes()
+	return !ok || !m.AcceptsRequests()
 }
 
 // warmup is what the cold servers of a service bear; the mutex is held.
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -74,7 +74,7 @@
 // serves reports whether a service has a server that takes requests; the mutex
 // is held.
 func (g *Gateway) serves(n api.ServiceName) bool {
-	return slices.ContainsFunc(g.roster.Service(n), roster.Member.Takes)
+	return slices.ContainsFunc(g.roster.Service(n), roster.Member.AcceptsRequests)
 }
 
 // wait waits until a demand was given a server or refused, or its caller left.
--- a/spec/life.go
+++ b/spec/life.go
@@ -138,7 +138,7 @@
 			}
 			r.Update(now, []roster.Server{n}, false)
 		case wordNotice:
-			r.Leave(now, n.Name)
+			r.MarkLeaving(now, n.Name)
 		case wordEnded:
 			if mutation == mutateReport {
 				n = lifeServer(lifeEntry{life: 2}, mutation)
