--- a/internal/decide/roster/incarnation_test.go
+++ b/internal/decide/roster/incarnation_test.go
@@ -43,7 +43,7 @@
 			r.Update(at(20), []roster.Server{incarnation(2000, true)}, false)
 		}, [2]roster.State{roster.Ended, roster.Leaving}},
 		{"a later life in an outage of the store ends the earlier one, which is no lapse", func(r *roster.Roster) {
-			r.Away(at(5), true)
+			r.SetStoreDown(at(5), true)
 			r.Update(at(10), []roster.Server{incarnation(2000, false)}, false)
 		}, [2]roster.State{roster.Ended, roster.Ready}},
 		{"the server itself tells of a later life", func(r *roster.Roster) {
--- a/internal/decide/roster/restore.go
+++ b/internal/decide/roster/restore.go
@@ -7,21 +7,21 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// copyTime is how old a copy may be that the store comes back from. It is well above the few
+// maxBackupAge is how old a copy may be that the store comes back from. It is well above the few
 // seconds that operators name, as little is remembered for it.
-const copyTime = time.Minute
+const maxBackupAge = time.Minute
 
-// Enter notes the era of the entries that follow. When the store has come back from a copy,
+// SetEra notes the era of the entries that follow. When the store has come back from a copy,
 // a missing entry may be one that was written since the copy, and is no leave until servers
 // had the time to write again; a server that is known to leave does so whatever the copy
 // says, as if the server itself had told, until its own entry can have lapsed.
-func (r *Roster) Enter(now time.Time, e api.Era) {
+func (r *Roster) SetEra(now time.Time, e api.Era) {
 	if r.updates == 0 || e <= r.era {
 		r.era = max(r.era, e)
 		return
 	}
 	r.era = e
-	r.entered, r.lost, r.back = now, now, now
+	r.restoredAt, r.outageStart, r.outageEnd = now, now, now
 	for n, m := range r.departed {
 		r.members[n] = &m
 	}
@@ -39,19 +39,19 @@
 // was made is not warm because the copy says so, until it had the time to write again.
 func (r *Roster) warm(now time.Time, m *Member, s Server) time.Time {
 	w := now.Add(s.Cold)
-	if w.Before(m.Warm) && !r.entered.IsZero() && now.Sub(r.entered) < returnTime {
+	if w.Before(m.Warm) && !r.restoredAt.IsZero() && now.Sub(r.restoredAt) < returnTime {
 		return m.Warm
 	}
 	return w
 }
 
-// forgetLeft drops the servers that left before any copy that the store may come back from. In
+// expireDeparted drops the servers that left before any copy that the store may come back from. In
 // an outage none is dropped: the copy is older than the outage, however long that lasts.
-func (r *Roster) forgetLeft(now time.Time) {
-	if r.away {
+func (r *Roster) expireDeparted(now time.Time) {
+	if r.storeDown {
 		return
 	}
 	maps.DeleteFunc(r.departed, func(_ api.ServerName, m Member) bool {
-		return now.Sub(m.Since) > copyTime && now.Sub(r.back) > copyTime
+		return now.Sub(m.Since) > maxBackupAge && now.Sub(r.outageEnd) > maxBackupAge
 	})
 }
--- a/internal/decide/roster/restore_test.go
+++ b/internal/decide/roster/restore_test.go
@@ -40,21 +40,21 @@
 		{"forgotten in an outage that lasts", func(r *roster.Roster) {
 			r.Update(at(-3600000), entries(a), false)
 			r.Update(at(-3599000), nil, false)
-			r.Away(at(-3598000), true)
+			r.SetStoreDown(at(-3598000), true)
 			r.Step(at(-3500000))
 			r.Step(at(0))
-			r.Away(at(19000), false)
+			r.SetStoreDown(at(19000), false)
 		}, entries(a), 4000, entries(a), roster.Leaving},
 		{"known to have started again stays so", func(r *roster.Roster) { r.Update(at(0), entries(a), false) }, entries(a), 1000, entries(a), roster.Ready},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			r := settled()
-			r.Enter(at(0), 1)
+			r.SetEra(at(0), 1)
 			c.before(r)
-			r.Enter(at(20000), 2)
+			r.SetEra(at(20000), 2)
 			r.Update(at(20000), c.copy, false)
-			r.Enter(at(20000+c.at), 2)
+			r.SetEra(at(20000+c.at), 2)
 			r.Update(at(20000+c.at), c.later, false)
 			r.Step(at(20000 + c.at))
 			if got := state(t, r, "a"); got != c.want {
@@ -67,9 +67,9 @@
 // The first entries, and those of the same era, change nothing of what is known.
 func TestSameEraChangesNothing(t *testing.T) {
 	r := settled()
-	r.Enter(at(0), 7)
+	r.SetEra(at(0), 7)
 	r.Update(at(0), []roster.Server{server("a", true)}, false)
-	r.Enter(at(10), 7)
+	r.SetEra(at(10), 7)
 	r.Update(at(10), []roster.Server{server("a", false)}, false)
 	if got := state(t, r, "a"); got != roster.Ready {
 		t.Errorf("an entry that is ready again: got %v, want ready", got)
@@ -84,10 +84,10 @@
 	r := settled()
 	warm, cold := server("a", false), server("a", false)
 	cold.Cold = 4 * time.Second
-	r.Enter(at(0), 1)
+	r.SetEra(at(0), 1)
 	r.Update(at(0), []roster.Server{warm}, false)
 	r.Update(at(10), []roster.Server{cold}, false)
-	r.Enter(at(100), 2)
+	r.SetEra(at(100), 2)
 	r.Update(at(100), []roster.Server{warm}, false)
 	if m, _ := r.Find("a"); !m.Warm.Equal(at(4010)) {
 		t.Errorf("after the copy: got warm at %v, want %v", m.Warm, at(4010))
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -102,17 +102,17 @@
 	// since each choice looks at all of them.
 	services map[api.ServiceName][]Member
 	// updates counts the updates.
-	updates int
-	away    bool
-	// lost is when the store's last outage began, back when it answered again.
-	lost time.Time
-	back time.Time
-	// vouched is when a peer that the store answers last gave its view.
-	vouched time.Time
+	updates   int
+	storeDown bool
+	// outageStart is when the store's last outage began, back when it answered again.
+	outageStart time.Time
+	outageEnd   time.Time
+	// vouchedAt is when a peer that the store answers last gave its view.
+	vouchedAt time.Time
 	// era is the history of the store that the entries are of.
 	era api.Era
-	// entered is when the store was last seen to have come back from a copy.
-	entered time.Time
+	// restoredAt is when the store was last seen to have come back from a copy.
+	restoredAt time.Time
 	// departed holds servers that are forgotten otherwise, for when the store comes back from a
 	// copy that still has them.
 	departed map[api.ServerName]Member
@@ -120,18 +120,18 @@
 
 // New makes a roster without servers, which the store has not answered yet.
 func New() *Roster {
-	return &Roster{members: map[api.ServerName]*Member{}, incarnations: incarnations{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, departed: map[api.ServerName]Member{}, away: true}
+	return &Roster{members: map[api.ServerName]*Member{}, incarnations: incarnations{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, departed: map[api.ServerName]Member{}, storeDown: true}
 }
 
-// Away notes whether the store is unreachable.
-func (r *Roster) Away(now time.Time, away bool) {
+// SetStoreDown notes whether the store is unreachable.
+func (r *Roster) SetStoreDown(now time.Time, down bool) {
 	switch {
-	case r.away && !away:
-		r.back = now
-	case !r.away && away:
-		r.lost = now
+	case r.storeDown && !down:
+		r.outageEnd = now
+	case !r.storeDown && down:
+		r.outageStart = now
 	}
-	r.away = away
+	r.storeDown = down
 }
 
 // Update takes the entries as the store has them and gives the servers whose
@@ -139,7 +139,7 @@
 // answered for long enough, so that a missing entry is no lapse.
 func (r *Roster) Update(now time.Time, entries []Server, vouched bool) []Member {
 	if vouched {
-		r.vouched = now
+		r.vouchedAt = now
 	}
 	r.updates++
 	var l []Member
@@ -234,7 +234,7 @@
 // unsure reports whether entries may be missing for an outage of the store. An
 // outage in which a peer vouched for its view was of this entry VM alone.
 func (r *Roster) unsure(now time.Time) bool {
-	return (r.away || now.Sub(r.back) < returnTime) && !r.vouched.After(r.lost)
+	return (r.storeDown || now.Sub(r.outageEnd) < returnTime) && !r.vouchedAt.After(r.outageStart)
 }
 
 // set reports whether the state is new.
@@ -277,7 +277,7 @@
 			clear(r.services)
 		}
 	}
-	r.forgetLeft(now)
+	r.expireDeparted(now)
 	sortMembers(l)
 	return l
 }
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -21,7 +21,7 @@
 // settled gives a roster that the store has answered for long.
 func settled() *roster.Roster {
 	r := roster.New()
-	r.Away(at(-10000000), false)
+	r.SetStoreDown(at(-10000000), false)
 	return r
 }
 
@@ -81,35 +81,35 @@
 		{"draining entry", func(r *roster.Roster) { r.Update(at(10), []roster.Server{server("a", true)}, false) }, roster.Leaving},
 		{"entry gone while the store is well", func(r *roster.Roster) { r.Update(at(10), nil, false) }, roster.Leaving},
 		{"entry gone in an outage", func(r *roster.Roster) {
-			r.Away(at(10), true)
+			r.SetStoreDown(at(10), true)
 			r.Update(at(20), nil, false)
 		}, roster.Lapsed},
 		{"entry gone right after an outage", func(r *roster.Roster) {
-			r.Away(at(10), true)
-			r.Away(at(5000), false)
+			r.SetStoreDown(at(10), true)
+			r.SetStoreDown(at(5000), false)
 			r.Update(at(5010), nil, false)
 		}, roster.Lapsed},
 		{"entry back after an outage", func(r *roster.Roster) {
-			r.Away(at(10), true)
-			r.Away(at(5000), false)
+			r.SetStoreDown(at(10), true)
+			r.SetStoreDown(at(5000), false)
 			r.Update(at(5010), nil, false)
 			r.Update(at(6000), []roster.Server{server("a", false)}, false)
 		}, roster.Ready},
 		{"entry gone in the view of a peer while this VM alone is turned away", func(r *roster.Roster) {
-			r.Away(at(10), true)
+			r.SetStoreDown(at(10), true)
 			r.Update(at(20), nil, true)
 		}, roster.Leaving},
 		{"entry gone after an outage of this VM alone", func(r *roster.Roster) {
-			r.Away(at(10), true)
+			r.SetStoreDown(at(10), true)
 			r.Update(at(20), []roster.Server{server("a", false)}, true)
-			r.Away(at(5000), false)
+			r.SetStoreDown(at(5000), false)
 			r.Update(at(5010), nil, false)
 		}, roster.Leaving},
 		{"entry gone in an outage of all after one of this VM alone", func(r *roster.Roster) {
-			r.Away(at(10), true)
+			r.SetStoreDown(at(10), true)
 			r.Update(at(20), []roster.Server{server("a", false)}, true)
-			r.Away(at(5000), false)
-			r.Away(at(9000), true)
+			r.SetStoreDown(at(5000), false)
+			r.SetStoreDown(at(9000), true)
 			r.Update(at(9010), nil, false)
 		}, roster.Lapsed},
 		{"entry gone before the store ever answered", func(r *roster.Roster) {
@@ -118,13 +118,13 @@
 			r.Update(at(20), nil, false)
 		}, roster.Lapsed},
 		{"entry still missing after the time to return", func(r *roster.Roster) {
-			r.Away(at(10), true)
-			r.Away(at(5000), false)
+			r.SetStoreDown(at(10), true)
+			r.SetStoreDown(at(5000), false)
 			r.Update(at(5010), nil, false)
 			r.Step(at(7010))
 		}, roster.Leaving},
 		{"lapse lasts as long as the outage", func(r *roster.Roster) {
-			r.Away(at(10), true)
+			r.SetStoreDown(at(10), true)
 			r.Update(at(20), nil, false)
 			r.Step(at(9000))
 		}, roster.Lapsed},
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -23,7 +23,7 @@
 	}
 	now := time.Now()
 	g.mutex.Lock()
-	g.roster.Enter(now, s.At.Era())
+	g.roster.SetEra(now, s.At.Era())
 	c := g.roster.Update(now, l, s.Settled)
 	g.mutex.Unlock()
 	g.changed(c)
@@ -33,7 +33,7 @@
 func (g *Gateway) Away(away bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.roster.Away(time.Now(), away)
+	g.roster.SetStoreDown(time.Now(), away)
 }
 
 // Step lets lapses end, and shares the bound on repeated sends anew.
--- a/spec/life.go
+++ b/spec/life.go
@@ -126,7 +126,7 @@
 func lifeRoster(s lifeState, mutation string) *roster.Roster {
 	r := roster.New()
 	now := time.Unix(100, 0)
-	r.Away(now.Add(-time.Minute), false)
+	r.SetStoreDown(now.Add(-time.Minute), false)
 	later := false
 	for _, w := range s.log[:s.used] {
 		n := lifeServer(w.entry, mutation)
