--- a/internal/decide/roster/bench_test.go
+++ b/internal/decide/roster/bench_test.go
@@ -35,7 +35,7 @@
 			l = append(l, o.Value)
 		}
 		r.Update(time.Now(), l, false)
-		r.Step(time.Now())
+		r.Expire(time.Now())
 	}
 }
 
--- a/internal/decide/roster/incarnation_test.go
+++ b/internal/decide/roster/incarnation_test.go
@@ -75,7 +75,7 @@
 	if l := r.Update(at(20), []roster.Server{incarnation(2000, false)}, false); len(l) != 0 {
 		t.Errorf("changes of the same entry: got %+v, want none", l)
 	}
-	r.Step(at(20000))
+	r.Expire(at(20000))
 	if _, ok := r.Find(roster.IncarnationName("a", 1000)); ok {
 		t.Error("the life that ended: got it still, want it forgotten")
 	}
--- a/internal/decide/roster/leave_test.go
+++ b/internal/decide/roster/leave_test.go
@@ -21,7 +21,7 @@
 		}, roster.Leaving},
 		{"an entry that stays as it is", func(r *roster.Roster) {
 			r.MarkLeaving(at(10), "a")
-			r.Step(at(60_000))
+			r.Expire(at(60_000))
 			r.Update(at(60_010), entries(ready), false)
 		}, roster.Leaving},
 		{"an entry that said so first", func(r *roster.Roster) {
@@ -52,7 +52,7 @@
 	r.Update(at(0), []roster.Server{server("a", false)}, false)
 	r.MarkLeaving(at(10), "a")
 	r.Update(at(20_000), nil, false)
-	r.Step(at(20_010))
+	r.Expire(at(20_010))
 	if _, ok := r.Find("a"); ok {
 		t.Error("after its entry was removed: got it still, want it forgotten")
 	}
--- a/internal/decide/roster/restore.go
+++ b/internal/decide/roster/restore.go
@@ -39,7 +39,7 @@
 // was made is not warm because the copy says so, until it had the time to write again.
 func (r *Roster) warm(now time.Time, m *Member, s Server) time.Time {
 	w := now.Add(s.Cold)
-	if w.Before(m.Warm) && !r.restoredAt.IsZero() && now.Sub(r.restoredAt) < returnTime {
+	if w.Before(m.Warm) && !r.restoredAt.IsZero() && now.Sub(r.restoredAt) < rewriteTime {
 		return m.Warm
 	}
 	return w
--- a/internal/decide/roster/restore_test.go
+++ b/internal/decide/roster/restore_test.go
@@ -35,14 +35,14 @@
 		{"forgotten is remembered", func(r *roster.Roster) {
 			r.Update(at(0), entries(a), false)
 			r.Update(at(10), nil, false)
-			r.Step(at(16000))
+			r.Expire(at(16000))
 		}, entries(a), 4000, entries(a), roster.Leaving},
 		{"forgotten in an outage that lasts", func(r *roster.Roster) {
 			r.Update(at(-3600000), entries(a), false)
 			r.Update(at(-3599000), nil, false)
 			r.SetStoreDown(at(-3598000), true)
-			r.Step(at(-3500000))
-			r.Step(at(0))
+			r.Expire(at(-3500000))
+			r.Expire(at(0))
 			r.SetStoreDown(at(19000), false)
 		}, entries(a), 4000, entries(a), roster.Leaving},
 		{"known to have started again stays so", func(r *roster.Roster) { r.Update(at(0), entries(a), false) }, entries(a), 1000, entries(a), roster.Ready},
@@ -56,7 +56,7 @@
 			r.Update(at(20000), c.copy, false)
 			r.SetEra(at(20000+c.at), 2)
 			r.Update(at(20000+c.at), c.later, false)
-			r.Step(at(20000 + c.at))
+			r.Expire(at(20000 + c.at))
 			if got := state(t, r, "a"); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -65,8 +65,8 @@
 	// Closed is set while operators have closed the server's failure domain.
 	Closed bool
 
-	// update is the last update whose entries told of the server.
-	update int
+	// lastUpdate is the last lastUpdate whose entries told of the server.
+	lastUpdate int
 	// announced is set when the server itself told that it is leaving, which a late
 	// entry does not take back.
 	announced bool
@@ -83,12 +83,12 @@
 }
 
 const (
-	// returnTime is how long after an outage of the store entries that lapsed
+	// rewriteTime is how long after an outage of the store entries that lapsed
 	// may take to be written again; the operators give two seconds.
-	returnTime = 2 * time.Second
-	// keepTime is how long a server that left is remembered, so that runs still
+	rewriteTime = 2 * time.Second
+	// departedRetention is how long a server that left is remembered, so that runs still
 	// on it can be moved; no server serves longer after its notice.
-	keepTime = 15 * time.Second
+	departedRetention = 15 * time.Second
 )
 
 // Roster is the set of servers of all services.
@@ -144,36 +144,36 @@
 	r.updates++
 	var l []Member
 	for _, e := range entries {
-		l = append(l, r.take(now, e)...)
+		l = append(l, r.applyEntry(now, e)...)
 	}
 	for n, m := range r.members {
-		if m.update != r.updates && r.set(now, m.Server, r.missing(now, m)) {
-			l = append(l, r.seen(n))
+		if m.lastUpdate != r.updates && r.setState(now, m.Server, r.missingState(now, m)) {
+			l = append(l, r.snapshot(n))
 		}
 	}
 	sortMembers(l)
 	return l
 }
 
-// take takes one entry and gives the servers whose state has changed by it.
-func (r *Roster) take(now time.Time, e Server) []Member {
+// applyEntry takes one entry and gives the servers whose state has changed by it.
+func (r *Roster) applyEntry(now time.Time, e Server) []Member {
 	if m, ok := r.members[e.Name]; ok && m.State == Ready && m.Server == e && !e.Draining {
 		// Nearly all entries of an update say nothing new.
-		m.update = r.updates
+		m.lastUpdate = r.updates
 		return nil
 	}
 	if r.incarnations.stale(e) {
 		// It says nothing of the life that is known: that one stays as it is.
 		if m, ok := r.members[r.incarnations[e.ID].Name]; ok {
-			m.update = r.updates
+			m.lastUpdate = r.updates
 		}
 		return nil
 	}
 	l := r.observe(now, e)
-	if r.set(now, e, r.stated(e)) {
-		l = append(l, r.seen(e.Name))
+	if r.setState(now, e, r.entryState(e)) {
+		l = append(l, r.snapshot(e.Name))
 	}
-	r.members[e.Name].update = r.updates
+	r.members[e.Name].lastUpdate = r.updates
 	return l
 }
 
@@ -194,21 +194,21 @@
 // itself.
 func (r *Roster) End(now time.Time, n api.ServerName) (Member, bool) {
 	m, ok := r.members[n]
-	if !ok || !r.set(now, m.Server, Ended) {
+	if !ok || !r.setState(now, m.Server, Ended) {
 		return Member{}, false
 	}
-	return r.seen(n), true
+	return r.snapshot(n), true
 }
 
-// seen gives a member as others are told of it.
-func (r *Roster) seen(n api.ServerName) Member {
+// snapshot gives a member as others are told of it.
+func (r *Roster) snapshot(n api.ServerName) Member {
 	m := *r.members[n]
 	m.Closed = r.closed[m.Domain]
 	return m
 }
 
-// stated is the state of a server with an entry.
-func (r *Roster) stated(e Server) State {
+// entryState is the state of a server with an entry.
+func (r *Roster) entryState(e Server) State {
 	m, ok := r.members[e.Name]
 	switch {
 	case ok && m.State == Ended:
@@ -220,25 +220,25 @@
 	}
 }
 
-// missing is the state of a server without an entry.
-func (r *Roster) missing(now time.Time, m *Member) State {
+// missingState is the state of a server without an entry.
+func (r *Roster) missingState(now time.Time, m *Member) State {
 	if m.State.Departing() {
 		return m.State
 	}
-	if r.unsure(now) {
+	if r.entriesUncertain(now) {
 		return Lapsed
 	}
 	return Leaving
 }
 
-// unsure reports whether entries may be missing for an outage of the store. An
+// entriesUncertain reports whether entries may be missing for an outage of the store. An
 // outage in which a peer vouched for its view was of this entry VM alone.
-func (r *Roster) unsure(now time.Time) bool {
-	return (r.storeDown || now.Sub(r.outageEnd) < returnTime) && !r.vouchedAt.After(r.outageStart)
+func (r *Roster) entriesUncertain(now time.Time) bool {
+	return (r.storeDown || now.Sub(r.outageEnd) < rewriteTime) && !r.vouchedAt.After(r.outageStart)
 }
 
-// set reports whether the state is new.
-func (r *Roster) set(now time.Time, s Server, t State) bool {
+// setState reports whether the state is new.
+func (r *Roster) setState(now time.Time, s Server, t State) bool {
 	m, ok := r.members[s.Name]
 	if !ok {
 		m = &Member{State: t, Since: now}
@@ -259,18 +259,18 @@
 	return changed
 }
 
-// Step ends lapses that lasted too long and forgets servers that left; it
+// Expire ends lapses that lasted too long and forgets servers that left; it
 // gives those whose state has changed.
-func (r *Roster) Step(now time.Time) []Member {
+func (r *Roster) Expire(now time.Time) []Member {
 	var l []Member
 	for n, m := range r.members {
 		switch {
-		case m.State == Lapsed && !r.unsure(now):
+		case m.State == Lapsed && !r.entriesUncertain(now):
 			m.State = Leaving
 			m.Since = now
 			clear(r.services)
-			l = append(l, r.seen(n))
-		case m.State.Departing() && now.Sub(m.Since) > keepTime && !r.contradicted(m):
+			l = append(l, r.snapshot(n))
+		case m.State.Departing() && now.Sub(m.Since) > departedRetention && !r.entryRemains(m):
 			r.incarnations.remove(m.Server)
 			delete(r.members, n)
 			r.departed[n] = *m
@@ -282,10 +282,10 @@
 	return l
 }
 
-// contradicted reports whether a server's entry is still there though the server itself said
+// entryRemains reports whether a server's entry is still there though the server itself said
 // that it leaves: one that were forgotten would be taken for a new one.
-func (r *Roster) contradicted(m *Member) bool {
-	return m.announced && m.State == Leaving && m.update == r.updates
+func (r *Roster) entryRemains(m *Member) bool {
+	return m.announced && m.State == Leaving && m.lastUpdate == r.updates
 }
 
 // MarkLeaving notes that a server itself said that it is leaving.
@@ -301,7 +301,7 @@
 	m.State = Leaving
 	m.Since = now
 	clear(r.services)
-	return r.seen(n), true
+	return r.snapshot(n), true
 }
 
 // AnnouncedLeaving lists the servers that themselves said that they are leaving, in order.
@@ -321,7 +321,7 @@
 	if _, ok := r.members[n]; !ok {
 		return Member{}, false
 	}
-	return r.seen(n), true
+	return r.snapshot(n), true
 }
 
 // Service lists the servers of a service in order of name; the list is not to be
@@ -333,7 +333,7 @@
 	var l []Member
 	for n, m := range r.members {
 		if m.Service == s {
-			l = append(l, r.seen(n))
+			l = append(l, r.snapshot(n))
 		}
 	}
 	sortMembers(l)
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -46,7 +46,7 @@
 		func() { r.Close(at(40), 1, []roster.Closure{{Domain: "y"}}, warmup) },
 		func() { r.Close(at(50), 1, nil, warmup) },
 		func() { r.End(at(60), "b") },
-		func() { r.Step(at(60000)) },
+		func() { r.Expire(at(60000)) },
 		func() { r.Update(at(60010), all, false) },
 		func() {
 			all[1].Slots++
@@ -121,12 +121,12 @@
 			r.SetStoreDown(at(10), true)
 			r.SetStoreDown(at(5000), false)
 			r.Update(at(5010), nil, false)
-			r.Step(at(7010))
+			r.Expire(at(7010))
 		}, roster.Leaving},
 		{"lapse lasts as long as the outage", func(r *roster.Roster) {
 			r.SetStoreDown(at(10), true)
 			r.Update(at(20), nil, false)
-			r.Step(at(9000))
+			r.Expire(at(9000))
 		}, roster.Lapsed},
 		{"own word of leaving outlasts a late entry", func(r *roster.Roster) {
 			r.MarkLeaving(at(10), "a")
@@ -163,7 +163,7 @@
 func TestServerThatLeftIsForgotten(t *testing.T) {
 	r := settled()
 	r.Update(at(0), []roster.Server{server("a", true)}, false)
-	r.Step(at(20000))
+	r.Expire(at(20000))
 	if _, ok := r.Find("a"); ok {
 		t.Error("20 s after its notice: got the server, want none")
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -40,7 +40,7 @@
 func (g *Gateway) Step() {
 	now := time.Now()
 	g.mutex.Lock()
-	c := g.roster.Step(now)
+	c := g.roster.Expire(now)
 	known := func(n api.ServerName) bool {
 		_, ok := g.roster.Find(n)
 		return ok
