--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -76,7 +76,7 @@
 				b.load(c.vms, c.load, 2*time.Second, c.path)
 				s := b.servers[0]
 				e := s.Server
-				e.Cold = coldTime
+				e.ColdFor = coldTime
 				b.pool.entries.put(string(s.ID), e)
 				// What was on its way when it wrote its entry is not counted.
 				from := time.Now().Add(time.Second)
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -157,7 +157,7 @@
 		return false
 	}
 	rate := l.warmup(m)
-	if rate != 0 && now.Before(m.Warm) && !p.Sends.allows(now, m.Name, m.Warm, rate) {
+	if rate != 0 && now.Before(m.WarmAt) && !p.Sends.allows(now, m.Name, m.WarmAt, rate) {
 		return false
 	}
 	return p.within(now, l, m)
@@ -256,7 +256,7 @@
 	if m.Domain != l.Domain {
 		s += away
 	}
-	if now.Before(m.Warm) {
+	if now.Before(m.WarmAt) {
 		s += cold
 	}
 	if _, ok := p.Limits.Find(m.Name); ok {
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -20,7 +20,7 @@
 // coldMember is a server that is warm in so many seconds.
 func coldMember(n string, s int) roster.Member {
 	m := member(n, "x", roster.Ready)
-	m.Warm = begin.Add(time.Duration(s) * time.Second)
+	m.WarmAt = begin.Add(time.Duration(s) * time.Second)
 	return m
 }
 
--- a/internal/decide/placement/warmup_test.go
+++ b/internal/decide/placement/warmup_test.go
@@ -14,7 +14,7 @@
 func coldPool(engine, exact bool, rate float64, choosers int) placement.Pool {
 	l := placement.Pool{
 		Domain: "x", Exact: exact, Warmup: placement.Warmup{Rate: rate, Choosers: choosers},
-		Members: []roster.Member{{Server: roster.Server{Name: "a", Domain: "x", Slots: 1000}, Warm: time.Unix(1000, 0)}},
+		Members: []roster.Member{{Server: roster.Server{Name: "a", Domain: "x", Slots: 1000}, WarmAt: time.Unix(1000, 0)}},
 	}
 	if engine {
 		l.Memory = 1 << 40
@@ -90,7 +90,7 @@
 			if _, got := p.Pick(now.Add(500*time.Millisecond), c.pool, placement.Need{}, nil); got != c.want {
 				t.Errorf("chosen: got %v, want %v", got, c.want)
 			}
-			c.pool.Members[0].Warm = now
+			c.pool.Members[0].WarmAt = now
 			if _, got := p.Pick(now.Add(500*time.Millisecond), c.pool, placement.Need{}, nil); !got {
 				t.Error("once it is warm: got it not chosen, want it chosen")
 			}
--- a/internal/decide/roster/closure.go
+++ b/internal/decide/roster/closure.go
@@ -141,8 +141,8 @@
 	r.closed = is
 	clear(r.services)
 	for _, m := range r.members {
-		if w := now.Add(warmup(m.Service)); slices.Contains(opened, m.Domain) && w.After(m.Warm) {
-			m.Warm = w
+		if w := now.Add(warmup(m.Service)); slices.Contains(opened, m.Domain) && w.After(m.WarmAt) {
+			m.WarmAt = w
 		}
 	}
 	slices.Sort(closed)
--- a/internal/decide/roster/incarnation_test.go
+++ b/internal/decide/roster/incarnation_test.go
@@ -121,7 +121,7 @@
 	}
 	a, _ = r.Find("a")
 	b, _ = r.Find("b")
-	if !a.AcceptsRequests() || !a.Warm.Equal(at(1040)) || b.Warm.After(at(40)) {
-		t.Errorf("after it opened: got a warm at %v and b at %v, want a cold for a second and b not", a.Warm, b.Warm)
+	if !a.AcceptsRequests() || !a.WarmAt.Equal(at(1040)) || b.WarmAt.After(at(40)) {
+		t.Errorf("after it opened: got a warm at %v and b at %v, want a cold for a second and b not", a.WarmAt, b.WarmAt)
 	}
 }
--- a/internal/decide/roster/restore.go
+++ b/internal/decide/roster/restore.go
@@ -35,12 +35,12 @@
 	clear(r.services)
 }
 
-// warm is when a server is no longer slow by its entry. One that turned cold after the copy
-// was made is not warm because the copy says so, until it had the time to write again.
-func (r *Roster) warm(now time.Time, m *Member, s Server) time.Time {
-	w := now.Add(s.Cold)
-	if w.Before(m.Warm) && !r.restoredAt.IsZero() && now.Sub(r.restoredAt) < rewriteTime {
-		return m.Warm
+// warmAt is when a server is no longer slow by its entry. One that turned cold after the copy
+// was made is not warmAt because the copy says so, until it had the time to write again.
+func (r *Roster) warmAt(now time.Time, m *Member, s Server) time.Time {
+	w := now.Add(s.ColdFor)
+	if w.Before(m.WarmAt) && !r.restoredAt.IsZero() && now.Sub(r.restoredAt) < rewriteTime {
+		return m.WarmAt
 	}
 	return w
 }
--- a/internal/decide/roster/restore_test.go
+++ b/internal/decide/roster/restore_test.go
@@ -83,19 +83,19 @@
 func TestColdOutlastsACopy(t *testing.T) {
 	r := settled()
 	warm, cold := server("a", false), server("a", false)
-	cold.Cold = 4 * time.Second
+	cold.ColdFor = 4 * time.Second
 	r.SetEra(at(0), 1)
 	r.Update(at(0), []roster.Server{warm}, false)
 	r.Update(at(10), []roster.Server{cold}, false)
 	r.SetEra(at(100), 2)
 	r.Update(at(100), []roster.Server{warm}, false)
-	if m, _ := r.Find("a"); !m.Warm.Equal(at(4010)) {
-		t.Errorf("after the copy: got warm at %v, want %v", m.Warm, at(4010))
+	if m, _ := r.Find("a"); !m.WarmAt.Equal(at(4010)) {
+		t.Errorf("after the copy: got warm at %v, want %v", m.WarmAt, at(4010))
 	}
-	cold.Cold = time.Second
+	cold.ColdFor = time.Second
 	r.Update(at(2500), []roster.Server{cold}, false)
-	if m, _ := r.Find("a"); !m.Warm.Equal(at(3500)) {
-		t.Errorf("after it wrote again: got warm at %v, want %v", m.Warm, at(3500))
+	if m, _ := r.Find("a"); !m.WarmAt.Equal(at(3500)) {
+		t.Errorf("after it wrote again: got warm at %v, want %v", m.WarmAt, at(3500))
 	}
 }
 
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -23,8 +23,8 @@
 	Slots   int
 	// Draining is set by a server that is about to end.
 	Draining bool
-	// Cold is how much longer the server was slow when it wrote its entry.
-	Cold time.Duration
+	// ColdFor is how much longer the server was slow when it wrote its entry.
+	ColdFor time.Duration
 }
 
 // State tells what a server may be used for.
@@ -60,8 +60,8 @@
 	// Since is when the state was first seen.
 	Since time.Time
 
-	// Warm is when the server is no longer slow after its start.
-	Warm time.Time
+	// WarmAt is when the server is no longer slow after its start.
+	WarmAt time.Time
 	// Closed is set while operators have closed the server's failure domain.
 	Closed bool
 
@@ -249,7 +249,7 @@
 		m.Since = now
 	}
 	if m.Server != s {
-		m.Warm = r.warm(now, m, s)
+		m.WarmAt = r.warmAt(now, m, s)
 	}
 	if changed || m.Server != s {
 		clear(r.services)
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -172,17 +172,17 @@
 // A server is slow for as long as it said, counted from its newest entry.
 func TestColdServersWarmUp(t *testing.T) {
 	r := roster.New()
-	e := roster.Server{Name: "a", Service: "s", Cold: 2 * time.Second}
+	e := roster.Server{Name: "a", Service: "s", ColdFor: 2 * time.Second}
 	warm := func() time.Time {
 		m, _ := r.Find("a")
-		return m.Warm
+		return m.WarmAt
 	}
 	r.Update(at(0), []roster.Server{e}, true)
 	r.Update(at(1000), []roster.Server{e}, true)
 	if got, want := warm(), at(2000); !got.Equal(want) {
 		t.Errorf("the same entry again: got warm at %v, want %v", got, want)
 	}
-	e.Cold = 0
+	e.ColdFor = 0
 	r.Update(at(1500), []roster.Server{e}, true)
 	if got, want := warm(), at(1500); !got.Equal(want) {
 		t.Errorf("a newer entry: got warm at %v, want %v", got, want)
