--- a/internal/decide/roster/incarnation_test.go
+++ b/internal/decide/roster/incarnation_test.go
@@ -97,11 +97,11 @@
 	r := settled()
 	r.Update(at(0), two(), false)
 	x := []roster.Closure{{Domain: "x"}}
-	closed, opened := r.Close(at(10), 1, x, warmup)
+	closed, opened := r.SetClosures(at(10), 1, x, warmup)
 	if !slices.Equal(closed, []api.DomainName{"x"}) || len(opened) != 0 {
 		t.Errorf("got closed %v opened %v, want x closed", closed, opened)
 	}
-	if c, o := r.Close(at(20), 1, x, warmup); len(c)+len(o) != 0 {
+	if c, o := r.SetClosures(at(20), 1, x, warmup); len(c)+len(o) != 0 {
 		t.Errorf("the same again: got %v and %v, want no change", c, o)
 	}
 	a, _ := r.Find("a")
@@ -116,7 +116,7 @@
 	if m, _ := r.Find("n"); m.AcceptsRequests() {
 		t.Error("a new server of the closed domain: got it open, want it closed")
 	}
-	if _, opened := r.Close(at(40), 1, nil, warmup); !slices.Equal(opened, []api.DomainName{"x"}) {
+	if _, opened := r.SetClosures(at(40), 1, nil, warmup); !slices.Equal(opened, []api.DomainName{"x"}) {
 		t.Errorf("got opened %v, want x", opened)
 	}
 	a, _ = r.Find("a")
--- a/internal/decide/roster/restore_test.go
+++ b/internal/decide/roster/restore_test.go
@@ -107,36 +107,36 @@
 		do   func(r *roster.Roster)
 		want bool
 	}{
-		{"lost with the copy", func(r *roster.Roster) { r.Close(at(100), 2, nil, warmup) }, true},
+		{"lost with the copy", func(r *roster.Roster) { r.SetClosures(at(100), 2, nil, warmup) }, true},
 		{"until its time is over", func(r *roster.Roster) {
-			r.Close(at(100), 2, nil, warmup)
-			r.Reopen(at(30200), warmup)
+			r.SetClosures(at(100), 2, nil, warmup)
+			r.ExpireClosures(at(30200), warmup)
 		}, false},
 		{"written again", func(r *roster.Roster) {
-			r.Close(at(100), 2, nil, warmup)
-			r.Close(at(200), 2, x, warmup)
-			r.Reopen(at(60000), warmup)
+			r.SetClosures(at(100), 2, nil, warmup)
+			r.SetClosures(at(200), 2, x, warmup)
+			r.ExpireClosures(at(60000), warmup)
 		}, true},
 		{"written again and opened", func(r *roster.Roster) {
-			r.Close(at(100), 2, nil, warmup)
-			r.Close(at(200), 2, x, warmup)
-			r.Close(at(300), 2, nil, warmup)
+			r.SetClosures(at(100), 2, nil, warmup)
+			r.SetClosures(at(200), 2, x, warmup)
+			r.SetClosures(at(300), 2, nil, warmup)
 		}, false},
 		{"a peer's older word of it after that", func(r *roster.Roster) {
-			r.Close(at(100), 2, x, warmup)
-			r.Close(at(200), 2, nil, warmup)
-			r.KeepClosed(at(300), []api.KeptClosure{{Domain: "x", LeftMS: 20000}}, warmup)
+			r.SetClosures(at(100), 2, x, warmup)
+			r.SetClosures(at(200), 2, nil, warmup)
+			r.MergeRetainedClosures(at(300), []api.KeptClosure{{Domain: "x", LeftMS: 20000}}, warmup)
 		}, false},
-		{"opened in the same era", func(r *roster.Roster) { r.Close(at(100), 1, nil, warmup) }, false},
+		{"opened in the same era", func(r *roster.Roster) { r.SetClosures(at(100), 1, nil, warmup) }, false},
 		{"lost twice", func(r *roster.Roster) {
-			r.Close(at(100), 2, nil, warmup)
-			r.Close(at(5000), 3, nil, warmup)
+			r.SetClosures(at(100), 2, nil, warmup)
+			r.SetClosures(at(5000), 3, nil, warmup)
 		}, true},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			r := settled()
-			r.Close(at(0), 1, x, warmup)
+			r.SetClosures(at(0), 1, x, warmup)
 			c.do(r)
 			if got := r.Closed("x"); got != c.want {
 				t.Errorf("closed: got %v, want %v", got, c.want)
@@ -147,18 +147,18 @@
 
 func TestKeptClosuresArePassedOn(t *testing.T) {
 	a, b := settled(), settled()
-	a.Close(at(0), 1, []roster.Closure{{Domain: "x"}}, warmup)
-	a.Close(at(100), 2, nil, warmup)
-	b.Close(at(5000), 2, nil, warmup)
-	if got, _ := b.KeepClosed(at(10100), a.KeptClosed(at(10100)), warmup); !slices.Equal(got, []api.DomainName{"x"}) {
+	a.SetClosures(at(0), 1, []roster.Closure{{Domain: "x"}}, warmup)
+	a.SetClosures(at(100), 2, nil, warmup)
+	b.SetClosures(at(5000), 2, nil, warmup)
+	if got, _ := b.MergeRetainedClosures(at(10100), a.RetainedClosures(at(10100)), warmup); !slices.Equal(got, []api.DomainName{"x"}) {
 		t.Fatalf("closed by a peer's word: got %v, want x", got)
 	}
-	if got := b.KeptClosed(at(10200)); len(got) != 1 || got[0].LeftMS != 19900 {
+	if got := b.RetainedClosures(at(10200)); len(got) != 1 || got[0].LeftMS != 19900 {
 		t.Errorf("kept: got %+v, want x for 19,900 ms", got)
 	}
 	// A peer's word of another domain comes first after its time: that x is open is told with it.
 	y := []api.KeptClosure{{Domain: "y", LeftMS: 1000}}
-	closed, opened := b.KeepClosed(at(30101), y, warmup)
+	closed, opened := b.MergeRetainedClosures(at(30101), y, warmup)
 	if !slices.Equal(closed, []api.DomainName{"y"}) || !slices.Equal(opened, []api.DomainName{"x"}) {
 		t.Errorf("after its time: got closed %v and opened %v, want y and x", closed, opened)
 	}
--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -21,7 +21,7 @@
 	}
 	now := time.Now()
 	g.mutex.Lock()
-	closed, opened := g.roster.Close(now, s.At.Era(), l, g.warmUp)
+	closed, opened := g.roster.SetClosures(now, s.At.Era(), l, g.warmUp)
 	g.letIn(now)
 	g.mutex.Unlock()
 	g.closures.Store(true)
@@ -32,7 +32,7 @@
 func (g *Gateway) KeptClosures() []api.KeptClosure {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.roster.KeptClosed(time.Now())
+	return g.roster.RetainedClosures(time.Now())
 }
 
 // KeepClosures takes those of a peer.
@@ -42,7 +42,7 @@
 	}
 	now := time.Now()
 	g.mutex.Lock()
-	closed, opened := g.roster.KeepClosed(now, l, g.warmUp)
+	closed, opened := g.roster.MergeRetainedClosures(now, l, g.warmUp)
 	if len(opened) > 0 {
 		g.letIn(now)
 	}
@@ -53,7 +53,7 @@
 // reopen opens the domains that were kept closed for long enough.
 func (g *Gateway) reopen(now time.Time) {
 	g.mutex.Lock()
-	closed, opened := g.roster.Reopen(now, g.warmUp)
+	closed, opened := g.roster.ExpireClosures(now, g.warmUp)
 	if len(opened) > 0 {
 		g.letIn(now)
 	}
