--- a/internal/decide/roster/restore.go
+++ b/internal/decide/roster/restore.go
@@ -16,7 +16,7 @@
 // had the time to write again; a server that is known to leave does so whatever the copy
 // says, as if the server itself had told, until its own entry can have lapsed.
 func (r *Roster) SetEra(now time.Time, e api.Era) {
-	if r.updates == 0 || e <= r.era {
+	if r.updateCount == 0 || e <= r.era {
 		r.era = max(r.era, e)
 		return
 	}
--- a/internal/decide/roster/restore_test.go
+++ b/internal/decide/roster/restore_test.go
@@ -16,8 +16,8 @@
 	tests := []struct {
 		name string
 		// before comes in the first era; the copy at 20,000 ms, in the second one.
-		before func(r *roster.Roster)
-		copy   []roster.Server
+		before   func(r *roster.Roster)
+		restored []roster.Server
 		// later comes so many ms after that, followed by a step.
 		at    int
 		later []roster.Server
@@ -53,7 +53,7 @@
 			r.SetEra(at(0), 1)
 			c.before(r)
 			r.SetEra(at(20000), 2)
-			r.Update(at(20000), c.copy, false)
+			r.Update(at(20000), c.restored, false)
 			r.SetEra(at(20000+c.at), 2)
 			r.Update(at(20000+c.at), c.later, false)
 			r.Expire(at(20000 + c.at))
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -101,9 +101,9 @@
 	// services keeps the members of services in order until something of them changes,
 	// since each choice looks at all of them.
 	services map[api.ServiceName][]Member
-	// updates counts the updates.
-	updates   int
-	storeDown bool
+	// updateCount counts the updateCount.
+	updateCount int
+	storeDown   bool
 	// outageStart is when the store's last outage began, back when it answered again.
 	outageStart time.Time
 	outageEnd   time.Time
@@ -141,13 +141,13 @@
 	if vouched {
 		r.vouchedAt = now
 	}
-	r.updates++
+	r.updateCount++
 	var l []Member
 	for _, e := range entries {
 		l = append(l, r.applyEntry(now, e)...)
 	}
 	for n, m := range r.members {
-		if m.lastUpdate != r.updates && r.setState(now, m.Server, r.missingState(now, m)) {
+		if m.lastUpdate != r.updateCount && r.setState(now, m.Server, r.missingState(now, m)) {
 			l = append(l, r.snapshot(n))
 		}
 	}
@@ -159,13 +159,13 @@
 func (r *Roster) applyEntry(now time.Time, e Server) []Member {
 	if m, ok := r.members[e.Name]; ok && m.State == Ready && m.Server == e && !e.Draining {
 		// Nearly all entries of an update say nothing new.
-		m.lastUpdate = r.updates
+		m.lastUpdate = r.updateCount
 		return nil
 	}
 	if r.incarnations.stale(e) {
 		// It says nothing of the life that is known: that one stays as it is.
 		if m, ok := r.members[r.incarnations[e.ID].Name]; ok {
-			m.lastUpdate = r.updates
+			m.lastUpdate = r.updateCount
 		}
 		return nil
 	}
@@ -173,7 +173,7 @@
 	if r.setState(now, e, r.entryState(e)) {
 		l = append(l, r.snapshot(e.Name))
 	}
-	r.members[e.Name].lastUpdate = r.updates
+	r.members[e.Name].lastUpdate = r.updateCount
 	return l
 }
 
@@ -285,7 +285,7 @@
 // entryRemains reports whether a server's entry is still there though the server itself said
 // that it leaves: one that were forgotten would be taken for a new one.
 func (r *Roster) entryRemains(m *Member) bool {
-	return m.announced && m.State == Leaving && m.lastUpdate == r.updates
+	return m.announced && m.State == Leaving && m.lastUpdate == r.updateCount
 }
 
 // MarkLeaving notes that a server itself said that it is leaving.
