--- a/internal/decide/roster/bench_test.go
+++ b/internal/decide/roster/bench_test.go
@@ -10,8 +10,7 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// One change among 3,000 servers, from the store's copy to the roster: 2.0 ms where all
-// were sorted and looked up anew, 0.62 ms now.
+// BenchmarkChange measures one change among 3,000 servers, from the replica of the store to the roster.
 func BenchmarkChange(b *testing.B) {
 	const n = 3000
 	s := replica.New[roster.Server]()
@@ -39,8 +38,7 @@
 	}
 }
 
-// The servers of a service of 3,000: 1.8 ms where they were sorted for each choice, 12 ns
-// now.
+// BenchmarkService measures the list of servers of a service that has 3,000.
 func BenchmarkService(b *testing.B) {
 	const n = 3000
 	r := roster.New()
--- a/internal/decide/roster/closure.go
+++ b/internal/decide/roster/closure.go
@@ -9,31 +9,34 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Closure is a failure domain that operators have closed to new work: runs there go
-// on, and nothing new is sent to its servers until they open it again.
+// Closure is a failure domain that operators have closed to new work: runs there
+// continue, and no new requests are sent to its servers until operators open it again.
 type Closure struct {
 	Domain api.DomainName
 }
 
-// WarmUp is how long the servers of a service are cold after a start.
+// WarmUp returns how long the servers of a service are cold after a start.
 type WarmUp func(s api.ServiceName) time.Duration
 
-// closureRetention is how long a domain stays closed whose closure the store has lost: operators
-// write it again, and do not say when. Too short sends requests into a domain that is being
-// emptied, too long leaves one unused that operators have given up closing.
+// closureRetention is how long a domain stays closed after a restore of the store has lost
+// its closure. Operators write lost closures again, within no stated time. A shorter time
+// may send requests into a domain that is being drained; a longer one leaves a domain
+// unused that operators no longer want closed.
 const closureRetention = 30 * time.Second
 
-// closures are the failure domains that are closed, by the store's word or in spite of it.
+// closures holds the closed failure domains: those that the store declares closed, and
+// those whose closure a restore of the store has lost.
 type closures struct {
-	// initialized is set once the store's word of an era was taken.
+	// initialized is set once the closures of an era have been applied.
 	initialized bool
 	era         api.Era
-	// declared holds what the store says, and kept until when a domain that it said before it
-	// came back from a copy stays closed.
+	// declared holds the domains that the store declares closed.
 	declared map[api.DomainName]bool
+	// retained holds the domains whose closure a restore has lost, with the time until
+	// which they stay closed.
 	retained map[api.DomainName]time.Time
-	// declaredInEra holds the domains that were declared in this era: peers' older word of them
-	// counts for nothing.
+	// declaredInEra holds all domains that were declared closed in this era. For them,
+	// closures that peers retain are outdated and ignored.
 	declaredInEra map[api.DomainName]bool
 }
 
@@ -41,9 +44,9 @@
 	return &closures{declared: map[api.DomainName]bool{}, retained: map[api.DomainName]time.Time{}, declaredInEra: map[api.DomainName]bool{}}
 }
 
-// apply takes the store's word of an era. One that is missing is open, unless it was closed
-// in an earlier era: then it may have been closed since the copy that the store came back
-// from.
+// apply sets the domains that the store declares closed in an era. One that is no longer
+// among them is open, unless the era is new: then the closure may have been written after
+// the backup that the store was restored from, and is retained.
 func (c *closures) apply(now time.Time, e api.Era, l []Closure) {
 	newEra := c.initialized && e > c.era
 	c.initialized, c.era = true, max(e, c.era)
@@ -66,7 +69,7 @@
 	c.declared = current
 }
 
-// retain takes a peer's word of a domain that stays closed for so long.
+// retain keeps a domain closed that a peer retains for the time left.
 func (c *closures) retain(now time.Time, d api.DomainName, left time.Duration) {
 	if _, ok := c.retained[d]; ok || c.declaredInEra[d] || left <= 0 {
 		return
@@ -74,7 +77,7 @@
 	c.retained[d] = now.Add(min(left, closureRetention))
 }
 
-// current gives the domains that are current at a time.
+// current returns the domains that are closed now, and drops retained ones that expired.
 func (c *closures) current(now time.Time) map[api.DomainName]bool {
 	maps.DeleteFunc(c.retained, func(_ api.DomainName, until time.Time) bool { return !until.After(now) })
 	m := maps.Clone(c.declared)
@@ -84,21 +87,21 @@
 	return m
 }
 
-// Closed reports whether operators have closed a failure domain.
+// Closed reports whether a failure domain is closed.
 func (r *Roster) Closed(d api.DomainName) bool {
 	return r.closed[d]
 }
 
-// SetClosures takes the failure domains that are closed by the store's word of an era, and gives
-// those that were closed and opened by it, in order. The word of the era before holds where
-// the store may have lost it.
+// SetClosures sets the failure domains that the store declares closed in an era. It returns
+// the domains that this closes and opens, in order. Closures that a restore of the store
+// may have lost are retained.
 func (r *Roster) SetClosures(now time.Time, e api.Era, l []Closure, w WarmUp) (closed, opened []api.DomainName) {
 	r.closures.apply(now, e, l)
 	return r.ExpireClosures(now, w)
 }
 
-// MergeRetainedClosures takes the domains that peers keep closed though the store has lost it, and gives
-// what has changed since the last look, as Reopen does.
+// MergeRetainedClosures adds the closures that a peer retains, and returns the domains that
+// are closed and opened since the last call, as ExpireClosures does.
 func (r *Roster) MergeRetainedClosures(now time.Time, l []api.KeptClosure, w WarmUp) (closed, opened []api.DomainName) {
 	for _, k := range l {
 		r.closures.retain(now, k.Domain, k.LeftMS.Duration())
@@ -106,8 +109,8 @@
 	return r.ExpireClosures(now, w)
 }
 
-// RetainedClosures gives the domains that stay closed though the store has lost it, for peers, in
-// order.
+// RetainedClosures lists the closures that the store has lost and that still hold, for
+// peers, in order of domain.
 func (r *Roster) RetainedClosures(now time.Time) []api.KeptClosure {
 	var l []api.KeptClosure
 	for d, until := range r.closures.retained {
@@ -119,10 +122,10 @@
 	return l
 }
 
-// ExpireClosures opens the domains that were kept closed for long enough, and gives what has
-// changed since the last look, in order. Servers of a domain that opens count as cold for
-// as long as their service takes to warm up: a server may have turned cold shortly
-// before, which its own entry tells up to a heartbeat later.
+// ExpireClosures opens the domains whose retained closure has expired. It returns the
+// domains that were closed and opened since the last call, in order. Servers of a domain
+// that opens count as cold for the warm-up time of their service: a server may have turned
+// cold shortly before, and its entry shows that up to a heartbeat later.
 func (r *Roster) ExpireClosures(now time.Time, warmup WarmUp) (closed, opened []api.DomainName) {
 	current := r.closures.current(now)
 	for d := range current {
--- a/internal/decide/roster/doc.go
+++ b/internal/decide/roster/doc.go
@@ -1,3 +1,3 @@
-// Package roster decides which backend servers may get work: it follows the
-// platform's entries of servers through leaves, lapses and outages.
+// Package roster decides which backend servers may get requests. It follows their
+// entries in the platform's store through leaves, outages and restores of the store.
 package roster
--- a/internal/decide/roster/incarnation.go
+++ b/internal/decide/roster/incarnation.go
@@ -6,8 +6,9 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// IncarnationName names a life of a backend server. Where servers don't tell when they
-// started, an id stands for one life.
+// IncarnationName is the unique name of one incarnation of a backend server. For a
+// server that does not report when it started, the id is the name: it is taken to have
+// one incarnation only.
 func IncarnationName(id api.ServerID, born api.Birth) api.ServerName {
 	if born == 0 {
 		return api.ServerName(id)
@@ -15,31 +16,30 @@
 	return api.ServerName(string(id) + "@" + strconv.FormatInt(int64(born), 10))
 }
 
-// SupersededBy reports whether a birth is that of a later life of the same server. Births
-// that are not told conclude nothing.
+// SupersededBy reports whether an incarnation of the same server with the given birth is
+// later than this one. It is false if either birth is unknown.
 func (s Server) SupersededBy(born api.Birth) bool {
 	return s.Born != 0 && born > s.Born
 }
 
-// incarnations knows the newest life of each server.
+// incarnations holds the latest known incarnation of each server.
 type incarnations map[api.ServerID]Server
 
-// stale reports whether a server's entry is that of an earlier life: a write that
-// was held back may take effect after its writer has started again.
+// stale reports whether an entry is that of an earlier incarnation: a delayed write may
+// take effect after the server that sent it has restarted.
 func (l incarnations) stale(s Server) bool {
 	n, ok := l[s.ID]
 	return ok && s.SupersededBy(n.Born)
 }
 
-// observe notes a life and gives the one that it has ended, if it is the first word
-// of it.
+// observe records an incarnation. If it is new, it returns the earlier one that it ends.
 func (l incarnations) observe(s Server) (Server, bool) {
 	n, ok := l[s.ID]
 	l[s.ID] = s
 	return n, ok && n.SupersededBy(s.Born)
 }
 
-// remove drops a life that is gone, unless a later one is known.
+// remove drops an incarnation that is gone, unless a later one is known.
 func (l incarnations) remove(s Server) {
 	if n, ok := l[s.ID]; ok && n.Name == s.Name {
 		delete(l, s.ID)
--- a/internal/decide/roster/restore.go
+++ b/internal/decide/roster/restore.go
@@ -7,14 +7,15 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// maxBackupAge is how old a copy may be that the store comes back from. It is well above the few
-// seconds that operators name, as little is remembered for it.
+// maxBackupAge is the maximum age of a backup that the store is restored from. It is well
+// above the few seconds that operators state, since it costs little memory.
 const maxBackupAge = time.Minute
 
-// SetEra notes the era of the entries that follow. When the store has come back from a copy,
-// a missing entry may be one that was written since the copy, and is no leave until servers
-// had the time to write again; a server that is known to leave does so whatever the copy
-// says, as if the server itself had told, until its own entry can have lapsed.
+// SetEra sets the era of the entries that follow. A later era means that the store was
+// restored from a backup. Then a missing entry may have been written after the backup and
+// does not count as a leave until servers had time to write it again. A server that was
+// leaving stays so whatever the restored entries say, as if it had announced it, until
+// its entry had time to lapse.
 func (r *Roster) SetEra(now time.Time, e api.Era) {
 	if r.updateCount == 0 || e <= r.era {
 		r.era = max(r.era, e)
@@ -35,8 +36,9 @@
 	clear(r.services)
 }
 
-// warmAt is when a server is no longer slow by its entry. One that turned cold after the copy
-// was made is not warmAt because the copy says so, until it had the time to write again.
+// warmAt is when a server is warm by its entry. After a restore of the store, an entry that
+// says so earlier than before is ignored until the server had time to write again: it may
+// have turned cold after the backup was made.
 func (r *Roster) warmAt(now time.Time, m *Member, s Server) time.Time {
 	w := now.Add(s.ColdFor)
 	if w.Before(m.WarmAt) && !r.restoredAt.IsZero() && now.Sub(r.restoredAt) < rewriteTime {
@@ -45,8 +47,9 @@
 	return w
 }
 
-// expireDeparted drops the servers that left before any copy that the store may come back from. In
-// an outage none is dropped: the copy is older than the outage, however long that lasts.
+// expireDeparted drops the servers that left before any backup that the store may be
+// restored from. During an outage none is dropped: the backup is from before the outage,
+// however long that lasts.
 func (r *Roster) expireDeparted(now time.Time) {
 	if r.storeDown {
 		return
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -8,86 +8,88 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Server is one life of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
-	// Name is that of the life, which no other one ever has: what is known of a
-	// server, held or promised there ends with its life.
+	// Name is the name of the incarnation. It is never used again, so that all state,
+	// claims and reservations at a server end with its incarnation.
 	Name api.ServerName
-	// ID is the name that the server keeps when it starts again, and Born when this
-	// life began; they are empty where a name is never used again.
+	// ID is the name that the server keeps over restarts, and Born the start of this
+	// incarnation. They are empty where names are never used again.
 	ID      api.ServerID
 	Born    api.Birth
 	Service api.ServiceName
 	Address string
 	Domain  api.DomainName
 	Slots   int
-	// Draining is set by a server that is about to end.
+	// Draining is set by a server that is about to shut down.
 	Draining bool
-	// ColdFor is how much longer the server was slow when it wrote its entry.
+	// ColdFor is how much longer the server was cold when it wrote its entry.
 	ColdFor time.Duration
 }
 
-// State tells what a server may be used for.
+// State says whether and when a server may get requests.
 type State int
 
 // States of servers.
 const (
 	// Ready servers take new requests.
 	Ready State = iota
-	// Lapsed servers lost their entry with an outage of the store: they serve
-	// on, and take new requests only where no server is ready.
+	// Lapsed servers lost their entry in an outage of the store. They continue to
+	// serve, and take new requests only where no server is ready.
 	Lapsed
-	// Leaving servers take no new requests and will end soon.
+	// Leaving servers take no new requests and end soon.
 	Leaving
-	// Ended servers have started again: nothing of this life is left.
+	// Ended incarnations are over: the server has restarted and kept no state.
 	Ended
 )
 
-// String names the state for logs.
+// String is the name of the state in logs.
 func (s State) String() string {
 	return [...]string{"ready", "lapsed", "leaving", "ended"}[s]
 }
 
-// Departing reports whether the server takes no new requests for good.
+// Departing reports whether the server is leaving or has ended, and so takes no new
+// requests.
 func (s State) Departing() bool {
 	return s == Leaving || s == Ended
 }
 
-// Member is a server with what is believed of it.
+// Member is a server and its state.
 type Member struct {
 	Server
 	State State
 	// Since is when the state was first seen.
 	Since time.Time
 
-	// WarmAt is when the server is no longer slow after its start.
+	// WarmAt is when the server is no longer cold after its start.
 	WarmAt time.Time
 	// Closed is set while operators have closed the server's failure domain.
 	Closed bool
 
-	// lastUpdate is the last lastUpdate whose entries told of the server.
+	// lastUpdate is the number of the last update that had an entry of the server.
 	lastUpdate int
-	// announced is set when the server itself told that it is leaving, which a late
-	// entry does not take back.
+	// announced is set once the server itself has announced that it is leaving. A late
+	// entry does not revoke that.
 	announced bool
 }
 
-// Unannounced reports whether the server went without a notice of its own.
+// Unannounced reports whether the server is leaving or has ended without having
+// announced it.
 func (m Member) Unannounced() bool {
 	return m.State == Ended || m.State == Leaving && !m.Draining && !m.announced
 }
 
-// AcceptsRequests reports whether new requests may be sent to the server.
+// AcceptsRequests reports whether the server may get new requests.
 func (m Member) AcceptsRequests() bool {
 	return !m.State.Departing() && !m.Closed
 }
 
 const (
-	// rewriteTime is how long after an outage of the store entries that lapsed
-	// may take to be written again; the operators give two seconds.
+	// rewriteTime is how long after an outage of the store servers may take to write
+	// lapsed entries again. Operators state two seconds.
 	rewriteTime = 2 * time.Second
-	// departedRetention is how long a server that left is remembered, so that runs still
-	// on it can be moved; no server serves longer after its notice.
+	// departedRetention is how long a server that left remains in the roster, so that
+	// runs still on it can be moved. No server serves longer than that after its notice.
 	departedRetention = 15 * time.Second
 )
 
@@ -95,35 +97,36 @@
 type Roster struct {
 	members      map[api.ServerName]*Member
 	incarnations incarnations
-	// closed holds the domains that are closed, as closures say.
+	// closed holds the domains that were closed when closures was last evaluated.
 	closed   map[api.DomainName]bool
 	closures *closures
-	// services keeps the members of services in order until something of them changes,
-	// since each choice looks at all of them.
+	// services caches the sorted members of each service until any member changes,
+	// since each choice of a server looks at all of them.
 	services map[api.ServiceName][]Member
-	// updateCount counts the updateCount.
+	// updateCount is the number of calls of Update.
 	updateCount int
 	storeDown   bool
-	// outageStart is when the store's last outage began, back when it answered again.
+	// outageStart and outageEnd are when the last outage of the store began and ended.
 	outageStart time.Time
 	outageEnd   time.Time
-	// vouchedAt is when a peer that the store answers last gave its view.
+	// vouchedAt is when entries last came from a peer that the store answers.
 	vouchedAt time.Time
-	// era is the history of the store that the entries are of.
+	// era is the era of the store that the entries belong to.
 	era api.Era
-	// restoredAt is when the store was last seen to have come back from a copy.
+	// restoredAt is when the store was last found to be restored from a backup.
 	restoredAt time.Time
-	// departed holds servers that are forgotten otherwise, for when the store comes back from a
-	// copy that still has them.
+	// departed holds servers that have left the roster, for a restore of the store from
+	// a backup that still has them.
 	departed map[api.ServerName]Member
 }
 
-// New makes a roster without servers, which the store has not answered yet.
+// New creates a roster without servers. The store counts as down until SetStoreDown says
+// otherwise.
 func New() *Roster {
 	return &Roster{members: map[api.ServerName]*Member{}, incarnations: incarnations{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, departed: map[api.ServerName]Member{}, storeDown: true}
 }
 
-// SetStoreDown notes whether the store is unreachable.
+// SetStoreDown sets whether the store is unreachable.
 func (r *Roster) SetStoreDown(now time.Time, down bool) {
 	switch {
 	case r.storeDown && !down:
@@ -134,9 +137,9 @@
 	r.storeDown = down
 }
 
-// Update takes the entries as the store has them and gives the servers whose
-// state has changed. With vouched, they come from a peer that the store has
-// answered for long enough, so that a missing entry is no lapse.
+// Update sets the entries that the store has, and returns the servers whose state has
+// changed, in order of name. With vouched, the entries come from a peer that the store has
+// answered for long enough, so that a missing entry is a leave and not a lapse.
 func (r *Roster) Update(now time.Time, entries []Server, vouched bool) []Member {
 	if vouched {
 		r.vouchedAt = now
@@ -155,15 +158,15 @@
 	return l
 }
 
-// applyEntry takes one entry and gives the servers whose state has changed by it.
+// applyEntry applies one entry and returns the servers whose state it changes.
 func (r *Roster) applyEntry(now time.Time, e Server) []Member {
 	if m, ok := r.members[e.Name]; ok && m.State == Ready && m.Server == e && !e.Draining {
-		// Nearly all entries of an update say nothing new.
+		// Nearly all entries of an update are unchanged.
 		m.lastUpdate = r.updateCount
 		return nil
 	}
 	if r.incarnations.stale(e) {
-		// It says nothing of the life that is known: that one stays as it is.
+		// The entry is of an earlier incarnation; the known one keeps its state.
 		if m, ok := r.members[r.incarnations[e.ID].Name]; ok {
 			m.lastUpdate = r.updateCount
 		}
@@ -177,7 +180,7 @@
 	return l
 }
 
-// observe notes the life of a server, and gives the one that it ends.
+// observe records the incarnation of a server, and returns the one that it ends.
 func (r *Roster) observe(now time.Time, s Server) []Member {
 	e, ok := r.incarnations.observe(s)
 	if !ok {
@@ -190,8 +193,8 @@
 	return []Member{m}
 }
 
-// End notes that a server's life is over: the server has started again, or says so
-// itself.
+// End marks an incarnation as ended, as the server has restarted or reports so itself. It
+// returns the member if that changes its state.
 func (r *Roster) End(now time.Time, n api.ServerName) (Member, bool) {
 	m, ok := r.members[n]
 	if !ok || !r.setState(now, m.Server, Ended) {
@@ -200,7 +203,7 @@
 	return r.snapshot(n), true
 }
 
-// snapshot gives a member as others are told of it.
+// snapshot returns a copy of a member with Closed set.
 func (r *Roster) snapshot(n api.ServerName) Member {
 	m := *r.members[n]
 	m.Closed = r.closed[m.Domain]
@@ -220,7 +223,7 @@
 	}
 }
 
-// missingState is the state of a server without an entry.
+// missingState is the state of a member without an entry.
 func (r *Roster) missingState(now time.Time, m *Member) State {
 	if m.State.Departing() {
 		return m.State
@@ -231,13 +234,15 @@
 	return Leaving
 }
 
-// entriesUncertain reports whether entries may be missing for an outage of the store. An
-// outage in which a peer vouched for its view was of this entry VM alone.
+// entriesUncertain reports whether entries may be missing because of an outage of the
+// store. If a peer vouched for its entries during the outage, only this entry VM was
+// affected and entries are certain.
 func (r *Roster) entriesUncertain(now time.Time) bool {
 	return (r.storeDown || now.Sub(r.outageEnd) < rewriteTime) && !r.vouchedAt.After(r.outageStart)
 }
 
-// setState reports whether the state is new.
+// setState sets the entry and the state of a server, and reports whether the state has
+// changed.
 func (r *Roster) setState(now time.Time, s Server, t State) bool {
 	m, ok := r.members[s.Name]
 	if !ok {
@@ -259,8 +264,8 @@
 	return changed
 }
 
-// Expire ends lapses that lasted too long and forgets servers that left; it
-// gives those whose state has changed.
+// Expire marks servers as leaving that stayed lapsed for too long, and removes servers that
+// left more than departedRetention ago. It returns the servers whose state has changed.
 func (r *Roster) Expire(now time.Time) []Member {
 	var l []Member
 	for n, m := range r.members {
@@ -282,13 +287,14 @@
 	return l
 }
 
-// entryRemains reports whether a server's entry is still there though the server itself said
-// that it leaves: one that were forgotten would be taken for a new one.
+// entryRemains reports whether the store still has the entry of a server that has announced
+// its leave. If such a server were removed, its entry would count as that of a new one.
 func (r *Roster) entryRemains(m *Member) bool {
 	return m.announced && m.State == Leaving && m.lastUpdate == r.updateCount
 }
 
-// MarkLeaving notes that a server itself said that it is leaving.
+// MarkLeaving records that a server has announced its leave. It returns the member if that
+// changes its state.
 func (r *Roster) MarkLeaving(now time.Time, n api.ServerName) (Member, bool) {
 	m, ok := r.members[n]
 	if !ok || m.State == Ended {
@@ -304,7 +310,7 @@
 	return r.snapshot(n), true
 }
 
-// AnnouncedLeaving lists the servers that themselves said that they are leaving, in order.
+// AnnouncedLeaving lists the servers that have announced their leave, in order of name.
 func (r *Roster) AnnouncedLeaving() []api.ServerName {
 	var l []api.ServerName
 	for n, m := range r.members {
@@ -316,7 +322,7 @@
 	return l
 }
 
-// Find gives one server.
+// Find returns the member with a name, if there is one.
 func (r *Roster) Find(n api.ServerName) (Member, bool) {
 	if _, ok := r.members[n]; !ok {
 		return Member{}, false
@@ -324,8 +330,8 @@
 	return r.snapshot(n), true
 }
 
-// Service lists the servers of a service in order of name; the list is not to be
-// changed.
+// Service lists the servers of a service in order of name. Callers must not modify the
+// list.
 func (r *Roster) Service(s api.ServiceName) []Member {
 	if l, ok := r.services[s]; ok {
 		return l
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -8,18 +8,18 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-var begin = time.Unix(100, 0)
+var epoch = time.Unix(100, 0)
 
 func at(ms int) time.Time {
-	return begin.Add(time.Duration(ms) * time.Millisecond)
+	return epoch.Add(time.Duration(ms) * time.Millisecond)
 }
 
 func server(n string, draining bool) roster.Server {
 	return roster.Server{Name: api.ServerName(n), Service: "s", Address: "10.0.0.1:1", Draining: draining}
 }
 
-// settled gives a roster that the store has answered for long.
-func settled() *roster.Roster {
+// newRoster creates a roster that the store has answered for long.
+func newRoster() *roster.Roster {
 	r := roster.New()
 	r.SetStoreDown(at(-10000000), false)
 	return r
@@ -34,10 +34,10 @@
 	return m.State
 }
 
-// The list of a service's servers tells what is known of each, whatever changed last.
-func TestServiceFollowsEachChange(t *testing.T) {
-	r := settled()
-	all := two()
+// The cached list of a service's servers must follow every kind of change.
+func TestServiceReflectsEachChange(t *testing.T) {
+	r := newRoster()
+	all := twoDomains()
 	for i, change := range []func(){
 		func() { r.Update(at(0), all, false) },
 		func() { r.Update(at(10), all[:1], false) },
@@ -79,7 +79,7 @@
 	}{
 		{"entry", func(*roster.Roster) {}, roster.Ready},
 		{"draining entry", func(r *roster.Roster) { r.Update(at(10), []roster.Server{server("a", true)}, false) }, roster.Leaving},
-		{"entry gone while the store is well", func(r *roster.Roster) { r.Update(at(10), nil, false) }, roster.Leaving},
+		{"entry gone while the store answers", func(r *roster.Roster) { r.Update(at(10), nil, false) }, roster.Leaving},
 		{"entry gone in an outage", func(r *roster.Roster) {
 			r.SetStoreDown(at(10), true)
 			r.Update(at(20), nil, false)
@@ -95,17 +95,17 @@
 			r.Update(at(5010), nil, false)
 			r.Update(at(6000), []roster.Server{server("a", false)}, false)
 		}, roster.Ready},
-		{"entry gone in the view of a peer while this VM alone is turned away", func(r *roster.Roster) {
+		{"entry gone in the view of a peer while the store refuses only this VM", func(r *roster.Roster) {
 			r.SetStoreDown(at(10), true)
 			r.Update(at(20), nil, true)
 		}, roster.Leaving},
-		{"entry gone after an outage of this VM alone", func(r *roster.Roster) {
+		{"entry gone after an outage of this VM only", func(r *roster.Roster) {
 			r.SetStoreDown(at(10), true)
 			r.Update(at(20), []roster.Server{server("a", false)}, true)
 			r.SetStoreDown(at(5000), false)
 			r.Update(at(5010), nil, false)
 		}, roster.Leaving},
-		{"entry gone in an outage of all after one of this VM alone", func(r *roster.Roster) {
+		{"entry gone in an outage of all VMs after one of this VM only", func(r *roster.Roster) {
 			r.SetStoreDown(at(10), true)
 			r.Update(at(20), []roster.Server{server("a", false)}, true)
 			r.SetStoreDown(at(5000), false)
@@ -117,7 +117,7 @@
 			r.Update(at(10), []roster.Server{server("a", false)}, false)
 			r.Update(at(20), nil, false)
 		}, roster.Lapsed},
-		{"entry still missing after the time to return", func(r *roster.Roster) {
+		{"entry still missing after the time to write it again", func(r *roster.Roster) {
 			r.SetStoreDown(at(10), true)
 			r.SetStoreDown(at(5000), false)
 			r.Update(at(5010), nil, false)
@@ -128,18 +128,18 @@
 			r.Update(at(20), nil, false)
 			r.Expire(at(9000))
 		}, roster.Lapsed},
-		{"own word of leaving outlasts a late entry", func(r *roster.Roster) {
+		{"announced leave outlasts a late entry", func(r *roster.Roster) {
 			r.MarkLeaving(at(10), "a")
 			r.Update(at(20), []roster.Server{server("a", false)}, false)
 		}, roster.Leaving},
-		{"entry that was silent for a while", func(r *roster.Roster) {
+		{"entry that was missing for a while", func(r *roster.Roster) {
 			r.Update(at(10), nil, false)
 			r.Update(at(3000), []roster.Server{server("a", false)}, false)
 		}, roster.Ready},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			r := settled()
+			r := newRoster()
 			r.Update(at(0), []roster.Server{server("a", false)}, false)
 			c.do(r)
 			if got := state(t, r, "a"); got != c.want {
@@ -149,19 +149,19 @@
 	}
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
-	r := settled()
+func TestUpdateReportsEachChangeOnce(t *testing.T) {
+	r := newRoster()
 	r.Update(at(0), []roster.Server{server("a", false), server("b", false)}, false)
 	if got := r.Update(at(10), []roster.Server{server("a", true), server("b", false)}, false); len(got) != 1 || got[0].Name != "a" {
-		t.Errorf("first word: got %v, want a alone", got)
+		t.Errorf("first change: got %v, want only a", got)
 	}
 	if got := r.Update(at(20), []roster.Server{server("a", true)}, false); len(got) != 1 || got[0].Name != "b" {
-		t.Errorf("second word: got %v, want b alone", got)
+		t.Errorf("second change: got %v, want only b", got)
 	}
 }
 
-func TestServerThatLeftIsForgotten(t *testing.T) {
-	r := settled()
+func TestDepartedServerIsRemoved(t *testing.T) {
+	r := newRoster()
 	r.Update(at(0), []roster.Server{server("a", true)}, false)
 	r.Expire(at(20000))
 	if _, ok := r.Find("a"); ok {
@@ -169,7 +169,7 @@
 	}
 }
 
-// A server is slow for as long as it said, counted from its newest entry.
+// A server is cold for as long as its newest entry says, counted from the arrival of that entry.
 func TestColdServersWarmUp(t *testing.T) {
 	r := roster.New()
 	e := roster.Server{Name: "a", Service: "s", ColdFor: 2 * time.Second}
