--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -8,7 +8,8 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Server is one incarnation of a backend server.
+// Server is one incarnation of a backend server. Entry VMs pass it on to each other as
+// JSON, so its JSON names are part of the protocol between them.
 type Server struct {
 	// Name is the name of the incarnation. It is never used again, so that all state,
 	// claims and reservations at a server end with its incarnation.
@@ -24,7 +25,7 @@
 	// Draining is set by a server that is about to shut down.
 	Draining bool
 	// ColdFor is how much longer the server was cold when it wrote its entry.
-	ColdFor time.Duration
+	ColdFor time.Duration `json:"Cold"`
 }
 
 // State says whether and when a server may get requests.
