--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -67,14 +67,14 @@
 // domains.
 func newPool(engines, plain int) *pool {
 	route := func(p string, k directory.Kind, s api.ServiceName) directory.Route {
-		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, Aim: 2 * time.Second, GapAim: 180 * time.Millisecond, MaxServers: 2, Anonymous: true, Targets: []directory.Target{{Service: s, Weight: 1}}}
+		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, LatencyTarget: 2 * time.Second, GapTarget: 180 * time.Millisecond, MaxServers: 2, Anonymous: true, Targets: []directory.Target{{Service: s, Weight: 1}}}
 	}
 	c := directory.Config{
 		Version: 1,
 		Routes: []directory.Route{
 			route("/stream/", directory.Stream, "engines"), route("/safe/", directory.Safe, "plain"), route("/unsafe/", directory.Unsafe, "plain"),
 		},
-		Services: []directory.Service{{Name: "engines", Engine: &directory.Engine{Slots: 24, Memory: 34000, Moves: true, Backups: true, Stride: 4}}, {Name: "plain"}},
+		Services: []directory.Service{{Name: "engines", Engine: &directory.Engine{Slots: 24, Memory: 34000, SupportsMoves: true, SupportsBackups: true, TokensPerEvent: 4}}, {Name: "plain"}},
 	}
 	p := &pool{
 		config:  newKind(replica.Object[directory.Config]{Name: "main", Version: 1, Value: c}),
--- a/fleet/restored_test.go
+++ b/fleet/restored_test.go
@@ -84,7 +84,7 @@
 func configuration(v int64) directory.Config {
 	n := fmt.Sprintf("/v%d/", v)
 	r := func(p string) directory.Route {
-		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: directory.Safe, Timeout: 10 * time.Second, Aim: time.Second, MaxServers: 2, Anonymous: true, Targets: []directory.Target{{Service: "plain", Weight: 1}}}
+		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: directory.Safe, Timeout: 10 * time.Second, LatencyTarget: time.Second, MaxServers: 2, Anonymous: true, Targets: []directory.Target{{Service: "plain", Weight: 1}}}
 	}
 	return directory.Config{Version: v, Routes: []directory.Route{r("/always/"), r(n)}, Services: []directory.Service{{Name: "plain"}}}
 }
--- a/internal/decide/directory/config.go
+++ b/internal/decide/directory/config.go
@@ -33,10 +33,10 @@
 	Kind   Kind
 	// Timeout is the longest time a request is held.
 	Timeout time.Duration
-	// Aim is the time in which an answer, or a stream's first event, is good.
-	Aim time.Duration
-	// GapAim is the longest good pause between events of a stream.
-	GapAim time.Duration
+	// LatencyTarget is the time in which an answer, or a stream's first event, is good.
+	LatencyTarget time.Duration `json:"Aim"`
+	// GapTarget is the longest good pause between events of a stream.
+	GapTarget time.Duration `json:"GapAim"`
 	// Priority ranks the route after its caller's workspace; 0 goes first.
 	Priority int
 	Targets  []Target
@@ -53,12 +53,12 @@
 	// TokenBytes is the memory of one token, which a copy has to carry.
 	TokenBytes int64
 	LinkMbps   float64
-	// Moves and Backups tell whether runs can be copied on order, and as they
+	// SupportsMoves and Backups tell whether runs can be copied on order, and as they
 	// grow.
-	Moves   bool
-	Backups bool
-	// Stride is the number of tokens in one event of a stream.
-	Stride int
+	SupportsMoves   bool `json:"Moves"`
+	SupportsBackups bool `json:"Backups"`
+	// TokensPerEvent is the number of tokens in one event of a stream.
+	TokensPerEvent int `json:"Stride"`
 }
 
 // Service is a group of backend servers that answer the same requests.
--- a/internal/decide/directory/directory.go
+++ b/internal/decide/directory/directory.go
@@ -7,8 +7,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// place is where a route begins.
-type place struct {
+// routeKey is where a route begins.
+type routeKey struct {
 	host, prefix string
 }
 
@@ -16,7 +16,7 @@
 type Directory struct {
 	Config
 
-	routes     map[place]*Route
+	routes     map[routeKey]*Route
 	services   map[api.ServiceName]*Service
 	workspaces map[string]*Workspace
 }
@@ -25,13 +25,13 @@
 func New(c Config) *Directory {
 	d := &Directory{
 		Config:     c,
-		routes:     make(map[place]*Route, len(c.Routes)),
+		routes:     make(map[routeKey]*Route, len(c.Routes)),
 		services:   make(map[api.ServiceName]*Service, len(c.Services)),
 		workspaces: map[string]*Workspace{},
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		d.routes[place{r.Host, r.Prefix}] = r
+		d.routes[routeKey{r.Host, r.Prefix}] = r
 	}
 	for i := range c.Services {
 		d.services[c.Services[i].Name] = &c.Services[i]
@@ -47,7 +47,7 @@
 // Route finds the route with the longest prefix of a path on a host.
 func (d *Directory) Route(host, path string) (*Route, *fault.Error) {
 	for n := strings.LastIndexByte(path, '/'); n >= 0; n = strings.LastIndexByte(path[:n], '/') {
-		if r, ok := d.routes[place{host, path[:n+1]}]; ok {
+		if r, ok := d.routes[routeKey{host, path[:n+1]}]; ok {
 			return r, nil
 		}
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -94,7 +94,7 @@
 
 // lateness says whether a call took longer than its route aims for.
 func (q *request) lateness() lateness {
-	if q.route.Aim > 0 && time.Since(q.Arrived) > q.route.Aim {
+	if q.route.LatencyTarget > 0 && time.Since(q.Arrived) > q.route.LatencyTarget {
 		return lateAnswer
 	}
 	return inTime
@@ -191,8 +191,8 @@
 // attempt sends a request to one server.
 func (g *Gateway) attempt(ctx context.Context, q *request, s roster.Server, b *backup) (port.Answer, error) {
 	left := q.deadline.Left()
-	if q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers && q.route.Aim > 0 {
-		left = min(left, time.Duration(hangAims*float64(q.route.Aim)))
+	if q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers && q.route.LatencyTarget > 0 {
+		left = min(left, time.Duration(hangAims*float64(q.route.LatencyTarget)))
 		c, cancel := context.WithTimeout(ctx, left)
 		defer cancel()
 		ctx = c
@@ -201,7 +201,7 @@
 		return port.Answer{}, fault.New(fault.NotStarted, "the deadline passed before the send")
 	}
 	a := q.attempt(s, b)
-	a.Left, a.Connect = left, call.ConnectTime(q.route.Aim)
+	a.Left, a.Connect = left, call.ConnectTime(q.route.LatencyTarget)
 	return g.Backends.Send(ctx, a)
 }
 
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -391,9 +391,9 @@
 		Domain:    "x", Backends: f, Group: g, Log: f.log, Metrics: metric.New(),
 		Retries: retry.NewWindows(10*time.Second, 0, slack),
 	})}
-	e := &directory.Engine{Slots: 24, Memory: 34000, Moves: true, Backups: f.backups, Stride: 4}
+	e := &directory.Engine{Slots: 24, Memory: 34000, SupportsMoves: true, SupportsBackups: f.backups, TokensPerEvent: 4}
 	route := func(p string, k directory.Kind, s api.ServiceName) directory.Route {
-		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, Aim: routeAim, GapAim: gapAim, MaxServers: 2, Targets: []directory.Target{{Service: s, Weight: 1}}}
+		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, LatencyTarget: routeAim, GapTarget: gapAim, MaxServers: 2, Targets: []directory.Target{{Service: s, Weight: 1}}}
 	}
 	timeless := route("/timeless/", directory.Unsafe, "plain")
 	timeless.Timeout = 0
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -37,7 +37,7 @@
 
 // listen begins to watch a run's stream; the clean-up ends it.
 func (g *Gateway) listen(r *run, s port.Stream) (*listener, func()) {
-	l := &listener{gateway: g, run: r, stream: s, server: r.at(), watch: silence.NewWatch(r.request.route.GapAim)}
+	l := &listener{gateway: g, run: r, stream: s, server: r.at(), watch: silence.NewWatch(r.request.route.GapTarget)}
 	g.watchdog.add(l)
 	return l, func() { g.watchdog.remove(l) }
 }
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -254,11 +254,11 @@
 
 func loadConfig() directory.Config {
 	c := directory.Config{Version: 1, Services: []directory.Service{{
-		Name: "engines", Engine: &directory.Engine{Slots: 24, Memory: engineOptions().KVTokens, Stride: stride},
+		Name: "engines", Engine: &directory.Engine{Slots: 24, Memory: engineOptions().KVTokens, TokensPerEvent: stride},
 	}}}
 	for i, k := range kinds {
 		c.Routes = append(c.Routes, directory.Route{
-			Name: k.path, Host: "h", Prefix: k.path, Kind: directory.Stream, Timeout: k.patient, Aim: k.aim, GapAim: gapAim,
+			Name: k.path, Host: "h", Prefix: k.path, Kind: directory.Stream, Timeout: k.patient, LatencyTarget: k.aim, GapTarget: gapAim,
 			Priority: len(kinds) - 1 - i, MaxServers: 1, Targets: []directory.Target{{Service: "engines", Weight: 1}},
 		})
 	}
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -32,7 +32,7 @@
 // move starts the move of a run off its server, unless one is under way.
 func (g *Gateway) move(r *run) {
 	e := r.request.service.Engine
-	if e == nil || !e.Moves {
+	if e == nil || !e.SupportsMoves {
 		return
 	}
 	r.mutex.Lock()
@@ -67,7 +67,7 @@
 // sent may still arrive.
 func (g *Gateway) fetch(ctx context.Context, r *run, s roster.Server) bool {
 	e := r.request.service.Engine
-	if e == nil || !e.Moves {
+	if e == nil || !e.SupportsMoves {
 		return false
 	}
 	r.mutex.Lock()
@@ -175,7 +175,7 @@
 	x := q.service.Engine
 	p := m.gateway.obtain(ctx, demand{
 		service: q.service, purpose: api.PlaceAskPurposeMove, domain: m.source.Domain, deadline: q.deadline.At(),
-		need:  placement.Need{Tokens: need(q).Tokens + api.Tokens(n*x.Stride/2), Unread: moveUnread},
+		need:  placement.Need{Tokens: need(q).Tokens + api.Tokens(n*x.TokensPerEvent/2), Unread: moveUnread},
 		tried: append(slices.Clone(m.tried), m.source.Name),
 	})
 	if p.fault != nil {
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -37,10 +37,10 @@
 
 // aim is the time in which a request's answer, or its first event, is good.
 func (q *request) aim() time.Duration {
-	if q.route.Aim <= 0 {
+	if q.route.LatencyTarget <= 0 {
 		return aimDefault
 	}
-	return q.route.Aim
+	return q.route.LatencyTarget
 }
 
 // demand is what a new run of a request asks for.
@@ -63,7 +63,7 @@
 // protects reports whether a run of a request may be copied as it grows.
 func (q *request) protects() bool {
 	e := q.service.Engine
-	return e != nil && e.Backups && q.route.Kind == directory.Stream && placement.Protects(q.expected())
+	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.Protects(q.expected())
 }
 
 // place gives a stream its first server, for which it may have to wait.
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -109,7 +109,7 @@
 	x.After, _ = r.progress()
 	b := g.protect(ctx, q, c.at)
 	t := q.attempt(c.at, b)
-	t.Connect, t.Resume = call.ConnectTime(q.route.GapAim), &x
+	t.Connect, t.Resume = call.ConnectTime(q.route.GapTarget), &x
 	g.noteSent(c.at)
 	a, err := g.sendUntilTaken(ctx, t)
 	if err != nil {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -140,9 +140,9 @@
 	defer r.mutex.Unlock()
 	x := r.request.route
 	switch {
-	case x.Aim > 0 && r.pace.first > x.Aim:
+	case x.LatencyTarget > 0 && r.pace.first > x.LatencyTarget:
 		return lateFirst
-	case x.GapAim <= 0 || r.pace.pause <= x.GapAim:
+	case x.GapTarget <= 0 || r.pace.pause <= x.GapTarget:
 		return inTime
 	case r.pace.elsewhere:
 		return lateMoved
--- a/internal/soak/change.go
+++ b/internal/soak/change.go
@@ -28,7 +28,7 @@
 func (b *bed) write() {
 	v := b.config.Version + 1
 	c := directory.Config{Version: v, Services: []directory.Service{
-		{Name: engines, MaxConnections: 1 << 10, Engine: &directory.Engine{Slots: slots, Memory: memory, Moves: true, Backups: true, Stride: hosted.Stride}},
+		{Name: engines, MaxConnections: 1 << 10, Engine: &directory.Engine{Slots: slots, Memory: memory, SupportsMoves: true, SupportsBackups: true, TokensPerEvent: hosted.Stride}},
 		{Name: plain, MaxConnections: 1 << 10},
 	}}
 	c.Routes = []directory.Route{
@@ -72,7 +72,7 @@
 
 func newRoute(path string, k directory.Kind, s api.ServiceName) directory.Route {
 	return directory.Route{
-		Name: path, Host: host, Prefix: "/" + path + "/", Kind: k, Timeout: routeTime, Aim: routeAim, GapAim: routeGap, MaxServers: 2,
+		Name: path, Host: host, Prefix: "/" + path + "/", Kind: k, Timeout: routeTime, LatencyTarget: routeAim, GapTarget: routeGap, MaxServers: 2,
 		Targets: []directory.Target{{Service: s, Weight: 1}},
 	}
 }
