--- a/internal/decide/directory/config.go
+++ b/internal/decide/directory/config.go
@@ -6,7 +6,7 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Kind tells how a route's requests may be treated.
+// Kind says how often the requests of a route may run and how they are answered.
 type Kind string
 
 // Kinds of routes.
@@ -15,34 +15,35 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered event by event and run at most once.
+	// Stream requests are answered by a stream of events and run at most once.
 	Stream Kind = "stream"
 )
 
-// Target is one of the services that share a route's requests.
+// Target is one of the services that a route distributes its requests over.
 type Target struct {
 	Service api.ServiceName
 	Weight  int
 }
 
-// Route sends the requests of a host below a path to services.
+// Route sends the requests for a path prefix of a host to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time a request is held.
+	// Timeout is the maximum time that a request may take.
 	Timeout time.Duration
-	// LatencyTarget is the time in which an answer, or a stream's first event, is good.
+	// LatencyTarget is the time within which an answer, or the first event of a stream,
+	// should arrive.
 	LatencyTarget time.Duration `json:"Aim"`
-	// GapTarget is the longest good pause between events of a stream.
+	// GapTarget is the time that a pause between events of a stream should not exceed.
 	GapTarget time.Duration `json:"GapAim"`
-	// Priority ranks the route after its caller's workspace; 0 goes first.
+	// Priority orders the requests of workspaces with the same priority; 0 comes first.
 	Priority int
 	Targets  []Target
-	// MaxServers bounds the servers that one request may be sent to.
+	// MaxServers is the maximum number of servers that one request may be sent to.
 	MaxServers int
-	// Anonymous lets requests without a key in.
+	// Anonymous admits requests without a key.
 	Anonymous bool
 }
 
@@ -50,12 +51,12 @@
 type Engine struct {
 	Slots  int
 	Memory api.Tokens
-	// TokenBytes is the memory of one token, which a copy has to carry.
+	// TokenBytes is the memory of one token in bytes, which a copy has to transfer.
 	TokenBytes int64
 	LinkMbps   float64
-	// SupportsMoves and Backups tell whether runs can be copied on order, and as they
-	// grow.
-	SupportsMoves   bool `json:"Moves"`
+	// SupportsMoves is set if a run can be copied to another engine on request.
+	SupportsMoves bool `json:"Moves"`
+	// SupportsBackups is set if a run can be copied continuously as it grows.
 	SupportsBackups bool `json:"Backups"`
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int `json:"Stride"`
@@ -65,22 +66,23 @@
 type Service struct {
 	Name           api.ServiceName
 	MaxConnections int
-	// WarmUp is how long a server is cold after a start, and ColdRate the requests a
-	// second that it bears meanwhile; zero for no bound.
-	WarmUp   time.Duration
+	// WarmUp is how long a server is cold after a start.
+	WarmUp time.Duration
+	// ColdRate is the number of requests per second that a cold server can take; zero
+	// means no limit.
 	ColdRate float64
 	// Engine is nil for plain services.
 	Engine *Engine
 }
 
-// Workspace is a customer with its keys.
+// Workspace is a customer and its API keys.
 type Workspace struct {
 	Name     api.WorkspaceName
 	Keys     []string
 	Priority int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the size of requests and the times that callers may take.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -88,9 +90,11 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one whole configuration.
+// Config is one complete configuration. Entry VMs pass it on to each other as JSON, so the
+// JSON names of all its fields are part of the protocol between them.
 type Config struct {
-	// Version is the operators' number; it rises with every change.
+	// Version is the number that operators give the configuration; it rises with every
+	// change.
 	Version    int64
 	Routes     []Route
 	Services   []Service
--- a/internal/decide/directory/directory.go
+++ b/internal/decide/directory/directory.go
@@ -7,12 +7,12 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// routeKey is where a route begins.
+// routeKey identifies a route by its host and path prefix.
 type routeKey struct {
 	host, prefix string
 }
 
-// Directory is a configuration made ready for look-ups; it does not change.
+// Directory is an immutable configuration with indexes for look-ups.
 type Directory struct {
 	Config
 
@@ -21,7 +21,7 @@
 	workspaces map[string]*Workspace
 }
 
-// New makes a directory of a configuration.
+// New creates the directory of a configuration.
 func New(c Config) *Directory {
 	d := &Directory{
 		Config:     c,
@@ -44,7 +44,7 @@
 	return d
 }
 
-// Route finds the route with the longest prefix of a path on a host.
+// Route finds the route of a host with the longest prefix of a path.
 func (d *Directory) Route(host, path string) (*Route, *fault.Error) {
 	for n := strings.LastIndexByte(path, '/'); n >= 0; n = strings.LastIndexByte(path[:n], '/') {
 		if r, ok := d.routes[routeKey{host, path[:n+1]}]; ok {
@@ -54,8 +54,9 @@
 	return nil, fault.New(fault.UnknownPath, "no route of this host covers the path")
 }
 
-// Workspace finds the workspace of a key for a route; it is empty where the
-// configuration has no workspaces or the route needs no key.
+// Workspace finds the workspace that has a key. For an unknown or missing key it is empty
+// if the configuration has no workspaces or the route admits requests without a key, and
+// fails otherwise.
 func (d *Directory) Workspace(r *Route, key string) (Workspace, *fault.Error) {
 	if w, ok := d.workspaces[key]; ok {
 		return *w, nil
@@ -66,14 +67,13 @@
 	return Workspace{}, fault.New(fault.UnknownWorkspace, "no workspace has this key")
 }
 
-// Service finds a service by its name.
+// Service finds a service by name.
 func (d *Directory) Service(n api.ServiceName) (*Service, bool) {
 	s, ok := d.services[n]
 	return s, ok
 }
 
-// Choose picks one of a route's services by weight with a number from 0 up to
-// 1.
+// Choose picks one of a route's services by weight. The number drawn is in [0, 1).
 func (r *Route) Choose(draw float64) api.ServiceName {
 	total := 0
 	for _, t := range r.Targets {
--- a/internal/decide/directory/directory_test.go
+++ b/internal/decide/directory/directory_test.go
@@ -8,7 +8,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-func sample() *directory.Directory {
+func newDirectory() *directory.Directory {
 	return directory.New(directory.Config{
 		Version: 7,
 		Routes: []directory.Route{
@@ -35,7 +35,7 @@
 	}
 	for _, c := range tests {
 		got := ""
-		r, f := sample().Route(c.host, c.path)
+		r, f := newDirectory().Route(c.host, c.path)
 		if f == nil {
 			got = r.Name
 		}
@@ -46,7 +46,7 @@
 }
 
 func TestWorkspace(t *testing.T) {
-	d := sample()
+	d := newDirectory()
 	open, _ := d.Route("b.example", "/x/")
 	closed, _ := d.Route("a.example", "/x/")
 	tests := []struct {
--- a/internal/decide/directory/doc.go
+++ b/internal/decide/directory/doc.go
@@ -1,3 +1,3 @@
-// Package directory says what a configuration means for one request: its
-// route, its workspace and the service that answers it.
+// Package directory resolves a request by the configuration: its route, its workspace
+// and the service that answers it.
 package directory
