--- a/internal/decide/fresh/fresh.go
+++ b/internal/decide/freshness/freshness.go
@@ -1,4 +1,4 @@
-package fresh
+package freshness
 
 import "time"
 
--- a/internal/decide/fresh/fresh_test.go
+++ b/internal/decide/freshness/freshness_test.go
@@ -1,16 +1,16 @@
-package fresh_test
+package freshness_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/wardridge/wardridge/internal/decide/fresh"
+	"github.com/wardridge/wardridge/internal/decide/freshness"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestFrozenVMDoesNotServeByItsOldView(t *testing.T) {
-	v := fresh.New(epoch)
+	v := freshness.New(epoch)
 	woke := epoch.Add(time.Minute)
 	if got := v.Usable(woke); got {
 		t.Fatalf("first request after a freeze: got usable, want not")
@@ -26,11 +26,11 @@
 }
 
 func TestVMCutOffFromAllServesInTheEnd(t *testing.T) {
-	v := fresh.New(epoch)
+	v := freshness.New(epoch)
 	woke := epoch.Add(time.Minute)
 	v.Beat(woke)
 	now := woke
-	for now.Sub(woke) < fresh.Patience {
+	for now.Sub(woke) < freshness.Patience {
 		if got := v.Usable(now); got {
 			t.Fatalf("after %v: got usable, want not", now.Sub(woke))
 		}
@@ -44,7 +44,7 @@
 
 // A request that notices the jump first must not keep the beat from asking.
 func TestBeatAsksUntilTheViewIsConfirmed(t *testing.T) {
-	v := fresh.New(epoch)
+	v := freshness.New(epoch)
 	woke := epoch.Add(time.Minute)
 	v.Usable(woke)
 	if got := v.Beat(woke); !got {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -7,7 +7,7 @@
 
 	"github.com/wardridge/wardridge/internal/api"
 	"github.com/wardridge/wardridge/internal/clock"
-	"github.com/wardridge/wardridge/internal/decide/fresh"
+	"github.com/wardridge/wardridge/internal/decide/freshness"
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
@@ -21,7 +21,7 @@
 	mutex    sync.Mutex
 	state    api.PeerState
 	closed   bool
-	view     *fresh.View
+	view     *freshness.View
 	inFlight int
 	idle     chan struct{}
 }
@@ -29,7 +29,7 @@
 // New makes a life that is starting; now has to be a clock that goes on while
 // the VM is suspended.
 func New(now clock.Now) *Life {
-	return &Life{now: now, state: api.PeerStateStarting, view: fresh.New(now()), idle: make(chan struct{})}
+	return &Life{now: now, state: api.PeerStateStarting, view: freshness.New(now()), idle: make(chan struct{})}
 }
 
 // Serve opens the VM to callers.
