--- a/internal/decide/freshness/freshness_test.go
+++ b/internal/decide/freshness/freshness_test.go
@@ -15,11 +15,11 @@
 	if got := v.Usable(woke); got {
 		t.Fatalf("first request after a freeze: got usable, want not")
 	}
-	v.Confirmed(epoch.Add(time.Second))
+	v.Confirm(epoch.Add(time.Second))
 	if got := v.Usable(woke); got {
 		t.Errorf("confirmed by a question from before the freeze ended: got usable, want not")
 	}
-	v.Confirmed(woke)
+	v.Confirm(woke)
 	if got := v.Usable(woke); !got {
 		t.Errorf("confirmed after the freeze: got not usable, want usable")
 	}
@@ -28,14 +28,14 @@
 func TestVMCutOffFromAllServesInTheEnd(t *testing.T) {
 	v := freshness.New(epoch)
 	woke := epoch.Add(time.Minute)
-	v.Beat(woke)
+	v.Tick(woke)
 	now := woke
-	for now.Sub(woke) < freshness.Patience {
+	for now.Sub(woke) < freshness.MaxWait {
 		if got := v.Usable(now); got {
 			t.Fatalf("after %v: got usable, want not", now.Sub(woke))
 		}
 		now = now.Add(time.Second)
-		v.Beat(now)
+		v.Tick(now)
 	}
 	if got := v.Usable(now); !got {
 		t.Errorf("after %v: got not usable, want usable", now.Sub(woke))
@@ -47,17 +47,17 @@
 	v := freshness.New(epoch)
 	woke := epoch.Add(time.Minute)
 	v.Usable(woke)
-	if got := v.Beat(woke); !got {
+	if got := v.Tick(woke); !got {
 		t.Fatalf("beat after a request noticed the jump: got no question, want one")
 	}
-	if got := v.Beat(woke.Add(100 * time.Millisecond)); got {
+	if got := v.Tick(woke.Add(100 * time.Millisecond)); got {
 		t.Errorf("beat right after a question: got another, want none")
 	}
-	if got := v.Beat(woke.Add(time.Second)); !got {
+	if got := v.Tick(woke.Add(time.Second)); !got {
 		t.Errorf("beat a second after a question without an answer: got none, want another")
 	}
-	v.Confirmed(woke)
-	if got := v.Beat(woke.Add(2 * time.Second)); got {
+	v.Confirm(woke)
+	if got := v.Tick(woke.Add(2 * time.Second)); got {
 		t.Errorf("beat of a confirmed view: got a question, want none")
 	}
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -118,7 +118,7 @@
 func (l *Life) Beat() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.view.Beat(l.now())
+	return l.view.Tick(l.now())
 }
 
 // Confirmed notes an answer about the configuration to a question sent at a
@@ -126,7 +126,7 @@
 func (l *Life) Confirmed(sent time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.view.Confirmed(sent)
+	l.view.Confirm(sent)
 }
 
 // Now reads the life's clock.
