--- a/internal/decide/freshness/doc.go
+++ b/internal/decide/freshness/doc.go
@@ -1,3 +1,3 @@
-// Package freshness decides whether this entry VM's view of the configuration may
-// be served by after the process did not run for a while.
+// Package freshness decides whether an entry VM may serve requests by its view of the
+// configuration after its process did not run for a while.
 package freshness
--- a/internal/decide/freshness/freshness.go
+++ b/internal/decide/freshness/freshness.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// MaxPause is the time without a beat after which the view counts as old.
+// MaxPause is the time without a call of Tick or Usable after which the view is stale.
 const MaxPause = 2 * time.Second
 
-// MaxWait is how long an old view is not served by when nobody can confirm
-// it: a VM cut off from all then serves what it has.
+// MaxWait is how long a stale view that nobody confirms is not usable. After that, a VM
+// that is cut off from the platform and all peers serves by the view that it has.
 const MaxWait = 5 * time.Second
 
-// queryInterval is the time between questions that confirm an old view.
+// queryInterval is the time between queries that ask to confirm a stale view.
 const queryInterval = time.Second
 
-// View tells whether the configuration may be served by.
+// View tracks whether an entry VM may serve requests by its view of the configuration.
 type View struct {
 	lastTick  time.Time
 	stale     bool
@@ -20,14 +20,14 @@
 	queriedAt time.Time
 }
 
-// New makes a view that is fresh at a time.
+// New creates a view that is not stale at the given time.
 func New(now time.Time) *View {
 	return &View{lastTick: now}
 }
 
-// Tick notes that the process runs; it reports true when the view has to be
-// asked for, as the process had stopped for longer than Jump and nobody has
-// confirmed it yet.
+// Tick records that the process runs. It reports whether to send a query now that
+// confirms the view: after the process has paused for longer than MaxPause, once per
+// queryInterval until the view is confirmed.
 func (v *View) Tick(now time.Time) bool {
 	v.detectPause(now)
 	if !v.stale || now.Sub(v.queriedAt) < queryInterval {
@@ -37,7 +37,7 @@
 	return true
 }
 
-// detectPause takes the time and finds a jump.
+// detectPause marks the view as stale if the process has paused since the last call.
 func (v *View) detectPause(now time.Time) {
 	if now.Sub(v.lastTick) > MaxPause {
 		v.stale = true
@@ -46,16 +46,16 @@
 	v.lastTick = now
 }
 
-// Confirm notes that the platform or a peer confirmed the view by an answer
-// to a question that was sent at a time.
+// Confirm records that the platform or a peer has confirmed the view in answer to a query
+// sent at the given time. Queries sent before the pause ended confirm nothing.
 func (v *View) Confirm(sent time.Time) {
 	if v.stale && !sent.Before(v.resumedAt) {
 		v.stale = false
 	}
 }
 
-// Usable reports whether the view may be served by now. A request that comes
-// before the next beat finds the jump itself.
+// Usable reports whether requests may be served by the view. It detects a pause itself,
+// for requests that arrive before the next Tick.
 func (v *View) Usable(now time.Time) bool {
 	if now.Sub(v.lastTick) > MaxPause {
 		v.detectPause(now)
@@ -63,7 +63,7 @@
 	return !v.stale || now.Sub(v.resumedAt) >= MaxWait
 }
 
-// Stale reports whether the view waits to be confirmed.
+// Stale reports whether the view has yet to be confirmed.
 func (v *View) Stale() bool {
 	return v.stale
 }
--- a/internal/decide/freshness/freshness_test.go
+++ b/internal/decide/freshness/freshness_test.go
@@ -9,55 +9,55 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestFrozenVMDoesNotServeByItsOldView(t *testing.T) {
+func TestStaleViewIsNotUsableAfterAPause(t *testing.T) {
 	v := freshness.New(epoch)
-	woke := epoch.Add(time.Minute)
-	if got := v.Usable(woke); got {
-		t.Fatalf("first request after a freeze: got usable, want not")
+	resumed := epoch.Add(time.Minute)
+	if got := v.Usable(resumed); got {
+		t.Fatalf("first request after a pause: got usable, want not usable")
 	}
 	v.Confirm(epoch.Add(time.Second))
-	if got := v.Usable(woke); got {
-		t.Errorf("confirmed by a question from before the freeze ended: got usable, want not")
+	if got := v.Usable(resumed); got {
+		t.Errorf("confirmed by a query from before the pause ended: got usable, want not usable")
 	}
-	v.Confirm(woke)
-	if got := v.Usable(woke); !got {
-		t.Errorf("confirmed after the freeze: got not usable, want usable")
+	v.Confirm(resumed)
+	if got := v.Usable(resumed); !got {
+		t.Errorf("confirmed after the pause: got not usable, want usable")
 	}
 }
 
-func TestVMCutOffFromAllServesInTheEnd(t *testing.T) {
+func TestStaleViewIsUsableAfterMaxWait(t *testing.T) {
 	v := freshness.New(epoch)
-	woke := epoch.Add(time.Minute)
-	v.Tick(woke)
-	now := woke
-	for now.Sub(woke) < freshness.MaxWait {
+	resumed := epoch.Add(time.Minute)
+	v.Tick(resumed)
+	now := resumed
+	for now.Sub(resumed) < freshness.MaxWait {
 		if got := v.Usable(now); got {
-			t.Fatalf("after %v: got usable, want not", now.Sub(woke))
+			t.Fatalf("after %v: got usable, want not usable", now.Sub(resumed))
 		}
 		now = now.Add(time.Second)
 		v.Tick(now)
 	}
 	if got := v.Usable(now); !got {
-		t.Errorf("after %v: got not usable, want usable", now.Sub(woke))
+		t.Errorf("after %v: got not usable, want usable", now.Sub(resumed))
 	}
 }
 
-// A request that notices the jump first must not keep the beat from asking.
-func TestBeatAsksUntilTheViewIsConfirmed(t *testing.T) {
+// A request that detects the pause first must not keep Tick from asking for a query.
+func TestTickQueriesUntilTheViewIsConfirmed(t *testing.T) {
 	v := freshness.New(epoch)
-	woke := epoch.Add(time.Minute)
-	v.Usable(woke)
-	if got := v.Tick(woke); !got {
-		t.Fatalf("beat after a request noticed the jump: got no question, want one")
+	resumed := epoch.Add(time.Minute)
+	v.Usable(resumed)
+	if got := v.Tick(resumed); !got {
+		t.Fatalf("tick after a request detected the pause: got no query, want one")
 	}
-	if got := v.Tick(woke.Add(100 * time.Millisecond)); got {
-		t.Errorf("beat right after a question: got another, want none")
+	if got := v.Tick(resumed.Add(100 * time.Millisecond)); got {
+		t.Errorf("tick right after a query: got another, want none")
 	}
-	if got := v.Tick(woke.Add(time.Second)); !got {
-		t.Errorf("beat a second after a question without an answer: got none, want another")
+	if got := v.Tick(resumed.Add(time.Second)); !got {
+		t.Errorf("tick a second after a query without an answer: got none, want another")
 	}
-	v.Confirm(woke)
-	if got := v.Tick(woke.Add(2 * time.Second)); got {
-		t.Errorf("beat of a confirmed view: got a question, want none")
+	v.Confirm(resumed)
+	if got := v.Tick(resumed.Add(2 * time.Second)); got {
+		t.Errorf("tick of a confirmed view: got a query, want none")
 	}
 }
