--- a/internal/decide/sequence/sequence_test.go
+++ b/internal/decide/sequence/sequence_test.go
@@ -11,11 +11,11 @@
 
 func TestTake(t *testing.T) {
 	tests := []struct {
-		name   string
-		before []string
-		join   bool
-		id     string
-		want   sequence.Verdict
+		name    string
+		before  []string
+		resumed bool
+		id      string
+		want    sequence.Verdict
 	}{
 		{"first event", nil, false, "1", sequence.Deliver},
 		{"next event", []string{"1"}, false, "2", sequence.Deliver},
@@ -32,12 +32,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			var s sequence.Sequence
 			for _, id := range c.before {
-				s.Take(id)
+				s.Accept(id)
 			}
-			if c.join {
-				s.Join()
+			if c.resumed {
+				s.Resume()
 			}
-			if got := s.Take(c.id); got != c.want {
+			if got := s.Accept(c.id); got != c.want {
 				t.Errorf("Take(%s): got %v, want %v", c.id, got, c.want)
 			}
 		})
@@ -52,10 +52,10 @@
 		next := int64(1)
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			if want > 1 && rapid.IntRange(0, 5).Draw(t, "take-over") == 0 {
-				s.Join()
+				s.Resume()
 				next = max(1, next+int64(rapid.IntRange(-4, 2).Draw(t, "jump")))
 			}
-			switch s.Take(strconv.FormatInt(next, 10)) {
+			switch s.Accept(strconv.FormatInt(next, 10)) {
 			case sequence.Deliver:
 				if next != want {
 					t.Fatalf("delivered: got %d, want %d", next, want)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -127,7 +127,7 @@
 func (r *run) take(id string) sequence.Verdict {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	v := r.events.Take(id)
+	v := r.events.Accept(id)
 	if v == sequence.Deliver {
 		r.pace.note(time.Now(), r.request.Arrived, r.events.Count())
 	}
@@ -165,7 +165,7 @@
 func (r *run) progress() (string, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.events.Last(), r.events.Count()
+	return r.events.LastID(), r.events.Count()
 }
 
 // attach counts a run at its server and moves it on if that leaves.
@@ -175,7 +175,7 @@
 	r.server = s
 	r.reservation = l
 	if r.events.Count() > 0 {
-		r.events.Join()
+		r.events.Resume()
 		r.pace.moves++
 		r.pace.joining = true
 	}
--- a/spec/move.go
+++ b/spec/move.go
@@ -135,7 +135,7 @@
 
 // read takes the next event of the stream.
 func (s moveState) read(mutation string) moveState {
-	v := s.events.Take(strconv.Itoa(s.next))
+	v := s.events.Accept(strconv.Itoa(s.next))
 	if mutation == "events are not judged" {
 		v = sequence.Deliver
 	}
@@ -172,7 +172,7 @@
 		s.next = min(s.next, s.copies[h]+1)
 	}
 	s.made = max(s.copies[h], s.count)
-	s.events.Join()
+	s.events.Resume()
 	return s
 }
 
