--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -34,7 +34,7 @@
 
 func fleet(servers int) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Options{
-		Admission: admit.NewSurvival(0.05, 63), Routing: route.Prefix{Over: 0.15},
+		Admission: admit.NewSurvival(0.05, 63), Routing: route.Prefix{MaxExcess: 0.15},
 		QueueLimit: 512, QueueWait: time.Second, Suspect: time.Hour, RetryPermille: 100, Seed: 1,
 	})
 	var l []dispatch.Server
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -222,7 +222,7 @@
 func BenchmarkSubmit2500Servers(b *testing.B) {
 	o := options(0, 512)
 	o.Admission = admit.NewSurvival(0.05, 70)
-	o.Routing = route.Prefix{Over: 0.1}
+	o.Routing = route.Prefix{MaxExcess: 0.1}
 	d := fleet(o, 2500)
 	b.ResetTimer()
 	for i := range b.N {
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -61,15 +61,15 @@
 	return a
 }
 
-// HomeBound is how much fuller than another engine the product lets the home
+// MaxHomeExcess is how much fuller than another engine the product lets the home
 // of a prefix be.
-const HomeBound = 0.02
+const MaxHomeExcess = 0.02
 
 // Prefix keeps requests of one prefix on one engine by rendezvous hashing
 // while that engine is not much fuller than others, and else takes two choices.
 type Prefix struct {
-	// Over is how much fuller than a random engine the home may be.
-	Over float64
+	// MaxExcess is how much fuller than a random engine the home may be.
+	MaxExcess float64
 }
 
 // Pick takes the home of the prefix if its load is within the bound.
@@ -79,7 +79,7 @@
 	}
 	h := Home(xxhash.Sum64String(prefix), c.Len(), c.Hash)
 	o := TwoChoices{}.Pick(r, prefix, c)
-	if c.Fill(h) <= c.Fill(o)+p.Over {
+	if c.Fill(h) <= c.Fill(o)+p.MaxExcess {
 		return h
 	}
 	return o
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -52,7 +52,7 @@
 
 func TestPrefixStaysHomeUntilItIsFuller(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	p := route.Prefix{Over: 0.2}
+	p := route.Prefix{MaxExcess: 0.2}
 	even := engines{0.5, 0.5, 0.5, 0.5}
 	home := p.Pick(r, "desk", even)
 	for range 50 {
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -48,7 +48,7 @@
 		{Name: "two choices, mean", Admit: func() admit.Policy { return admit.Mean{} }, Route: two},
 		{Name: "two choices, maximum", Admit: func() admit.Policy { return admit.Maximum{} }, Route: two},
 		{Name: "two choices, survival (default)", Admit: survival, Route: two},
-		{Name: "prefix, survival", Admit: survival, Route: func() route.Policy { return route.Prefix{Over: route.HomeBound} }},
+		{Name: "prefix, survival", Admit: survival, Route: func() route.Policy { return route.Prefix{MaxExcess: route.MaxHomeExcess} }},
 	}
 }
 
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -118,7 +118,7 @@
 	case api.EngineSettingsRoutingLeastLoaded:
 		return route.LeastLoaded{}
 	case api.EngineSettingsRoutingPrefix:
-		return route.Prefix{Over: route.HomeBound}
+		return route.Prefix{MaxExcess: route.MaxHomeExcess}
 	default:
 		return route.TwoChoices{}
 	}
