--- a/internal/decide/sequence/doc.go
+++ b/internal/decide/sequence/doc.go
@@ -1,3 +1,3 @@
-// Package sequence holds the events of one stream to their order while the
-// stream goes on at one server after the other.
+// Package sequence keeps the events of a stream complete and in order when another server
+// resumes the stream.
 package sequence
--- a/internal/decide/sequence/sequence.go
+++ b/internal/decide/sequence/sequence.go
@@ -5,25 +5,27 @@
 // Verdict says what to do with an event.
 type Verdict int
 
-// Verdicts.
+// Verdicts on events.
 const (
-	// Deliver passes the event on.
+	// Deliver means that the event is passed on to the caller.
 	Deliver Verdict = iota
-	// Drop leaves out an event that the caller already has.
+	// Drop means that the caller already has the event.
 	Drop
 	// Gap means that events before this one are missing.
 	Gap
 )
 
-// Sequence is what the caller of one stream has received.
+// Sequence tracks which events of one stream the caller has received. The zero value is
+// ready to use.
 type Sequence struct {
 	lastID string
-	// lastNumber and step are of the last event; step is zero until two events came.
+	// lastNumber is the id of the last event as a number, and step its difference from
+	// the id before, zero until two events were delivered.
 	lastNumber int64
 	step       int64
 	// count is the number of events delivered.
 	count int
-	// resumed is set until the first event of a server that took the stream over.
+	// resumed is set from a resume until the next event is delivered.
 	resumed bool
 }
 
@@ -37,14 +39,14 @@
 	return s.count
 }
 
-// Resume notes that another server goes on with the stream.
+// Resume records that another server resumes the stream.
 func (s *Sequence) Resume() {
 	s.resumed = true
 }
 
-// Accept judges an event by its id. Ids rise; where a stream is taken over, the
-// next has to follow the last one as the ids before did. Ids that are no
-// numbers can't be judged and are delivered.
+// Accept decides by its id what to do with the next event, and records it if it is to be
+// delivered. Ids must rise. After a resume, the difference from the last id must not be
+// larger than the one before. Events whose ids are not numbers are always delivered.
 func (s *Sequence) Accept(id string) Verdict {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
--- a/internal/decide/sequence/sequence_test.go
+++ b/internal/decide/sequence/sequence_test.go
@@ -20,13 +20,13 @@
 		{"first event", nil, false, "1", sequence.Deliver},
 		{"next event", []string{"1"}, false, "2", sequence.Deliver},
 		{"ids that rise by more", []string{"4", "8"}, false, "12", sequence.Deliver},
-		{"same event after a take-over", []string{"1", "2"}, true, "2", sequence.Drop},
-		{"older event after a take-over", []string{"1", "2"}, true, "1", sequence.Drop},
-		{"next event after a take-over", []string{"1", "2"}, true, "3", sequence.Deliver},
-		{"event missing after a take-over", []string{"1", "2"}, true, "4", sequence.Gap},
-		{"next of larger steps after a take-over", []string{"4", "8"}, true, "12", sequence.Deliver},
-		{"missing one of larger steps", []string{"4", "8"}, true, "16", sequence.Gap},
-		{"id that is no number", []string{"a"}, true, "b", sequence.Deliver},
+		{"same event after a resume", []string{"1", "2"}, true, "2", sequence.Drop},
+		{"older event after a resume", []string{"1", "2"}, true, "1", sequence.Drop},
+		{"next event after a resume", []string{"1", "2"}, true, "3", sequence.Deliver},
+		{"event missing after a resume", []string{"1", "2"}, true, "4", sequence.Gap},
+		{"next event with larger steps after a resume", []string{"4", "8"}, true, "12", sequence.Deliver},
+		{"event missing with larger steps after a resume", []string{"4", "8"}, true, "16", sequence.Gap},
+		{"id that is not a number", []string{"a"}, true, "b", sequence.Deliver},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -38,20 +38,20 @@
 				s.Resume()
 			}
 			if got := s.Accept(c.id); got != c.want {
-				t.Errorf("Take(%s): got %v, want %v", c.id, got, c.want)
+				t.Errorf("Accept(%s): got %v, want %v", c.id, got, c.want)
 			}
 		})
 	}
 }
 
-// Whatever the take-overs repeat, the caller gets 1, 2, 3 and so on.
+// Whichever events are repeated after a resume, the caller gets 1, 2, 3 and so on.
 func TestCallerGetsEachEventOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s sequence.Sequence
 		want := int64(1)
 		next := int64(1)
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			if want > 1 && rapid.IntRange(0, 5).Draw(t, "take-over") == 0 {
+			if want > 1 && rapid.IntRange(0, 5).Draw(t, "resume") == 0 {
 				s.Resume()
 				next = max(1, next+int64(rapid.IntRange(-4, 2).Draw(t, "jump")))
 			}
@@ -63,7 +63,7 @@
 				want++
 			case sequence.Gap:
 				if next <= want {
-					t.Fatalf("gap at %d: want it only beyond %d", next, want)
+					t.Fatalf("gap: got %d, want only above %d", next, want)
 				}
 				return
 			case sequence.Drop:
