--- a/internal/decide/route/doc.go
+++ b/internal/decide/route/doc.go
@@ -1,2 +1,2 @@
-// Package route chooses an engine for a request.
+// Package route provides the policies that choose an engine for a request.
 package route
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -6,38 +6,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidates is what a policy may know of the engines, by index.
+// Candidates gives a policy the state of the engines to choose from, by index.
 type Candidates interface {
-	// Len counts the engines.
+	// Len is the number of engines.
 	Len() int
 	// Hash identifies an engine for rendezvous hashing.
 	Hash(i int) uint64
-	// Reported is the share of memory in use by an engine's late report.
+	// Reported is the share of its memory that an engine last reported as used; it lags
+	// behind the real use.
 	Reported(i int) float64
-	// Fill is that share with this entry VM's own corrections.
+	// Fill is the same share, corrected by what this entry VM knows of its own requests.
 	Fill(i int) float64
 }
 
-// Policy picks one of the candidates for a prefix.
+// Policy chooses an engine for a request.
 type Policy interface {
+	// Pick returns the index of one of the candidates for a request with a prefix.
 	Pick(r *rand.Rand, prefix string, c Candidates) int
 }
 
-// RoundRobin takes the candidates in turn.
+// RoundRobin picks the candidates in turn.
 type RoundRobin struct {
 	next int
 }
 
-// Pick takes the next in turn.
+// Pick returns the next candidate in turn.
 func (p *RoundRobin) Pick(_ *rand.Rand, _ string, c Candidates) int {
 	p.next++
 	return p.next % c.Len()
 }
 
-// LeastLoaded takes the lowest late report.
+// LeastLoaded picks the engine that reported the lowest share of used memory.
 type LeastLoaded struct{}
 
-// Pick compares all reports.
+// Pick compares the reports of all candidates.
 func (LeastLoaded) Pick(_ *rand.Rand, _ string, c Candidates) int {
 	b := 0
 	low := c.Reported(0)
@@ -49,10 +51,10 @@
 	return b
 }
 
-// TwoChoices takes the emptier of two drawn at random, by own corrections.
+// TwoChoices picks the one with the lower fill of two random engines.
 type TwoChoices struct{}
 
-// Pick draws two and compares them.
+// Pick draws two candidates and compares them.
 func (TwoChoices) Pick(r *rand.Rand, _ string, c Candidates) int {
 	a, b := r.IntN(c.Len()), r.IntN(c.Len())
 	if c.Fill(b) < c.Fill(a) {
@@ -61,18 +63,19 @@
 	return a
 }
 
-// MaxHomeExcess is how much fuller than another engine the product lets the home
-// of a prefix be.
+// MaxHomeExcess is the value of Prefix.MaxExcess in production.
 const MaxHomeExcess = 0.02
 
-// Prefix keeps requests of one prefix on one engine by rendezvous hashing
-// while that engine is not much fuller than others, and else takes two choices.
+// Prefix keeps the requests of one prefix on one engine, its home, by rendezvous hashing.
+// While the home is much fuller than other engines, it picks like TwoChoices.
 type Prefix struct {
-	// MaxExcess is how much fuller than a random engine the home may be.
+	// MaxExcess is by how much the fill of the home may exceed that of the engine that
+	// TwoChoices picks.
 	MaxExcess float64
 }
 
-// Pick takes the home of the prefix if its load is within the bound.
+// Pick returns the home of the prefix if its fill is within the bound. Requests without a
+// prefix have no home.
 func (p Prefix) Pick(r *rand.Rand, prefix string, c Candidates) int {
 	if prefix == "" {
 		return TwoChoices{}.Pick(r, prefix, c)
@@ -85,7 +88,7 @@
 	return o
 }
 
-// Home gives the index with the highest rendezvous weight for a key.
+// Home returns the index, below n, with the highest rendezvous weight for a key.
 func Home(key uint64, n int, hash func(int) uint64) int {
 	b := 0
 	top := uint64(0)
@@ -97,7 +100,7 @@
 	return b
 }
 
-// mix spreads the bits of a combined hash (the finaliser of SplitMix64).
+// mix spreads the bits of a combined hash with the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/decide/route"
 )
 
-// engines are candidates with the fills given.
+// engines holds the fill of each candidate, which is also what it reports.
 type engines []float64
 
 func (e engines) Len() int               { return len(e) }
@@ -32,7 +32,7 @@
 	}
 	for i := range 3 {
 		if got[i] != 3 {
-			t.Errorf("engine %d: got %d, want 3", i, got[i])
+			t.Errorf("engine %d: got %d picks, want 3", i, got[i])
 		}
 	}
 }
@@ -50,14 +50,14 @@
 	}
 }
 
-func TestPrefixStaysHomeUntilItIsFuller(t *testing.T) {
+func TestPrefixStaysOnItsHomeUntilFuller(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	p := route.Prefix{MaxExcess: 0.2}
 	even := engines{0.5, 0.5, 0.5, 0.5}
 	home := p.Pick(r, "desk", even)
 	for range 50 {
 		if got := p.Pick(r, "desk", even); got != home {
-			t.Fatalf("even load: got %d, want %d", got, home)
+			t.Fatalf("equal fill: got engine %d, want %d", got, home)
 		}
 	}
 	fills := []float64{0.1, 0.1, 0.1, 0.1}
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestHomeMovesOnlyWithItsEngine(t *testing.T) {
+func TestHomeChangesOnlyIfItsEngineIsRemoved(t *testing.T) {
 	hash := func(i int) uint64 { return xxhash.Sum64String("engine" + strconv.Itoa(i)) }
 	moved := 0
 	for k := range 1000 {
@@ -84,6 +84,6 @@
 		}
 	}
 	if moved != 0 {
-		t.Errorf("prefixes that moved from engines that stayed: got %d, want 0", moved)
+		t.Errorf("prefixes that left an engine that was not removed: got %d, want 0", moved)
 	}
 }
