--- a/internal/decide/directory/config.go
+++ b/internal/decide/directory/config.go
@@ -51,7 +51,8 @@
 type Engine struct {
 	Slots  int
 	Memory api.Tokens
-	// TokenBytes is the memory of one token in bytes, which a copy has to transfer.
+	// TokenBytes is the size of one token in the KV cache in bytes, which each copy of a
+	// run has to transfer.
 	TokenBytes int64
 	LinkMbps   float64
 	// SupportsMoves is set if a run can be copied to another engine on request.
--- a/internal/decide/roster/restore.go
+++ b/internal/decide/roster/restore.go
@@ -36,9 +36,9 @@
 	clear(r.services)
 }
 
-// warmAt is when a server is warm by its entry. After a restore of the store, an entry that
-// says so earlier than before is ignored until the server had time to write again: it may
-// have turned cold after the backup was made.
+// warmAt is when a server is warm by its entry. After a restore of the store, a time before
+// the known one is ignored until the server had time to write again: it may have turned
+// cold after the backup was made.
 func (r *Roster) warmAt(now time.Time, m *Member, s Server) time.Time {
 	w := now.Add(s.ColdFor)
 	if w.Before(m.WarmAt) && !r.restoredAt.IsZero() && now.Sub(r.restoredAt) < rewriteTime {
--- a/internal/decide/sequence/sequence.go
+++ b/internal/decide/sequence/sequence.go
@@ -44,9 +44,10 @@
 	s.resumed = true
 }
 
-// Accept decides by its id what to do with the next event, and records it if it is to be
-// delivered. Ids must rise. After a resume, the difference from the last id must not be
-// larger than the one before. Events whose ids are not numbers are always delivered.
+// Accept decides by its id what to do with the next event, and records the event if it is
+// to be delivered. Events whose ids do not rise are dropped. After a resume, an id that is
+// further from the last one than the step before means a gap. Events whose ids are not
+// numbers are always delivered.
 func (s *Sequence) Accept(id string) Verdict {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
