--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -10,65 +10,65 @@
 	"github.com/wardridge/wardridge/internal/decide/gossip"
 )
 
-var begin = time.Unix(100, 0)
+var epoch = time.Unix(100, 0)
 
 func at(ms int) time.Time {
-	return begin.Add(time.Duration(ms) * time.Millisecond)
+	return epoch.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// A peer that is behind as well must not hide that another one is ahead.
-func TestLagSeesPeerAheadBesidePeerBehind(t *testing.T) {
+// A message from a peer that is not ahead must not reset the wait for one that is.
+func TestLagDetectsPeerAheadDespitePeerBehind(t *testing.T) {
 	var l gossip.Lag[api.Version]
 	got := false
 	for ms := 0; ms <= 1000; ms += 250 {
-		got = got || l.Ask(at(ms), 22, 40, false)
-		got = got || l.Ask(at(ms+10), 22, 22, false)
+		got = got || l.ShouldFetch(at(ms), 22, 40, false)
+		got = got || l.ShouldFetch(at(ms+10), 22, 22, false)
 	}
 	if !got {
-		t.Error("asked within a second: got false, want true")
+		t.Error("peer ahead for a second: got no fetch, want one")
 	}
 }
 
-func TestLagWaitsForOwnWatch(t *testing.T) {
+func TestLagWaitsForLocalWatch(t *testing.T) {
 	var l gossip.Lag[api.Version]
-	if got := l.Ask(at(0), 22, 40, false); got {
-		t.Error("first word of more: got true, want false")
+	if got := l.ShouldFetch(at(0), 22, 40, false); got {
+		t.Error("peer ahead for the first time: got a fetch, want none")
 	}
-	if got := l.Ask(at(400), 41, 42, false); got {
-		t.Error("after the own watch moved on: got true, want false")
+	if got := l.ShouldFetch(at(400), 41, 42, false); got {
+		t.Error("after the local version has advanced: got a fetch, want none")
 	}
 }
 
-func TestLagAsksAtOnceWithoutPlatform(t *testing.T) {
+func TestLagFetchesImmediatelyWithoutPlatform(t *testing.T) {
 	var l gossip.Lag[api.Version]
-	if got := l.Ask(at(0), 22, 40, true); !got {
-		t.Error("platform away: got false, want true")
+	if got := l.ShouldFetch(at(0), 22, 40, true); !got {
+		t.Error("platform away: got no fetch, want one")
 	}
-	if got := l.Ask(at(0), 0, 40, false); !got {
-		t.Error("nothing known: got false, want true")
+	if got := l.ShouldFetch(at(0), 0, 40, false); !got {
+		t.Error("no local version: got no fetch, want one")
 	}
 }
 
-// fleet is a set of entry VMs that exchange over a network without loss.
+// fleet simulates entry VMs that exchange over a network without loss.
 type fleet struct {
 	peers map[string]*gossip.Peers
 	self  map[string]gossip.Member
 	dead  map[string]bool
-	// answered are those that the platform answers.
-	answered map[string]bool
-	// sent counts the exchanges that each has begun or answered.
+	// connected holds the VMs that the platform answers.
+	connected map[string]bool
+	// sent counts the exchanges that each VM has started or answered.
 	sent map[string]int
 }
 
-// newFleet makes so many VMs in each of the domains; the first ones are seeds.
+// newFleet creates the given number of VMs in each domain. The first VMs are seeds.
 func newFleet(domains, each, hubs int) *fleet {
-	f := &fleet{peers: map[string]*gossip.Peers{}, self: map[string]gossip.Member{}, dead: map[string]bool{}, answered: map[string]bool{}, sent: map[string]int{}}
+	f := &fleet{peers: map[string]*gossip.Peers{}, self: map[string]gossip.Member{}, dead: map[string]bool{}, connected: map[string]bool{}, sent: map[string]int{}}
 	seeds := []string{address(0, 0), address(1%domains, 0), address(0, 1%each)}
 	for d := range domains {
 		for i := range each {
 			m := gossip.Member{Address: address(d, i), Domain: api.DomainName(fmt.Sprint("d", d))}
 			f.self[m.Address] = m
-			f.answered[m.Address] = true
+			f.connected[m.Address] = true
 			f.peers[m.Address] = gossip.New(at(0), m, seeds, hubs)
 		}
 	}
@@ -79,15 +79,15 @@
 	return fmt.Sprintf("10.%d.0.%03d:1", d, i)
 }
 
-// word is what a VM says.
-func (f *fleet) word(now time.Time, a string) gossip.Word {
+// message is what a VM reports to a peer.
+func (f *fleet) message(now time.Time, a string) gossip.Message {
 	m := f.self[a]
-	m.Hub = f.peers[a].Hub(now)
-	d := f.answered[a] && !f.peers[a].Guided(now)
-	return gossip.Word{Member: m, VM: api.VMName(a), Others: f.peers[a].Live(now), Direct: d, Informed: d || f.peers[a].Informed(now)}
+	m.Hub = f.peers[a].IsHub(now)
+	d := f.connected[a] && !f.peers[a].HasRelay(now)
+	return gossip.Message{Member: m, VM: api.VMName(a), Members: f.peers[a].Live(now), Direct: d, Informed: d || f.peers[a].Informed(now)}
 }
 
-// exchanges counts the exchanges from one time to another.
+// exchanges counts the exchanges between two times, in ms.
 func (f *fleet) exchanges(from, to int) int {
 	f.sent = map[string]int{}
 	f.run(from, to)
@@ -98,37 +98,37 @@
 	return n / 2
 }
 
-// run plays rounds of 250 ms from one time to another.
+// run simulates rounds of 250 ms between two times, in ms.
 func (f *fleet) run(from, to int) {
 	for ms := from; ms < to; ms += 250 {
-		f.tell(ms)
+		f.relay(ms)
 		for a, p := range f.peers {
 			if f.dead[a] {
 				continue
 			}
-			for _, b := range p.Round(at(ms)) {
+			for _, b := range p.Due(at(ms)) {
 				f.sent[a]++
 				if f.dead[b] {
 					continue
 				}
 				f.sent[b]++
-				f.peers[b].Heard(at(ms+1), f.word(at(ms), a))
-				p.Heard(at(ms+2), f.word(at(ms), b))
+				f.peers[b].Receive(at(ms+1), f.message(at(ms), a))
+				p.Receive(at(ms+2), f.message(at(ms), b))
 			}
 		}
 	}
 }
 
-// tell lets those that have just begun to follow the platform tell all who hear
-// of changes from peers alone.
-func (f *fleet) tell(ms int) {
+// relay sends the messages of VMs that have just begun to follow the platform to
+// their relay targets.
+func (f *fleet) relay(ms int) {
 	for a, p := range f.peers {
-		if f.dead[a] || p.Guided(at(ms)) || !p.Guided(at(ms-250)) {
+		if f.dead[a] || p.HasRelay(at(ms)) || !p.HasRelay(at(ms-250)) {
 			continue
 		}
-		for _, b := range p.Blind(at(ms), f.answered[a] && !p.Guided(at(ms))) {
+		for _, b := range p.RelayTargets(at(ms), f.connected[a] && !p.HasRelay(at(ms))) {
 			if !f.dead[b] {
-				f.peers[b].Heard(at(ms+1), f.word(at(ms), a))
+				f.peers[b].Receive(at(ms+1), f.message(at(ms), a))
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 func (f *fleet) hubs(now time.Time) []string {
 	var l []string
 	for a, p := range f.peers {
-		if !f.dead[a] && p.Hub(now) {
+		if !f.dead[a] && p.IsHub(now) {
 			l = append(l, a)
 		}
 	}
@@ -145,7 +145,7 @@
 	return l
 }
 
-func TestFleetFindsItsHubs(t *testing.T) {
+func TestFleetConvergesOnHubs(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	want := []string{address(0, 0), address(0, 1), address(1, 0), address(1, 1), address(2, 0), address(2, 1)}
@@ -153,11 +153,11 @@
 		t.Errorf("hubs: got %v, want %v", got, want)
 	}
 	for a, p := range f.peers {
-		if first := a == address(0, 0); first == p.Guided(at(6000)) {
-			t.Errorf("%s is guided: got %v, want it for all but the first of all", a, !first)
+		if first := a == address(0, 0); first == p.HasRelay(at(6000)) {
+			t.Errorf("%s has a relay: got %v, want true for all but the first leader", a, !first)
 		}
-		if !p.Hub(at(6000)) && !p.Guided(at(6000)) {
-			t.Errorf("%s: got no hub heard within a second, want one", a)
+		if !p.IsHub(at(6000)) && !p.HasRelay(at(6000)) {
+			t.Errorf("%s: got no hub that relays to it, want one", a)
 		}
 	}
 }
@@ -170,59 +170,59 @@
 	}
 	for a, p := range f.peers {
 		if got := len(p.Live(at(3000))); got != 8 {
-			t.Errorf("%s hears %d peers, want 8", a, got)
+			t.Errorf("%s: got %d live peers, want 8", a, got)
 		}
 	}
 }
 
-// In an outage of the platform the hubs ask for the others.
-func TestMembersArePatientWhileTheyHearAHub(t *testing.T) {
+// During an outage of the platform only the first two leaders keep retrying at the short interval.
+func TestMembersBackOffWhileAHubIsAlive(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	for a, p := range f.peers {
-		if got, want := p.Patient(at(6000), 2), a != address(0, 0) && a != address(1, 0); got != want {
-			t.Errorf("%s: got patient %v, want %v", a, got, want)
+		if got, want := p.BacksOff(at(6000), 2), a != address(0, 0) && a != address(1, 0); got != want {
+			t.Errorf("%s: got backs off %v, want %v", a, got, want)
 		}
-		if got, want := p.Patient(at(6000), 1), !p.Hub(at(6000)); got != want {
-			t.Errorf("%s after one failure: got patient %v, want %v", a, got, want)
+		if got, want := p.BacksOff(at(6000), 1), !p.IsHub(at(6000)); got != want {
+			t.Errorf("%s after one failure: got backs off %v, want %v", a, got, want)
 		}
-		if p.Patient(at(12000), 2) {
-			t.Errorf("%s after 6 s without a word: got patient, want it to ask itself", a)
+		if p.BacksOff(at(12000), 2) {
+			t.Errorf("%s after 6 s without a message: got it to back off, want it to keep calling the platform", a)
 		}
 	}
 }
 
-func TestNextHubTakesOverForAll(t *testing.T) {
+func TestNextHubTakesOverRelay(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	f.dead[address(0, 0)] = true
 	for ms := 6000; ms < 12000; ms += 250 {
 		f.run(ms, ms+250)
 		for a, p := range f.peers {
-			if !f.dead[a] && !p.Hub(at(ms)) && !p.Guided(at(ms)) {
-				t.Fatalf("%s at %d ms: got it to ask the platform itself, want the next hub to", a, ms)
+			if !f.dead[a] && !p.IsHub(at(ms)) && !p.HasRelay(at(ms)) {
+				t.Fatalf("%s at %d ms: got it to follow the platform itself, want the next hub to relay", a, ms)
 			}
 		}
 	}
 	for a, p := range f.peers {
-		if got, want := p.Guided(at(12000)), a != address(0, 1); !f.dead[a] && got != want {
-			t.Errorf("%s: got guided %v, want only the next one to follow the platform", a, got)
+		if got, want := p.HasRelay(at(12000)), a != address(0, 1); !f.dead[a] && got != want {
+			t.Errorf("%s: got a relay %v, want only the next hub to follow the platform", a, got)
 		}
 	}
 }
 
-// An entry VM that starts leaves the platform to others until it knows them.
-func TestStartLeavesThePlatformToOthers(t *testing.T) {
+// An entry VM that starts must not follow the platform before it knows its peers.
+func TestStartingVMWaitsBeforeFollowingThePlatform(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 2)
-	if !p.Guided(at(1000)) {
-		t.Error("a second after the start: got false, want guided")
+	if !p.HasRelay(at(1000)) {
+		t.Error("a second after the start: got no relay, want it to rely on others")
 	}
-	if p.Guided(at(2600)) {
-		t.Error("without peers: got guided, want it to follow the platform")
+	if p.HasRelay(at(2600)) {
+		t.Error("without peers: got a relay, want it to follow the platform")
 	}
 }
 
-func TestHubsThatDieAreReplaced(t *testing.T) {
+func TestDeadHubsAreReplaced(t *testing.T) {
 	f := newFleet(3, 10, 2)
 	f.run(0, 6000)
 	f.dead[address(1, 0)], f.dead[address(1, 1)] = true, true
@@ -232,14 +232,14 @@
 		t.Errorf("hubs: got %v, want the next two of domain 1", got)
 	}
 	for a, p := range f.peers {
-		if !f.dead[a] && !p.Hub(at(12000)) && !p.Guided(at(12000)) {
-			t.Errorf("%s: got no hub heard within a second, want one", a)
+		if !f.dead[a] && !p.IsHub(at(12000)) && !p.HasRelay(at(12000)) {
+			t.Errorf("%s: got no hub that relays to it, want one", a)
 		}
 	}
 }
 
-// A hub answers all members of its domain: narrow VMs are hubs only where there are no others.
-func TestStrongestAreHubs(t *testing.T) {
+// A hub answers its whole domain, so VMs of low capacity are hubs only where there are no others.
+func TestStrongestMembersAreHubs(t *testing.T) {
 	f := newFleet(2, 6, 2)
 	for d := range 2 {
 		for _, i := range []int{3, 5} {
@@ -267,33 +267,33 @@
 		t.Errorf("got %d and %d, want the second larger", weak, strong)
 	}
 	if got, want := gossip.Capacity(0.192, 1e6), gossip.Capacity(0.192, 200); got != want {
-		t.Errorf("a wide link with few cores: got %d, want the %d that its cores carry", got, want)
+		t.Errorf("a fast link with few cores: got %d, want the %d that its cores can handle", got, want)
 	}
 }
 
-// The messages of a VM that is no hub must not grow with the fleet.
-func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
-	most := func(each int) int {
+// The messages of a VM that is not a hub must not grow with the fleet.
+func TestMemberMessagesDoNotGrowWithFleet(t *testing.T) {
+	maxSent := func(each int) int {
 		f := newFleet(3, each, 2)
 		f.run(0, 8000)
 		f.sent = map[string]int{}
 		f.run(8000, 12000)
 		n := 0
 		for a, p := range f.peers {
-			if !p.Hub(at(12000)) {
+			if !p.IsHub(at(12000)) {
 				n = max(n, f.sent[a])
 			}
 		}
 		return n
 	}
-	small, large := most(6), most(24)
+	small, large := maxSent(6), maxSent(24)
 	if large > small {
 		t.Errorf("exchanges in 4 s: got %d at 72 VMs, want at most the %d at 18", large, small)
 	}
 }
 
 // VMs that all start at the same moment must not cause a burst of exchanges.
-func TestStartIsNoStorm(t *testing.T) {
+func TestSimultaneousStartCausesNoBurst(t *testing.T) {
 	f := newFleet(4, 15, 3)
 	first := f.exchanges(0, 1000)
 	f.run(1000, 5000)
@@ -303,41 +303,41 @@
 	}
 }
 
-func TestAddressesAreDropped(t *testing.T) {
+func TestSilentAddressesAreDropped(t *testing.T) {
 	self := gossip.Member{Address: "a:1", Domain: "d"}
 	p := gossip.New(at(0), self, []string{"b:1", "a:1"}, 3)
-	if got, want := p.Round(at(0)), []string{"b:1"}; !slices.Equal(got, want) {
+	if got, want := p.Due(at(0)), []string{"b:1"}; !slices.Equal(got, want) {
 		t.Fatalf("first round: got %v, want %v", got, want)
 	}
-	p.Heard(at(10), gossip.Word{Member: gossip.Member{Address: "b:1", Domain: "d", Hub: true}, Others: []gossip.Member{{Address: "c:1", Domain: "d"}}})
-	if got, want := p.Round(at(1000)), []string{"b:1", "c:1"}; !slices.Equal(got, want) {
+	p.Receive(at(10), gossip.Message{Member: gossip.Member{Address: "b:1", Domain: "d", Hub: true}, Members: []gossip.Member{{Address: "c:1", Domain: "d"}}})
+	if got, want := p.Due(at(1000)), []string{"b:1", "c:1"}; !slices.Equal(got, want) {
 		t.Errorf("after a message: got %v, want %v", got, want)
 	}
-	p.Round(at(40000))
-	if got := p.Round(at(42000)); slices.Contains(got, "c:1") {
+	p.Due(at(40000))
+	if got := p.Due(at(42000)); slices.Contains(got, "c:1") {
 		t.Errorf("after 42 s of silence: got %v, want no c:1", got)
 	}
-	if got := p.Round(at(44000)); !slices.Contains(got, "b:1") {
-		t.Errorf("address of the settings: got %v, want b:1", got)
+	if got := p.Due(at(44000)); !slices.Contains(got, "b:1") {
+		t.Errorf("address from the settings: got %v, want b:1", got)
 	}
 }
 
-func TestBlindAndAlone(t *testing.T) {
+func TestRelayTargetsAndNoneInformed(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 3)
-	if !p.Alone(at(0)) {
-		t.Error("without peers: got false, want alone")
+	if !p.NoneInformed(at(0)) {
+		t.Error("without peers: got false, want none informed")
 	}
-	p.Heard(at(0), gossip.Word{Member: gossip.Member{Address: "b:1"}})
-	p.Heard(at(0), gossip.Word{Member: gossip.Member{Address: "d:1"}})
-	if !p.Alone(at(10)) {
-		t.Error("peers that the platform does not answer: got false, want alone")
+	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "b:1"}})
+	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "d:1"}})
+	if !p.NoneInformed(at(10)) {
+		t.Error("peers that the platform does not answer: got false, want none informed")
 	}
-	p.Heard(at(0), gossip.Word{Member: gossip.Member{Address: "c:1"}, Direct: true, Informed: true})
-	if p.Alone(at(10)) {
-		t.Error("peer that the platform answers: got alone, want false")
+	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "c:1"}, Direct: true, Informed: true})
+	if p.NoneInformed(at(10)) {
+		t.Error("peer that the platform answers: got none informed, want false")
 	}
-	if got, want := p.Blind(at(10), false), []string{"b:1", "d:1"}; !slices.Equal(got, want) {
-		t.Errorf("blind: got %v, want %v", got, want)
+	if got, want := p.RelayTargets(at(10), false), []string{"b:1", "d:1"}; !slices.Equal(got, want) {
+		t.Errorf("relay targets: got %v, want %v", got, want)
 	}
 }
 
@@ -345,8 +345,8 @@
 	tests := []struct {
 		name    string
 		members int
-		// least and most bound the exchanges of a second with the one hub.
-		least, most int
+		// minCount and maxCount bound the exchanges per second with the only hub.
+		minCount, maxCount int
 	}{
 		{"small", 5, 4, 5},
 		{"large", 60, 2, 3},
@@ -356,30 +356,30 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := gossip.New(at(0), gossip.Member{Address: "z:1", Domain: "x"}, nil, 1)
 			hub := gossip.Member{Address: "a:1", Domain: "x", Hub: true, Capacity: 9}
-			w := gossip.Word{Member: hub}
+			w := gossip.Message{Member: hub}
 			for i := range c.members - 1 {
-				w.Others = append(w.Others, gossip.Member{Address: fmt.Sprintf("m%d:1", i), Domain: "x"})
+				w.Members = append(w.Members, gossip.Member{Address: fmt.Sprintf("m%d:1", i), Domain: "x"})
 			}
 			got := 0
 			for ms := 0; ms < 3000; ms += 240 {
-				p.Heard(at(ms), w)
-				for _, a := range p.Round(at(ms)) {
+				p.Receive(at(ms), w)
+				for _, a := range p.Due(at(ms)) {
 					if a == hub.Address && ms >= 2000 {
 						got++
 					}
 				}
 			}
-			if got < c.least || got > c.most {
-				t.Errorf("got %d exchanges in a second, want %d to %d", got, c.least, c.most)
+			if got < c.minCount || got > c.maxCount {
+				t.Errorf("got %d exchanges in a second, want %d to %d", got, c.minCount, c.maxCount)
 			}
 		})
 	}
 }
 
-// The hubs of a failure domain allocate its engines, the strongest first.
+// The hubs of a failure domain allocate its engines, highest capacity first.
 func TestAllocators(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "b:1", Domain: "x", Capacity: 5}, nil, 2)
-	p.Heard(at(0), gossip.Word{Member: gossip.Member{Address: "a:1", Domain: "x", Capacity: 9, Hub: true}, Others: []gossip.Member{
+	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "a:1", Domain: "x", Capacity: 9, Hub: true}, Members: []gossip.Member{
 		{Address: "c:1", Domain: "x", Capacity: 1},
 		{Address: "y2:1", Domain: "y", Capacity: 5, Hub: true},
 		{Address: "y1:1", Domain: "y", Capacity: 9, Hub: true},
@@ -401,35 +401,35 @@
 			t.Errorf("domain %s after %d ms: got %q, want %q", c.domain, c.at, got, c.want)
 		}
 	}
-	if p.First(at(10)) || !p.First(at(6000)) {
-		t.Errorf("first hub: got %v beside a stronger one and %v alone, want false and true", p.First(at(10)), p.First(at(6000)))
+	if p.IsFirstHub(at(10)) || !p.IsFirstHub(at(6000)) {
+		t.Errorf("first hub: got %v beside a stronger one and %v alone, want false and true", p.IsFirstHub(at(10)), p.IsFirstHub(at(6000)))
 	}
 }
 
-// A platform that turns the first leader away is followed by the next one at once, and by no others.
-func TestNextLeaderFollowsWhereThePlatformTurnsTheFirstAway(t *testing.T) {
+// When the platform refuses the first leader, the next one follows it at once, and no other VM does.
+func TestNextLeaderTakesOverWhenPlatformRefusesTheFirst(t *testing.T) {
 	f := newFleet(4, 8, 2)
 	f.run(0, 6000)
-	f.answered[address(0, 0)] = false
+	f.connected[address(0, 0)] = false
 	for ms := 6000; ms < 12000; ms += 250 {
 		f.run(ms, ms+250)
 		for a, p := range f.peers {
-			if first := a == address(0, 0) || a == address(1, 0); !first && !p.Guided(at(ms+250)) {
-				t.Errorf("%s at %d ms: got it to follow the platform, want the first two leaders alone", a, ms)
+			if first := a == address(0, 0) || a == address(1, 0); !first && !p.HasRelay(at(ms+250)) {
+				t.Errorf("%s at %d ms: got it to follow the platform, want only the first two leaders to", a, ms)
 			}
 		}
 	}
-	if f.peers[address(1, 0)].Guided(at(12000)) {
-		t.Error("the next leader: got it guided, want it to follow the platform")
+	if f.peers[address(1, 0)].HasRelay(at(12000)) {
+		t.Error("the next leader: got a relay, want it to follow the platform")
 	}
 	for a, p := range f.peers {
-		if p.Alone(at(12000)) {
-			t.Errorf("%s: got no peer that has word, want one", a)
+		if p.NoneInformed(at(12000)) {
+			t.Errorf("%s: got no informed peer, want one", a)
 		}
 	}
 }
 
-func TestOthersFollowWhereTheFirstTwoLeadersFallSilent(t *testing.T) {
+func TestThirdLeaderTakesOverWhenFirstTwoAreSilent(t *testing.T) {
 	f := newFleet(4, 8, 2)
 	f.run(0, 6000)
 	for d := range 2 {
@@ -438,22 +438,22 @@
 		}
 	}
 	f.run(6000, 7500)
-	if p := f.peers[address(2, 0)]; p.Guided(at(7500)) {
-		t.Error("the third leader after 1.5 s: got it guided, want it to follow the platform")
+	if p := f.peers[address(2, 0)]; p.HasRelay(at(7500)) {
+		t.Error("the third leader after 1.5 s: got a relay, want it to follow the platform")
 	}
 	f.run(7500, 10000)
 	for d := 2; d < 4; d++ {
 		for i := range 8 {
-			if got, want := f.peers[address(d, i)].Guided(at(10000)), d != 2 || i != 0; got != want {
-				t.Errorf("%s after 4 s: got guided %v, want only the third leader to follow", address(d, i), got)
+			if got, want := f.peers[address(d, i)].HasRelay(at(10000)), d != 2 || i != 0; got != want {
+				t.Errorf("%s after 4 s: got a relay %v, want only the third leader to follow the platform", address(d, i), got)
 			}
 		}
 	}
 }
 
-func TestBlindFollowsTheHubs(t *testing.T) {
-	word := func(a string, d api.DomainName, hub bool) gossip.Word {
-		return gossip.Word{Member: gossip.Member{Address: a, Domain: d, Hub: hub, Capacity: 5}, Informed: true}
+func TestRelayTargetsByRole(t *testing.T) {
+	message := func(a string, d api.DomainName, hub bool) gossip.Message {
+		return gossip.Message{Member: gossip.Member{Address: a, Domain: d, Hub: hub, Capacity: 5}, Informed: true}
 	}
 	tests := []struct {
 		name   string
@@ -461,38 +461,38 @@
 		direct bool
 		want   []string
 	}{
-		{"the hub that follows", gossip.Member{Address: "a:1", Domain: "x", Capacity: 9}, true, []string{"h:1", "m:1"}},
-		{"another hub", gossip.Member{Address: "a:1", Domain: "x", Capacity: 9}, false, []string{"m:1"}},
-		{"a member", gossip.Member{Address: "a:1", Domain: "y", Capacity: 1}, false, nil},
+		{"hub that the platform answers", gossip.Member{Address: "a:1", Domain: "x", Capacity: 9}, true, []string{"h:1", "m:1"}},
+		{"hub that the platform does not answer", gossip.Member{Address: "a:1", Domain: "x", Capacity: 9}, false, []string{"m:1"}},
+		{"member that is not a hub", gossip.Member{Address: "a:1", Domain: "y", Capacity: 1}, false, nil},
 	}
 	for _, c := range tests {
 		p := gossip.New(at(0), c.self, nil, 1)
-		p.Heard(at(0), word("m:1", "x", false))
-		p.Heard(at(0), word("n:1", "y", false))
-		p.Heard(at(0), word("h:1", "y", true))
-		if got := p.Blind(at(10), c.direct); !slices.Equal(got, c.want) {
+		p.Receive(at(0), message("m:1", "x", false))
+		p.Receive(at(0), message("n:1", "y", false))
+		p.Receive(at(0), message("h:1", "y", true))
+		if got := p.RelayTargets(at(10), c.direct); !slices.Equal(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// A member whose exchanges keep step with a hub's rounds is passed the members as often as any other.
-func TestMembersArePassedOnToEachPeer(t *testing.T) {
+// A member whose exchanges are in step with a hub's rounds gets the list of members as often as others.
+func TestMembersAreListedToEachPeer(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "h:1", Domain: "x"}, nil, 1)
 	for _, start := range []int{0, 240, 480, 720} {
 		a := fmt.Sprintf("m%d:1", start)
 		lists := 0
 		for ms := start; ms < 5000; ms += 480 {
-			p.Heard(at(ms), gossip.Word{Member: gossip.Member{Address: a, Domain: "x"}})
-			if len(p.List(at(ms), a)) > 0 {
+			p.Receive(at(ms), gossip.Message{Member: gossip.Member{Address: a, Domain: "x"}})
+			if len(p.MembersFor(at(ms), a)) > 0 {
 				lists++
 			}
 		}
 		if lists < 4 || lists > 6 {
-			t.Errorf("lists to the peer that starts at %d ms: got %d in 5 s, want about one a second", start, lists)
+			t.Errorf("lists to the peer that starts at %d ms: got %d in 5 s, want about one per second", start, lists)
 		}
 	}
-	if len(p.List(at(4800), "stranger:1")) == 0 {
-		t.Error("a peer not heard before: got no list, want one")
+	if len(p.MembersFor(at(4800), "stranger:1")) == 0 {
+		t.Error("a peer without earlier messages: got no list, want one")
 	}
 }
--- /dev/null
+++ b/internal/decide/gossip/relay.go
@@ -0,0 +1,158 @@
+package gossip
+
+import (
+	"slices"
+	"time"
+
+	"github.com/wardridge/wardridge/internal/api"
+)
+
+const (
+	// hubTimeout is how long after its last message a hub is relied on to follow the
+	// platform for others: two rounds and the repeat of a lost message.
+	hubTimeout = 800 * time.Millisecond
+	// laterHubTimeout is the same for hubs that are not next in line: the next one
+	// takes over first and needs a round and a message to inform them.
+	laterHubTimeout = 1500 * time.Millisecond
+	// memberHubTimeout is how long members that are not hubs rely on the hubs of their
+	// failure domain.
+	memberHubTimeout = 1300 * time.Millisecond
+)
+
+// leaders lists the first hub of each known failure domain, highest capacity first.
+// This entry VM may be among them.
+func (p *Peers) leaders(now time.Time) []Member {
+	first := map[api.DomainName]Member{}
+	if p.IsFirstHub(now) {
+		first[p.self.Domain] = p.self
+	}
+	for _, x := range p.peers {
+		if !x.Hub || x.Domain == p.self.Domain || !p.alive(now, x) {
+			continue
+		}
+		if m, ok := first[x.Domain]; !ok || compareStrength(x.Member, m) < 0 {
+			first[x.Domain] = x.Member
+		}
+	}
+	l := make([]Member, 0, len(first))
+	for _, m := range first {
+		l = append(l, m)
+	}
+	slices.SortFunc(l, compareStrength)
+	return l
+}
+
+// rank returns the index of this entry VM among the leaders, -1 if it is none, and the
+// leaders before it.
+func (p *Peers) rank(now time.Time) (int, []Member) {
+	l := p.leaders(now)
+	i := slices.IndexFunc(l, func(m Member) bool { return m.Address == p.self.Address })
+	return i, l[:max(i, 0)]
+}
+
+// HasRelay reports whether peers relay the changes on the platform, so that this entry
+// VM need not follow it; the platform counts the calls made to it.
+//
+// The first leader follows the platform for all. The next one does while the first is
+// silent or gets no answer from the platform, and the others while neither of the two
+// follows it. The hubs of a failure domain stand in for their leader in the same way,
+// and other members follow the platform only while no hub relays changes. An entry VM
+// that has just started relies on those that were there before it, or on the ones that
+// become hubs.
+func (p *Peers) HasRelay(now time.Time) bool {
+	l := p.Hubs(now)
+	switch i := slices.Index(l, p.self.Address); {
+	case now.Sub(p.startedAt) < settleTime:
+		return true
+	case i < 0 && now.Sub(p.startedAt) < settleTime+hubTimeout:
+		// The hubs may have just started as well and are about to relay.
+		return true
+	case i == 0:
+		return p.leaderRelays(now)
+	case i > 0:
+		// A first hub that the platform refuses is informed by the next leader soon.
+		x := p.peers[l[0]]
+		return now.Sub(x.receivedAt) < hubTimeout && now.Sub(x.informedAt) < laterHubTimeout
+	}
+	return slices.ContainsFunc(l, func(a string) bool { return now.Sub(p.peers[a].informedAt) < memberHubTimeout })
+}
+
+// leaderRelays reports whether a leader ranked before this entry VM follows the
+// platform.
+func (p *Peers) leaderRelays(now time.Time) bool {
+	i, before := p.rank(now)
+	return slices.ContainsFunc(before, func(m Member) bool {
+		x := p.peers[m.Address]
+		if i == 1 {
+			return x.Direct && now.Sub(x.receivedAt) < hubTimeout
+		}
+		return now.Sub(x.directAt) < laterHubTimeout
+	})
+}
+
+// Informed reports whether this entry VM gets the changes on the platform from a hub
+// that the platform itself answers.
+func (p *Peers) Informed(now time.Time) bool {
+	for _, x := range p.peers {
+		if x.Hub && now.Sub(x.directAt) < hubTimeout {
+			return true
+		}
+	}
+	return false
+}
+
+// BacksOff reports whether this entry VM waits longer before it calls the platform
+// again, after the given number of failed calls in a row. It does so while it hears
+// from a peer that comes before it, which calls the platform as well and relays the
+// answer. A hub retries once without the longer wait. The first two leaders never back
+// off, since the platform may refuse only one of them.
+func (p *Peers) BacksOff(now time.Time, failures int) bool {
+	l := p.Hubs(now)
+	i := slices.Index(l, p.self.Address)
+	switch {
+	case i >= 0 && failures < 2:
+		return false
+	case i == 0:
+		r, _ := p.rank(now)
+		return r > 1
+	}
+	for _, a := range l {
+		if a == p.self.Address {
+			return false
+		}
+		if p.alive(now, p.peers[a]) {
+			return true
+		}
+	}
+	return false
+}
+
+// RelayTargets lists the live peers that this entry VM relays changes to, in order of
+// address: peers that nobody else informs, for a hub also the members of its domain,
+// and with direct, when the platform itself answers this entry VM, all hubs. Peers that
+// the platform answers are left out.
+func (p *Peers) RelayTargets(now time.Time, direct bool) []string {
+	hub := slices.Contains(p.Hubs(now), p.self.Address)
+	var l []string
+	for a, x := range p.peers {
+		if !p.alive(now, x) || x.Direct {
+			continue
+		}
+		member := hub && !x.Hub && x.Domain == p.self.Domain
+		if !x.Informed || member || direct && x.Hub {
+			l = append(l, a)
+		}
+	}
+	slices.Sort(l)
+	return l
+}
+
+// NoneInformed reports whether no live peer gets the changes on the platform.
+func (p *Peers) NoneInformed(now time.Time) bool {
+	for _, x := range p.peers {
+		if p.alive(now, x) && x.Informed {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -140,7 +140,7 @@
 	var all []Choice
 	share := p.Health.share(names(l.Members))
 	for _, m := range l.Members {
-		if !m.Takes() || slices.Contains(tried, m.Name) || !p.bears(now, l, m) {
+		if !m.AcceptsRequests() || slices.Contains(tried, m.Name) || !p.bears(now, l, m) {
 			continue
 		}
 		if s, ok := p.score(now, l, m, n, share); ok {
@@ -157,7 +157,7 @@
 		return false
 	}
 	rate := l.warmup(m)
-	if rate != 0 && now.Before(m.Warm) && !p.Sends.allows(now, m.Name, m.Warm, rate) {
+	if rate != 0 && now.Before(m.WarmAt) && !p.Sends.allows(now, m.Name, m.WarmAt, rate) {
 		return false
 	}
 	return p.within(now, l, m)
@@ -256,7 +256,7 @@
 	if m.Domain != l.Domain {
 		s += away
 	}
-	if now.Before(m.Warm) {
+	if now.Before(m.WarmAt) {
 		s += cold
 	}
 	if _, ok := p.Limits.Find(m.Name); ok {
--- a/internal/decide/roster/closure.go
+++ b/internal/decide/roster/closure.go
@@ -9,108 +9,111 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Closure is a failure domain that operators have closed to new work: runs there go
-// on, and nothing new is sent to its servers until they open it again.
+// Closure is a failure domain that operators have closed to new work: runs there
+// continue, and no new requests are sent to its servers until operators open it again.
 type Closure struct {
 	Domain api.DomainName
 }
 
-// WarmUp is how long the servers of a service are cold after a start.
+// WarmUp returns how long the servers of a service are cold after a start.
 type WarmUp func(s api.ServiceName) time.Duration
 
-// keepClosedTime is how long a domain stays closed whose closure the store has lost: operators
-// write it again, and do not say when. Too short sends requests into a domain that is being
-// emptied, too long leaves one unused that operators have given up closing.
-const keepClosedTime = 30 * time.Second
+// closureRetention is how long a domain stays closed after a restore of the store has lost
+// its closure. Operators write lost closures again, within no stated time. A shorter time
+// may send requests into a domain that is being drained; a longer one leaves a domain
+// unused that operators no longer want closed.
+const closureRetention = 30 * time.Second
 
-// closures are the failure domains that are closed, by the store's word or in spite of it.
+// closures holds the closed failure domains: those that the store declares closed, and
+// those whose closure a restore of the store has lost.
 type closures struct {
-	// known is set once the store's word of an era was taken.
-	known bool
-	era   api.Era
-	// declared holds what the store says, and kept until when a domain that it said before it
-	// came back from a copy stays closed.
+	// initialized is set once the closures of an era have been applied.
+	initialized bool
+	era         api.Era
+	// declared holds the domains that the store declares closed.
 	declared map[api.DomainName]bool
-	kept     map[api.DomainName]time.Time
-	// written holds the domains that were declared in this era: peers' older word of them
-	// counts for nothing.
-	written map[api.DomainName]bool
+	// retained holds the domains whose closure a restore has lost, with the time until
+	// which they stay closed.
+	retained map[api.DomainName]time.Time
+	// declaredInEra holds all domains that were declared closed in this era. For them,
+	// closures that peers retain are outdated and ignored.
+	declaredInEra map[api.DomainName]bool
 }
 
 func newClosures() *closures {
-	return &closures{declared: map[api.DomainName]bool{}, kept: map[api.DomainName]time.Time{}, written: map[api.DomainName]bool{}}
+	return &closures{declared: map[api.DomainName]bool{}, retained: map[api.DomainName]time.Time{}, declaredInEra: map[api.DomainName]bool{}}
 }
 
-// take takes the store's word of an era. One that is missing is open, unless it was closed
-// in an earlier era: then it may have been closed since the copy that the store came back
-// from.
-func (c *closures) take(now time.Time, e api.Era, l []Closure) {
-	later := c.known && e > c.era
-	c.known, c.era = true, max(e, c.era)
-	is := make(map[api.DomainName]bool, len(l))
+// apply sets the domains that the store declares closed in an era. One that is no longer
+// among them is open, unless the era is new: then the closure may have been written after
+// the backup that the store was restored from, and is retained.
+func (c *closures) apply(now time.Time, e api.Era, l []Closure) {
+	newEra := c.initialized && e > c.era
+	c.initialized, c.era = true, max(e, c.era)
+	current := make(map[api.DomainName]bool, len(l))
 	for _, x := range l {
-		is[x.Domain] = true
+		current[x.Domain] = true
 	}
-	if later {
-		clear(c.written)
+	if newEra {
+		clear(c.declaredInEra)
 	}
 	for d := range c.declared {
-		if later && !is[d] {
-			c.kept[d] = now.Add(keepClosedTime)
+		if newEra && !current[d] {
+			c.retained[d] = now.Add(closureRetention)
 		}
 	}
-	for d := range is {
-		delete(c.kept, d)
-		c.written[d] = true
+	for d := range current {
+		delete(c.retained, d)
+		c.declaredInEra[d] = true
 	}
-	c.declared = is
+	c.declared = current
 }
 
-// keep takes a peer's word of a domain that stays closed for so long.
-func (c *closures) keep(now time.Time, d api.DomainName, left time.Duration) {
-	if _, ok := c.kept[d]; ok || c.written[d] || left <= 0 {
+// retain keeps a domain closed that a peer retains for the time left.
+func (c *closures) retain(now time.Time, d api.DomainName, left time.Duration) {
+	if _, ok := c.retained[d]; ok || c.declaredInEra[d] || left <= 0 {
 		return
 	}
-	c.kept[d] = now.Add(min(left, keepClosedTime))
+	c.retained[d] = now.Add(min(left, closureRetention))
 }
 
-// closed gives the domains that are closed at a time.
-func (c *closures) closed(now time.Time) map[api.DomainName]bool {
-	maps.DeleteFunc(c.kept, func(_ api.DomainName, until time.Time) bool { return !until.After(now) })
+// current returns the domains that are closed now, and drops retained ones that expired.
+func (c *closures) current(now time.Time) map[api.DomainName]bool {
+	maps.DeleteFunc(c.retained, func(_ api.DomainName, until time.Time) bool { return !until.After(now) })
 	m := maps.Clone(c.declared)
-	for d := range c.kept {
+	for d := range c.retained {
 		m[d] = true
 	}
 	return m
 }
 
-// Closed reports whether operators have closed a failure domain.
+// Closed reports whether a failure domain is closed.
 func (r *Roster) Closed(d api.DomainName) bool {
 	return r.closed[d]
 }
 
-// Close takes the failure domains that are closed by the store's word of an era, and gives
-// those that were closed and opened by it, in order. The word of the era before holds where
-// the store may have lost it.
-func (r *Roster) Close(now time.Time, e api.Era, l []Closure, w WarmUp) (closed, opened []api.DomainName) {
-	r.closures.take(now, e, l)
-	return r.Reopen(now, w)
+// SetClosures sets the failure domains that the store declares closed in an era. It returns
+// the domains that this closes and opens, in order. Closures that a restore of the store
+// may have lost are retained.
+func (r *Roster) SetClosures(now time.Time, e api.Era, l []Closure, w WarmUp) (closed, opened []api.DomainName) {
+	r.closures.apply(now, e, l)
+	return r.ExpireClosures(now, w)
 }
 
-// KeepClosed takes the domains that peers keep closed though the store has lost it, and gives
-// what has changed since the last look, as Reopen does.
-func (r *Roster) KeepClosed(now time.Time, l []api.KeptClosure, w WarmUp) (closed, opened []api.DomainName) {
+// MergeRetainedClosures adds the closures that a peer retains, and returns the domains that
+// are closed and opened since the last call, as ExpireClosures does.
+func (r *Roster) MergeRetainedClosures(now time.Time, l []api.KeptClosure, w WarmUp) (closed, opened []api.DomainName) {
 	for _, k := range l {
-		r.closures.keep(now, k.Domain, k.LeftMS.Duration())
+		r.closures.retain(now, k.Domain, k.LeftMS.Duration())
 	}
-	return r.Reopen(now, w)
+	return r.ExpireClosures(now, w)
 }
 
-// KeptClosed gives the domains that stay closed though the store has lost it, for peers, in
-// order.
-func (r *Roster) KeptClosed(now time.Time) []api.KeptClosure {
+// RetainedClosures lists the closures that the store has lost and that still hold, for
+// peers, in order of domain.
+func (r *Roster) RetainedClosures(now time.Time) []api.KeptClosure {
 	var l []api.KeptClosure
-	for d, until := range r.closures.kept {
+	for d, until := range r.closures.retained {
 		if until.After(now) {
 			l = append(l, api.KeptClosure{Domain: d, LeftMS: api.ToMilliseconds(until.Sub(now))})
 		}
@@ -119,30 +122,30 @@
 	return l
 }
 
-// Reopen opens the domains that were kept closed for long enough, and gives what has
-// changed since the last look, in order. Servers of a domain that opens count as cold for
-// as long as their service takes to warm up: a server may have turned cold shortly
-// before, which its own entry tells up to a heartbeat later.
-func (r *Roster) Reopen(now time.Time, warmup WarmUp) (closed, opened []api.DomainName) {
-	is := r.closures.closed(now)
-	for d := range is {
+// ExpireClosures opens the domains whose retained closure has expired. It returns the
+// domains that were closed and opened since the last call, in order. Servers of a domain
+// that opens count as cold for the warm-up time of their service: a server may have turned
+// cold shortly before, and its entry shows that up to a heartbeat later.
+func (r *Roster) ExpireClosures(now time.Time, warmup WarmUp) (closed, opened []api.DomainName) {
+	current := r.closures.current(now)
+	for d := range current {
 		if !r.closed[d] {
 			closed = append(closed, d)
 		}
 	}
 	for d := range r.closed {
-		if !is[d] {
+		if !current[d] {
 			opened = append(opened, d)
 		}
 	}
 	if len(closed)+len(opened) == 0 {
 		return nil, nil
 	}
-	r.closed = is
+	r.closed = current
 	clear(r.services)
 	for _, m := range r.members {
-		if w := now.Add(warmup(m.Service)); slices.Contains(opened, m.Domain) && w.After(m.Warm) {
-			m.Warm = w
+		if w := now.Add(warmup(m.Service)); slices.Contains(opened, m.Domain) && w.After(m.WarmAt) {
+			m.WarmAt = w
 		}
 	}
 	slices.Sort(closed)
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -8,178 +8,182 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Server is one life of a backend server.
+// Server is one incarnation of a backend server. Entry VMs pass it on to each other as
+// JSON, so its JSON names are part of the protocol between them.
 type Server struct {
-	// Name is that of the life, which no other one ever has: what is known of a
-	// server, held or promised there ends with its life.
+	// Name is the name of the incarnation. It is never used again, so that all state,
+	// claims and reservations at a server end with its incarnation.
 	Name api.ServerName
-	// ID is the name that the server keeps when it starts again, and Born when this
-	// life began; they are empty where a name is never used again.
+	// ID is the name that the server keeps over restarts, and Born the start of this
+	// incarnation. They are empty where names are never used again.
 	ID      api.ServerID
 	Born    api.Birth
 	Service api.ServiceName
 	Address string
 	Domain  api.DomainName
 	Slots   int
-	// Draining is set by a server that is about to end.
+	// Draining is set by a server that is about to shut down.
 	Draining bool
-	// Cold is how much longer the server was slow when it wrote its entry.
-	Cold time.Duration
+	// ColdFor is how much longer the server was cold when it wrote its entry.
+	ColdFor time.Duration `json:"Cold"`
 }
 
-// State tells what a server may be used for.
+// State says whether and when a server may get requests.
 type State int
 
 // States of servers.
 const (
 	// Ready servers take new requests.
 	Ready State = iota
-	// Lapsed servers lost their entry with an outage of the store: they serve
-	// on, and take new requests only where no server is ready.
+	// Lapsed servers lost their entry in an outage of the store. They continue to
+	// serve, and take new requests only where no server is ready.
 	Lapsed
-	// Leaving servers take no new requests and will end soon.
+	// Leaving servers take no new requests and end soon.
 	Leaving
-	// Ended servers have started again: nothing of this life is left.
+	// Ended incarnations are over: the server has restarted and kept no state.
 	Ended
 )
 
-// String names the state for logs.
+// String is the name of the state in logs.
 func (s State) String() string {
 	return [...]string{"ready", "lapsed", "leaving", "ended"}[s]
 }
 
-// Going reports whether the server takes no new requests for good.
-func (s State) Going() bool {
+// Departing reports whether the server is leaving or has ended, and so takes no new
+// requests.
+func (s State) Departing() bool {
 	return s == Leaving || s == Ended
 }
 
-// Member is a server with what is believed of it.
+// Member is a server and its state.
 type Member struct {
 	Server
 	State State
 	// Since is when the state was first seen.
 	Since time.Time
 
-	// Warm is when the server is no longer slow after its start.
-	Warm time.Time
+	// WarmAt is when the server is no longer cold after its start.
+	WarmAt time.Time
 	// Closed is set while operators have closed the server's failure domain.
 	Closed bool
 
-	// update is the last update whose entries told of the server.
-	update int
-	// said is set when the server itself told that it is leaving, which a late
-	// entry does not take back.
-	said bool
+	// lastUpdate is the number of the last update that had an entry of the server.
+	lastUpdate int
+	// announced is set once the server itself has announced that it is leaving. A late
+	// entry does not revoke that.
+	announced bool
 }
 
-// Silent reports whether the server went without a notice of its own.
-func (m Member) Silent() bool {
-	return m.State == Ended || m.State == Leaving && !m.Draining && !m.said
+// Unannounced reports whether the server is leaving or has ended without having
+// announced it.
+func (m Member) Unannounced() bool {
+	return m.State == Ended || m.State == Leaving && !m.Draining && !m.announced
 }
 
-// Takes reports whether new requests may be sent to the server.
-func (m Member) Takes() bool {
-	return !m.State.Going() && !m.Closed
+// AcceptsRequests reports whether the server may get new requests.
+func (m Member) AcceptsRequests() bool {
+	return !m.State.Departing() && !m.Closed
 }
 
 const (
-	// returnTime is how long after an outage of the store entries that lapsed
-	// may take to be written again; the operators give two seconds.
-	returnTime = 2 * time.Second
-	// keepTime is how long a server that left is remembered, so that runs still
-	// on it can be moved; no server serves longer after its notice.
-	keepTime = 15 * time.Second
+	// rewriteTime is how long after an outage of the store servers may take to write
+	// lapsed entries again. Operators state two seconds.
+	rewriteTime = 2 * time.Second
+	// departedRetention is how long a server that left remains in the roster, so that
+	// runs still on it can be moved. No server serves longer than that after its notice.
+	departedRetention = 15 * time.Second
 )
 
 // Roster is the set of servers of all services.
 type Roster struct {
-	members map[api.ServerName]*Member
-	lives   lives
-	// closed holds the domains that are closed, as closures say.
+	members      map[api.ServerName]*Member
+	incarnations incarnations
+	// closed holds the domains that were closed when closures was last evaluated.
 	closed   map[api.DomainName]bool
 	closures *closures
-	// services keeps the members of services in order until something of them changes,
-	// since each choice looks at all of them.
+	// services caches the sorted members of each service until any member changes,
+	// since each choice of a server looks at all of them.
 	services map[api.ServiceName][]Member
-	// updates counts the updates.
-	updates int
-	away    bool
-	// lost is when the store's last outage began, back when it answered again.
-	lost time.Time
-	back time.Time
-	// vouched is when a peer that the store answers last gave its view.
-	vouched time.Time
-	// era is the history of the store that the entries are of.
+	// updateCount is the number of calls of Update.
+	updateCount int
+	storeDown   bool
+	// outageStart and outageEnd are when the last outage of the store began and ended.
+	outageStart time.Time
+	outageEnd   time.Time
+	// vouchedAt is when entries last came from a peer that the store answers.
+	vouchedAt time.Time
+	// era is the era of the store that the entries belong to.
 	era api.Era
-	// entered is when the store was last seen to have come back from a copy.
-	entered time.Time
-	// left holds servers that are forgotten otherwise, for when the store comes back from a
-	// copy that still has them.
-	left map[api.ServerName]Member
+	// restoredAt is when the store was last found to be restored from a backup.
+	restoredAt time.Time
+	// departed holds servers that have left the roster, for a restore of the store from
+	// a backup that still has them.
+	departed map[api.ServerName]Member
 }
 
-// New makes a roster without servers, which the store has not answered yet.
+// New creates a roster without servers. The store counts as down until SetStoreDown says
+// otherwise.
 func New() *Roster {
-	return &Roster{members: map[api.ServerName]*Member{}, lives: lives{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, left: map[api.ServerName]Member{}, away: true}
+	return &Roster{members: map[api.ServerName]*Member{}, incarnations: incarnations{}, closed: map[api.DomainName]bool{}, closures: newClosures(), services: map[api.ServiceName][]Member{}, departed: map[api.ServerName]Member{}, storeDown: true}
 }
 
-// Away notes whether the store is unreachable.
-func (r *Roster) Away(now time.Time, away bool) {
+// SetStoreDown sets whether the store is unreachable.
+func (r *Roster) SetStoreDown(now time.Time, down bool) {
 	switch {
-	case r.away && !away:
-		r.back = now
-	case !r.away && away:
-		r.lost = now
+	case r.storeDown && !down:
+		r.outageEnd = now
+	case !r.storeDown && down:
+		r.outageStart = now
 	}
-	r.away = away
+	r.storeDown = down
 }
 
-// Update takes the entries as the store has them and gives the servers whose
-// state has changed. With vouched, they come from a peer that the store has
-// answered for long enough, so that a missing entry is no lapse.
+// Update sets the entries that the store has, and returns the servers whose state has
+// changed, in order of name. With vouched, the entries come from a peer that the store has
+// answered for long enough, so that a missing entry is a leave and not a lapse.
 func (r *Roster) Update(now time.Time, entries []Server, vouched bool) []Member {
 	if vouched {
-		r.vouched = now
+		r.vouchedAt = now
 	}
-	r.updates++
+	r.updateCount++
 	var l []Member
 	for _, e := range entries {
-		l = append(l, r.take(now, e)...)
+		l = append(l, r.applyEntry(now, e)...)
 	}
 	for n, m := range r.members {
-		if m.update != r.updates && r.set(now, m.Server, r.missing(now, m)) {
-			l = append(l, r.seen(n))
+		if m.lastUpdate != r.updateCount && r.setState(now, m.Server, r.missingState(now, m)) {
+			l = append(l, r.snapshot(n))
 		}
 	}
 	sortMembers(l)
 	return l
 }
 
-// take takes one entry and gives the servers whose state has changed by it.
-func (r *Roster) take(now time.Time, e Server) []Member {
+// applyEntry applies one entry and returns the servers whose state it changes.
+func (r *Roster) applyEntry(now time.Time, e Server) []Member {
 	if m, ok := r.members[e.Name]; ok && m.State == Ready && m.Server == e && !e.Draining {
-		// Nearly all entries of an update say nothing new.
-		m.update = r.updates
+		// Nearly all entries of an update are unchanged.
+		m.lastUpdate = r.updateCount
 		return nil
 	}
-	if r.lives.stale(e) {
-		// It says nothing of the life that is known: that one stays as it is.
-		if m, ok := r.members[r.lives[e.ID].Name]; ok {
-			m.update = r.updates
+	if r.incarnations.stale(e) {
+		// The entry is of an earlier incarnation; the known one keeps its state.
+		if m, ok := r.members[r.incarnations[e.ID].Name]; ok {
+			m.lastUpdate = r.updateCount
 		}
 		return nil
 	}
-	l := r.begin(now, e)
-	if r.set(now, e, r.stated(e)) {
-		l = append(l, r.seen(e.Name))
+	l := r.observe(now, e)
+	if r.setState(now, e, r.entryState(e)) {
+		l = append(l, r.snapshot(e.Name))
 	}
-	r.members[e.Name].update = r.updates
+	r.members[e.Name].lastUpdate = r.updateCount
 	return l
 }
 
-// begin notes the life of a server, and gives the one that it ends.
-func (r *Roster) begin(now time.Time, s Server) []Member {
-	e, ok := r.lives.begin(s)
+// observe records the incarnation of a server, and returns the one that it ends.
+func (r *Roster) observe(now time.Time, s Server) []Member {
+	e, ok := r.incarnations.observe(s)
 	if !ok {
 		return nil
 	}
@@ -190,55 +194,57 @@
 	return []Member{m}
 }
 
-// End notes that a server's life is over: the server has started again, or says so
-// itself.
+// End marks an incarnation as ended, as the server has restarted or reports so itself. It
+// returns the member if that changes its state.
 func (r *Roster) End(now time.Time, n api.ServerName) (Member, bool) {
 	m, ok := r.members[n]
-	if !ok || !r.set(now, m.Server, Ended) {
+	if !ok || !r.setState(now, m.Server, Ended) {
 		return Member{}, false
 	}
-	return r.seen(n), true
+	return r.snapshot(n), true
 }
 
-// seen gives a member as others are told of it.
-func (r *Roster) seen(n api.ServerName) Member {
+// snapshot returns a copy of a member with Closed set.
+func (r *Roster) snapshot(n api.ServerName) Member {
 	m := *r.members[n]
 	m.Closed = r.closed[m.Domain]
 	return m
 }
 
-// stated is the state of a server with an entry.
-func (r *Roster) stated(e Server) State {
+// entryState is the state of a server with an entry.
+func (r *Roster) entryState(e Server) State {
 	m, ok := r.members[e.Name]
 	switch {
 	case ok && m.State == Ended:
 		return Ended
-	case e.Draining || ok && m.said:
+	case e.Draining || ok && m.announced:
 		return Leaving
 	default:
 		return Ready
 	}
 }
 
-// missing is the state of a server without an entry.
-func (r *Roster) missing(now time.Time, m *Member) State {
-	if m.State.Going() {
+// missingState is the state of a member without an entry.
+func (r *Roster) missingState(now time.Time, m *Member) State {
+	if m.State.Departing() {
 		return m.State
 	}
-	if r.unsure(now) {
+	if r.entriesUncertain(now) {
 		return Lapsed
 	}
 	return Leaving
 }
 
-// unsure reports whether entries may be missing for an outage of the store. An
-// outage in which a peer vouched for its view was of this entry VM alone.
-func (r *Roster) unsure(now time.Time) bool {
-	return (r.away || now.Sub(r.back) < returnTime) && !r.vouched.After(r.lost)
+// entriesUncertain reports whether entries may be missing because of an outage of the
+// store. If a peer vouched for its entries during the outage, only this entry VM was
+// affected and entries are certain.
+func (r *Roster) entriesUncertain(now time.Time) bool {
+	return (r.storeDown || now.Sub(r.outageEnd) < rewriteTime) && !r.vouchedAt.After(r.outageStart)
 }
 
-// set reports whether the state is new.
-func (r *Roster) set(now time.Time, s Server, t State) bool {
+// setState sets the entry and the state of a server, and reports whether the state has
+// changed.
+func (r *Roster) setState(now time.Time, s Server, t State) bool {
 	m, ok := r.members[s.Name]
 	if !ok {
 		m = &Member{State: t, Since: now}
@@ -249,7 +255,7 @@
 		m.Since = now
 	}
 	if m.Server != s {
-		m.Warm = r.warm(now, m, s)
+		m.WarmAt = r.warmAt(now, m, s)
 	}
 	if changed || m.Server != s {
 		clear(r.services)
@@ -259,56 +265,57 @@
 	return changed
 }
 
-// Step ends lapses that lasted too long and forgets servers that left; it
-// gives those whose state has changed.
-func (r *Roster) Step(now time.Time) []Member {
+// Expire marks servers as leaving that stayed lapsed for too long, and removes servers that
+// left more than departedRetention ago. It returns the servers whose state has changed.
+func (r *Roster) Expire(now time.Time) []Member {
 	var l []Member
 	for n, m := range r.members {
 		switch {
-		case m.State == Lapsed && !r.unsure(now):
+		case m.State == Lapsed && !r.entriesUncertain(now):
 			m.State = Leaving
 			m.Since = now
 			clear(r.services)
-			l = append(l, r.seen(n))
-		case m.State.Going() && now.Sub(m.Since) > keepTime && !r.contradicted(m):
-			r.lives.forget(m.Server)
+			l = append(l, r.snapshot(n))
+		case m.State.Departing() && now.Sub(m.Since) > departedRetention && !r.entryRemains(m):
+			r.incarnations.remove(m.Server)
 			delete(r.members, n)
-			r.left[n] = *m
+			r.departed[n] = *m
 			clear(r.services)
 		}
 	}
-	r.forgetLeft(now)
+	r.expireDeparted(now)
 	sortMembers(l)
 	return l
 }
 
-// contradicted reports whether a server's entry is still there though the server itself said
-// that it leaves: one that were forgotten would be taken for a new one.
-func (r *Roster) contradicted(m *Member) bool {
-	return m.said && m.State == Leaving && m.update == r.updates
+// entryRemains reports whether the store still has the entry of a server that has announced
+// its leave. If such a server were removed, its entry would count as that of a new one.
+func (r *Roster) entryRemains(m *Member) bool {
+	return m.announced && m.State == Leaving && m.lastUpdate == r.updateCount
 }
 
-// Leave notes that a server itself said that it is leaving.
-func (r *Roster) Leave(now time.Time, n api.ServerName) (Member, bool) {
+// MarkLeaving records that a server has announced its leave. It returns the member if that
+// changes its state.
+func (r *Roster) MarkLeaving(now time.Time, n api.ServerName) (Member, bool) {
 	m, ok := r.members[n]
 	if !ok || m.State == Ended {
 		return Member{}, false
 	}
-	m.said = true
+	m.announced = true
 	if m.State == Leaving {
 		return Member{}, false
 	}
 	m.State = Leaving
 	m.Since = now
 	clear(r.services)
-	return r.seen(n), true
+	return r.snapshot(n), true
 }
 
-// Said lists the servers that themselves said that they are leaving, in order.
-func (r *Roster) Said() []api.ServerName {
+// AnnouncedLeaving lists the servers that have announced their leave, in order of name.
+func (r *Roster) AnnouncedLeaving() []api.ServerName {
 	var l []api.ServerName
 	for n, m := range r.members {
-		if m.said {
+		if m.announced {
 			l = append(l, n)
 		}
 	}
@@ -316,16 +323,16 @@
 	return l
 }
 
-// Find gives one server.
+// Find returns the member with a name, if there is one.
 func (r *Roster) Find(n api.ServerName) (Member, bool) {
 	if _, ok := r.members[n]; !ok {
 		return Member{}, false
 	}
-	return r.seen(n), true
+	return r.snapshot(n), true
 }
 
-// Service lists the servers of a service in order of name; the list is not to be
-// changed.
+// Service lists the servers of a service in order of name. Callers must not modify the
+// list.
 func (r *Roster) Service(s api.ServiceName) []Member {
 	if l, ok := r.services[s]; ok {
 		return l
@@ -333,7 +340,7 @@
 	var l []Member
 	for n, m := range r.members {
 		if m.Service == s {
-			l = append(l, r.seen(n))
+			l = append(l, r.snapshot(n))
 		}
 	}
 	sortMembers(l)
--- a/internal/decide/sequence/sequence.go
+++ b/internal/decide/sequence/sequence.go
@@ -5,31 +5,33 @@
 // Verdict says what to do with an event.
 type Verdict int
 
-// Verdicts.
+// Verdicts on events.
 const (
-	// Deliver passes the event on.
+	// Deliver means that the event is passed on to the caller.
 	Deliver Verdict = iota
-	// Drop leaves out an event that the caller already has.
+	// Drop means that the caller already has the event.
 	Drop
 	// Gap means that events before this one are missing.
 	Gap
 )
 
-// Sequence is what the caller of one stream has received.
+// Sequence tracks which events of one stream the caller has received. The zero value is
+// ready to use.
 type Sequence struct {
-	last string
-	// number and step are of the last event; step is zero until two events came.
-	number int64
-	step   int64
+	lastID string
+	// lastNumber is the id of the last event as a number, and step its difference from
+	// the id before, zero until two events were delivered.
+	lastNumber int64
+	step       int64
 	// count is the number of events delivered.
 	count int
-	// joined is set until the first event of a server that took the stream over.
-	joined bool
+	// resumed is set from a resume until the next event is delivered.
+	resumed bool
 }
 
-// Last is the id of the last event delivered.
-func (s *Sequence) Last() string {
-	return s.last
+// LastID is the id of the last event delivered.
+func (s *Sequence) LastID() string {
+	return s.lastID
 }
 
 // Count is the number of events delivered.
@@ -37,36 +39,37 @@
 	return s.count
 }
 
-// Join notes that another server goes on with the stream.
-func (s *Sequence) Join() {
-	s.joined = true
+// Resume records that another server resumes the stream.
+func (s *Sequence) Resume() {
+	s.resumed = true
 }
 
-// Take judges an event by its id. Ids rise; where a stream is taken over, the
-// next has to follow the last one as the ids before did. Ids that are no
-// numbers can't be judged and are delivered.
-func (s *Sequence) Take(id string) Verdict {
+// Accept decides by its id what to do with the next event, and records the event if it is
+// to be delivered. Events whose ids do not rise are dropped. After a resume, an id that is
+// further from the last one than the step before means a gap. Events whose ids are not
+// numbers are always delivered.
+func (s *Sequence) Accept(id string) Verdict {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		s.deliver(id)
 		return Deliver
 	}
-	if s.count > 0 && n <= s.number {
+	if s.count > 0 && n <= s.lastNumber {
 		return Drop
 	}
-	if s.joined && s.count > 0 && n > s.number+max(s.step, 1) {
+	if s.resumed && s.count > 0 && n > s.lastNumber+max(s.step, 1) {
 		return Gap
 	}
 	if s.count > 0 {
-		s.step = n - s.number
+		s.step = n - s.lastNumber
 	}
-	s.number = n
+	s.lastNumber = n
 	s.deliver(id)
 	return Deliver
 }
 
 func (s *Sequence) deliver(id string) {
-	s.last = id
+	s.lastID = id
 	s.count++
-	s.joined = false
+	s.resumed = false
 }
--- a/spec/life.go
+++ b/spec/life.go
@@ -118,7 +118,7 @@
 	if mutation == mutateBirth {
 		s.Born = 0
 	}
-	s.Name = roster.LifeName(s.ID, s.Born)
+	s.Name = roster.IncarnationName(s.ID, s.Born)
 	return s
 }
 
@@ -126,7 +126,7 @@
 func lifeRoster(s lifeState, mutation string) *roster.Roster {
 	r := roster.New()
 	now := time.Unix(100, 0)
-	r.Away(now.Add(-time.Minute), false)
+	r.SetStoreDown(now.Add(-time.Minute), false)
 	later := false
 	for _, w := range s.log[:s.used] {
 		n := lifeServer(w.entry, mutation)
@@ -138,7 +138,7 @@
 			}
 			r.Update(now, []roster.Server{n}, false)
 		case wordNotice:
-			r.Leave(now, n.Name)
+			r.MarkLeaving(now, n.Name)
 		case wordEnded:
 			if mutation == mutateReport {
 				n = lifeServer(lifeEntry{life: 2}, mutation)
