--- a/internal/decide/placement/ledger_test.go
+++ b/internal/decide/placement/ledger_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestDomains(t *testing.T) {
+func TestRemotePoolsLessLoaded(t *testing.T) {
 	need := placement.Need{Tokens: 3400}
 	home := func(score float64) *placement.Choice { return &placement.Choice{Score: score} }
 	pool := func(engines int, tokens, unread api.Tokens, waiting int) api.PoolLoad {
@@ -110,35 +110,35 @@
 		{"all is full", nil, pool(1, 40000, 50000, 0), pool(1, 40000, 50000, 0), ""},
 	}
 	for _, c := range tests {
-		d := placement.NewDomains()
+		d := placement.NewRemotePools()
 		d.Update(begin, "y", map[api.ServiceName]api.PoolLoad{"s": c.y})
 		d.Update(begin, "z", map[api.ServiceName]api.PoolLoad{"s": c.z, "t": pool(9, 0, 0, 0)})
-		got, ok := d.Better(begin, "s", 34000, need, c.home)
+		got, ok := d.LessLoaded(begin, "s", 34000, need, c.home)
 		if got != c.want || ok != (c.want != "") {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
-		if got, ok := d.Better(begin.Add(time.Minute), "s", 34000, need, c.home); ok {
+		if got, ok := d.LessLoaded(begin.Add(time.Minute), "s", 34000, need, c.home); ok {
 			t.Errorf("%s, a minute later: got %q, want none", c.name, got)
 		}
 	}
 }
 
 // What was sent to a domain counts there until it is heard again.
-func TestDomainsCountWhatWasSent(t *testing.T) {
-	d := placement.NewDomains()
+func TestRemotePoolsCountForwardedRequests(t *testing.T) {
+	d := placement.NewRemotePools()
 	d.Update(begin, "y", map[api.ServiceName]api.PoolLoad{"s": {Engines: 2}})
 	need := placement.Need{Tokens: 3400, Unread: 3000}
 	got := 0
 	for range 20 {
-		if n, ok := d.Better(begin, "s", 34000, need, &placement.Choice{Score: 0.5}); ok {
-			d.Sent("s", n, need)
+		if n, ok := d.LessLoaded(begin, "s", 34000, need, &placement.Choice{Score: 0.5}); ok {
+			d.AddForwarded("s", n, need)
 			got++
 		}
 	}
 	if got == 0 || got > 4 {
 		t.Errorf("sent to two idle engines: got %d, want a few", got)
 	}
-	if !d.Known(begin, "s", "y") || d.Known(begin, "s", "z") || d.Known(begin.Add(time.Minute), "s", "y") {
+	if !d.HasAllocator(begin, "s", "y") || d.HasAllocator(begin, "s", "z") || d.HasAllocator(begin.Add(time.Minute), "s", "y") {
 		t.Error("known domains: got another one than that heard lately")
 	}
 }
--- a/internal/decide/placement/warmup_test.go
+++ b/internal/decide/placement/warmup_test.go
@@ -99,16 +99,16 @@
 }
 
 // A domain without engines sends its requests on even where others wait.
-func TestInsteadOfAClosedDomain(t *testing.T) {
-	d := placement.NewDomains()
+func TestFallbackOfDomainWithoutEngines(t *testing.T) {
+	d := placement.NewRemotePools()
 	now := time.Unix(100, 0)
 	d.Update(now, "y", map[api.ServiceName]api.PoolLoad{"s": {Engines: 2, Tokens: 1000, Waiting: 9}})
 	d.Update(now, "z", map[api.ServiceName]api.PoolLoad{"s": {Engines: 4, Tokens: 3000, Waiting: 1}})
 	d.Update(now, "w", map[api.ServiceName]api.PoolLoad{"s": {}})
-	if got, ok := d.Better(now, "s", 1000, placement.Need{Tokens: 10}, nil); ok {
+	if got, ok := d.LessLoaded(now, "s", 1000, placement.Need{Tokens: 10}, nil); ok {
 		t.Errorf("better: got %s, want none while requests wait everywhere", got)
 	}
-	if got, ok := d.Instead(now, "s", 1000, placement.Need{Tokens: 10}); !ok || got != "z" {
+	if got, ok := d.Fallback(now, "s", 1000, placement.Need{Tokens: 10}); !ok || got != "z" {
 		t.Errorf("instead: got %s %v, want z", got, ok)
 	}
 }
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -63,13 +63,13 @@
 	}
 	m := d.service.Engine.Memory
 	if !ok && !g.offers(now, d) {
-		return g.domains.Instead(now, d.service.Name, m, d.need)
+		return g.domains.Fallback(now, d.service.Name, m, d.need)
 	}
 	var home *placement.Choice
 	if ok {
 		home = &x
 	}
-	return g.domains.Better(now, d.service.Name, m, d.need, home)
+	return g.domains.LessLoaded(now, d.service.Name, m, d.need, home)
 }
 
 // forward asks the allocator of another failure domain. There the demand waits
@@ -89,7 +89,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.domains.Sent(d.service.Name, to, d.need)
+	g.domains.AddForwarded(d.service.Name, to, d.need)
 	return p, true
 }
 
@@ -198,7 +198,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		x := g.picker.Sum(now, placement.Pool{
+		x := g.picker.SumLoads(now, placement.Pool{
 			Domain: g.Domain, Exact: true, Memory: s.Engine.Memory, Warmup: g.warmup(now, s),
 			Members: g.members(s.Name, func(m roster.Member) bool { return m.Domain == g.Domain }),
 		})
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -48,7 +48,7 @@
 	l := placement.Pool{
 		Domain: d.domain, Exact: d.exact, Rests: d.recipient == nil, Standby: d.standby || g.fleet.Split(), Memory: d.service.Engine.Memory, Warmup: g.warmup(now, d.service),
 		Members: g.members(d.service.Name, func(m roster.Member) bool {
-			return m.Domain == d.domain || !g.domains.Known(now, d.service.Name, m.Domain)
+			return m.Domain == d.domain || !g.domains.HasAllocator(now, d.service.Name, m.Domain)
 		}),
 	}
 	switch d.purpose {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,7 +82,7 @@
 	admissions map[api.ServiceName]*admission
 	// domains is what the allocators of other failure domains tell, contacts which
 	// of them did not answer.
-	domains  *placement.Domains
+	domains  *placement.RemotePools
 	contacts *holder.Contacts
 	// fleet knows whether a part of the entry VMs may be behind a cut.
 	fleet throttle.Fleet
@@ -112,7 +112,7 @@
 		p.Contents = contents.New(p.Log, p.Metrics)
 	}
 	g := &Gateway{
-		domains: placement.NewDomains(), contacts: holder.NewContacts(), reports: holder.NewReports(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
+		domains: placement.NewRemotePools(), contacts: holder.NewContacts(), reports: holder.NewReports(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
 		Parts: p, roster: roster.New(), picker: placement.NewPicker(rand.NewPCG(p.Seed, 0)),
 		runs: map[api.ServerName]map[*run]bool{}, admissions: map[api.ServiceName]*admission{},
 		answers: silence.NewAnswers(), watchdog: newWatchdog(),
