--- a/internal/decide/placement/health.go
+++ b/internal/decide/placement/health.go
@@ -27,29 +27,29 @@
 }
 
 const (
-	// cooldownFirst and cooldownLast bound the time that a server which loses
+	// minCooldown and cooldownLast bound the time that a server which loses
 	// requests is left alone; it doubles with each loss in a row.
-	cooldownFirst = 250 * time.Millisecond
-	cooldownLast  = 4 * time.Second
-	// cooldownFull is how long a server that was full is left alone: a few steps of
+	minCooldown = 250 * time.Millisecond
+	maxCooldown = 4 * time.Second
+	// fullCooldown is how long a server that was full is left alone: a few steps of
 	// an engine, in which a request ends.
-	cooldownFull = 100 * time.Millisecond
-	// noteMost bounds the requests of one kind that one report counts for: more of
+	fullCooldown = 100 * time.Millisecond
+	// maxOutcomesPerReport bounds the requests of one kind that one report counts for: more of
 	// them say nothing else.
-	noteMost = 16
-	// failWeight is the weight of the newest request in the share of failures.
-	failWeight = 0.1
-	// failMargin is how far above its pool's share of failures a server may be
+	maxOutcomesPerReport = 16
+	// failureWeight is the weight of the newest request in the share of failures.
+	failureWeight = 0.1
+	// failureMargin is how far above its pool's share of failures a server may be
 	// before it counts as faulty; some failures belong to the requests.
-	failMargin = 0.2
+	failureMargin = 0.2
 )
 
 // record is what requests met at one server.
 type record struct {
-	losses int
-	// until is the end of the cooldown.
-	until  time.Time
-	failed float64
+	consecutiveLosses int
+	// cooldownEnd is the end of the cooldown.
+	cooldownEnd time.Time
+	failureRate float64
 }
 
 // Health keeps what requests met at servers.
@@ -62,37 +62,37 @@
 	return &Health{records: map[api.ServerName]*record{}}
 }
 
-// Note takes what a request met at a server.
-func (h *Health) Note(now time.Time, n api.ServerName, o Outcome) {
+// Record takes what a request met at a server.
+func (h *Health) Record(now time.Time, n api.ServerName, o Outcome) {
 	r, ok := h.records[n]
 	if !ok {
 		r = &record{}
 		h.records[n] = r
 	}
-	r.failed *= 1 - failWeight
+	r.failureRate *= 1 - failureWeight
 	switch o {
 	case Served:
-		r.losses = 0
+		r.consecutiveLosses = 0
 	case Full:
-		r.until = later(r.until, now.Add(cooldownFull))
+		r.cooldownEnd = later(r.cooldownEnd, now.Add(fullCooldown))
 	case Failed:
-		r.losses = 0
-		r.failed += failWeight
+		r.consecutiveLosses = 0
+		r.failureRate += failureWeight
 	case Lost:
-		r.until = later(r.until, now.Add(min(cooldownFirst<<min(r.losses, 8), cooldownLast)))
-		r.losses++
+		r.cooldownEnd = later(r.cooldownEnd, now.Add(min(minCooldown<<min(r.consecutiveLosses, 8), maxCooldown)))
+		r.consecutiveLosses++
 	}
 }
 
-// NoteAll takes what several requests met at a server, the good first: a loss among
+// RecordAll takes what several requests met at a server, the good first: a loss among
 // them is the newest word.
-func (h *Health) NoteAll(now time.Time, n api.ServerName, x api.Outcomes) {
+func (h *Health) RecordAll(now time.Time, n api.ServerName, x api.Outcomes) {
 	for _, c := range []struct {
 		outcome Outcome
 		count   int
 	}{{Served, x.Served}, {Failed, x.Failed}, {Full, x.Full}, {Lost, x.Lost}} {
-		for range min(c.count, noteMost) {
-			h.Note(now, n, c.outcome)
+		for range min(c.count, maxOutcomesPerReport) {
+			h.Record(now, n, c.outcome)
 		}
 	}
 }
@@ -105,9 +105,9 @@
 }
 
 // Forget drops the records of servers that are gone.
-func (h *Health) Forget(keep func(n api.ServerName) bool) {
+func (h *Health) Forget(known func(n api.ServerName) bool) {
 	for n := range h.records {
-		if !keep(n) {
+		if !known(n) {
 			delete(h.records, n)
 		}
 	}
@@ -116,21 +116,21 @@
 // coolingDown reports whether a server is left alone for now.
 func (h *Health) coolingDown(now time.Time, n api.ServerName) bool {
 	r, ok := h.records[n]
-	return ok && now.Before(r.until)
+	return ok && now.Before(r.cooldownEnd)
 }
 
 // faulty reports whether a server fails clearly more often than its pool.
-func (h *Health) faulty(n api.ServerName, pool float64) bool {
+func (h *Health) faulty(n api.ServerName, poolFailureRate float64) bool {
 	r, ok := h.records[n]
-	return ok && r.failed > pool+failMargin
+	return ok && r.failureRate > poolFailureRate+failureMargin
 }
 
-// share is the mean share of failures of a pool.
-func (h *Health) share(pool []api.ServerName) float64 {
+// meanFailureRate is the mean meanFailureRate of failures of a pool.
+func (h *Health) meanFailureRate(pool []api.ServerName) float64 {
 	sum := 0.0
 	for _, n := range pool {
 		if r, ok := h.records[n]; ok {
-			sum += r.failed
+			sum += r.failureRate
 		}
 	}
 	return sum / float64(max(1, len(pool)))
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -138,12 +138,12 @@
 // rate gives the servers that may take a need with their scores.
 func (p *Picker) rate(now time.Time, l Pool, n Need, tried []api.ServerName) []Choice {
 	var all []Choice
-	share := p.Health.share(names(l.Members))
+	poolFailureRate := p.Health.meanFailureRate(names(l.Members))
 	for _, m := range l.Members {
 		if !m.Takes() || slices.Contains(tried, m.Name) || !p.bears(now, l, m) {
 			continue
 		}
-		if s, ok := p.score(now, l, m, n, share); ok {
+		if s, ok := p.score(now, l, m, n, poolFailureRate); ok {
 			all = append(all, Choice{Server: m.Server, Score: s})
 		}
 	}
@@ -239,7 +239,7 @@
 
 // score rates a server, lower is better; it reports false for an engine whose
 // memory is promised already.
-func (p *Picker) score(now time.Time, l Pool, m roster.Member, n Need, share float64) (float64, bool) {
+func (p *Picker) score(now time.Time, l Pool, m roster.Member, n Need, poolFailureRate float64) (float64, bool) {
 	t := p.load(now, l, m.Name)
 	s := float64(t.Requests) / float64(max(1, m.Slots))
 	if l.Memory > 0 {
@@ -268,7 +268,7 @@
 	if p.Health.coolingDown(now, m.Name) {
 		s += avoid
 	}
-	if p.Health.faulty(m.Name, share) {
+	if p.Health.faulty(m.Name, poolFailureRate) {
 		s += avoid
 	}
 	return s, true
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -62,7 +62,7 @@
 			p.Engines.Add("b", load(32000, 0))
 		}, true, nil, "a"},
 		{"copies leave a domain whose server rests", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Health.Note(begin, "b", placement.Lost)
+			p.Health.Record(begin, "b", placement.Lost)
 		}, true, nil, "a"},
 		{"cold servers wait until others are fuller", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.Engines.Add("b", load(3000, 0))
@@ -79,7 +79,7 @@
 		}, false, nil, "b"},
 		{"lapsed servers serve where no other does", []roster.Member{member("a", "x", roster.Lapsed)}, func(*placement.Picker) {}, false, nil, "a"},
 		{"servers that lost a request rest", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Health.Note(begin, "a", placement.Lost)
+			p.Health.Record(begin, "a", placement.Lost)
 			p.Engines.Add("b", load(9000, 0))
 		}, false, nil, "b"},
 		{"tried servers are left out", []roster.Member{member("a", "x", roster.Ready)}, func(*placement.Picker) {}, false, []api.ServerName{"a"}, ""},
@@ -100,13 +100,13 @@
 
 // A server that fails half of its requests is put behind, one that fails as
 // often as the others is not.
-func TestFaultyServerIsFoundAgainstItsPool(t *testing.T) {
+func TestServerFailingMoreThanItsPoolIsAvoided(t *testing.T) {
 	p := placement.NewPicker(rand.NewPCG(1, 2))
 	l := placement.Pool{Members: []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready), member("c", "x", roster.Ready)}, Domain: "x"}
 	for i := range 60 {
-		p.Health.Note(begin, "b", fails(i%7 == 0))
-		p.Health.Note(begin, "c", fails(i%7 == 1))
-		p.Health.Note(begin, "a", fails(i%2 == 0))
+		p.Health.Record(begin, "b", fails(i%7 == 0))
+		p.Health.Record(begin, "c", fails(i%7 == 1))
+		p.Health.Record(begin, "a", fails(i%2 == 0))
 	}
 	for range 4 {
 		p.Table.Add("b", api.ServerLoad{Requests: 1})
@@ -125,7 +125,7 @@
 	return placement.Served
 }
 
-func TestRestGrowsAndEnds(t *testing.T) {
+func TestCooldownGrowsAndEnds(t *testing.T) {
 	p := placement.NewPicker(rand.NewPCG(1, 2))
 	l := placement.Pool{Members: []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, Domain: "x"}
 	p.Table.Add("b", api.ServerLoad{Requests: 4})
@@ -133,12 +133,12 @@
 		s, _ := p.Pick(begin.Add(time.Duration(ms)*time.Millisecond), l, placement.Need{}, nil)
 		return s.Name
 	}
-	p.Health.Note(begin, "a", placement.Lost)
+	p.Health.Record(begin, "a", placement.Lost)
 	if got := pick(300); got != "a" {
 		t.Errorf("300 ms after one loss: got %s, want a", got)
 	}
-	p.Health.Note(begin, "a", placement.Lost)
-	p.Health.Note(begin, "a", placement.Lost)
+	p.Health.Record(begin, "a", placement.Lost)
+	p.Health.Record(begin, "a", placement.Lost)
 	if got := pick(300); got != "b" {
 		t.Errorf("300 ms after three losses: got %s, want b", got)
 	}
@@ -148,7 +148,7 @@
 }
 
 // Sixty entry VMs that know the same must not all choose the one empty server.
-func TestManyDoNotMeetAtTheBestServer(t *testing.T) {
+func TestEntryVMsDoNotAllPickTheSameServer(t *testing.T) {
 	var l placement.Pool
 	l.Memory, l.Domain = 34000, "x"
 	for i := range 40 {
@@ -171,7 +171,7 @@
 
 // One that knows all loads as they are chooses the best of all servers, whatever
 // is drawn, and places one request after the other evenly.
-func TestExactLoadsGiveTheBestServer(t *testing.T) {
+func TestExactLoadsPickTheLeastLoadedServer(t *testing.T) {
 	l := placement.Pool{Memory: 34000, Domain: "x", Exact: true}
 	for i := range 40 {
 		l.Members = append(l.Members, member(fmt.Sprint("s", i), "x", roster.Ready))
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -178,7 +178,7 @@
 		}
 	}
 	for n, x := range h.Met {
-		g.picker.Health.NoteAll(now, api.ServerName(n), x)
+		g.picker.Health.RecordAll(now, api.ServerName(n), x)
 	}
 	g.letIn(now)
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -225,7 +225,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	g.picker.Health.Note(now, s.Name, o)
+	g.picker.Health.Record(now, s.Name, o)
 	g.Metrics.Count(metric.ByServer, string(s.Name), o.String())
 	if !g.isEngine(s) {
 		return
