--- a/internal/decide/gossip/hubs.go
+++ b/internal/decide/gossip/hubs.go
@@ -109,12 +109,12 @@
 	hub := p.Hub(now)
 	switch {
 	case !ok:
-		return placement.Stranger
+		return placement.Unrelated
 	case hub && x.Hub && p.alive(now, x):
 		return placement.Hub
 	case !hub && address == p.Primary(now):
 		return placement.Primary
 	default:
-		return placement.Stranger
+		return placement.Unrelated
 	}
 }
--- a/internal/decide/placement/ledger_test.go
+++ b/internal/decide/placement/ledger_test.go
@@ -9,27 +9,27 @@
 )
 
 // report is a holder's report of so many tokens at the engine "s".
-func report(sequence int64, tokens api.Tokens, asked placement.Ask, open ...placement.Ask) placement.Holding {
+func report(sequence int64, tokens api.Tokens, last placement.RequestNumber, pending ...placement.RequestNumber) placement.Holding {
 	l := placement.Loads{}
 	if tokens > 0 {
 		l["s"] = load(tokens, 0)
 	}
-	return placement.Holding{Incarnation: 7, Sequence: sequence, Loads: l, Asked: asked, Open: open}
+	return placement.Holding{Incarnation: 7, Sequence: sequence, Loads: l, LastRequest: last, Pending: pending}
 }
 
 // What is granted counts once: from the grant on, and no more once the holder
 // reports it, in whatever order the messages arrive.
-func TestLedger(t *testing.T) {
+func TestLedgerCountsEachGrantOnce(t *testing.T) {
 	type step func(l *placement.Ledger, now time.Time)
 	hold := func(h placement.Holding) step {
-		return func(l *placement.Ledger, now time.Time) { l.Report(now, "vm", h) }
+		return func(l *placement.Ledger, now time.Time) { l.Update(now, "vm", h) }
 	}
-	grant := func(a placement.Ask, tokens api.Tokens) step {
+	grant := func(a placement.RequestNumber, tokens api.Tokens) step {
 		return func(l *placement.Ledger, now time.Time) {
-			l.Grant(now, placement.Recipient{VM: "vm", Incarnation: 7, Ask: a}, "s", load(tokens, 0))
+			l.Grant(now, placement.Recipient{VM: "vm", Incarnation: 7, Request: a}, "s", load(tokens, 0))
 		}
 	}
-	life := func(i api.Incarnation, h placement.Holding) step {
+	incarnation := func(i api.Incarnation, h placement.Holding) step {
 		h.Incarnation = i
 		return hold(h)
 	}
@@ -46,9 +46,9 @@
 		{"a grant that was not taken", []step{hold(report(1, 0, 1, 1)), grant(1, 4000), hold(report(2, 0, 1))}, 0},
 		{"an older report arrives late", []step{hold(report(2, 4000, 1)), hold(report(1, 0, 1))}, 4000},
 		{"a run and its copy", []step{hold(report(1, 0, 1, 1)), grant(1, 4000), grant(1, 50), hold(report(2, 4050, 1))}, 4050},
-		{"the holder has started anew", []step{hold(report(9, 4000, 9)), grant(10, 300), life(8, report(1, 20, 0))}, 20},
+		{"the holder has started anew", []step{hold(report(9, 4000, 9)), grant(10, 300), incarnation(8, report(1, 20, 0))}, 20},
 		{"a grant to a new life", []step{hold(report(9, 4000, 9)), func(l *placement.Ledger, now time.Time) {
-			l.Grant(now, placement.Recipient{VM: "vm", Incarnation: 8, Ask: 1}, "s", load(300, 0))
+			l.Grant(now, placement.Recipient{VM: "vm", Incarnation: 8, Request: 1}, "s", load(300, 0))
 		}}, 300},
 	}
 	for _, c := range tests {
@@ -73,10 +73,10 @@
 
 // Grants that were never taken and holders that fell silent count no longer than
 // their time.
-func TestLedgerExpires(t *testing.T) {
+func TestLedgerExpiresGrantsAndSilentHolders(t *testing.T) {
 	l := placement.NewLedger()
-	l.Report(begin, "vm", report(1, 100, 1, 1))
-	l.Grant(begin, placement.Recipient{VM: "vm", Incarnation: 7, Ask: 1}, "s", load(20, 0))
+	l.Update(begin, "vm", report(1, 100, 1, 1))
+	l.Grant(begin, placement.Recipient{VM: "vm", Incarnation: 7, Request: 1}, "s", load(20, 0))
 	tests := []struct {
 		after time.Duration
 		want  api.Tokens
--- a/internal/decide/placement/load.go
+++ b/internal/decide/placement/load.go
@@ -9,13 +9,13 @@
 // Loads are loads by backend server.
 type Loads map[api.ServerName]api.ServerLoad
 
-func plus(a, b api.ServerLoad) api.ServerLoad {
+func addLoads(a, b api.ServerLoad) api.ServerLoad {
 	return api.ServerLoad{Requests: a.Requests + b.Requests, Tokens: a.Tokens + b.Tokens, Unread: a.Unread + b.Unread}
 }
 
 // add adds to the load of a server, which is forgotten where nothing is left.
 func (l Loads) add(n api.ServerName, x api.ServerLoad) {
-	s := plus(l[n], x)
+	s := addLoads(l[n], x)
 	if s == (api.ServerLoad{}) {
 		delete(l, n)
 		return
@@ -23,14 +23,14 @@
 	l[n] = s
 }
 
-// Minus gives the load that takes another one away when it is added.
-func Minus(l api.ServerLoad) api.ServerLoad {
+// Negate gives the load that takes another one away when it is added.
+func Negate(l api.ServerLoad) api.ServerLoad {
 	return api.ServerLoad{Requests: -l.Requests, Tokens: -l.Tokens, Unread: -l.Unread}
 }
 
-// peerTime is how long a peer's report counts: a few rounds of the
+// peerReportTTL is how long a peer's report counts: a few rounds of the
 // exchange between entry VMs, after which its runs may be anywhere.
-const peerTime = 3 * time.Second
+const peerReportTTL = 3 * time.Second
 
 // Relation is what a peer is to this entry VM in the exchange of loads.
 type Relation int
@@ -38,12 +38,12 @@
 // Relations. Each entry VM that is no hub is carried by one hub, so that the
 // sum over the hubs counts every load once.
 const (
-	// Stranger peers exchange no loads.
-	Stranger Relation = iota
+	// Unrelated peers exchange no loads.
+	Unrelated Relation = iota
 	// Hub peers tell what they carry, their own loads among it.
 	Hub
-	// Carried peers are carried by this hub.
-	Carried
+	// Attached peers are carried by this hub.
+	Attached
 	// Primary peers carry this entry VM, and tell the loads of all others.
 	Primary
 )
@@ -61,28 +61,28 @@
 	relation Relation
 }
 
-// Table counts what is in flight at each plain server, from here and from the
+// LoadTable counts what is in flight at each plain server, from here and from the
 // peers.
-type Table struct {
-	own   Loads
+type LoadTable struct {
+	local Loads
 	peers map[api.VMName]peerReport
 }
 
-// NewTable makes an empty table.
-func NewTable() *Table {
-	return &Table{own: Loads{}, peers: map[api.VMName]peerReport{}}
+// NewLoadTable makes an empty table.
+func NewLoadTable() *LoadTable {
+	return &LoadTable{local: Loads{}, peers: map[api.VMName]peerReport{}}
 }
 
 // Add adds to the own load of a server; a negative load takes away.
-func (t *Table) Add(n api.ServerName, l api.ServerLoad) {
-	t.own.add(n, l)
+func (t *LoadTable) Add(n api.ServerName, l api.ServerLoad) {
+	t.local.add(n, l)
 }
 
 // Update takes a peer's report. That of a primary replaces all others; strangers
 // report nothing, and what they reported before runs out.
-func (t *Table) Update(now time.Time, p api.VMName, r Relation, x Report) {
+func (t *LoadTable) Update(now time.Time, p api.VMName, r Relation, x Report) {
 	switch r {
-	case Stranger:
+	case Unrelated:
 		return
 	case Primary:
 		clear(t.peers)
@@ -91,13 +91,13 @@
 }
 
 // Report gives the report for a peer.
-func (t *Table) Report(now time.Time, p api.VMName, r Relation) Report {
+func (t *LoadTable) Report(now time.Time, p api.VMName, r Relation) Report {
 	switch r {
 	case Primary:
 		return t.sum(now, func(api.VMName, peerReport) bool { return false })
 	case Hub:
-		return t.sum(now, func(_ api.VMName, p peerReport) bool { return p.relation == Carried })
-	case Carried:
+		return t.sum(now, func(_ api.VMName, p peerReport) bool { return p.relation == Attached })
+	case Attached:
 		return t.sum(now, func(n api.VMName, _ peerReport) bool { return n != p })
 	default:
 		return Report{}
@@ -105,13 +105,13 @@
 }
 
 // sum adds the own loads and those of the peers that are chosen.
-func (t *Table) sum(now time.Time, choose func(n api.VMName, p peerReport) bool) Report {
-	x := Report{Loads: make(Loads, len(t.own)), Members: 1}
-	for s, l := range t.own {
+func (t *LoadTable) sum(now time.Time, choose func(n api.VMName, p peerReport) bool) Report {
+	x := Report{Loads: make(Loads, len(t.local)), Members: 1}
+	for s, l := range t.local {
 		x.Loads[s] = l
 	}
 	for n, p := range t.peers {
-		if now.Sub(p.at) > peerTime {
+		if now.Sub(p.at) > peerReportTTL {
 			delete(t.peers, n)
 			continue
 		}
@@ -120,26 +120,26 @@
 		}
 		x.Members += p.Members
 		for s, l := range p.Loads {
-			x.Loads[s] = plus(x.Loads[s], l)
+			x.Loads[s] = addLoads(x.Loads[s], l)
 		}
 	}
 	return x
 }
 
-// Members counts the entry VMs that are known of, this one among them.
-func (t *Table) Members(now time.Time) int {
+// EntryVMs counts the entry VMs that are known of, this one among them.
+func (t *LoadTable) EntryVMs(now time.Time) int {
 	return t.sum(now, func(api.VMName, peerReport) bool { return true }).Members
 }
 
 // Total is the load of a server over all entry VMs heard of lately.
-func (t *Table) Total(now time.Time, n api.ServerName) api.ServerLoad {
-	l := t.own[n]
+func (t *LoadTable) Total(now time.Time, n api.ServerName) api.ServerLoad {
+	l := t.local[n]
 	for v, p := range t.peers {
-		if now.Sub(p.at) > peerTime {
+		if now.Sub(p.at) > peerReportTTL {
 			delete(t.peers, v)
 			continue
 		}
-		l = plus(l, p.Loads[n])
+		l = addLoads(l, p.Loads[n])
 	}
 	return l
 }
--- a/internal/decide/placement/load_test.go
+++ b/internal/decide/placement/load_test.go
@@ -10,12 +10,12 @@
 
 // vm is an entry VM with its relations to others.
 type vm struct {
-	table *placement.Table
+	table *placement.LoadTable
 	name  api.VMName
 }
 
 func newVM(n api.VMName, tokens api.Tokens) vm {
-	b := placement.NewTable()
+	b := placement.NewLoadTable()
 	b.Add("s", api.ServerLoad{Requests: 1, Tokens: tokens})
 	return vm{table: b, name: n}
 }
@@ -36,10 +36,10 @@
 	now := begin
 	for range 3 {
 		for _, a := range []vm{a1, a2} {
-			exchange(now, a, h1, placement.Primary, placement.Carried)
+			exchange(now, a, h1, placement.Primary, placement.Attached)
 		}
 		for _, b := range []vm{b1, b2} {
-			exchange(now, b, h2, placement.Primary, placement.Carried)
+			exchange(now, b, h2, placement.Primary, placement.Attached)
 		}
 		exchange(now, h1, h2, placement.Hub, placement.Hub)
 		now = now.Add(250 * time.Millisecond)
@@ -48,21 +48,21 @@
 		if got := v.table.Total(now, "s"); got.Tokens != 111111 || got.Requests != 6 {
 			t.Errorf("%s: got %+v, want 111111 tokens of 6 requests", v.name, got)
 		}
-		if got := v.table.Members(now); got != 6 {
+		if got := v.table.EntryVMs(now); got != 6 {
 			t.Errorf("%s: got %d members, want 6", v.name, got)
 		}
 	}
 	// A VM that changes its hub is counted by the new one alone, once its word
 	// to the old one has run out.
 	for range 16 {
-		exchange(now, a2, h1, placement.Primary, placement.Carried)
-		exchange(now, a1, h2, placement.Primary, placement.Carried)
-		exchange(now, a1, h1, placement.Stranger, placement.Stranger)
+		exchange(now, a2, h1, placement.Primary, placement.Attached)
+		exchange(now, a1, h2, placement.Primary, placement.Attached)
+		exchange(now, a1, h1, placement.Unrelated, placement.Unrelated)
 		for _, b := range []vm{b1, b2} {
-			exchange(now, b, h2, placement.Primary, placement.Carried)
+			exchange(now, b, h2, placement.Primary, placement.Attached)
 		}
 		exchange(now, h1, h2, placement.Hub, placement.Hub)
-		exchange(now, a1, h2, placement.Primary, placement.Carried)
+		exchange(now, a1, h2, placement.Primary, placement.Attached)
 		now = now.Add(250 * time.Millisecond)
 	}
 	for _, v := range []vm{h1, h2, a1} {
@@ -79,7 +79,7 @@
 	if got := h1.table.Total(later, "s").Tokens; got != 1 {
 		t.Errorf("tokens: got %d, want the own 1", got)
 	}
-	if got := h1.table.Members(later); got != 1 {
+	if got := h1.table.EntryVMs(later); got != 1 {
 		t.Errorf("members: got %d, want 1", got)
 	}
 }
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -80,11 +80,11 @@
 
 // Picker chooses servers.
 type Picker struct {
-	// Table counts the loads of plain servers, Engines those of engines.
-	Table   *Table
-	Engines *Ledger
-	Health  *Health
-	Sends   *Sends
+	// PlainLoads counts the loads of plain servers, Engines those of engines.
+	PlainLoads  *LoadTable
+	EngineLoads *Ledger
+	Health      *Health
+	Sends       *Sends
 	// Limits are what servers have named, and Pacer keeps to them.
 	Limits *throttle.Limits
 	Pacer  *throttle.Pacer
@@ -95,7 +95,7 @@
 // NewPicker makes a picker without load that draws from a source.
 func NewPicker(s rand.Source) *Picker {
 	r := rand.New(s)
-	return &Picker{Table: NewTable(), Engines: NewLedger(), Health: NewHealth(), Sends: NewSends(r), Limits: throttle.NewLimits(), Pacer: throttle.NewPacer(r), Rests: NewRests(), random: r}
+	return &Picker{PlainLoads: NewLoadTable(), EngineLoads: NewLedger(), Health: NewHealth(), Sends: NewSends(r), Limits: throttle.NewLimits(), Pacer: throttle.NewPacer(r), Rests: NewRests(), random: r}
 }
 
 // Choice is a server with the figures that decided for it.
@@ -226,15 +226,15 @@
 	if l.Exact {
 		return good
 	}
-	return good[:min(len(good), sampleLeast+sampleShare/p.Table.Members(now))]
+	return good[:min(len(good), sampleLeast+sampleShare/p.PlainLoads.EntryVMs(now))]
 }
 
 // load is what is known to be in flight at a server of a pool.
 func (p *Picker) load(now time.Time, l Pool, n api.ServerName) api.ServerLoad {
 	if l.Memory > 0 {
-		return p.Engines.Total(n)
+		return p.EngineLoads.Total(n)
 	}
-	return p.Table.Total(now, n)
+	return p.PlainLoads.Total(now, n)
 }
 
 // score rates a server, lower is better; it reports false for an engine whose
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -38,52 +38,52 @@
 		want    api.ServerName
 	}{
 		{"least memory promised", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("a", load(9000, 0))
-			p.Engines.Add("b", load(3000, 0))
+			p.EngineLoads.Add("a", load(9000, 0))
+			p.EngineLoads.Add("b", load(3000, 0))
 		}, false, nil, "b"},
 		{"others' loads count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Report(begin, "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
-			p.Engines.Add("a", load(3000, 0))
+			p.EngineLoads.Update(begin, "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
+			p.EngineLoads.Add("a", load(3000, 0))
 		}, false, nil, "a"},
 		{"those of one unheard for long do not", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Report(begin.Add(-10*time.Second), "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
-			p.Engines.Expire(begin)
-			p.Engines.Add("a", load(3000, 0))
+			p.EngineLoads.Update(begin.Add(-10*time.Second), "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
+			p.EngineLoads.Expire(begin)
+			p.EngineLoads.Add("a", load(3000, 0))
 		}, false, nil, "b"},
 		{"prompts to be read hold up", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("a", load(3000, 3000))
-			p.Engines.Add("b", load(6000, 0))
+			p.EngineLoads.Add("a", load(3000, 3000))
+			p.EngineLoads.Add("b", load(6000, 0))
 		}, false, nil, "b"},
 		{"own domain on a tie", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(*placement.Picker) {}, false, nil, "b"},
 		{"copies stay in a fuller domain", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(25000, 0))
+			p.EngineLoads.Add("b", load(25000, 0))
 		}, true, nil, "b"},
 		{"copies leave a domain without room", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(32000, 0))
+			p.EngineLoads.Add("b", load(32000, 0))
 		}, true, nil, "a"},
 		{"copies leave a domain whose server rests", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.Health.Record(begin, "b", placement.Lost)
 		}, true, nil, "a"},
 		{"cold servers wait until others are fuller", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(3000, 0))
+			p.EngineLoads.Add("b", load(3000, 0))
 		}, false, nil, "b"},
 		{"cold servers help out full ones", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(20000, 0))
+			p.EngineLoads.Add("b", load(20000, 0))
 		}, false, nil, "a"},
 		{"warm servers are as good as others", []roster.Member{coldMember("a", -1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(9000, 0))
+			p.EngineLoads.Add("b", load(9000, 0))
 		}, false, nil, "a"},
 		{"leaving servers take nothing", []roster.Member{member("a", "x", roster.Leaving)}, func(*placement.Picker) {}, false, nil, ""},
 		{"lapsed servers come last", []roster.Member{member("a", "x", roster.Lapsed), member("b", "y", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(20000, 0))
+			p.EngineLoads.Add("b", load(20000, 0))
 		}, false, nil, "b"},
 		{"lapsed servers serve where no other does", []roster.Member{member("a", "x", roster.Lapsed)}, func(*placement.Picker) {}, false, nil, "a"},
 		{"servers that lost a request rest", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.Health.Record(begin, "a", placement.Lost)
-			p.Engines.Add("b", load(9000, 0))
+			p.EngineLoads.Add("b", load(9000, 0))
 		}, false, nil, "b"},
 		{"tried servers are left out", []roster.Member{member("a", "x", roster.Ready)}, func(*placement.Picker) {}, false, []api.ServerName{"a"}, ""},
-		{"no room", []roster.Member{member("a", "x", roster.Ready)}, func(p *placement.Picker) { p.Engines.Add("a", load(33000, 0)) }, false, nil, ""},
+		{"no room", []roster.Member{member("a", "x", roster.Ready)}, func(p *placement.Picker) { p.EngineLoads.Add("a", load(33000, 0)) }, false, nil, ""},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,8 +109,8 @@
 		p.Health.Record(begin, "a", fails(i%2 == 0))
 	}
 	for range 4 {
-		p.Table.Add("b", api.ServerLoad{Requests: 1})
-		p.Table.Add("c", api.ServerLoad{Requests: 1})
+		p.PlainLoads.Add("b", api.ServerLoad{Requests: 1})
+		p.PlainLoads.Add("c", api.ServerLoad{Requests: 1})
 	}
 	got, _ := p.Pick(begin, l, placement.Need{}, nil)
 	if got.Name == "a" {
@@ -128,7 +128,7 @@
 func TestCooldownGrowsAndEnds(t *testing.T) {
 	p := placement.NewPicker(rand.NewPCG(1, 2))
 	l := placement.Pool{Members: []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, Domain: "x"}
-	p.Table.Add("b", api.ServerLoad{Requests: 4})
+	p.PlainLoads.Add("b", api.ServerLoad{Requests: 4})
 	pick := func(ms int) api.ServerName {
 		s, _ := p.Pick(begin.Add(time.Duration(ms)*time.Millisecond), l, placement.Need{}, nil)
 		return s.Name
@@ -157,9 +157,9 @@
 	got := map[api.ServerName]int{}
 	for seed := range uint64(60) {
 		p := placement.NewPicker(rand.NewPCG(seed, 0))
-		p.Table.Update(begin, "primary", placement.Primary, placement.Report{Members: 59})
+		p.PlainLoads.Update(begin, "primary", placement.Primary, placement.Report{Members: 59})
 		for _, m := range l.Members[1:] {
-			p.Engines.Add(m.Name, load(8000, 0))
+			p.EngineLoads.Add(m.Name, load(8000, 0))
 		}
 		s, _ := p.Pick(begin, l, placement.Need{Tokens: 4000, Unread: 3000}, nil)
 		got[s.Name]++
@@ -177,14 +177,14 @@
 		l.Members = append(l.Members, member(fmt.Sprint("s", i), "x", roster.Ready))
 	}
 	p := placement.NewPicker(rand.NewPCG(1, 0))
-	p.Table.Update(begin, "primary", placement.Primary, placement.Report{Members: 300})
+	p.PlainLoads.Update(begin, "primary", placement.Primary, placement.Report{Members: 300})
 	got := map[api.ServerName]int{}
 	for range 80 {
 		x, ok := p.Pick(begin, l, placement.Need{Tokens: 4000, Unread: 3000}, nil)
 		if !ok {
 			t.Fatal("got no server, want one")
 		}
-		p.Engines.Add(x.Name, load(4000, 3000))
+		p.EngineLoads.Add(x.Name, load(4000, 3000))
 		got[x.Name]++
 	}
 	for n, k := range got {
--- a/internal/decide/placement/remote.go
+++ b/internal/decide/placement/remote.go
@@ -116,7 +116,7 @@
 	var x api.PoolLoad
 	for _, m := range l.Members {
 		if m.State == roster.Ready && !m.Closed && p.within(now, l, m) {
-			t := p.Engines.Total(m.Name)
+			t := p.EngineLoads.Total(m.Name)
 			x.Engines++
 			x.Tokens += t.Tokens
 			x.Unread += t.Unread
--- a/internal/decide/placement/room_test.go
+++ b/internal/decide/placement/room_test.go
@@ -108,7 +108,7 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			p := placement.NewPicker(rand.NewPCG(1, 2))
-			p.Engines.Add("a", c.load)
+			p.EngineLoads.Add("a", c.load)
 			c.pool.Members = []roster.Member{member("a", "x", roster.Ready)}
 			c.pool.Memory = 34000
 			if _, got := p.Pick(begin, c.pool, c.need, nil); got != c.want {
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -141,7 +141,7 @@
 		wait:     a.WaitMS.Duration(),
 		deadline: time.Now().Add(a.LeftMS.Duration()),
 		recipient: &placement.Recipient{
-			VM: a.Holding.VM, Incarnation: a.Holding.Incarnation, Ask: placement.Ask(a.Ask),
+			VM: a.Holding.VM, Incarnation: a.Holding.Incarnation, Request: placement.RequestNumber(a.Ask),
 		},
 	}, nil
 }
@@ -160,18 +160,18 @@
 // Hold takes what another entry VM holds at engines that this one allocates.
 func (g *Gateway) Hold(h api.Holding) {
 	x := placement.Holding{
-		Incarnation: h.Incarnation, Sequence: int64(h.Sequence), Loads: make(placement.Loads, len(h.Loads)), Asked: placement.Ask(h.Asked),
+		Incarnation: h.Incarnation, Sequence: int64(h.Sequence), Loads: make(placement.Loads, len(h.Loads)), LastRequest: placement.RequestNumber(h.Asked),
 	}
 	for n, l := range h.Loads {
 		x.Loads[api.ServerName(n)] = l
 	}
 	for _, n := range h.Open {
-		x.Open = append(x.Open, placement.Ask(n))
+		x.Pending = append(x.Pending, placement.RequestNumber(n))
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	g.picker.Engines.Report(now, h.VM, x)
+	g.picker.EngineLoads.Update(now, h.VM, x)
 	for n, r := range h.Read {
 		if a, ok := g.admissions[api.ServiceName(n)]; ok {
 			a.reading.Note(r.Tokens, time.Duration(r.MS)*time.Millisecond)
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -154,7 +154,7 @@
 // grant, for which there is none. The mutex is held.
 func (g *Gateway) assign(now time.Time, d demand, s roster.Server) *reservation {
 	if d.recipient != nil {
-		g.picker.Engines.Grant(now, *d.recipient, s.Name, d.load())
+		g.picker.EngineLoads.Grant(now, *d.recipient, s.Name, d.load())
 		if d.load().Requests > 0 {
 			g.picker.Sent(now, s.Name)
 		}
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -38,7 +38,7 @@
 
 // held is the own loads in a failure domain; the mutex is held.
 func (g *Gateway) held(d api.DomainName) placement.Loads {
-	return g.picker.Engines.Own(func(n api.ServerName) bool {
+	return g.picker.EngineLoads.Local(func(n api.ServerName) bool {
 		m, ok := g.roster.Find(n)
 		return ok && m.Domain == d
 	})
@@ -48,7 +48,7 @@
 func (g *Gateway) Held() placement.Loads {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.picker.Engines.Own(func(api.ServerName) bool { return true })
+	return g.picker.EngineLoads.Local(func(api.ServerName) bool { return true })
 }
 
 // tellAllocators tells allocators what this entry VM holds, as far as that is due.
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -109,8 +109,8 @@
 		Route: d.route, WaitMS: api.ToMilliseconds(d.wait), Tried: d.tried, Waits: d.waits, Forwarded: d.forwarded, Standby: d.standby, Late: d.ask.Late,
 	}
 	if r := d.recipient; r != nil {
-		a.Ask = int(r.Ask)
-		a.Holding = api.Holding{Protocol: gossip.Protocol, VM: r.VM, Incarnation: r.Incarnation, Asked: int(r.Ask)}
+		a.Ask = int(r.Request)
+		a.Holding = api.Holding{Protocol: gossip.Protocol, VM: r.VM, Incarnation: r.Incarnation, Asked: int(r.Request)}
 	}
 	return a
 }
@@ -185,7 +185,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if own {
-		g.asks.End(placement.Ask(a.Ask))
+		g.asks.End(placement.RequestNumber(a.Ask))
 	}
 	if err != nil {
 		if ctx.Err() == nil {
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -162,7 +162,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	t := throttle.Terms{Rate: r, Part: throttle.Alone, Members: g.picker.Table.Members(now)}
+	t := throttle.Terms{Rate: r, Part: throttle.Alone, Members: g.picker.PlainLoads.EntryVMs(now)}
 	at, ok := g.picker.Pacer.Take(now, x.Name, t, patience)
 	return permit{granted: ok, at: at}
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -48,8 +48,8 @@
 	g.picker.Forget(known)
 	g.answers.Forget(known)
 	g.Metrics.Retain(metric.ByServer, func(n string) bool { return known(api.ServerName(n)) })
-	g.picker.Engines.Expire(now)
-	n := g.picker.Table.Members(now)
+	g.picker.EngineLoads.Expire(now)
+	n := g.picker.PlainLoads.EntryVMs(now)
 	g.Retries.Members(n)
 	g.fleet.Note(now, n)
 	g.mutex.Unlock()
@@ -128,7 +128,7 @@
 
 // warmup is what the cold servers of a service bear; the mutex is held.
 func (g *Gateway) warmup(now time.Time, s *directory.Service) placement.Warmup {
-	return placement.Warmup{Rate: s.ColdRate, Choosers: g.picker.Table.Members(now)}
+	return placement.Warmup{Rate: s.ColdRate, Choosers: g.picker.PlainLoads.EntryVMs(now)}
 }
 
 // reserve counts a load at a server until the reservation ends; the mutex is
@@ -136,7 +136,7 @@
 func (g *Gateway) reserve(now time.Time, s roster.Server, engine bool, x api.ServerLoad) *reservation {
 	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, at: now}
 	if engine {
-		l.ahead = g.picker.Engines.Total(s.Name).Unread
+		l.ahead = g.picker.EngineLoads.Total(s.Name).Unread
 		g.reports.Granted(now, s.Domain)
 	}
 	l.add(x)
@@ -176,10 +176,10 @@
 // add adds to the load of the reservation's server; the mutex is held.
 func (l *reservation) add(x api.ServerLoad) {
 	if l.engine {
-		l.gateway.picker.Engines.Add(l.server, x)
+		l.gateway.picker.EngineLoads.Add(l.server, x)
 		return
 	}
-	l.gateway.picker.Table.Add(l.server, x)
+	l.gateway.picker.PlainLoads.Add(l.server, x)
 }
 
 // read notes that the prompt was read.
@@ -199,7 +199,7 @@
 	}
 	l.gateway.mutex.Lock()
 	defer l.gateway.mutex.Unlock()
-	l.change(placement.Minus(l.load))
+	l.change(placement.Negate(l.load))
 }
 
 // change adds to the load, which may let others in; the mutex is held.
@@ -250,12 +250,12 @@
 func (g *Gateway) ReportLoads(vm api.VMName, r placement.Relation) placement.Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.picker.Table.Report(time.Now(), vm, r)
+	return g.picker.PlainLoads.Report(time.Now(), vm, r)
 }
 
 // UpdateLoads takes a peer's report on the loads of plain servers.
 func (g *Gateway) UpdateLoads(vm api.VMName, r placement.Relation, x placement.Report) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.picker.Table.Update(time.Now(), vm, r, x)
+	g.picker.PlainLoads.Update(time.Now(), vm, r, x)
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -276,10 +276,10 @@
 
 // relations translates relations to their names in messages.
 var relations = map[placement.Relation]api.ExchangeRelation{
-	placement.Stranger: api.ExchangeRelationStranger,
-	placement.Hub:      api.ExchangeRelationHub,
-	placement.Carried:  api.ExchangeRelationCarried,
-	placement.Primary:  api.ExchangeRelationPrimary,
+	placement.Unrelated: api.ExchangeRelationStranger,
+	placement.Hub:       api.ExchangeRelationHub,
+	placement.Attached:  api.ExchangeRelationCarried,
+	placement.Primary:   api.ExchangeRelationPrimary,
 }
 
 func message(m gossip.Member) api.MeshMember {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -94,7 +94,7 @@
 	})
 	until(t, "members of the fleet", l, func() bool {
 		// Whichever VM is the hub that carries another one, by its port.
-		return c.table.ReportLoads("nobody", placement.Carried).Members >= 2
+		return c.table.ReportLoads("nobody", placement.Attached).Members >= 2
 	})
 }
 
@@ -110,7 +110,7 @@
 	if !a.Alone() {
 		t.Error("peer of another protocol: got it as a member, want it refused")
 	}
-	if l := a.table.ReportLoads("y", placement.Carried).Loads; len(l) != 0 {
+	if l := a.table.ReportLoads("y", placement.Attached).Loads; len(l) != 0 {
 		t.Errorf("its loads: got %v, want none", l)
 	}
 }
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -81,11 +81,11 @@
 func relation(e api.Exchange) placement.Relation {
 	switch e.Relation {
 	case api.ExchangeRelationPrimary:
-		return placement.Carried
+		return placement.Attached
 	case api.ExchangeRelationHub:
 		return placement.Hub
 	default:
-		return placement.Stranger
+		return placement.Unrelated
 	}
 }
 
--- a/spec/allocate.go
+++ b/spec/allocate.go
@@ -168,11 +168,11 @@
 func (s allocateState) ledger(to int8) *placement.Ledger {
 	l := placement.NewLedger()
 	for _, e := range s.logs[to][:s.heard[to]] {
-		x := placement.Holding{Incarnation: 1, Sequence: int64(e.report.sequence), Loads: placement.Loads{}, Asked: placement.Ask(e.report.asked)}
+		x := placement.Holding{Incarnation: 1, Sequence: int64(e.report.sequence), Loads: placement.Loads{}, LastRequest: placement.RequestNumber(e.report.asked)}
 		var held api.Tokens
 		for i := range askCount {
 			if e.report.open[i] {
-				x.Open = append(x.Open, placement.Ask(i+1))
+				x.Pending = append(x.Pending, placement.RequestNumber(i+1))
 			}
 			if e.report.held[i] {
 				held += places[i]
@@ -181,9 +181,9 @@
 		if held > 0 {
 			x.Loads[engineName] = api.ServerLoad{Tokens: held}
 		}
-		l.Report(time.Unix(0, 0), "vm", x)
+		l.Update(time.Unix(0, 0), "vm", x)
 		if e.grant > 0 {
-			l.Grant(time.Unix(0, 0), placement.Recipient{VM: "vm", Incarnation: 1, Ask: placement.Ask(e.grant)}, engineName, api.ServerLoad{Tokens: places[e.grant-1]})
+			l.Grant(time.Unix(0, 0), placement.Recipient{VM: "vm", Incarnation: 1, Request: placement.RequestNumber(e.grant)}, engineName, api.ServerLoad{Tokens: places[e.grant-1]})
 		}
 	}
 	return l
