--- a/internal/decide/placement/ledger_test.go
+++ b/internal/decide/placement/ledger_test.go
@@ -90,7 +90,7 @@
 }
 
 func TestRemotePoolsLessLoaded(t *testing.T) {
-	need := placement.Need{Tokens: 3400}
+	need := placement.Requirements{Tokens: 3400}
 	home := func(score float64) *placement.Choice { return &placement.Choice{Score: score} }
 	pool := func(engines int, tokens, unread api.Tokens, waiting int) api.PoolLoad {
 		return api.PoolLoad{Engines: engines, Tokens: tokens, Unread: unread, Waiting: waiting}
@@ -127,7 +127,7 @@
 func TestRemotePoolsCountForwardedRequests(t *testing.T) {
 	d := placement.NewRemotePools()
 	d.Update(begin, "y", map[api.ServiceName]api.PoolLoad{"s": {Engines: 2}})
-	need := placement.Need{Tokens: 3400, Unread: 3000}
+	need := placement.Requirements{Tokens: 3400, Unread: 3000}
 	got := 0
 	for range 20 {
 		if n, ok := d.LessLoaded(begin, "s", 34000, need, &placement.Choice{Score: 0.5}); ok {
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -11,8 +11,8 @@
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 )
 
-// Need is what a request asks of a server.
-type Need struct {
+// Requirements is what a request asks of a server.
+type Requirements struct {
 	// Tokens is the engine memory that the request will hold; zero for plain
 	// services.
 	Tokens api.Tokens
@@ -28,31 +28,31 @@
 	// Domain is the failure domain to stay in: that of this entry VM, or of the
 	// server that a run is copied from.
 	Domain api.DomainName
-	// Exact is set where the loads of the domain's servers are known as they are, as
+	// ExactLoads is set where the loads of the domain's servers are known as they are, as
 	// on the entry VM that allocates its engines: the best one is chosen. Where they
 	// are known late, a few are compared.
-	Exact bool
-	// Stay leaves the domain only where none of its servers has room. It is for
+	ExactLoads bool
+	// PreferDomain leaves the domain only where none of its servers has room. It is for
 	// copies of a run's memory, which take twice as long between domains, while
 	// notices are hardly long enough within one.
-	Stay bool
-	// Room is the share of an engine's memory that may be promised; zero for all
+	PreferDomain bool
+	// MaxMemoryShare is the share of an engine's memory that may be promised; zero for all
 	// that may be promised at all.
-	Room float64
-	// UnreadMost bounds the prompts that an engine has to read before the first event
+	MaxMemoryShare float64
+	// MaxUnread bounds the prompts that an engine has to read before the first event
 	// of a new request, its own among them; zero for no bound. An engine that reads
 	// nothing takes any.
-	UnreadMost api.Tokens
+	MaxUnread api.Tokens
 	// Warmup bounds what is sent to servers that are cold.
 	Warmup Warmup
 	// Standby is set where the servers' allocator is asked since the first choice does not
 	// answer.
 	Standby bool
-	// Unlimited leaves out servers that have named a limit: what goes on from a copy can't be
+	// ExcludeLimited leaves out servers that have named a limit: what goes on from a copy can't be
 	// held up there.
-	Unlimited bool
-	// Rests leaves out servers that asked this entry VM for rest, as for its own requests.
-	Rests bool
+	ExcludeLimited bool
+	// ExcludeBackingOff leaves out servers that asked this entry VM for rest, as for its own requests.
+	ExcludeBackingOff bool
 }
 
 // Scores are in units of a server's whole capacity.
@@ -60,22 +60,22 @@
 	// unreadScale is the prompt tokens whose reading holds an engine up for
 	// about as long as a full memory is worth: half a second at 14 tokens a ms.
 	unreadScale = 7000.0
-	// spread is the part of a score that is drawn: entry VMs that know the same
+	// jitter is the part of a score that is drawn: entry VMs that know the same
 	// must not all choose the same server until they hear of each other.
-	spread = 0.15
-	// away is the price of leaving the failure domain. It breaks ties, since a
+	jitter = 0.15
+	// remotePenalty is the price of leaving the failure domain. It breaks ties, since a
 	// request moves a few KB and takes a ms more.
-	away = 0.03
-	// cold is the price of a server that has just started and is still slow: it
+	remotePenalty = 0.03
+	// coldPenalty is the price of a server that has just started and is still slow: it
 	// takes work before one that is a quarter fuller.
-	cold = 0.25
-	// limited is the price of a server that has named a limit, which it does in need.
-	limited = 0.25
-	// avoid puts servers that cool down, fail or lapsed behind all others.
-	avoid = 10.0
-	// memoryBound is the share of an engine's memory that may be promised; the
+	coldPenalty = 0.25
+	// limitedPenalty is the price of a server that has named a limit, which it does in need.
+	limitedPenalty = 0.25
+	// avoidPenalty puts servers that cool down, fail or lapsed behind all others.
+	avoidPenalty = 10.0
+	// maxMemoryShare is the share of an engine's memory that may be promised; the
 	// rest is for answers longer than expected.
-	memoryBound = 0.97
+	maxMemoryShare = 0.97
 )
 
 // Picker chooses servers.
@@ -105,42 +105,42 @@
 	Load api.ServerLoad
 	// Score rates it, lower is better.
 	Score float64
-	// Of counts the servers that it was chosen from.
-	Of int
+	// Candidates counts the servers that it was chosen from.
+	Candidates int
 }
 
 // Pick gives the best of some servers for a need that are none of those tried,
 // or false when no server may take it.
-func (p *Picker) Pick(now time.Time, l Pool, n Need, tried []api.ServerName) (Choice, bool) {
-	all := p.rate(now, l, n, tried)
-	if l.Stay {
-		all = l.near(all)
+func (p *Picker) Pick(now time.Time, l Pool, n Requirements, tried []api.ServerName) (Choice, bool) {
+	all := p.candidates(now, l, n, tried)
+	if l.PreferDomain {
+		all = l.preferDomain(all)
 	}
 	if len(all) == 0 {
 		return Choice{}, false
 	}
 	best := slices.MinFunc(p.sample(now, l, all), func(a, b Choice) int { return cmp.Compare(a.Score, b.Score) })
 	best.Load = p.load(now, l, best.Name)
-	best.Of = len(all)
+	best.Candidates = len(all)
 	return best, true
 }
 
-// near gives those of some servers that are in the domain, or all where none of
+// preferDomain gives those of some servers that are in the domain, or all where none of
 // them is to be had there.
-func (l Pool) near(all []Choice) []Choice {
-	n := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Domain != l.Domain || c.Score >= avoid })
+func (l Pool) preferDomain(all []Choice) []Choice {
+	n := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Domain != l.Domain || c.Score >= avoidPenalty })
 	if len(n) == 0 {
 		return all
 	}
 	return n
 }
 
-// rate gives the servers that may take a need with their scores.
-func (p *Picker) rate(now time.Time, l Pool, n Need, tried []api.ServerName) []Choice {
+// candidates gives the servers that may take a need with their scores.
+func (p *Picker) candidates(now time.Time, l Pool, n Requirements, tried []api.ServerName) []Choice {
 	var all []Choice
-	poolFailureRate := p.Health.meanFailureRate(names(l.Members))
+	poolFailureRate := p.Health.meanFailureRate(serverNames(l.Members))
 	for _, m := range l.Members {
-		if !m.Takes() || slices.Contains(tried, m.Name) || !p.bears(now, l, m) {
+		if !m.Takes() || slices.Contains(tried, m.Name) || !p.mayReceive(now, l, m) {
 			continue
 		}
 		if s, ok := p.score(now, l, m, n, poolFailureRate); ok {
@@ -150,40 +150,40 @@
 	return all
 }
 
-// bears reports whether a server may be sent another request: one that rests none, a cold one
+// mayReceive reports whether a server may be sent another request: one that rests none, a cold one
 // and an engine that has named a limit only so many a second.
-func (p *Picker) bears(now time.Time, l Pool, m roster.Member) bool {
-	if l.Rests && p.Rests.Resting(now, m.Name) {
+func (p *Picker) mayReceive(now time.Time, l Pool, m roster.Member) bool {
+	if l.ExcludeBackingOff && p.Rests.Resting(now, m.Name) {
 		return false
 	}
 	rate := l.warmup(m)
 	if rate != 0 && now.Before(m.Warm) && !p.Sends.allows(now, m.Name, m.Warm, rate) {
 		return false
 	}
-	return p.within(now, l, m)
+	return p.withinLimit(now, l, m)
 }
 
-// within reports whether another request to a server stays within the limit that it has named.
-func (p *Picker) within(now time.Time, l Pool, m roster.Member) bool {
+// withinLimit reports whether another request to a server stays withinLimit the limit that it has named.
+func (p *Picker) withinLimit(now time.Time, l Pool, m roster.Member) bool {
 	r, ok := p.Limits.Find(m.Name)
 	switch {
 	case !ok:
 		return true
-	case l.Unlimited:
+	case l.ExcludeLimited:
 		return false
 	case l.Memory == 0:
 		// Who paces the server is asked once it is chosen.
 		return true
 	default:
-		return !p.Pacer.Next(now, m.Name, l.terms(m, r)).After(now)
+		return !p.Pacer.Next(now, m.Name, l.throttleTerms(m, r)).After(now)
 	}
 }
 
-// terms are those of an engine that has named a limit.
-func (l Pool) terms(m roster.Member, r throttle.Rate) throttle.Terms {
+// throttleTerms are those of an engine that has named a limit.
+func (l Pool) throttleTerms(m roster.Member, r throttle.Rate) throttle.Terms {
 	t := throttle.Terms{Rate: r, Part: throttle.Alone, Members: l.Warmup.Choosers}
 	switch {
-	case !l.Exact || m.Domain != l.Domain:
+	case !l.ExactLoads || m.Domain != l.Domain:
 	case l.Standby:
 		t.Part = throttle.Standby
 	default:
@@ -192,41 +192,41 @@
 	return t
 }
 
-// Sent notes a request that is sent to a server, or granted to another entry VM.
-func (p *Picker) Sent(now time.Time, n api.ServerName) {
+// RecordSend notes a request that is sent to a server, or granted to another entry VM.
+func (p *Picker) RecordSend(now time.Time, n api.ServerName) {
 	p.Sends.Note(now, n)
 	p.Pacer.Sent(now, n)
 }
 
 // Forget drops what is known of servers that are gone.
-func (p *Picker) Forget(keep func(n api.ServerName) bool) {
-	p.Health.Forget(keep)
-	p.Sends.Forget(keep)
-	p.Limits.Forget(keep)
-	p.Pacer.Forget(keep)
-	p.Rests.Forget(keep)
+func (p *Picker) Forget(known func(n api.ServerName) bool) {
+	p.Health.Forget(known)
+	p.Sends.Forget(known)
+	p.Limits.Forget(known)
+	p.Pacer.Forget(known)
+	p.Rests.Forget(known)
 }
 
 const (
-	// sampleLeast and sampleShare give the number of servers that are compared:
+	// minSample and sampleShare give the number of servers that are compared:
 	// all of a small pool for a few entry VMs, two for many. Loads are known some
 	// hundred ms late, and many that compare all servers meet at the best one.
-	sampleLeast = 2
-	sampleShare = 48
+	minSample    = 2
+	sampleBudget = 48
 )
 
 // sample draws some of the servers, from those that are not to be avoided where
 // there are any.
 func (p *Picker) sample(now time.Time, l Pool, all []Choice) []Choice {
-	good := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Score >= avoid })
+	good := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Score >= avoidPenalty })
 	if len(good) == 0 {
 		return all
 	}
 	p.random.Shuffle(len(good), func(i, j int) { good[i], good[j] = good[j], good[i] })
-	if l.Exact {
+	if l.ExactLoads {
 		return good
 	}
-	return good[:min(len(good), sampleLeast+sampleShare/p.PlainLoads.EntryVMs(now))]
+	return good[:min(len(good), minSample+sampleBudget/p.PlainLoads.EntryVMs(now))]
 }
 
 // load is what is known to be in flight at a server of a pool.
@@ -239,84 +239,84 @@
 
 // score rates a server, lower is better; it reports false for an engine whose
 // memory is promised already.
-func (p *Picker) score(now time.Time, l Pool, m roster.Member, n Need, poolFailureRate float64) (float64, bool) {
+func (p *Picker) score(now time.Time, l Pool, m roster.Member, n Requirements, poolFailureRate float64) (float64, bool) {
 	t := p.load(now, l, m.Name)
 	s := float64(t.Requests) / float64(max(1, m.Slots))
 	if l.Memory > 0 {
 		used := float64(t.Tokens+n.Tokens) / float64(l.Memory)
-		if !l.takes(t, n, used) {
+		if !l.fits(t, n, used) {
 			return 0, false
 		}
 		s = used + float64(t.Unread)/unreadScale
 	}
-	if !l.Exact || m.Domain != l.Domain {
+	if !l.ExactLoads || m.Domain != l.Domain {
 		// Others may choose among the same engines.
-		s += spread * p.random.Float64()
+		s += jitter * p.random.Float64()
 	}
 	if m.Domain != l.Domain {
-		s += away
+		s += remotePenalty
 	}
 	if now.Before(m.Warm) {
-		s += cold
+		s += coldPenalty
 	}
 	if _, ok := p.Limits.Find(m.Name); ok {
-		s += limited
+		s += limitedPenalty
 	}
 	if m.State == roster.Lapsed {
-		s += avoid
+		s += avoidPenalty
 	}
 	if p.Health.coolingDown(now, m.Name) {
-		s += avoid
+		s += avoidPenalty
 	}
 	if p.Health.faulty(m.Name, poolFailureRate) {
-		s += avoid
+		s += avoidPenalty
 	}
 	return s, true
 }
 
-// takes reports whether an engine with a load may take a need, with which so
+// fits reports whether an engine with a load may take a need, with which so
 // much of its memory is promised.
-func (l Pool) takes(t api.ServerLoad, n Need, used float64) bool {
+func (l Pool) fits(t api.ServerLoad, n Requirements, used float64) bool {
 	switch {
-	case used > memoryBound:
+	case used > maxMemoryShare:
 		return false
-	case l.Room > 0 && used > l.Room && t.Tokens > 0:
+	case l.MaxMemoryShare > 0 && used > l.MaxMemoryShare && t.Tokens > 0:
 		return false
 	default:
-		return l.UnreadMost == 0 || t.Unread == 0 || t.Unread+n.Unread <= l.UnreadMost
+		return l.MaxUnread == 0 || t.Unread == 0 || t.Unread+n.Unread <= l.MaxUnread
 	}
 }
 
 const (
-	// protectBound is the share of an engine's memory that may be promised with
+	// maxBackupShare is the share of an engine's memory that may be promised with
 	// copies for runs elsewhere; what is above stays for runs of its own.
-	protectBound = 0.5
-	// protectFrom is the expected length of an answer from which a run is worth
+	maxBackupShare = 0.5
+	// minBackupLength is the expected length of an answer from which a run is worth
 	// a copy: about three seconds in which its server may end.
-	protectFrom = 300
+	minBackupLength = 300
 )
 
-// Protects reports whether a run whose answer is expected to be so long is worth a
+// WorthBackup reports whether a run whose answer is expected to be so long is worth a
 // copy.
-func Protects(expected api.Tokens) bool {
-	return expected >= protectFrom
+func WorthBackup(expected api.Tokens) bool {
+	return expected >= minBackupLength
 }
 
-// Protect gives the server that is to keep a copy of a run as it grows, none of
+// PickBackup gives the server that is to keep a copy of a run as it grows, none of
 // those tried, or false where the run is short or memory is needed for runs
 // themselves.
-func (p *Picker) Protect(now time.Time, l Pool, n Need, expected api.Tokens, tried []api.ServerName) (Choice, bool) {
-	if !Protects(expected) {
+func (p *Picker) PickBackup(now time.Time, l Pool, n Requirements, expected api.Tokens, tried []api.ServerName) (Choice, bool) {
+	if !WorthBackup(expected) {
 		return Choice{}, false
 	}
 	x, ok := p.Pick(now, l, n, tried)
 	if !ok {
 		return x, false
 	}
-	return x, float64(x.Load.Tokens+n.Tokens) <= protectBound*float64(l.Memory)
+	return x, float64(x.Load.Tokens+n.Tokens) <= maxBackupShare*float64(l.Memory)
 }
 
-func names(l []roster.Member) []api.ServerName {
+func serverNames(l []roster.Member) []api.ServerName {
 	n := make([]api.ServerName, 0, len(l))
 	for _, m := range l {
 		n = append(n, m.Name)
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -30,12 +30,12 @@
 
 func TestPick(t *testing.T) {
 	tests := []struct {
-		name    string
-		members []roster.Member
-		prepare func(p *placement.Picker)
-		stay    bool
-		tried   []api.ServerName
-		want    api.ServerName
+		name         string
+		members      []roster.Member
+		prepare      func(p *placement.Picker)
+		preferDomain bool
+		tried        []api.ServerName
+		want         api.ServerName
 	}{
 		{"least memory promised", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Add("a", load(9000, 0))
@@ -89,8 +89,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := placement.NewPicker(rand.NewPCG(1, 2))
 			c.prepare(p)
-			l := placement.Pool{Members: c.members, Memory: 34000, Domain: "x", Stay: c.stay}
-			got, _ := p.Pick(begin, l, placement.Need{Tokens: 4000, Unread: 3000}, c.tried)
+			l := placement.Pool{Members: c.members, Memory: 34000, Domain: "x", PreferDomain: c.preferDomain}
+			got, _ := p.Pick(begin, l, placement.Requirements{Tokens: 4000, Unread: 3000}, c.tried)
 			if got.Name != c.want {
 				t.Errorf("got %q, want %q", got.Name, c.want)
 			}
@@ -104,21 +104,21 @@
 	p := placement.NewPicker(rand.NewPCG(1, 2))
 	l := placement.Pool{Members: []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready), member("c", "x", roster.Ready)}, Domain: "x"}
 	for i := range 60 {
-		p.Health.Record(begin, "b", fails(i%7 == 0))
-		p.Health.Record(begin, "c", fails(i%7 == 1))
-		p.Health.Record(begin, "a", fails(i%2 == 0))
+		p.Health.Record(begin, "b", outcome(i%7 == 0))
+		p.Health.Record(begin, "c", outcome(i%7 == 1))
+		p.Health.Record(begin, "a", outcome(i%2 == 0))
 	}
 	for range 4 {
 		p.PlainLoads.Add("b", api.ServerLoad{Requests: 1})
 		p.PlainLoads.Add("c", api.ServerLoad{Requests: 1})
 	}
-	got, _ := p.Pick(begin, l, placement.Need{}, nil)
+	got, _ := p.Pick(begin, l, placement.Requirements{}, nil)
 	if got.Name == "a" {
 		t.Error("got the server that fails half of its requests, want another")
 	}
 }
 
-func fails(b bool) placement.Outcome {
+func outcome(b bool) placement.Outcome {
 	if b {
 		return placement.Failed
 	}
@@ -130,7 +130,7 @@
 	l := placement.Pool{Members: []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, Domain: "x"}
 	p.PlainLoads.Add("b", api.ServerLoad{Requests: 4})
 	pick := func(ms int) api.ServerName {
-		s, _ := p.Pick(begin.Add(time.Duration(ms)*time.Millisecond), l, placement.Need{}, nil)
+		s, _ := p.Pick(begin.Add(time.Duration(ms)*time.Millisecond), l, placement.Requirements{}, nil)
 		return s.Name
 	}
 	p.Health.Record(begin, "a", placement.Lost)
@@ -161,7 +161,7 @@
 		for _, m := range l.Members[1:] {
 			p.EngineLoads.Add(m.Name, load(8000, 0))
 		}
-		s, _ := p.Pick(begin, l, placement.Need{Tokens: 4000, Unread: 3000}, nil)
+		s, _ := p.Pick(begin, l, placement.Requirements{Tokens: 4000, Unread: 3000}, nil)
 		got[s.Name]++
 	}
 	if got["s0"] > 10 {
@@ -172,7 +172,7 @@
 // One that knows all loads as they are chooses the best of all servers, whatever
 // is drawn, and places one request after the other evenly.
 func TestExactLoadsPickTheLeastLoadedServer(t *testing.T) {
-	l := placement.Pool{Memory: 34000, Domain: "x", Exact: true}
+	l := placement.Pool{Memory: 34000, Domain: "x", ExactLoads: true}
 	for i := range 40 {
 		l.Members = append(l.Members, member(fmt.Sprint("s", i), "x", roster.Ready))
 	}
@@ -180,7 +180,7 @@
 	p.PlainLoads.Update(begin, "primary", placement.Primary, placement.Report{Members: 300})
 	got := map[api.ServerName]int{}
 	for range 80 {
-		x, ok := p.Pick(begin, l, placement.Need{Tokens: 4000, Unread: 3000}, nil)
+		x, ok := p.Pick(begin, l, placement.Requirements{Tokens: 4000, Unread: 3000}, nil)
 		if !ok {
 			t.Fatal("got no server, want one")
 		}
--- a/internal/decide/placement/remote.go
+++ b/internal/decide/placement/remote.go
@@ -53,18 +53,18 @@
 // LessLoaded gives the failure domain that a need is better sent to than the best
 // engine at home, or than a wait for one where there is no choice at home: one
 // whose engines are less loaded on average.
-func (d *RemotePools) LessLoaded(now time.Time, s api.ServiceName, memory api.Tokens, n Need, home *Choice) (api.DomainName, bool) {
-	bound := memoryBound + fullUnreadScore
+func (d *RemotePools) LessLoaded(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements, home *Choice) (api.DomainName, bool) {
+	bound := maxMemoryShare + fullUnreadScore
 	if home != nil {
 		bound = home.Score
 	}
-	return d.bestDomain(now, s, bound, func(x poolReport) (float64, bool) { return away + x.meanScore(memory, n), x.Waiting == 0 })
+	return d.bestDomain(now, s, bound, func(x poolReport) (float64, bool) { return remotePenalty + x.meanScore(memory, n), x.Waiting == 0 })
 }
 
 // Fallback gives the failure domain that a need is sent to where there is no engine at
 // home at all, as while operators have closed it: the one with the least load, and
 // with the fewest requests that wait for each engine.
-func (d *RemotePools) Fallback(now time.Time, s api.ServiceName, memory api.Tokens, n Need) (api.DomainName, bool) {
+func (d *RemotePools) Fallback(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements) (api.DomainName, bool) {
 	return d.bestDomain(now, s, math.Inf(1), func(x poolReport) (float64, bool) {
 		return x.meanScore(memory, n) + float64(x.Waiting)/float64(x.Engines), true
 	})
@@ -94,7 +94,7 @@
 const fullUnreadScore = 1.0
 
 // meanScore is the score that an engine of some has on average for a need.
-func (x poolReport) meanScore(memory api.Tokens, n Need) float64 {
+func (x poolReport) meanScore(memory api.Tokens, n Requirements) float64 {
 	e := float64(x.Engines)
 	used := (float64(x.Tokens)/e + float64(n.Tokens)) / float64(memory)
 	return used + float64(x.Unread)/e/unreadScale
@@ -102,7 +102,7 @@
 
 // AddForwarded counts a need that was sent to a failure domain until its allocator is
 // heard again.
-func (d *RemotePools) AddForwarded(s api.ServiceName, n api.DomainName, x Need) {
+func (d *RemotePools) AddForwarded(s api.ServiceName, n api.DomainName, x Requirements) {
 	k := poolKey{s, n}
 	if w, ok := d.pools[k]; ok {
 		w.Tokens += x.Tokens
@@ -115,7 +115,7 @@
 func (p *Picker) SumLoads(now time.Time, l Pool) api.PoolLoad {
 	var x api.PoolLoad
 	for _, m := range l.Members {
-		if m.State == roster.Ready && !m.Closed && p.within(now, l, m) {
+		if m.State == roster.Ready && !m.Closed && p.withinLimit(now, l, m) {
 			t := p.EngineLoads.Total(m.Name)
 			x.Engines++
 			x.Tokens += t.Tokens
--- a/internal/decide/placement/reserve.go
+++ b/internal/decide/placement/reserve.go
@@ -69,7 +69,7 @@
 // Room is the share of an engine's memory that new runs may be promised: what is
 // above is for the runs of servers that leave.
 func (r *Reserve) Room(now time.Time) float64 {
-	return memoryBound * (1 - r.need(now)*r.left(now))
+	return maxMemoryShare * (1 - r.need(now)*r.left(now))
 }
 
 // briefMost is the expected length of an answer up to which a run may use memory that
--- a/internal/decide/placement/room_test.go
+++ b/internal/decide/placement/room_test.go
@@ -93,17 +93,17 @@
 		name string
 		pool placement.Pool
 		load api.ServerLoad
-		need placement.Need
+		need placement.Requirements
 		want bool
 	}{
-		{"room for all", placement.Pool{}, load(20000, 0), placement.Need{Tokens: 3000}, true},
-		{"the room is kept", placement.Pool{Room: 0.7}, load(22000, 0), placement.Need{Tokens: 3000}, false},
-		{"there is room beside what is kept", placement.Pool{Room: 0.8}, load(22000, 0), placement.Need{Tokens: 3000}, true},
-		{"an idle engine takes what fits in its memory", placement.Pool{Room: 0.7}, api.ServerLoad{}, placement.Need{Tokens: 30000}, true},
-		{"nothing takes more than the memory", placement.Pool{}, api.ServerLoad{}, placement.Need{Tokens: 40000}, false},
-		{"too much to read", placement.Pool{UnreadMost: 5000}, load(6000, 3000), placement.Need{Tokens: 3000, Unread: 3000}, false},
-		{"not too much to read", placement.Pool{UnreadMost: 6500}, load(6000, 3000), placement.Need{Tokens: 3000, Unread: 3000}, true},
-		{"an engine that reads nothing takes any prompt", placement.Pool{UnreadMost: 2000}, load(6000, 0), placement.Need{Tokens: 3000, Unread: 3000}, true},
+		{"room for all", placement.Pool{}, load(20000, 0), placement.Requirements{Tokens: 3000}, true},
+		{"the room is kept", placement.Pool{MaxMemoryShare: 0.7}, load(22000, 0), placement.Requirements{Tokens: 3000}, false},
+		{"there is room beside what is kept", placement.Pool{MaxMemoryShare: 0.8}, load(22000, 0), placement.Requirements{Tokens: 3000}, true},
+		{"an idle engine takes what fits in its memory", placement.Pool{MaxMemoryShare: 0.7}, api.ServerLoad{}, placement.Requirements{Tokens: 30000}, true},
+		{"nothing takes more than the memory", placement.Pool{}, api.ServerLoad{}, placement.Requirements{Tokens: 40000}, false},
+		{"too much to read", placement.Pool{MaxUnread: 5000}, load(6000, 3000), placement.Requirements{Tokens: 3000, Unread: 3000}, false},
+		{"not too much to read", placement.Pool{MaxUnread: 6500}, load(6000, 3000), placement.Requirements{Tokens: 3000, Unread: 3000}, true},
+		{"an engine that reads nothing takes any prompt", placement.Pool{MaxUnread: 2000}, load(6000, 0), placement.Requirements{Tokens: 3000, Unread: 3000}, true},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/decide/placement/warmup.go
+++ b/internal/decide/placement/warmup.go
@@ -44,7 +44,7 @@
 	switch {
 	case w.Rate <= 0:
 		return 0
-	case l.Memory > 0 && l.Exact && m.Domain == l.Domain:
+	case l.Memory > 0 && l.ExactLoads && m.Domain == l.Domain:
 		return allocatorWarmup * w.Rate
 	case l.Memory > 0:
 		return aloneWarmup * w.Rate / float64(max(1, w.Choosers))
--- a/internal/decide/placement/warmup_test.go
+++ b/internal/decide/placement/warmup_test.go
@@ -13,7 +13,7 @@
 // cold is one cold server and one that is warm but full of what is tried.
 func coldPool(engine, exact bool, rate float64, choosers int) placement.Pool {
 	l := placement.Pool{
-		Domain: "x", Exact: exact, Warmup: placement.Warmup{Rate: rate, Choosers: choosers},
+		Domain: "x", ExactLoads: exact, Warmup: placement.Warmup{Rate: rate, Choosers: choosers},
 		Members: []roster.Member{{Server: roster.Server{Name: "a", Domain: "x", Slots: 1000}, Warm: time.Unix(1000, 0)}},
 	}
 	if engine {
@@ -37,7 +37,7 @@
 				for i, p := range pickers {
 					// The first two allocate, the others choose for themselves.
 					l := coldPool(true, i < 2, rate, choosers)
-					if _, ok := p.Pick(now, l, placement.Need{Tokens: 1}, nil); ok {
+					if _, ok := p.Pick(now, l, placement.Requirements{Tokens: 1}, nil); ok {
 						p.Sends.Note(now, "a")
 						times = append(times, now)
 					}
@@ -87,11 +87,11 @@
 			for range c.sends {
 				p.Sends.Note(now, "a")
 			}
-			if _, got := p.Pick(now.Add(500*time.Millisecond), c.pool, placement.Need{}, nil); got != c.want {
+			if _, got := p.Pick(now.Add(500*time.Millisecond), c.pool, placement.Requirements{}, nil); got != c.want {
 				t.Errorf("chosen: got %v, want %v", got, c.want)
 			}
 			c.pool.Members[0].Warm = now
-			if _, got := p.Pick(now.Add(500*time.Millisecond), c.pool, placement.Need{}, nil); !got {
+			if _, got := p.Pick(now.Add(500*time.Millisecond), c.pool, placement.Requirements{}, nil); !got {
 				t.Error("once it is warm: got it not chosen, want it chosen")
 			}
 		})
@@ -105,10 +105,10 @@
 	d.Update(now, "y", map[api.ServiceName]api.PoolLoad{"s": {Engines: 2, Tokens: 1000, Waiting: 9}})
 	d.Update(now, "z", map[api.ServiceName]api.PoolLoad{"s": {Engines: 4, Tokens: 3000, Waiting: 1}})
 	d.Update(now, "w", map[api.ServiceName]api.PoolLoad{"s": {}})
-	if got, ok := d.LessLoaded(now, "s", 1000, placement.Need{Tokens: 10}, nil); ok {
+	if got, ok := d.LessLoaded(now, "s", 1000, placement.Requirements{Tokens: 10}, nil); ok {
 		t.Errorf("better: got %s, want none while requests wait everywhere", got)
 	}
-	if got, ok := d.Fallback(now, "s", 1000, placement.Need{Tokens: 10}); !ok || got != "z" {
+	if got, ok := d.Fallback(now, "s", 1000, placement.Requirements{Tokens: 10}); !ok || got != "z" {
 		t.Errorf("instead: got %s %v, want z", got, ok)
 	}
 }
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -135,7 +135,7 @@
 	}
 	return demand{
 		service: s, purpose: a.Purpose, domain: a.Domain, exact: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, waits: a.Waits, expected: a.Expected, brief: a.Brief,
-		need:     placement.Need{Tokens: a.Tokens, Unread: a.Unread},
+		need:     placement.Requirements{Tokens: a.Tokens, Unread: a.Unread},
 		ask:      backlog.Ask{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), Aim: a.AimMS.Duration(), Late: a.Late},
 		route:    a.Route,
 		wait:     a.WaitMS.Duration(),
@@ -154,7 +154,7 @@
 			ForecastMS: api.ToMilliseconds(p.forecast.Wait), PatienceMS: api.ToMilliseconds(p.forecast.Bound), Behind: p.forecast.Behind,
 		}}
 	}
-	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Of, Copy: p.copy}
+	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Candidates, Copy: p.copy}
 }
 
 // Hold takes what another entry VM holds at engines that this one allocates.
@@ -199,7 +199,7 @@
 			continue
 		}
 		x := g.picker.SumLoads(now, placement.Pool{
-			Domain: g.Domain, Exact: true, Memory: s.Engine.Memory, Warmup: g.warmup(now, s),
+			Domain: g.Domain, ExactLoads: true, Memory: s.Engine.Memory, Warmup: g.warmup(now, s),
 			Members: g.members(s.Name, func(m roster.Member) bool { return m.Domain == g.Domain }),
 		})
 		if a, ok := g.admissions[s.Name]; ok {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -39,7 +39,7 @@
 
 // call serves a request that is answered whole.
 func (g *Gateway) call(ctx context.Context, q *request) {
-	v, f := g.try(ctx, q, placement.Need{})
+	v, f := g.try(ctx, q, placement.Requirements{})
 	if f != nil {
 		g.fail(q, f)
 		return
@@ -102,7 +102,7 @@
 
 // try sends a request to one server after the other while it may be repeated
 // or provably was not run, and gives the answer to take.
-func (g *Gateway) try(ctx context.Context, q *request, n placement.Need) (served, *fault.Error) {
+func (g *Gateway) try(ctx context.Context, q *request, n placement.Requirements) (served, *fault.Error) {
 	c := call.New(q.route.Kind != directory.Safe)
 	again := func() bool { return g.again(q.service.Name) }
 	var failed *port.Answer
@@ -147,7 +147,7 @@
 
 // next chooses the server to send to now. Only the first of an engine's request
 // is waited for: what was sent before has used up its time to wait.
-func (g *Gateway) next(ctx context.Context, q *request, n placement.Need, c *call.Call) placed {
+func (g *Gateway) next(ctx context.Context, q *request, n placement.Requirements, c *call.Call) placed {
 	if f := g.allRest(q, c); f != nil {
 		return placed{fault: f}
 	}
@@ -171,7 +171,7 @@
 		zap.Int("tokens", int(x.Load.Tokens)),
 		zap.Int("unread", int(x.Load.Unread)),
 		zap.Float64("score", x.Score),
-		zap.Int("of", x.Of),
+		zap.Int("of", x.Candidates),
 	}
 }
 
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -16,7 +16,7 @@
 	purpose api.PlaceAskPurpose
 	// domain is the failure domain whose engines are wanted.
 	domain api.DomainName
-	need   placement.Need
+	need   placement.Requirements
 	ask    backlog.Ask
 	// route and wait are the route of a new run and the time that its caller allowed,
 	// which tell whether it was refused before.
@@ -46,7 +46,7 @@
 // time. The mutex is held.
 func (g *Gateway) engines(now time.Time, d demand) placement.Pool {
 	l := placement.Pool{
-		Domain: d.domain, Exact: d.exact, Rests: d.recipient == nil, Standby: d.standby || g.fleet.Split(), Memory: d.service.Engine.Memory, Warmup: g.warmup(now, d.service),
+		Domain: d.domain, ExactLoads: d.exact, ExcludeBackingOff: d.recipient == nil, Standby: d.standby || g.fleet.Split(), Memory: d.service.Engine.Memory, Warmup: g.warmup(now, d.service),
 		Members: g.members(d.service.Name, func(m roster.Member) bool {
 			return m.Domain == d.domain || !g.domains.HasAllocator(now, d.service.Name, m.Domain)
 		}),
@@ -55,13 +55,13 @@
 	case api.PlaceAskPurposeRun:
 		a := g.admission(d.service.Name)
 		if !d.brief {
-			l.Room = a.reserve.Room(now)
+			l.MaxMemoryShare = a.reserve.Room(now)
 		}
-		l.UnreadMost = a.reading.Within(d.ask.Aim)
+		l.MaxUnread = a.reading.Within(d.ask.Aim)
 	case api.PlaceAskPurposeMove:
-		l.Stay = true
+		l.PreferDomain = true
 	case api.PlaceAskPurposeCopy:
-		l.Unlimited = true
+		l.ExcludeLimited = true
 	}
 	return l
 }
@@ -87,7 +87,7 @@
 		if a.shortage.Recent(now) {
 			return placement.Choice{}, false
 		}
-		return g.picker.Protect(now, l, d.need, d.expected, d.tried)
+		return g.picker.PickBackup(now, l, d.need, d.expected, d.tried)
 	}
 	if d.purpose == api.PlaceAskPurposeRun && a.backlog.Ahead(now, d.ask) {
 		return placement.Choice{}, false
@@ -126,7 +126,7 @@
 // the server that runs it.
 func (d demand) copied(at roster.Server) demand {
 	return demand{
-		service: d.service, purpose: api.PlaceAskPurposeCopy, domain: at.Domain, need: placement.Need{Tokens: d.need.Tokens},
+		service: d.service, purpose: api.PlaceAskPurposeCopy, domain: at.Domain, need: placement.Requirements{Tokens: d.need.Tokens},
 		deadline: d.deadline, tried: []api.ServerName{at.Name}, expected: d.expected, exact: d.exact, standby: d.standby, recipient: d.recipient,
 	}
 }
@@ -156,7 +156,7 @@
 	if d.recipient != nil {
 		g.picker.EngineLoads.Grant(now, *d.recipient, s.Name, d.load())
 		if d.load().Requests > 0 {
-			g.picker.Sent(now, s.Name)
+			g.picker.RecordSend(now, s.Name)
 		}
 		return nil
 	}
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -44,7 +44,7 @@
 }
 
 // demand is what a new run of a request asks for.
-func (g *Gateway) demand(q *request, n placement.Need, waits bool) demand {
+func (g *Gateway) demand(q *request, n placement.Requirements, waits bool) demand {
 	d := demand{
 		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), waits: waits, tried: q.tried,
 		ask: backlog.Ask{
@@ -63,11 +63,11 @@
 // protects reports whether a run of a request may be copied as it grows.
 func (q *request) protects() bool {
 	e := q.service.Engine
-	return e != nil && e.Backups && q.route.Kind == directory.Stream && placement.Protects(q.expected())
+	return e != nil && e.Backups && q.route.Kind == directory.Stream && placement.WorthBackup(q.expected())
 }
 
 // place gives a stream its first server, for which it may have to wait.
-func (g *Gateway) place(ctx context.Context, q *request, n placement.Need) placed {
+func (g *Gateway) place(ctx context.Context, q *request, n placement.Requirements) placed {
 	if q.Prompt.Tokens > q.service.Engine.Memory {
 		return placed{fault: fault.New(fault.NoServer, "no engine has memory for the prompt")}
 	}
@@ -78,7 +78,7 @@
 }
 
 // placeAgain gives a stream that a server turned away another one.
-func (g *Gateway) placeAgain(ctx context.Context, q *request, n placement.Need, c *call.Call) placed {
+func (g *Gateway) placeAgain(ctx context.Context, q *request, n placement.Requirements, c *call.Call) placed {
 	p := g.obtain(ctx, g.demand(q, n, false))
 	if p.fault != nil {
 		return placed{fault: c.NoServer()}
@@ -223,7 +223,7 @@
 	if !ok || !m.Takes() || d.recipient == nil && g.picker.Rests.Resting(time.Now(), m.Name) {
 		return placed{}, false
 	}
-	p := placed{choice: placement.Choice{Server: m.Server, Score: r.Score, Of: r.Of}, copy: r.Copy}
+	p := placed{choice: placement.Choice{Server: m.Server, Score: r.Score, Candidates: r.Of}, copy: r.Copy}
 	if r.Load != nil {
 		p.choice.Load = *r.Load
 	}
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -116,8 +116,8 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	l := placement.Pool{Members: g.roster.Service(s.Name), Domain: g.Domain, Warmup: g.warmup(now, s), Rests: true}
-	return g.picker.Pick(now, l, placement.Need{}, tried)
+	l := placement.Pool{Members: g.roster.Service(s.Name), Domain: g.Domain, Warmup: g.warmup(now, s), ExcludeBackingOff: true}
+	return g.picker.Pick(now, l, placement.Requirements{}, tried)
 }
 
 // takePlain reserves the load at a plain server.
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -137,7 +137,7 @@
 func (g *Gateway) noteSent(s roster.Server) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.picker.Sent(time.Now(), s.Name)
+	g.picker.RecordSend(time.Now(), s.Name)
 }
 
 // sendUntilTaken sends to one server, again while no connection is made.
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -141,7 +141,7 @@
 	}
 	l.add(x)
 	if x.Requests > 0 {
-		g.picker.Sent(now, s.Name)
+		g.picker.RecordSend(now, s.Name)
 	}
 	return l
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -22,8 +22,8 @@
 const expectedShare = 0.5
 
 // need is what a stream asks of an engine.
-func need(q *request) placement.Need {
-	return placement.Need{
+func need(q *request) placement.Requirements {
+	return placement.Requirements{
 		Tokens: q.Prompt.Tokens + api.Tokens(expectedShare*float64(q.expected())),
 		Unread: q.Prompt.Tokens,
 	}
