--- a/internal/decide/placement/room_test.go
+++ b/internal/decide/placement/reserve_test.go
@@ -10,22 +10,22 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-func TestReadingIsLearned(t *testing.T) {
-	const aim = 2 * time.Second
-	r := &placement.Reading{}
-	if got := r.Within(aim); got != 0 {
+func TestPrefillRateFollowsObservedTimes(t *testing.T) {
+	const target = 2 * time.Second
+	r := &placement.PrefillRate{}
+	if got := r.MaxTokens(target); got != 0 {
 		t.Errorf("nothing known: got %d tokens, want no bound", got)
 	}
 	for range 50 {
-		r.Note(3000, 500*time.Millisecond)
+		r.Record(3000, 500*time.Millisecond)
 	}
-	if got := r.Within(aim); got < 7700 || got > 7900 {
+	if got := r.MaxTokens(target); got < 7700 || got > 7900 {
 		t.Errorf("at 6000 tokens a second: got %d tokens, want 7800, well within the aim", got)
 	}
 	for range 200 {
-		r.Note(3000, time.Second)
+		r.Record(3000, time.Second)
 	}
-	if got := r.Within(aim); got < 3800 || got > 4000 {
+	if got := r.MaxTokens(target); got < 3800 || got > 4000 {
 		t.Errorf("after engines became slower: got %d tokens, want 3900", got)
 	}
 }
@@ -46,20 +46,20 @@
 	return l
 }
 
-func TestReserveFollowsWhatLeaves(t *testing.T) {
+func TestReserveFollowsLeavingServers(t *testing.T) {
 	r := &placement.Reserve{}
-	all := r.Room(begin)
-	share := func(after time.Duration) float64 { return r.Room(begin.Add(after)) / all }
-	r.Note(begin, servers(begin, 1, 14))
-	r.Note(begin, servers(begin, 3, 12))
+	all := r.MaxMemoryShare(begin)
+	share := func(after time.Duration) float64 { return r.MaxMemoryShare(begin.Add(after)) / all }
+	r.RecordLeave(begin, servers(begin, 1, 14))
+	r.RecordLeave(begin, servers(begin, 3, 12))
 	if got := share(0); got != 1 {
 		t.Errorf("while runs find room: got %v of the room, want all", got)
 	}
-	r.Short(begin)
+	r.RecordShortage(begin)
 	if got := share(0); got < 0.799 || got > 0.801 {
 		t.Errorf("3 of 15 leave: got %v of the room, want 0.8", got)
 	}
-	r.Note(begin.Add(time.Second), servers(begin.Add(time.Second), 1, 14))
+	r.RecordLeave(begin.Add(time.Second), servers(begin.Add(time.Second), 1, 14))
 	if got := share(time.Second); got > 0.82 {
 		t.Errorf("a second later: got %v of the room, want little more than 0.8", got)
 	}
@@ -67,28 +67,28 @@
 		t.Errorf("a minute later: got %v of the room, want nearly all", got)
 	}
 	// Servers leave again, and a run lacked an engine a quarter of a minute before.
-	r.Short(begin.Add(45 * time.Second))
-	r.Note(begin.Add(time.Minute), servers(begin.Add(time.Minute), 3, 12))
+	r.RecordShortage(begin.Add(45 * time.Second))
+	r.RecordLeave(begin.Add(time.Minute), servers(begin.Add(time.Minute), 3, 12))
 	if got := share(time.Minute); got < 0.899 || got > 0.901 {
 		t.Errorf("a while after a run lacked an engine: got %v of the room, want 0.9", got)
 	}
 }
 
-func TestBriefRunsAndShortages(t *testing.T) {
-	if !placement.Brief(12) || placement.Brief(900) {
+func TestShortAnswersAndRecentShortages(t *testing.T) {
+	if !placement.ShortAnswer(12) || placement.ShortAnswer(900) {
 		t.Error("brief: got another answer than for a run of some 12 tokens and none of 900")
 	}
 	s := &placement.Shortage{}
 	if s.Recent(begin) {
 		t.Error("before any shortage: got one")
 	}
-	s.Note(begin)
+	s.Record(begin)
 	if !s.Recent(begin.Add(10*time.Second)) || s.Recent(begin.Add(time.Minute)) {
 		t.Error("got a shortage that does not last for ten seconds, or lasts a minute")
 	}
 }
 
-func TestPoolBoundsNewRuns(t *testing.T) {
+func TestPoolLimitsNewRuns(t *testing.T) {
 	tests := []struct {
 		name string
 		pool placement.Pool
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -15,7 +15,7 @@
 // what was learned of its servers.
 type admission struct {
 	backlog *backlog.Backlog[*waiter]
-	reading placement.Reading
+	reading placement.PrefillRate
 	reserve placement.Reserve
 	// shortage keeps copies out of memory that runs lack.
 	shortage placement.Shortage
@@ -60,7 +60,7 @@
 	now := time.Now()
 	for _, m := range changed {
 		if m.State == roster.Leaving {
-			g.admission(m.Service).reserve.Note(now, g.roster.Service(m.Service))
+			g.admission(m.Service).reserve.RecordLeave(now, g.roster.Service(m.Service))
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	defer g.mutex.Unlock()
 	if n := l.load.Unread; n > 0 {
 		d := time.Since(l.at)
-		g.admission(q.service.Name).reading.Note(l.ahead+n, d)
+		g.admission(q.service.Name).reading.Record(l.ahead+n, d)
 		g.observations.Read(l.domain, q.service.Name, l.ahead+n, d)
 	}
 }
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -55,9 +55,9 @@
 	case api.PlaceAskPurposeRun:
 		a := g.admission(d.service.Name)
 		if !d.brief {
-			l.MaxMemoryShare = a.reserve.Room(now)
+			l.MaxMemoryShare = a.reserve.MaxMemoryShare(now)
 		}
-		l.MaxUnread = a.reading.Within(d.ask.Aim)
+		l.MaxUnread = a.reading.MaxTokens(d.ask.Aim)
 	case api.PlaceAskPurposeMove:
 		l.PreferDomain = true
 	case api.PlaceAskPurposeCopy:
@@ -94,10 +94,10 @@
 	}
 	x, ok := g.picker.Pick(now, l, d.need, d.tried)
 	if !ok {
-		a.shortage.Note(now)
+		a.shortage.Record(now)
 	}
 	if !ok && d.purpose == api.PlaceAskPurposeMove {
-		a.reserve.Short(now)
+		a.reserve.RecordShortage(now)
 	}
 	return x, ok
 }
