--- a/internal/decide/placement/rest_test.go
+++ b/internal/decide/placement/backoff_test.go
@@ -10,21 +10,21 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-func TestRests(t *testing.T) {
+func TestBackoffsFilterServers(t *testing.T) {
 	begin := time.UnixMilli(1_000_000)
 	at := func(s float64) time.Time { return begin.Add(time.Duration(s * float64(time.Second))) }
 	member := func(n api.ServerName) roster.Member { return roster.Member{Server: roster.Server{Name: n}} }
 	leaving := roster.Member{Server: roster.Server{Name: "c"}, State: roster.Leaving}
-	r := placement.NewRests()
-	r.Note(at(0), "a", 3*time.Second)
-	r.Note(at(1), "a", time.Second)
-	r.Note(at(1), "b", time.Second)
+	r := placement.NewBackoffs()
+	r.Add(at(0), "a", 3*time.Second)
+	r.Add(at(1), "a", time.Second)
+	r.Add(at(1), "b", time.Second)
 	tests := []struct {
-		name    string
-		at      float64
-		members []roster.Member
-		resting []api.ServerName
-		wait    time.Duration
+		name      string
+		at        float64
+		members   []roster.Member
+		inBackoff []api.ServerName
+		wait      time.Duration
 	}{
 		{"one of two", 1.5, []roster.Member{member("a"), member("d")}, []api.ServerName{"a"}, 0},
 		{"all", 1.5, []roster.Member{member("a"), member("b")}, []api.ServerName{"a", "b"}, 500 * time.Millisecond},
@@ -35,33 +35,33 @@
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			l, wait := r.Among(at(c.at), c.members)
-			if !slices.Equal(l, c.resting) || wait != c.wait {
-				t.Errorf("got %v for %v, want %v for %v", l, wait, c.resting, c.wait)
+			l, wait := r.ActiveAmong(at(c.at), c.members)
+			if !slices.Equal(l, c.inBackoff) || wait != c.wait {
+				t.Errorf("got %v for %v, want %v for %v", l, wait, c.inBackoff, c.wait)
 			}
 		})
 	}
 }
 
 // Two requests that no other server can take may go to one in its rest.
-func TestSpareRequestsInARest(t *testing.T) {
+func TestBackoffAllowsTwoRequests(t *testing.T) {
 	begin := time.UnixMilli(1_000_000)
-	r := placement.NewRests()
-	r.Note(begin, "a", 3*time.Second)
+	r := placement.NewBackoffs()
+	r.Add(begin, "a", 3*time.Second)
 	got := 0
 	for range 5 {
-		if r.Spare(begin.Add(time.Second), "a") {
+		if r.TakeAllowance(begin.Add(time.Second), "a") {
 			got++
 		}
 	}
 	if got != 2 {
 		t.Errorf("in the rest: got %d, want 2", got)
 	}
-	if !r.Spare(begin.Add(3*time.Second), "a") {
+	if !r.TakeAllowance(begin.Add(3*time.Second), "a") {
 		t.Error("after the rest: got none, want as many as there are")
 	}
-	r.Note(begin.Add(4*time.Second), "a", time.Second)
-	if !r.Spare(begin.Add(4*time.Second), "a") {
+	r.Add(begin.Add(4*time.Second), "a", time.Second)
+	if !r.TakeAllowance(begin.Add(4*time.Second), "a") {
 		t.Error("in another rest: got none, want two again")
 	}
 }
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -84,18 +84,18 @@
 	PlainLoads  *LoadTable
 	EngineLoads *Ledger
 	Health      *Health
-	Sends       *Sends
+	Sends       *SendHistory
 	// Limits are what servers have named, and Pacer keeps to them.
-	Limits *throttle.Limits
-	Pacer  *throttle.Pacer
-	Rests  *Rests
-	random *rand.Rand
+	Limits   *throttle.Limits
+	Pacer    *throttle.Pacer
+	Backoffs *Backoffs
+	random   *rand.Rand
 }
 
 // NewPicker makes a picker without load that draws from a source.
 func NewPicker(s rand.Source) *Picker {
 	r := rand.New(s)
-	return &Picker{PlainLoads: NewLoadTable(), EngineLoads: NewLedger(), Health: NewHealth(), Sends: NewSends(r), Limits: throttle.NewLimits(), Pacer: throttle.NewPacer(r), Rests: NewRests(), random: r}
+	return &Picker{PlainLoads: NewLoadTable(), EngineLoads: NewLedger(), Health: NewHealth(), Sends: NewSendHistory(r), Limits: throttle.NewLimits(), Pacer: throttle.NewPacer(r), Backoffs: NewBackoffs(), random: r}
 }
 
 // Choice is a server with the figures that decided for it.
@@ -153,11 +153,11 @@
 // mayReceive reports whether a server may be sent another request: one that rests none, a cold one
 // and an engine that has named a limit only so many a second.
 func (p *Picker) mayReceive(now time.Time, l Pool, m roster.Member) bool {
-	if l.ExcludeBackingOff && p.Rests.Resting(now, m.Name) {
+	if l.ExcludeBackingOff && p.Backoffs.Active(now, m.Name) {
 		return false
 	}
-	rate := l.warmup(m)
-	if rate != 0 && now.Before(m.Warm) && !p.Sends.allows(now, m.Name, m.Warm, rate) {
+	rate := l.warmupRate(m)
+	if rate != 0 && now.Before(m.Warm) && !p.Sends.withinRate(now, m.Name, m.Warm, rate) {
 		return false
 	}
 	return p.withinLimit(now, l, m)
@@ -181,7 +181,7 @@
 
 // throttleTerms are those of an engine that has named a limit.
 func (l Pool) throttleTerms(m roster.Member, r throttle.Rate) throttle.Terms {
-	t := throttle.Terms{Rate: r, Part: throttle.Alone, Members: l.Warmup.Choosers}
+	t := throttle.Terms{Rate: r, Part: throttle.Alone, Members: l.Warmup.EntryVMs}
 	switch {
 	case !l.ExactLoads || m.Domain != l.Domain:
 	case l.Standby:
@@ -194,7 +194,7 @@
 
 // RecordSend notes a request that is sent to a server, or granted to another entry VM.
 func (p *Picker) RecordSend(now time.Time, n api.ServerName) {
-	p.Sends.Note(now, n)
+	p.Sends.Record(now, n)
 	p.Pacer.Sent(now, n)
 }
 
@@ -204,7 +204,7 @@
 	p.Sends.Forget(known)
 	p.Limits.Forget(known)
 	p.Pacer.Forget(known)
-	p.Rests.Forget(known)
+	p.Backoffs.Forget(known)
 }
 
 const (
--- a/internal/decide/placement/warmup_test.go
+++ b/internal/decide/placement/warmup_test.go
@@ -11,9 +11,9 @@
 )
 
 // cold is one cold server and one that is warm but full of what is tried.
-func coldPool(engine, exact bool, rate float64, choosers int) placement.Pool {
+func coldPool(engine, exact bool, rate float64, vms int) placement.Pool {
 	l := placement.Pool{
-		Domain: "x", ExactLoads: exact, Warmup: placement.Warmup{Rate: rate, Choosers: choosers},
+		Domain: "x", ExactLoads: exact, Warmup: placement.Warmup{Rate: rate, EntryVMs: vms},
 		Members: []roster.Member{{Server: roster.Server{Name: "a", Domain: "x", Slots: 1000}, Warm: time.Unix(1000, 0)}},
 	}
 	if engine {
@@ -24,11 +24,11 @@
 
 // Whoever chooses, and however many, a cold server gets no more than it bears in any
 // second: the allocator, its successor and all who choose alone, together.
-func TestColdServersAreSentWhatTheyBear(t *testing.T) {
+func TestColdServersStayWithinWarmupRate(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 4, 27, 200} {
-		for _, choosers := range []int{1, 6, 66, 295} {
+		for _, vms := range []int{1, 6, 66, 295} {
 			var times []time.Time
-			pickers := make([]*placement.Picker, choosers+2)
+			pickers := make([]*placement.Picker, vms+2)
 			for i := range pickers {
 				pickers[i] = placement.NewPicker(rand.NewPCG(uint64(i), 1))
 			}
@@ -36,26 +36,26 @@
 				now := time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond)
 				for i, p := range pickers {
 					// The first two allocate, the others choose for themselves.
-					l := coldPool(true, i < 2, rate, choosers)
+					l := coldPool(true, i < 2, rate, vms)
 					if _, ok := p.Pick(now, l, placement.Requirements{Tokens: 1}, nil); ok {
-						p.Sends.Note(now, "a")
+						p.Sends.Record(now, "a")
 						times = append(times, now)
 					}
 				}
 			}
 			// Operators allow half as much again as the rate, and five more.
-			if got, bound := most(times), 1.5*rate+5; float64(got) > bound {
-				t.Errorf("rate %v, %d choosers: got %d in a second, want %v at most", rate, choosers, got, bound)
+			if got, bound := maxPerSecond(times), 1.5*rate+5; float64(got) > bound {
+				t.Errorf("rate %v, %d choosers: got %d in a second, want %v at most", rate, vms, got, bound)
 			}
 			if len(times) == 0 {
-				t.Errorf("rate %v, %d choosers: got none, want some", rate, choosers)
+				t.Errorf("rate %v, %d choosers: got none, want some", rate, vms)
 			}
 		}
 	}
 }
 
-// most is the largest number of times within one second.
-func most(l []time.Time) int {
+// maxPerSecond is the largest number of times within one second.
+func maxPerSecond(l []time.Time) int {
 	n, from := 0, 0
 	for i, t := range l {
 		for t.Sub(l[from]) >= time.Second {
@@ -66,7 +66,7 @@
 	return n
 }
 
-func TestColdServersAtTheirBound(t *testing.T) {
+func TestColdServersAtTheirLimit(t *testing.T) {
 	now := time.Unix(100, 0)
 	tests := []struct {
 		name  string
@@ -85,7 +85,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := placement.NewPicker(rand.NewPCG(1, 1))
 			for range c.sends {
-				p.Sends.Note(now, "a")
+				p.Sends.Record(now, "a")
 			}
 			if _, got := p.Pick(now.Add(500*time.Millisecond), c.pool, placement.Requirements{}, nil); got != c.want {
 				t.Errorf("chosen: got %v, want %v", got, c.want)
--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -96,7 +96,7 @@
 func (g *Gateway) turnsAway(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.roster.Closed(s.Domain) || g.picker.Rests.Resting(time.Now(), s.Name)
+	return g.roster.Closed(s.Domain) || g.picker.Backoffs.Active(time.Now(), s.Name)
 }
 
 // warmUp is how long the servers of a service are cold after a start.
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -220,7 +220,7 @@
 		}, true
 	}
 	m, ok := g.roster.Find(r.Server)
-	if !ok || !m.Takes() || d.recipient == nil && g.picker.Rests.Resting(time.Now(), m.Name) {
+	if !ok || !m.Takes() || d.recipient == nil && g.picker.Backoffs.Active(time.Now(), m.Name) {
 		return placed{}, false
 	}
 	p := placed{choice: placement.Choice{Server: m.Server, Score: r.Score, Candidates: r.Of}, copy: r.Copy}
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -95,7 +95,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.roster.Find(n)
-	return ok && m.Takes() && !g.picker.Rests.Resting(time.Now(), n)
+	return ok && m.Takes() && !g.picker.Backoffs.Active(time.Now(), n)
 }
 
 // noneYet is the refusal of a request that no server takes for so long.
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -130,7 +130,7 @@
 func (g *Gateway) spares(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.picker.Rests.Spare(time.Now(), s.Name)
+	return g.picker.Backoffs.TakeAllowance(time.Now(), s.Name)
 }
 
 // noteSent counts a request that only one server can take, whatever that has asked for.
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -128,7 +128,7 @@
 
 // warmup is what the cold servers of a service bear; the mutex is held.
 func (g *Gateway) warmup(now time.Time, s *directory.Service) placement.Warmup {
-	return placement.Warmup{Rate: s.ColdRate, Choosers: g.picker.PlainLoads.EntryVMs(now)}
+	return placement.Warmup{Rate: s.ColdRate, EntryVMs: g.picker.PlainLoads.EntryVMs(now)}
 }
 
 // reserve counts a load at a server until the reservation ends; the mutex is
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -123,7 +123,7 @@
 func (g *Gateway) noteRest(s roster.Server, d time.Duration) {
 	g.Log.Emit(event.ServerRest, zap.String("server", string(s.Name)), zap.Duration("rest", d))
 	g.mutex.Lock()
-	g.picker.Rests.Note(time.Now(), s.Name, d)
+	g.picker.Backoffs.Add(time.Now(), s.Name, d)
 	g.mutex.Unlock()
 	for _, r := range g.all() {
 		if g.leaving(r.at().Name) {
@@ -137,7 +137,7 @@
 func (g *Gateway) resting(n api.ServiceName) ([]api.ServerName, time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.picker.Rests.Among(time.Now(), g.roster.Service(n))
+	return g.picker.Backoffs.ActiveAmong(time.Now(), g.roster.Service(n))
 }
 
 // restSpread is the time over which callers come back that were refused in one rest.
