--- a/internal/decide/placement/backoff.go
+++ b/internal/decide/placement/backoff.go
@@ -7,27 +7,29 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// backoffAllowance is how many requests may be sent to a server in its rest that no other one can
-// take, as runs whose memory it holds.
+// backoffAllowance is how many requests may be sent to a server during its backoff if no
+// other server can take them, for example because it holds the memory of their runs.
 const backoffAllowance = 2
 
-// backoff is a time in which a server wants nothing from this entry VM.
+// backoff is a period in which a server wants no requests from this entry VM.
 type backoff struct {
-	until     time.Time
+	until time.Time
+	// allowance is the number of requests that may still be sent.
 	allowance int
 }
 
-// Backoffs are the rests that servers have asked this entry VM for.
+// Backoffs holds the backoffs that servers have asked this entry VM for.
 type Backoffs struct {
 	backoffs map[api.ServerName]backoff
 }
 
-// NewBackoffs makes a record of none.
+// NewBackoffs returns an empty record.
 func NewBackoffs() *Backoffs {
 	return &Backoffs{backoffs: map[api.ServerName]backoff{}}
 }
 
-// Add takes a rest that a server asked for.
+// Add records that a server asked for a backoff. It extends a current one, and never
+// shortens it.
 func (r *Backoffs) Add(now time.Time, n api.ServerName, d time.Duration) {
 	x, ok := r.backoffs[n]
 	if !ok || !now.Before(x.until) {
@@ -37,7 +39,7 @@
 	r.backoffs[n] = x
 }
 
-// Active reports whether a server wants nothing now.
+// Active reports whether a server is in a backoff.
 func (r *Backoffs) Active(now time.Time, n api.ServerName) bool {
 	x, ok := r.backoffs[n]
 	if ok && !now.Before(x.until) {
@@ -47,7 +49,8 @@
 	return ok
 }
 
-// TakeAllowance takes one of the few requests that may be sent to a server in its rest.
+// TakeAllowance reports whether a request that only this server can take may be sent to it.
+// During a backoff it uses up one request of the allowance.
 func (r *Backoffs) TakeAllowance(now time.Time, n api.ServerName) bool {
 	if !r.Active(now, n) {
 		return true
@@ -61,8 +64,8 @@
 	return true
 }
 
-// ActiveAmong lists those of some servers that rest, and gives the time until the first of them
-// takes requests again where none of the others does, else zero.
+// ActiveAmong returns those of the servers that are in a backoff and, if no other one takes
+// requests, the time until the first backoff ends; otherwise zero.
 func (r *Backoffs) ActiveAmong(now time.Time, l []roster.Member) ([]api.ServerName, time.Duration) {
 	if len(r.backoffs) == 0 {
 		return nil, 0
@@ -88,7 +91,7 @@
 	return inBackoff, wait
 }
 
-// Forget drops the rests of servers that are gone.
+// Forget drops the backoffs of servers that are not known.
 func (r *Backoffs) Forget(known func(n api.ServerName) bool) {
 	for n := range r.backoffs {
 		if !known(n) {
--- a/internal/decide/placement/backoff_test.go
+++ b/internal/decide/placement/backoff_test.go
@@ -26,12 +26,12 @@
 		inBackoff []api.ServerName
 		wait      time.Duration
 	}{
-		{"one of two", 1.5, []roster.Member{member("a"), member("d")}, []api.ServerName{"a"}, 0},
-		{"all", 1.5, []roster.Member{member("a"), member("b")}, []api.ServerName{"a", "b"}, 500 * time.Millisecond},
-		{"all but one that leaves", 1.5, []roster.Member{member("a"), leaving}, []api.ServerName{"a"}, 1500 * time.Millisecond},
-		{"a shorter rest takes nothing back", 2.5, []roster.Member{member("a"), member("b")}, []api.ServerName{"a"}, 0},
-		{"after it", 3, []roster.Member{member("a")}, nil, 0},
-		{"nobody", 0, nil, nil, 0},
+		{"one of two servers", 1.5, []roster.Member{member("a"), member("d")}, []api.ServerName{"a"}, 0},
+		{"all servers", 1.5, []roster.Member{member("a"), member("b")}, []api.ServerName{"a", "b"}, 500 * time.Millisecond},
+		{"the only other server is leaving", 1.5, []roster.Member{member("a"), leaving}, []api.ServerName{"a"}, 1500 * time.Millisecond},
+		{"a shorter backoff does not end the longer one", 2.5, []roster.Member{member("a"), member("b")}, []api.ServerName{"a"}, 0},
+		{"after the backoff", 3, []roster.Member{member("a")}, nil, 0},
+		{"no servers", 0, nil, nil, 0},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Two requests that no other server can take may go to one in its rest.
+// During a backoff a server may be sent two requests that no other server can take, and no more.
 func TestBackoffAllowsTwoRequests(t *testing.T) {
 	begin := time.UnixMilli(1_000_000)
 	r := placement.NewBackoffs()
@@ -55,13 +55,13 @@
 		}
 	}
 	if got != 2 {
-		t.Errorf("in the rest: got %d, want 2", got)
+		t.Errorf("during the backoff: got %d requests, want 2", got)
 	}
 	if !r.TakeAllowance(begin.Add(3*time.Second), "a") {
-		t.Error("after the rest: got none, want as many as there are")
+		t.Error("after the backoff: got no request allowed, want all allowed")
 	}
 	r.Add(begin.Add(4*time.Second), "a", time.Second)
 	if !r.TakeAllowance(begin.Add(4*time.Second), "a") {
-		t.Error("in another rest: got none, want two again")
+		t.Error("during another backoff: got no request allowed, want 2 again")
 	}
 }
--- a/internal/decide/placement/doc.go
+++ b/internal/decide/placement/doc.go
@@ -1,3 +1,3 @@
-// Package placement chooses the backend server of a request from what this
-// entry VM and its peers have in flight and from what callers met there.
+// Package placement chooses the backend server of a request from the load that this entry
+// VM and its peers have placed there and from the outcomes of earlier requests.
 package placement
--- a/internal/decide/placement/health.go
+++ b/internal/decide/placement/health.go
@@ -6,63 +6,64 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Outcome is what a request met at a server.
+// Outcome is how a request ended at a server.
 type Outcome int
 
-// Outcomes, from good to bad.
+// Outcomes in order from good to bad.
 const (
-	// Served requests got an answer of the server.
+	// Served requests were answered by the server.
 	Served Outcome = iota
-	// Full servers said that they did not run the request.
+	// Full means that the server said that it did not run the request.
 	Full
-	// Failed requests got an answer that says the server failed.
+	// Failed means that the answer says that the server failed.
 	Failed
-	// Lost requests got no answer, a broken one, or no connection.
+	// Lost requests got no connection, no answer, or a broken one.
 	Lost
 )
 
-// String names the outcome for metrics.
+// String returns the label of the outcome in metrics.
 func (o Outcome) String() string {
 	return [...]string{"served", "full", "failed", "lost"}[o]
 }
 
 const (
-	// minCooldown and cooldownLast bound the time that a server which loses
-	// requests is left alone; it doubles with each loss in a row.
+	// minCooldown and maxCooldown bound the time for which a server that lost a request is
+	// avoided; it doubles with each consecutive loss.
 	minCooldown = 250 * time.Millisecond
 	maxCooldown = 4 * time.Second
-	// fullCooldown is how long a server that was full is left alone: a few steps of
-	// an engine, in which a request ends.
+	// fullCooldown is how long a server that was full is avoided: a few steps of an engine,
+	// in which one of its requests may end.
 	fullCooldown = 100 * time.Millisecond
-	// maxOutcomesPerReport bounds the requests of one kind that one report counts for: more of
-	// them say nothing else.
+	// maxOutcomesPerReport bounds the outcomes of one kind that are counted from one
+	// report, since more of them add no information.
 	maxOutcomesPerReport = 16
-	// failureWeight is the weight of the newest request in the share of failures.
+	// failureWeight is the weight of the newest request in the moving average of failures.
 	failureWeight = 0.1
-	// failureMargin is how far above its pool's share of failures a server may be
-	// before it counts as faulty; some failures belong to the requests.
+	// failureMargin is how far a server's failure rate may exceed the mean of its pool
+	// before the server counts as faulty. Some failures are caused by the requests
+	// themselves.
 	failureMargin = 0.2
 )
 
-// record is what requests met at one server.
+// record is the recent outcome history of one server.
 type record struct {
 	consecutiveLosses int
-	// cooldownEnd is the end of the cooldown.
-	cooldownEnd time.Time
+	cooldownEnd       time.Time
+	// failureRate is the moving average of failures.
 	failureRate float64
 }
 
-// Health keeps what requests met at servers.
+// Health tracks the outcomes of requests by server.
 type Health struct {
 	records map[api.ServerName]*record
 }
 
-// NewHealth makes a record of no requests.
+// NewHealth returns an empty record.
 func NewHealth() *Health {
 	return &Health{records: map[api.ServerName]*record{}}
 }
 
-// Record takes what a request met at a server.
+// Record adds the outcome of one request at a server.
 func (h *Health) Record(now time.Time, n api.ServerName, o Outcome) {
 	r, ok := h.records[n]
 	if !ok {
@@ -84,8 +85,8 @@
 	}
 }
 
-// RecordAll takes what several requests met at a server, the good first: a loss among
-// them is the newest word.
+// RecordAll adds the outcomes of several requests at a server. Losses are added last, since
+// a served request among them would reset the count of consecutive losses.
 func (h *Health) RecordAll(now time.Time, n api.ServerName, x api.Outcomes) {
 	for _, c := range []struct {
 		outcome Outcome
@@ -104,7 +105,7 @@
 	return b
 }
 
-// Forget drops the records of servers that are gone.
+// Forget drops the records of the servers that are not known.
 func (h *Health) Forget(known func(n api.ServerName) bool) {
 	for n := range h.records {
 		if !known(n) {
@@ -113,19 +114,19 @@
 	}
 }
 
-// coolingDown reports whether a server is left alone for now.
+// coolingDown reports whether a server is in its cooldown.
 func (h *Health) coolingDown(now time.Time, n api.ServerName) bool {
 	r, ok := h.records[n]
 	return ok && now.Before(r.cooldownEnd)
 }
 
-// faulty reports whether a server fails clearly more often than its pool.
+// faulty reports whether a server's failure rate is clearly above the mean of its pool.
 func (h *Health) faulty(n api.ServerName, poolFailureRate float64) bool {
 	r, ok := h.records[n]
 	return ok && r.failureRate > poolFailureRate+failureMargin
 }
 
-// meanFailureRate is the mean meanFailureRate of failures of a pool.
+// meanFailureRate returns the mean failure rate of the servers in a pool.
 func (h *Health) meanFailureRate(pool []api.ServerName) float64 {
 	sum := 0.0
 	for _, n := range pool {
--- a/internal/decide/placement/ledger.go
+++ b/internal/decide/placement/ledger.go
@@ -9,67 +9,69 @@
 )
 
 const (
-	// holderTimeout is how long a holder's report counts: holders report every
-	// second at least, so that one silent for longer is gone, and its runs with it.
+	// holderTimeout is how long a holder's report is valid. Holders report at least once a
+	// second, so one that is silent for longer is gone, and its runs with it.
 	holderTimeout = 3 * time.Second
-	// grantTimeout is how long a grant counts that its holder has not reported: many
-	// times what its answer takes, after which the holder has either taken it or
+	// grantTimeout is how long a grant counts before its holder reports it. It is many
+	// times the round trip of the answer; a holder that has not taken the grant by then
 	// never will.
 	grantTimeout = time.Second
 )
 
-// RequestNumber numbers the asks of one holder.
+// RequestNumber numbers the placement requests of one holder.
 type RequestNumber int64
 
-// Holding is what one entry VM holds at the engines of one failure domain.
+// Holding is a holder's report: the load that one entry VM holds at the engines of one
+// failure domain.
 type Holding struct {
-	// Incarnation tells two lives of the holder apart.
+	// Incarnation changes when the holder restarts.
 	Incarnation api.Incarnation
-	// Sequence orders the holder's reports.
+	// Sequence orders the reports of one incarnation.
 	Sequence int64
 	Loads    Loads
-	// LastRequest is the last ask that the holder had begun, and Open those that it
-	// still waited for: what these were granted is not among the loads yet.
+	// LastRequest is the newest placement request that the holder had begun, and Pending
+	// are those that it was still waiting for. Loads does not contain grants to pending
+	// requests yet.
 	LastRequest RequestNumber
 	Pending     []RequestNumber
 }
 
-// grant is load that was granted to a holder.
+// grant is load at one engine that was granted to a holder.
 type grant struct {
 	server    api.ServerName
 	load      api.ServerLoad
 	grantedAt time.Time
 }
 
-// holder is what is known of one entry VM that holds load.
+// holder is what the ledger knows about one entry VM that holds load.
 type holder struct {
 	Holding
 	lastHeard time.Time
 	grants    map[RequestNumber][]grant
 }
 
-// Ledger counts what is promised of each engine: the own loads, and on the
-// entry VM that allocates a failure domain's engines also what others hold
-// there. A holder's report replaces what was known of it, and each grant counts
-// from the moment it is made, so that the next choice knows of it.
+// Ledger counts the load that is reserved at each engine: the local load and, on the entry
+// VM that allocates a failure domain's engines, the load that other entry VMs hold there. A
+// holder's report replaces its previous one. A grant counts from the moment it is made, so
+// that the next choice takes it into account.
 type Ledger struct {
 	local   Loads
 	total   Loads
 	holders map[api.VMName]*holder
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{local: Loads{}, total: Loads{}, holders: map[api.VMName]*holder{}}
 }
 
-// Add adds to the own load of an engine; a negative load takes away.
+// Add adds to the local load of an engine; a negative load subtracts.
 func (l *Ledger) Add(n api.ServerName, x api.ServerLoad) {
 	l.local.add(n, x)
 	l.total.add(n, x)
 }
 
-// Local gives the own loads at the engines that are chosen.
+// Local returns the local loads at the engines that choose selects.
 func (l *Ledger) Local(choose func(n api.ServerName) bool) Loads {
 	x := Loads{}
 	for n, v := range l.local {
@@ -80,13 +82,13 @@
 	return x
 }
 
-// Total is what is promised of an engine.
+// Total returns the load that is reserved at an engine.
 func (l *Ledger) Total(n api.ServerName) api.ServerLoad {
 	return l.total[n]
 }
 
-// Update takes what a holder holds; a report older than the last one counts as
-// a sign of life alone.
+// Update records a holder's report. A report that is not newer than the last one only
+// proves that the holder is alive.
 func (l *Ledger) Update(now time.Time, vm api.VMName, x Holding) {
 	h := l.holder(vm, x.Incarnation)
 	h.lastHeard = now
@@ -98,14 +100,15 @@
 	l.dropGrants(h, func(a RequestNumber) bool { return a <= x.LastRequest && !slices.Contains(x.Pending, a) })
 }
 
-// Recipient is the ask of one holder that a load is granted to.
+// Recipient identifies the placement request of a holder that a load is granted to.
 type Recipient struct {
 	VM          api.VMName
 	Incarnation api.Incarnation
 	Request     RequestNumber
 }
 
-// Grant counts a load as granted to a holder's ask until the holder reports it.
+// Grant counts a load as granted to a placement request until its holder reports it or
+// grantTimeout has passed.
 func (l *Ledger) Grant(now time.Time, to Recipient, n api.ServerName, x api.ServerLoad) {
 	h := l.holder(to.VM, to.Incarnation)
 	if h.lastHeard.IsZero() {
@@ -115,7 +118,7 @@
 	l.total.add(n, x)
 }
 
-// Expire drops holders that fell silent and grants that were never taken.
+// Expire drops holders that stopped reporting and grants that were never taken.
 func (l *Ledger) Expire(now time.Time) {
 	for n, h := range l.holders {
 		if now.Sub(h.lastHeard) > holderTimeout {
@@ -127,8 +130,8 @@
 	}
 }
 
-// holder gives what is known of one life of a holder; what an earlier life held
-// is gone with it.
+// holder returns the record of one incarnation of a holder. Loads and grants of an earlier
+// incarnation are released.
 func (l *Ledger) holder(vm api.VMName, i api.Incarnation) *holder {
 	h, ok := l.holders[vm]
 	if ok && h.Incarnation == i {
@@ -143,13 +146,13 @@
 	return h
 }
 
-// release takes away all that a holder holds.
+// release subtracts all loads and grants of a holder from the totals.
 func (l *Ledger) release(h *holder) {
 	l.dropGrants(h, func(RequestNumber) bool { return true })
 	l.replaceLoads(h.Loads, nil)
 }
 
-// replaceLoads counts some loads in place of others.
+// replaceLoads subtracts one set of loads from the totals and adds another.
 func (l *Ledger) replaceLoads(before, after Loads) {
 	for n, x := range before {
 		l.total.add(n, Negate(x))
@@ -159,7 +162,7 @@
 	}
 }
 
-// dropGrants takes away the grants of the asks that match.
+// dropGrants removes the grants to the placement requests that match.
 func (l *Ledger) dropGrants(h *holder, match func(a RequestNumber) bool) {
 	maps.DeleteFunc(h.grants, func(a RequestNumber, granted []grant) bool {
 		if !match(a) {
--- a/internal/decide/placement/ledger_test.go
+++ b/internal/decide/placement/ledger_test.go
@@ -8,7 +8,7 @@
 	"github.com/wardridge/wardridge/internal/decide/placement"
 )
 
-// report is a holder's report of so many tokens at the engine "s".
+// report returns a holder's report of a load at the engine "s".
 func report(sequence int64, tokens api.Tokens, last placement.RequestNumber, pending ...placement.RequestNumber) placement.Holding {
 	l := placement.Loads{}
 	if tokens > 0 {
@@ -17,8 +17,9 @@
 	return placement.Holding{Incarnation: 7, Sequence: sequence, Loads: l, LastRequest: last, Pending: pending}
 }
 
-// What is granted counts once: from the grant on, and no more once the holder
-// reports it, in whatever order the messages arrive.
+// A grant counts exactly once, in whatever order the messages arrive: from the moment it is
+// made until the holder's report contains it. Counted twice or not at all, engines are
+// underused or overcommitted.
 func TestLedgerCountsEachGrantOnce(t *testing.T) {
 	type step func(l *placement.Ledger, now time.Time)
 	hold := func(h placement.Holding) step {
@@ -39,15 +40,15 @@
 		want  api.Tokens
 	}{
 		{"a grant counts at once", []step{hold(report(1, 0, 1, 1)), grant(1, 4000)}, 4000},
-		{"a grant to one unheard", []step{grant(1, 4000)}, 4000},
-		{"the report takes its place", []step{hold(report(1, 0, 1, 1)), grant(1, 4000), hold(report(2, 4000, 1))}, 4000},
-		{"a report made before the answer came", []step{hold(report(1, 0, 1, 1)), grant(1, 4000), hold(report(2, 500, 1, 1))}, 4500},
-		{"another ask is still open", []step{hold(report(1, 0, 2, 1, 2)), grant(1, 4000), grant(2, 300), hold(report(2, 4000, 2, 2))}, 4300},
+		{"a grant to a holder without a report", []step{grant(1, 4000)}, 4000},
+		{"the report replaces the grant", []step{hold(report(1, 0, 1, 1)), grant(1, 4000), hold(report(2, 4000, 1))}, 4000},
+		{"a report made before the holder got the grant", []step{hold(report(1, 0, 1, 1)), grant(1, 4000), hold(report(2, 500, 1, 1))}, 4500},
+		{"another request is still pending", []step{hold(report(1, 0, 2, 1, 2)), grant(1, 4000), grant(2, 300), hold(report(2, 4000, 2, 2))}, 4300},
 		{"a grant that was not taken", []step{hold(report(1, 0, 1, 1)), grant(1, 4000), hold(report(2, 0, 1))}, 0},
 		{"an older report arrives late", []step{hold(report(2, 4000, 1)), hold(report(1, 0, 1))}, 4000},
 		{"a run and its copy", []step{hold(report(1, 0, 1, 1)), grant(1, 4000), grant(1, 50), hold(report(2, 4050, 1))}, 4050},
-		{"the holder has started anew", []step{hold(report(9, 4000, 9)), grant(10, 300), incarnation(8, report(1, 20, 0))}, 20},
-		{"a grant to a new life", []step{hold(report(9, 4000, 9)), func(l *placement.Ledger, now time.Time) {
+		{"the holder has restarted", []step{hold(report(9, 4000, 9)), grant(10, 300), incarnation(8, report(1, 20, 0))}, 20},
+		{"a grant to a new incarnation", []step{hold(report(9, 4000, 9)), func(l *placement.Ledger, now time.Time) {
 			l.Grant(now, placement.Recipient{VM: "vm", Incarnation: 8, Request: 1}, "s", load(300, 0))
 		}}, 300},
 	}
@@ -65,14 +66,14 @@
 			}
 			l.Expire(now.Add(time.Minute))
 			if got := l.Total("s"); got != load(10, 0) {
-				t.Errorf("long after: got %+v, want the own load alone", got)
+				t.Errorf("a minute later: got %+v, want the local load alone", got)
 			}
 		})
 	}
 }
 
-// Grants that were never taken and holders that fell silent count no longer than
-// their time.
+// Grants that were never taken and holders that stopped reporting must not block memory: they
+// expire after one and three seconds.
 func TestLedgerExpiresGrantsAndSilentHolders(t *testing.T) {
 	l := placement.NewLedger()
 	l.Update(begin, "vm", report(1, 100, 1, 1))
@@ -101,13 +102,13 @@
 		y, z api.PoolLoad
 		want api.DomainName
 	}{
-		{"home is as good", home(0.3), pool(2, 13600, 0, 0), pool(2, 20000, 0, 0), ""},
-		{"another one is less loaded", home(0.6), pool(2, 13600, 0, 0), pool(2, 20000, 0, 0), "y"},
-		{"prompts to be read count", home(0.6), pool(2, 13600, 14000, 0), pool(2, 20000, 0, 0), "z"},
-		{"no room at home", nil, pool(2, 40000, 0, 0), pool(2, 50000, 0, 0), "y"},
-		{"others wait there", nil, pool(2, 40000, 0, 3), pool(2, 50000, 0, 0), "z"},
+		{"the local domain is as good", home(0.3), pool(2, 13600, 0, 0), pool(2, 20000, 0, 0), ""},
+		{"another domain is less loaded", home(0.6), pool(2, 13600, 0, 0), pool(2, 20000, 0, 0), "y"},
+		{"unread prompts count", home(0.6), pool(2, 13600, 14000, 0), pool(2, 20000, 0, 0), "z"},
+		{"no free memory in the local domain", nil, pool(2, 40000, 0, 0), pool(2, 50000, 0, 0), "y"},
+		{"requests wait there", nil, pool(2, 40000, 0, 3), pool(2, 50000, 0, 0), "z"},
 		{"no engines there", nil, pool(0, 0, 0, 0), pool(0, 0, 0, 0), ""},
-		{"all is full", nil, pool(1, 40000, 50000, 0), pool(1, 40000, 50000, 0), ""},
+		{"all domains are full", nil, pool(1, 40000, 50000, 0), pool(1, 40000, 50000, 0), ""},
 	}
 	for _, c := range tests {
 		d := placement.NewRemotePools()
@@ -123,7 +124,8 @@
 	}
 }
 
-// What was sent to a domain counts there until it is heard again.
+// Requests forwarded to a domain count there until its next report. Otherwise all requests
+// between two reports go to a domain that looks idle.
 func TestRemotePoolsCountForwardedRequests(t *testing.T) {
 	d := placement.NewRemotePools()
 	d.Update(begin, "y", map[api.ServiceName]api.PoolLoad{"s": {Engines: 2}})
@@ -136,9 +138,9 @@
 		}
 	}
 	if got == 0 || got > 4 {
-		t.Errorf("sent to two idle engines: got %d, want a few", got)
+		t.Errorf("forwarded to two idle engines: got %d, want 1 to 4", got)
 	}
 	if !d.HasAllocator(begin, "s", "y") || d.HasAllocator(begin, "s", "z") || d.HasAllocator(begin.Add(time.Minute), "s", "y") {
-		t.Error("known domains: got another one than that heard lately")
+		t.Error("domains with an allocator: got another set, want only the one that reported lately")
 	}
 }
--- a/internal/decide/placement/load.go
+++ b/internal/decide/placement/load.go
@@ -6,14 +6,14 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Loads are loads by backend server.
+// Loads maps backend servers to their load.
 type Loads map[api.ServerName]api.ServerLoad
 
 func addLoads(a, b api.ServerLoad) api.ServerLoad {
 	return api.ServerLoad{Requests: a.Requests + b.Requests, Tokens: a.Tokens + b.Tokens, Unread: a.Unread + b.Unread}
 }
 
-// add adds to the load of a server, which is forgotten where nothing is left.
+// add adds to the load of a server and deletes the entry if the result is zero.
 func (l Loads) add(n api.ServerName, x api.ServerLoad) {
 	s := addLoads(l[n], x)
 	if s == (api.ServerLoad{}) {
@@ -23,32 +23,35 @@
 	l[n] = s
 }
 
-// Negate gives the load that takes another one away when it is added.
+// Negate returns the load that subtracts l when it is added.
 func Negate(l api.ServerLoad) api.ServerLoad {
 	return api.ServerLoad{Requests: -l.Requests, Tokens: -l.Tokens, Unread: -l.Unread}
 }
 
-// peerReportTTL is how long a peer's report counts: a few rounds of the
-// exchange between entry VMs, after which its runs may be anywhere.
+// peerReportTTL is how long a peer's report is used: a few rounds of the exchange between
+// entry VMs. After that the peer's requests may have ended or run elsewhere.
 const peerReportTTL = 3 * time.Second
 
-// Relation is what a peer is to this entry VM in the exchange of loads.
+// Relation is the role of a peer in the exchange of loads with this entry VM.
 type Relation int
 
-// Relations. Each entry VM that is no hub is carried by one hub, so that the
-// sum over the hubs counts every load once.
+// Each entry VM that is not a hub is attached to one hub, so that the sum over the hubs counts
+// every load once.
 const (
-	// Unrelated peers exchange no loads.
+	// Unrelated peers exchange no loads with this entry VM.
 	Unrelated Relation = iota
-	// Hub peers tell what they carry, their own loads among it.
+	// Hub peers exchange hub reports with this hub: their local load and that of the entry
+	// VMs attached to them.
 	Hub
-	// Attached peers are carried by this hub.
+	// Attached peers use this hub as their primary: it reports their loads to the other
+	// hubs.
 	Attached
-	// Primary peers carry this entry VM, and tell the loads of all others.
+	// Primary is the hub that this entry VM is attached to: it reports the loads of all
+	// other entry VMs.
 	Primary
 )
 
-// Report is loads, and how many entry VMs they are of.
+// Report is the sum of the loads of several entry VMs. Members is their number.
 type Report struct {
 	Loads   Loads
 	Members int
@@ -61,25 +64,26 @@
 	relation Relation
 }
 
-// LoadTable counts what is in flight at each plain server, from here and from the
+// LoadTable counts the requests in flight at each plain server, local ones and those of
 // peers.
 type LoadTable struct {
 	local Loads
 	peers map[api.VMName]peerReport
 }
 
-// NewLoadTable makes an empty table.
+// NewLoadTable returns an empty table.
 func NewLoadTable() *LoadTable {
 	return &LoadTable{local: Loads{}, peers: map[api.VMName]peerReport{}}
 }
 
-// Add adds to the own load of a server; a negative load takes away.
+// Add adds to the local load of a server; a negative load subtracts.
 func (t *LoadTable) Add(n api.ServerName, l api.ServerLoad) {
 	t.local.add(n, l)
 }
 
-// Update takes a peer's report. That of a primary replaces all others; strangers
-// report nothing, and what they reported before runs out.
+// Update records a peer's report. The report of the primary covers all other entry VMs and
+// replaces all other reports. Unrelated peers report nothing; what they reported before
+// expires.
 func (t *LoadTable) Update(now time.Time, p api.VMName, r Relation, x Report) {
 	switch r {
 	case Unrelated:
@@ -90,7 +94,9 @@
 	t.peers[p] = peerReport{Report: x, at: now, relation: r}
 }
 
-// Report gives the report for a peer.
+// Report returns the report for a peer: the local load for the primary, that with the loads
+// of the attached entry VMs for another hub, and everything except the peer's load for an
+// attached one.
 func (t *LoadTable) Report(now time.Time, p api.VMName, r Relation) Report {
 	switch r {
 	case Primary:
@@ -104,7 +110,7 @@
 	}
 }
 
-// sum adds the own loads and those of the peers that are chosen.
+// sum adds up the local load and the valid reports of the peers that choose selects.
 func (t *LoadTable) sum(now time.Time, choose func(n api.VMName, p peerReport) bool) Report {
 	x := Report{Loads: make(Loads, len(t.local)), Members: 1}
 	for s, l := range t.local {
@@ -126,12 +132,13 @@
 	return x
 }
 
-// EntryVMs counts the entry VMs that are known of, this one among them.
+// EntryVMs returns the number of entry VMs whose loads are known, including this one.
 func (t *LoadTable) EntryVMs(now time.Time) int {
 	return t.sum(now, func(api.VMName, peerReport) bool { return true }).Members
 }
 
-// Total is the load of a server over all entry VMs heard of lately.
+// Total returns the load of a server from all entry VMs with a valid report, including this
+// one.
 func (t *LoadTable) Total(now time.Time, n api.ServerName) api.ServerLoad {
 	l := t.local[n]
 	for v, p := range t.peers {
--- a/internal/decide/placement/load_test.go
+++ b/internal/decide/placement/load_test.go
@@ -8,7 +8,7 @@
 	"github.com/wardridge/wardridge/internal/decide/placement"
 )
 
-// vm is an entry VM with its relations to others.
+// vm is an entry VM with its load table.
 type vm struct {
 	table *placement.LoadTable
 	name  api.VMName
@@ -20,15 +20,15 @@
 	return vm{table: b, name: n}
 }
 
-// exchange makes two VMs tell each other: to is what the second is to the
-// first, from the other way round.
+// exchange lets two VMs exchange reports. to is the relation of b to a, from that of a to b.
 func exchange(now time.Time, a, b vm, to, from placement.Relation) {
 	x, y := a.table.Report(now, b.name, to), b.table.Report(now, a.name, from)
 	a.table.Update(now, b.name, to, y)
 	b.table.Update(now, a.name, from, x)
 }
 
-// Two hubs carry two VMs each: everyone knows the load of all six, once.
+// With two hubs and two VMs attached to each, every VM must count the load of all six exactly
+// once.
 func TestEveryLoadCountsOnce(t *testing.T) {
 	h1, h2 := newVM("h1", 1), newVM("h2", 10)
 	a1, a2 := newVM("a1", 100), newVM("a2", 1000)
@@ -52,8 +52,8 @@
 			t.Errorf("%s: got %d members, want 6", v.name, got)
 		}
 	}
-	// A VM that changes its hub is counted by the new one alone, once its word
-	// to the old one has run out.
+	// A VM that changes its hub is counted by the new hub only, as soon as its report to the
+	// old one has expired.
 	for range 16 {
 		exchange(now, a2, h1, placement.Primary, placement.Attached)
 		exchange(now, a1, h2, placement.Primary, placement.Attached)
@@ -67,7 +67,7 @@
 	}
 	for _, v := range []vm{h1, h2, a1} {
 		if got := v.table.Total(now, "s").Tokens; got != 111111 {
-			t.Errorf("%s after the change: got %d, want 111111", v.name, got)
+			t.Errorf("%s after the change of hub: got %d tokens, want 111111", v.name, got)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	exchange(begin, h1, h2, placement.Hub, placement.Hub)
 	later := begin.Add(4 * time.Second)
 	if got := h1.table.Total(later, "s").Tokens; got != 1 {
-		t.Errorf("tokens: got %d, want the own 1", got)
+		t.Errorf("tokens: got %d, want the local 1", got)
 	}
 	if got := h1.table.EntryVMs(later); got != 1 {
 		t.Errorf("members: got %d, want 1", got)
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -11,106 +11,111 @@
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 )
 
-// Requirements is what a request asks of a server.
+// Requirements is what a request needs at a server.
 type Requirements struct {
-	// Tokens is the engine memory that the request will hold; zero for plain
-	// services.
+	// Tokens is the engine memory that the request will hold; zero for plain services.
 	Tokens api.Tokens
-	// Unread is the part of its prompt that the engine has to read first.
+	// Unread is the part of the prompt that the engine has to read (prefill) first.
 	Unread api.Tokens
 }
 
-// Pool is the servers of one service.
+// Pool is the set of servers of one service, with the rules for a choice among them.
 type Pool struct {
 	Members []roster.Member
-	// Memory is an engine's memory; zero for plain services.
+	// Memory is the memory of one engine; zero for plain services.
 	Memory api.Tokens
-	// Domain is the failure domain to stay in: that of this entry VM, or of the
-	// server that a run is copied from.
+	// Domain is the preferred failure domain: that of this entry VM, or that of the server
+	// that a run is copied from.
 	Domain api.DomainName
-	// ExactLoads is set where the loads of the domain's servers are known as they are, as
-	// on the entry VM that allocates its engines: the best one is chosen. Where they
-	// are known late, a few are compared.
+	// ExactLoads is set if the loads of the domain's servers are known without delay, as on
+	// the entry VM that allocates its engines. The best of all servers is chosen then.
+	// Otherwise loads are known late, and the best of a random sample is chosen.
 	ExactLoads bool
-	// PreferDomain leaves the domain only where none of its servers has room. It is for
-	// copies of a run's memory, which take twice as long between domains, while
-	// notices are hardly long enough within one.
+	// PreferDomain leaves the domain only if none of its servers is usable. It is set for
+	// moves of runs: copying a run's memory takes twice as long between domains, and the
+	// notice of a leaving server is hardly long enough within one.
 	PreferDomain bool
-	// MaxMemoryShare is the share of an engine's memory that may be promised; zero for all
-	// that may be promised at all.
+	// MaxMemoryShare is the share of a busy engine's memory that may be reserved. Zero
+	// leaves only the general bound, maxMemoryShare, which also applies to idle engines.
 	MaxMemoryShare float64
-	// MaxUnread bounds the prompts that an engine has to read before the first event
-	// of a new request, its own among them; zero for no bound. An engine that reads
-	// nothing takes any.
+	// MaxUnread bounds the prompt tokens that an engine has to read before the first event
+	// of a new request, including the request's own; zero for no bound. An engine with
+	// nothing to read accepts any prompt.
 	MaxUnread api.Tokens
-	// Warmup bounds what is sent to servers that are cold.
+	// Warmup bounds the requests that are sent to cold servers.
 	Warmup Warmup
-	// Standby is set where the servers' allocator is asked since the first choice does not
-	// answer.
+	// Standby is set if the allocator that chooses stands in for the first-choice one,
+	// which does not answer; it then uses only the standby's share of a server's rate
+	// limit.
 	Standby bool
-	// ExcludeLimited leaves out servers that have named a limit: what goes on from a copy can't be
-	// held up there.
+	// ExcludeLimited leaves out servers that have announced a rate limit: a run that
+	// resumes from its backup copy cannot wait for a send slot there.
 	ExcludeLimited bool
-	// ExcludeBackingOff leaves out servers that asked this entry VM for rest, as for its own requests.
+	// ExcludeBackingOff leaves out servers in a backoff that they asked this entry VM for;
+	// it is set for the requests of this entry VM.
 	ExcludeBackingOff bool
 }
 
 // Scores are in units of a server's whole capacity.
 const (
-	// unreadScale is the prompt tokens whose reading holds an engine up for
-	// about as long as a full memory is worth: half a second at 14 tokens a ms.
+	// unreadScale is the number of unread prompt tokens that weighs as much as a full
+	// memory. Engines read 14 tokens a ms, so it delays a request by half a second.
 	unreadScale = 7000.0
-	// jitter is the part of a score that is drawn: entry VMs that know the same
-	// must not all choose the same server until they hear of each other.
+	// jitter is the largest random addition to a score. Entry VMs that have the same
+	// reports must not all choose the same server before they learn of each other's
+	// choices.
 	jitter = 0.15
-	// remotePenalty is the price of leaving the failure domain. It breaks ties, since a
-	// request moves a few KB and takes a ms more.
+	// remotePenalty is added for a server in another failure domain. It only breaks ties,
+	// since a request there transfers a few KB and takes one ms longer.
 	remotePenalty = 0.03
-	// coldPenalty is the price of a server that has just started and is still slow: it
-	// takes work before one that is a quarter fuller.
+	// coldPenalty is added for a server that has just started and is still slow: it is
+	// chosen before a server that has a quarter more of its capacity in use.
 	coldPenalty = 0.25
-	// limitedPenalty is the price of a server that has named a limit, which it does in need.
+	// limitedPenalty is added for a server that has announced a rate limit, since servers
+	// announce one only when they are overloaded.
 	limitedPenalty = 0.25
-	// avoidPenalty puts servers that cool down, fail or lapsed behind all others.
+	// avoidPenalty ranks servers that are in a cooldown, faulty or lapsed behind all
+	// others.
 	avoidPenalty = 10.0
-	// maxMemoryShare is the share of an engine's memory that may be promised; the
-	// rest is for answers longer than expected.
+	// maxMemoryShare is the share of an engine's memory that may be reserved. The remainder
+	// is for answers that are longer than expected.
 	maxMemoryShare = 0.97
 )
 
-// Picker chooses servers.
+// Picker chooses servers for requests.
 type Picker struct {
-	// PlainLoads counts the loads of plain servers, Engines those of engines.
+	// PlainLoads counts the loads of plain servers, EngineLoads those of engines.
 	PlainLoads  *LoadTable
 	EngineLoads *Ledger
 	Health      *Health
 	Sends       *SendHistory
-	// Limits are what servers have named, and Pacer keeps to them.
+	// Limits holds the rate limits that servers have announced, and Pacer spaces the
+	// requests to these servers.
 	Limits   *throttle.Limits
 	Pacer    *throttle.Pacer
 	Backoffs *Backoffs
 	random   *rand.Rand
 }
 
-// NewPicker makes a picker without load that draws from a source.
+// NewPicker returns a picker without any load that draws random numbers from s.
 func NewPicker(s rand.Source) *Picker {
 	r := rand.New(s)
 	return &Picker{PlainLoads: NewLoadTable(), EngineLoads: NewLedger(), Health: NewHealth(), Sends: NewSendHistory(r), Limits: throttle.NewLimits(), Pacer: throttle.NewPacer(r), Backoffs: NewBackoffs(), random: r}
 }
 
-// Choice is a server with the figures that decided for it.
+// Choice is a chosen server with the figures that the choice was based on.
 type Choice struct {
 	roster.Server
-	// Load is what was known to be in flight there.
+	// Load is the load that was known at the server when it was chosen.
 	Load api.ServerLoad
-	// Score rates it, lower is better.
+	// Score is the server's rating; lower is better.
 	Score float64
-	// Candidates counts the servers that it was chosen from.
+	// Candidates is the number of servers that the server was chosen from.
 	Candidates int
 }
 
-// Pick gives the best of some servers for a need that are none of those tried,
-// or false when no server may take it.
+// Pick returns the best server of a pool for a request, leaving out those tried, or false
+// if no server can take it.
 func (p *Picker) Pick(now time.Time, l Pool, n Requirements, tried []api.ServerName) (Choice, bool) {
 	all := p.candidates(now, l, n, tried)
 	if l.PreferDomain {
@@ -125,8 +130,8 @@
 	return best, true
 }
 
-// preferDomain gives those of some servers that are in the domain, or all where none of
-// them is to be had there.
+// preferDomain returns the candidates in the pool's domain, or all candidates if there is
+// none or all of them there are to be avoided.
 func (l Pool) preferDomain(all []Choice) []Choice {
 	n := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Domain != l.Domain || c.Score >= avoidPenalty })
 	if len(n) == 0 {
@@ -135,7 +140,7 @@
 	return n
 }
 
-// candidates gives the servers that may take a need with their scores.
+// candidates returns the servers that can take a request, with their scores.
 func (p *Picker) candidates(now time.Time, l Pool, n Requirements, tried []api.ServerName) []Choice {
 	var all []Choice
 	poolFailureRate := p.Health.meanFailureRate(serverNames(l.Members))
@@ -150,8 +155,8 @@
 	return all
 }
 
-// mayReceive reports whether a server may be sent another request: one that rests none, a cold one
-// and an engine that has named a limit only so many a second.
+// mayReceive reports whether a server may be sent another request now: none during its
+// backoff, and a limited rate to a cold server or to an engine that has announced a limit.
 func (p *Picker) mayReceive(now time.Time, l Pool, m roster.Member) bool {
 	if l.ExcludeBackingOff && p.Backoffs.Active(now, m.Name) {
 		return false
@@ -163,7 +168,8 @@
 	return p.withinLimit(now, l, m)
 }
 
-// withinLimit reports whether another request to a server stays withinLimit the limit that it has named.
+// withinLimit reports whether another request stays within the rate limit that the server
+// has announced.
 func (p *Picker) withinLimit(now time.Time, l Pool, m roster.Member) bool {
 	r, ok := p.Limits.Find(m.Name)
 	switch {
@@ -172,14 +178,15 @@
 	case l.ExcludeLimited:
 		return false
 	case l.Memory == 0:
-		// Who paces the server is asked once it is chosen.
+		// The entry VM that paces a plain server is asked after the choice.
 		return true
 	default:
 		return !p.Pacer.Next(now, m.Name, l.throttleTerms(m, r)).After(now)
 	}
 }
 
-// throttleTerms are those of an engine that has named a limit.
+// throttleTerms returns the share of an engine's announced limit that this entry VM may
+// use.
 func (l Pool) throttleTerms(m roster.Member, r throttle.Rate) throttle.Terms {
 	t := throttle.Terms{Rate: r, Part: throttle.Alone, Members: l.Warmup.EntryVMs}
 	switch {
@@ -198,7 +205,7 @@
 	p.Pacer.Sent(now, n)
 }
 
-// Forget drops what is known of servers that are gone.
+// Forget drops the state of the servers that are not known.
 func (p *Picker) Forget(known func(n api.ServerName) bool) {
 	p.Health.Forget(known)
 	p.Sends.Forget(known)
@@ -208,15 +215,16 @@
 }
 
 const (
-	// minSample and sampleShare give the number of servers that are compared:
-	// all of a small pool for a few entry VMs, two for many. Loads are known some
-	// hundred ms late, and many that compare all servers meet at the best one.
+	// minSample and sampleBudget give the number of servers that are compared: minSample
+	// plus sampleBudget divided by the number of entry VMs. That is every server of a small
+	// pool for a few entry VMs, and two servers for many. Loads are known some hundred ms
+	// late, so many entry VMs that compare all servers would choose the same one.
 	minSample    = 2
 	sampleBudget = 48
 )
 
-// sample draws some of the servers, from those that are not to be avoided where
-// there are any.
+// sample returns a random sample of the candidates, from those not to be avoided if there
+// are any. With exact loads it returns all of these in random order.
 func (p *Picker) sample(now time.Time, l Pool, all []Choice) []Choice {
 	good := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Score >= avoidPenalty })
 	if len(good) == 0 {
@@ -229,7 +237,7 @@
 	return good[:min(len(good), minSample+sampleBudget/p.PlainLoads.EntryVMs(now))]
 }
 
-// load is what is known to be in flight at a server of a pool.
+// load returns the load that is known at a server of a pool.
 func (p *Picker) load(now time.Time, l Pool, n api.ServerName) api.ServerLoad {
 	if l.Memory > 0 {
 		return p.EngineLoads.Total(n)
@@ -237,8 +245,8 @@
 	return p.PlainLoads.Total(now, n)
 }
 
-// score rates a server, lower is better; it reports false for an engine whose
-// memory is promised already.
+// score rates a server; lower is better. It returns false for an engine that has no memory
+// for the request or too much to read before it.
 func (p *Picker) score(now time.Time, l Pool, m roster.Member, n Requirements, poolFailureRate float64) (float64, bool) {
 	t := p.load(now, l, m.Name)
 	s := float64(t.Requests) / float64(max(1, m.Slots))
@@ -250,7 +258,7 @@
 		s = used + float64(t.Unread)/unreadScale
 	}
 	if !l.ExactLoads || m.Domain != l.Domain {
-		// Others may choose among the same engines.
+		// Other entry VMs may choose among the same servers.
 		s += jitter * p.random.Float64()
 	}
 	if m.Domain != l.Domain {
@@ -274,8 +282,8 @@
 	return s, true
 }
 
-// fits reports whether an engine with a load may take a need, with which so
-// much of its memory is promised.
+// fits reports whether an engine with load t can take a request; used is the share of its
+// memory that would be reserved.
 func (l Pool) fits(t api.ServerLoad, n Requirements, used float64) bool {
 	switch {
 	case used > maxMemoryShare:
@@ -288,22 +296,22 @@
 }
 
 const (
-	// maxBackupShare is the share of an engine's memory that may be promised with
-	// copies for runs elsewhere; what is above stays for runs of its own.
+	// maxBackupShare is the share of an engine's memory up to which backup copies of runs
+	// elsewhere are placed. Memory above it is for the engine's own runs.
 	maxBackupShare = 0.5
-	// minBackupLength is the expected length of an answer from which a run is worth
-	// a copy: about three seconds in which its server may end.
+	// minBackupLength is the expected answer length from which a run is worth a backup
+	// copy: about three seconds, during which its server may end.
 	minBackupLength = 300
 )
 
-// WorthBackup reports whether a run whose answer is expected to be so long is worth a
+// WorthBackup reports whether a run with this expected answer length is worth a backup
 // copy.
 func WorthBackup(expected api.Tokens) bool {
 	return expected >= minBackupLength
 }
 
-// PickBackup gives the server that is to keep a copy of a run as it grows, none of
-// those tried, or false where the run is short or memory is needed for runs
+// PickBackup chooses the server that holds the backup copy of a run, leaving out those
+// tried. It returns false if the run is too short or the memory is needed for the runs
 // themselves.
 func (p *Picker) PickBackup(now time.Time, l Pool, n Requirements, expected api.Tokens, tried []api.ServerName) (Choice, bool) {
 	if !WorthBackup(expected) {
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -17,7 +17,7 @@
 	return roster.Member{Server: roster.Server{Name: api.ServerName(n), Domain: d, Slots: 24}, State: s}
 }
 
-// coldMember is a server that is warm in so many seconds.
+// coldMember returns a server that is warm in s seconds.
 func coldMember(n string, s int) roster.Member {
 	m := member(n, "x", roster.Ready)
 	m.Warm = begin.Add(time.Duration(s) * time.Second)
@@ -37,37 +37,37 @@
 		tried        []api.ServerName
 		want         api.ServerName
 	}{
-		{"least memory promised", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+		{"least memory reserved", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Add("a", load(9000, 0))
 			p.EngineLoads.Add("b", load(3000, 0))
 		}, false, nil, "b"},
-		{"others' loads count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+		{"loads of other holders count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Update(begin, "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
 			p.EngineLoads.Add("a", load(3000, 0))
 		}, false, nil, "a"},
-		{"those of one unheard for long do not", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+		{"loads of a silent holder do not count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Update(begin.Add(-10*time.Second), "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
 			p.EngineLoads.Expire(begin)
 			p.EngineLoads.Add("a", load(3000, 0))
 		}, false, nil, "b"},
-		{"prompts to be read hold up", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+		{"unread prompts count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Add("a", load(3000, 3000))
 			p.EngineLoads.Add("b", load(6000, 0))
 		}, false, nil, "b"},
-		{"own domain on a tie", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(*placement.Picker) {}, false, nil, "b"},
+		{"local domain on a tie", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(*placement.Picker) {}, false, nil, "b"},
 		{"copies stay in a fuller domain", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Add("b", load(25000, 0))
 		}, true, nil, "b"},
-		{"copies leave a domain without room", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+		{"copies leave a domain without free memory", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Add("b", load(32000, 0))
 		}, true, nil, "a"},
-		{"copies leave a domain whose server rests", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+		{"copies leave a domain whose server is in a cooldown", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.Health.Record(begin, "b", placement.Lost)
 		}, true, nil, "a"},
 		{"cold servers wait until others are fuller", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Add("b", load(3000, 0))
 		}, false, nil, "b"},
-		{"cold servers help out full ones", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+		{"cold servers relieve full ones", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Add("b", load(20000, 0))
 		}, false, nil, "a"},
 		{"warm servers are as good as others", []roster.Member{coldMember("a", -1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
@@ -77,13 +77,13 @@
 		{"lapsed servers come last", []roster.Member{member("a", "x", roster.Lapsed), member("b", "y", roster.Ready)}, func(p *placement.Picker) {
 			p.EngineLoads.Add("b", load(20000, 0))
 		}, false, nil, "b"},
-		{"lapsed servers serve where no other does", []roster.Member{member("a", "x", roster.Lapsed)}, func(*placement.Picker) {}, false, nil, "a"},
-		{"servers that lost a request rest", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+		{"lapsed servers are used if there is no other", []roster.Member{member("a", "x", roster.Lapsed)}, func(*placement.Picker) {}, false, nil, "a"},
+		{"servers that lost a request are avoided", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
 			p.Health.Record(begin, "a", placement.Lost)
 			p.EngineLoads.Add("b", load(9000, 0))
 		}, false, nil, "b"},
 		{"tried servers are left out", []roster.Member{member("a", "x", roster.Ready)}, func(*placement.Picker) {}, false, []api.ServerName{"a"}, ""},
-		{"no room", []roster.Member{member("a", "x", roster.Ready)}, func(p *placement.Picker) { p.EngineLoads.Add("a", load(33000, 0)) }, false, nil, ""},
+		{"no free memory", []roster.Member{member("a", "x", roster.Ready)}, func(p *placement.Picker) { p.EngineLoads.Add("a", load(33000, 0)) }, false, nil, ""},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// A server that fails half of its requests is put behind, one that fails as
-// often as the others is not.
+// A server that fails half of its requests is avoided even if it is idle; servers that fail as
+// often as their pool are not.
 func TestServerFailingMoreThanItsPoolIsAvoided(t *testing.T) {
 	p := placement.NewPicker(rand.NewPCG(1, 2))
 	l := placement.Pool{Members: []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready), member("c", "x", roster.Ready)}, Domain: "x"}
@@ -147,7 +147,8 @@
 	}
 }
 
-// Sixty entry VMs that know the same must not all choose the one empty server.
+// Sixty entry VMs with the same reports must not all choose the one idle server, which would
+// overload it before they learn of each other's choices.
 func TestEntryVMsDoNotAllPickTheSameServer(t *testing.T) {
 	var l placement.Pool
 	l.Memory, l.Domain = 34000, "x"
@@ -165,12 +166,12 @@
 		got[s.Name]++
 	}
 	if got["s0"] > 10 {
-		t.Errorf("choices of the empty server: got %d of 60, want at most 10", got["s0"])
+		t.Errorf("choices of the idle server: got %d of 60, want at most 10", got["s0"])
 	}
 }
 
-// One that knows all loads as they are chooses the best of all servers, whatever
-// is drawn, and places one request after the other evenly.
+// With exact loads the least loaded server is chosen whatever the random draw, so that
+// successive requests spread evenly.
 func TestExactLoadsPickTheLeastLoadedServer(t *testing.T) {
 	l := placement.Pool{Memory: 34000, Domain: "x", ExactLoads: true}
 	for i := range 40 {
--- a/internal/decide/placement/prefill.go
+++ b/internal/decide/placement/prefill.go
@@ -6,29 +6,29 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// prefillRetention is the share of the past that one prompt leaves in force: about
-// twenty prompts decide, the last second of a busy VM.
+// prefillRetention is the weight that earlier prompts retain with each new one: about
+// twenty prompts determine the rate, the last second on a busy VM.
 const prefillRetention = 0.95
 
-// prefillShare is the part of a request's aim in which an engine has to read what is
-// before it and the request itself; what is left is for the wait at the entry
-// VM, the way, and the first token.
+// prefillShare is the part of a request's latency target within which an engine has to read
+// the prompts before it and the request's own. The remainder is for the wait at the entry
+// VM, the network, and the first token.
 const prefillShare = 0.65
 
-// PrefillRate learns how fast engines read prompts beside what else they do.
+// PrefillRate estimates how fast engines read prompts while they also generate tokens.
 type PrefillRate struct {
 	tokens, seconds float64
 }
 
-// Record takes the time until the first event of a request whose engine had so
-// many tokens to read, its own among them.
+// Record adds the time until a request's first event, and the number of prompt tokens that
+// the engine had to read until then, including the request's own.
 func (r *PrefillRate) Record(n api.Tokens, d time.Duration) {
 	r.tokens = r.tokens*prefillRetention + float64(n)
 	r.seconds = r.seconds*prefillRetention + d.Seconds()
 }
 
-// MaxTokens is the number of tokens that an engine may have to read for a request
-// with an aim; zero while nothing is known.
+// MaxTokens returns the number of prompt tokens that an engine can read within a request's
+// latency target; zero while the rate is unknown.
 func (r *PrefillRate) MaxTokens(target time.Duration) api.Tokens {
 	if r.seconds == 0 {
 		return 0
--- a/internal/decide/placement/warmup.go
+++ b/internal/decide/placement/warmup.go
@@ -10,35 +10,36 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// A server that has just started, or was cold otherwise, falls over at well above
-// the requests a second that its service bears cold. Each chooser keeps to a share of
-// that rate for each server, so that the sum stays below the rate without a word
-// between them: the entry VM that allocates an engine, even beside its successor
-// while both allocate, and all entry VMs that choose for themselves together.
+// A cold server, whether it has just started or is cold for another reason, fails at a rate well
+// above the one that its service is configured to take cold. Each entry VM that chooses a server
+// stays within a share of that rate, so that the sum holds without coordination. The shares are
+// those of the entry VM that allocates an engine, of its successor while both allocate, and of all
+// entry VMs together that choose for themselves.
 const (
-	// allocatorWarmupShare is the share of the entry VM that allocates an engine. Two of
-	// them and all others make 1.4, and operators allow half as much again as the
-	// rate. An engine reads six prompts of usual length a second at most, which half
-	// of a usual rate allows.
+	// allocatorWarmupShare is the share of the entry VM that allocates an engine. Two
+	// allocators and all other entry VMs add up to 1.4, and operators allow 1.5 times the
+	// rate. An engine reads at most six prompts of usual length a second, which half of a
+	// usual rate allows.
 	allocatorWarmupShare = 0.5
-	// independentWarmupShare is the share of all entry VMs that choose an engine themselves, as
-	// where no allocator answers.
+	// independentWarmupShare is the share of all entry VMs together that choose an engine
+	// themselves, for example because no allocator answers.
 	independentWarmupShare = 0.4
-	// plainWarmupShare is the share of all entry VMs at a plain server, which nobody
-	// allocates.
+	// plainWarmupShare is the share of all entry VMs together at a plain server, which has
+	// no allocator.
 	plainWarmupShare = 0.9
 )
 
-// Warmup is what a cold server of a pool bears, and how many choose among them.
+// Warmup is the request rate that a cold server of a pool can take, and the number of entry
+// VMs that share it.
 type Warmup struct {
 	// Rate is in requests a second; zero for no bound.
 	Rate float64
-	// EntryVMs counts the entry VMs.
+	// EntryVMs is the number of entry VMs that choose among the servers.
 	EntryVMs int
 }
 
-// warmupRate is the rate that this entry VM may send to a cold server of a pool, in
-// requests a second; zero for no bound.
+// warmupRate returns the rate at which this entry VM may send requests to a cold server of
+// a pool, in requests a second; zero for no bound.
 func (l Pool) warmupRate(m roster.Member) float64 {
 	w := l.Warmup
 	switch {
@@ -53,32 +54,33 @@
 	}
 }
 
-// coldPeriod is one time for which a server is cold.
+// coldPeriod is a period in which a server is cold.
 type coldPeriod struct {
 	until time.Time
-	// firstSend is when this entry VM may send its first request, drawn within the pause
-	// between two of them: entry VMs that send less than one a second must not all begin
-	// at once.
+	// firstSend is when this entry VM may send its first request, drawn at random from one
+	// interval between requests. Otherwise entry VMs that each send less than one request a
+	// second would all start at once.
 	firstSend time.Time
 }
 
-// SendHistory are the times of the requests that this entry VM sent, or granted to others,
-// by server.
+// SendHistory holds, by server, the times of the requests that this entry VM sent or
+// granted to others.
 type SendHistory struct {
 	times   map[api.ServerName][]time.Time
 	periods map[api.ServerName]coldPeriod
 	random  *rand.Rand
 }
 
-// NewSendHistory makes a record of none that draws from a source.
+// NewSendHistory returns an empty history that draws random numbers from r.
 func NewSendHistory(r *rand.Rand) *SendHistory {
 	return &SendHistory{times: map[api.ServerName][]time.Time{}, periods: map[api.ServerName]coldPeriod{}, random: r}
 }
 
-// Record takes a request to a server.
+// Record adds a request to a server.
 func (s *SendHistory) Record(now time.Time, n api.ServerName) {
 	l := s.times[n]
-	// The newest is kept however old it is: rates below one a second go by it.
+	// The newest time is always retained, since rates below one a second are checked
+	// against it.
 	old := max(0, len(l)-1)
 	for i, t := range l[:old] {
 		if now.Sub(t) < time.Second {
@@ -89,8 +91,8 @@
 	s.times[n] = append(slices.Delete(l, 0, old), now)
 }
 
-// withinRate reports whether another request to a server, cold until a time, stays within a
-// rate in each second.
+// withinRate reports whether another request to a server that is cold until the given time
+// stays within a rate, in requests a second.
 func (s *SendHistory) withinRate(now time.Time, n api.ServerName, until time.Time, rate float64) bool {
 	l := s.times[n]
 	if rate < 1 {
@@ -106,7 +108,7 @@
 	return sent < int(rate)
 }
 
-// firstSendTime is when the first request may be sent in the present period.
+// firstSendTime returns when the first request may be sent in the current cold period.
 func (s *SendHistory) firstSendTime(now time.Time, n api.ServerName, until time.Time, interval time.Duration) time.Time {
 	p := s.periods[n]
 	if !now.Before(p.until) {
@@ -117,7 +119,7 @@
 	return p.firstSend
 }
 
-// Forget drops what is known of servers that are gone.
+// Forget drops the history of servers that are not known.
 func (s *SendHistory) Forget(known func(n api.ServerName) bool) {
 	gone := func(n api.ServerName) bool { return !known(n) }
 	maps.DeleteFunc(s.times, func(n api.ServerName, _ []time.Time) bool { return gone(n) })
--- a/internal/decide/placement/warmup_test.go
+++ b/internal/decide/placement/warmup_test.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// cold is one cold server and one that is warm but full of what is tried.
+// coldPool returns a pool with one cold server.
 func coldPool(engine, exact bool, rate float64, vms int) placement.Pool {
 	l := placement.Pool{
 		Domain: "x", ExactLoads: exact, Warmup: placement.Warmup{Rate: rate, EntryVMs: vms},
@@ -22,8 +22,8 @@
 	return l
 }
 
-// Whoever chooses, and however many, a cold server gets no more than it bears in any
-// second: the allocator, its successor and all who choose alone, together.
+// The allocator, its successor and all entry VMs that choose for themselves must together send a
+// cold server no more requests in any second than operators allow; more of them overload it.
 func TestColdServersStayWithinWarmupRate(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 4, 27, 200} {
 		for _, vms := range []int{1, 6, 66, 295} {
@@ -35,7 +35,7 @@
 			for ms := 0; ms < 4000; ms += 5 {
 				now := time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond)
 				for i, p := range pickers {
-					// The first two allocate, the others choose for themselves.
+					// The first two VMs allocate, the others choose for themselves.
 					l := coldPool(true, i < 2, rate, vms)
 					if _, ok := p.Pick(now, l, placement.Requirements{Tokens: 1}, nil); ok {
 						p.Sends.Record(now, "a")
@@ -43,18 +43,18 @@
 					}
 				}
 			}
-			// Operators allow half as much again as the rate, and five more.
+			// Operators allow 1.5 times the rate, plus five requests.
 			if got, bound := maxPerSecond(times), 1.5*rate+5; float64(got) > bound {
-				t.Errorf("rate %v, %d choosers: got %d in a second, want %v at most", rate, vms, got, bound)
+				t.Errorf("rate %v, %d entry VMs: got %d requests in a second, want at most %v", rate, vms, got, bound)
 			}
 			if len(times) == 0 {
-				t.Errorf("rate %v, %d choosers: got none, want some", rate, vms)
+				t.Errorf("rate %v, %d entry VMs: got no requests, want some", rate, vms)
 			}
 		}
 	}
 }
 
-// maxPerSecond is the largest number of times within one second.
+// maxPerSecond returns the largest number of times within one second.
 func maxPerSecond(l []time.Time) int {
 	n, from := 0, 0
 	for i, t := range l {
@@ -76,10 +76,10 @@
 	}{
 		{"an engine below the allocator's share", coldPool(true, true, 4, 9), 1, true},
 		{"an engine at the allocator's share", coldPool(true, true, 4, 9), 2, false},
-		{"an engine that another one allocates", coldPool(true, false, 4, 1), 1, false},
+		{"an engine that another entry VM allocates", coldPool(true, false, 4, 1), 1, false},
 		{"a plain server below the share", coldPool(false, false, 10, 3), 2, true},
 		{"a plain server at the share", coldPool(false, false, 10, 3), 3, false},
-		{"no bound", coldPool(true, true, 0, 9), 100, true},
+		{"no rate", coldPool(true, true, 0, 9), 100, true},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -92,13 +92,14 @@
 			}
 			c.pool.Members[0].Warm = now
 			if _, got := p.Pick(now.Add(500*time.Millisecond), c.pool, placement.Requirements{}, nil); !got {
-				t.Error("once it is warm: got it not chosen, want it chosen")
+				t.Error("once warm: got the server not chosen, want it chosen")
 			}
 		})
 	}
 }
 
-// A domain without engines sends its requests on even where others wait.
+// Requests of a domain without engines are forwarded even if requests wait in all others;
+// otherwise nothing serves them.
 func TestFallbackOfDomainWithoutEngines(t *testing.T) {
 	d := placement.NewRemotePools()
 	now := time.Unix(100, 0)
@@ -106,9 +107,9 @@
 	d.Update(now, "z", map[api.ServiceName]api.PoolLoad{"s": {Engines: 4, Tokens: 3000, Waiting: 1}})
 	d.Update(now, "w", map[api.ServiceName]api.PoolLoad{"s": {}})
 	if got, ok := d.LessLoaded(now, "s", 1000, placement.Requirements{Tokens: 10}, nil); ok {
-		t.Errorf("better: got %s, want none while requests wait everywhere", got)
+		t.Errorf("LessLoaded: got %s, want none while requests wait everywhere", got)
 	}
 	if got, ok := d.Fallback(now, "s", 1000, placement.Requirements{Tokens: 10}); !ok || got != "z" {
-		t.Errorf("instead: got %s %v, want z", got, ok)
+		t.Errorf("Fallback: got %s %v, want z", got, ok)
 	}
 }
