--- a/internal/decide/holder/holder_test.go
+++ b/internal/decide/holder/holder_test.go
@@ -11,8 +11,8 @@
 
 var begin = time.Unix(100, 0)
 
-func TestAsks(t *testing.T) {
-	var a holder.Asks
+func TestRequestsTrackPending(t *testing.T) {
+	var a holder.Requests
 	first, second := a.Begin(), a.Begin()
 	a.End(first)
 	last, open := a.State()
@@ -21,9 +21,9 @@
 	}
 }
 
-func TestReports(t *testing.T) {
+func TestReportsAreSentWhenDue(t *testing.T) {
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
-	r := holder.NewReports()
+	r := holder.NewReportSchedule()
 	steps := []struct {
 		name string
 		do   func()
@@ -32,9 +32,9 @@
 		want bool
 	}{
 		{"nothing is held", func() {}, 0, "a", false},
-		{"a grant counts already", func() { r.Granted(at(0), "x") }, 10, "a", false},
+		{"a grant counts already", func() { r.GrantReceived(at(0), "x") }, 10, "a", false},
 		{"a grant that was taken a while ago", func() {}, 500, "a", true},
-		{"one is under way", func() { r.Changed(at(510), "x") }, 520, "a", false},
+		{"one is under way", func() { r.ScheduleReport(at(510), "x") }, 520, "a", false},
 		{"the next one", func() { r.End(at(530), "x", false) }, 530, "a", true},
 		{"nothing has changed", func() { r.End(at(540), "x", false) }, 600, "a", false},
 		{"another allocator", func() {}, 610, "b", true},
@@ -52,9 +52,9 @@
 	}
 }
 
-func TestContacts(t *testing.T) {
-	c := holder.NewContacts()
-	c.Failed(begin, "a")
+func TestReachabilitySkipsFailedVMs(t *testing.T) {
+	c := holder.NewReachability()
+	c.RecordFailure(begin, "a")
 	if got := c.Usable(begin.Add(time.Millisecond), []string{"a", "b", ""}); len(got) != 2 || got[0] != "b" || got[1] != "" {
 		t.Errorf("just after a failure: got %q, want the others", got)
 	}
@@ -64,10 +64,10 @@
 }
 
 // Who allocates a domain itself has nobody to tell.
-func TestReportsToNobody(t *testing.T) {
-	r := holder.NewReports()
-	r.Changed(begin, "x")
-	r.Own(begin, "x")
+func TestNoReportToLocalAllocator(t *testing.T) {
+	r := holder.NewReportSchedule()
+	r.ScheduleReport(begin, "x")
+	r.AllocatedLocally(begin, "x")
 	if got := r.Due(begin.Add(time.Millisecond)); len(got) != 0 {
 		t.Errorf("due: got %v, want nothing", got)
 	}
@@ -77,30 +77,30 @@
 }
 
 // What was seen is told once, and to the allocator that it is about.
-func TestObservations(t *testing.T) {
+func TestObservationsAreReportedOnce(t *testing.T) {
 	o := holder.NewObservations()
-	o.Read("x", "s", 3000, 400*time.Millisecond)
-	o.Read("x", "s", 1000, 100*time.Millisecond)
-	o.Read("y", "s", 9000, time.Second)
-	o.Met("x", "e", placement.Lost)
-	o.Met("x", "e", placement.Served)
-	o.Met("x", "e", placement.Lost)
-	o.Met("x", "f", placement.Full)
-	o.Met("x", "f", placement.Failed)
+	o.RecordPrefill("x", "s", 3000, 400*time.Millisecond)
+	o.RecordPrefill("x", "s", 1000, 100*time.Millisecond)
+	o.RecordPrefill("y", "s", 9000, time.Second)
+	o.RecordOutcome("x", "e", placement.Lost)
+	o.RecordOutcome("x", "e", placement.Served)
+	o.RecordOutcome("x", "e", placement.Lost)
+	o.RecordOutcome("x", "f", placement.Full)
+	o.RecordOutcome("x", "f", placement.Failed)
 	got := o.Take("x")
-	if x, want := got.Read["s"], (api.ReadTime{Tokens: 4000, MS: 500}); x != want {
+	if x, want := got.Prefill["s"], (api.ReadTime{Tokens: 4000, MS: 500}); x != want {
 		t.Errorf("times to read: got %+v, want %+v", x, want)
 	}
-	if x, want := got.Met["e"], (api.Outcomes{Served: 1, Lost: 2}); x != want {
+	if x, want := got.Outcomes["e"], (api.Outcomes{Served: 1, Lost: 2}); x != want {
 		t.Errorf("met at one engine: got %+v, want %+v", x, want)
 	}
-	if x, want := got.Met["f"], (api.Outcomes{Full: 1, Failed: 1}); x != want {
+	if x, want := got.Outcomes["f"], (api.Outcomes{Full: 1, Failed: 1}); x != want {
 		t.Errorf("met at another: got %+v, want %+v", x, want)
 	}
-	if x := o.Take("x"); len(x.Read) != 0 || len(x.Met) != 0 {
+	if x := o.Take("x"); len(x.Prefill) != 0 || len(x.Outcomes) != 0 {
 		t.Errorf("a second time: got %+v, want nothing", x)
 	}
-	if x := o.Take("y").Read["s"].Tokens; x != 9000 {
+	if x := o.Take("y").Prefill["s"].Tokens; x != 9000 {
 		t.Errorf("the other domain: got %d tokens, want 9000", x)
 	}
 }
--- a/internal/decide/holder/observations.go
+++ b/internal/decide/holder/observations.go
@@ -7,49 +7,49 @@
 	"github.com/wardridge/wardridge/internal/decide/placement"
 )
 
-// Observed is what was seen of the engines of one failure domain.
-type Observed struct {
-	// Read is how long they took to read prompts, by service.
-	Read map[api.ServiceName]api.ReadTime
-	// Met is what requests met there, by engine.
-	Met map[api.ServerName]api.Outcomes
+// DomainObservations is what was seen of the engines of one failure domain.
+type DomainObservations struct {
+	// Prefill is how long they took to read prompts, by service.
+	Prefill map[api.ServiceName]api.ReadTime
+	// Outcomes is what requests met there, by engine.
+	Outcomes map[api.ServerName]api.Outcomes
 }
 
 // Observations keeps what was seen of engines until the next report to their
 // allocator: who chooses for all has to know what each meets.
 type Observations struct {
-	domains map[api.DomainName]Observed
+	domains map[api.DomainName]DomainObservations
 }
 
 // NewObservations makes a record of nothing.
 func NewObservations() *Observations {
-	return &Observations{domains: map[api.DomainName]Observed{}}
+	return &Observations{domains: map[api.DomainName]DomainObservations{}}
 }
 
-func (o *Observations) domain(d api.DomainName) Observed {
+func (o *Observations) domain(d api.DomainName) DomainObservations {
 	x, ok := o.domains[d]
 	if !ok {
-		x = Observed{Read: map[api.ServiceName]api.ReadTime{}, Met: map[api.ServerName]api.Outcomes{}}
+		x = DomainObservations{Prefill: map[api.ServiceName]api.ReadTime{}, Outcomes: map[api.ServerName]api.Outcomes{}}
 		o.domains[d] = x
 	}
 	return x
 }
 
-// Read notes how long an engine of a service took until the first event of a
+// RecordPrefill notes how long an engine of a service took until the first event of a
 // request, with so many tokens to read.
-func (o *Observations) Read(d api.DomainName, s api.ServiceName, n api.Tokens, took time.Duration) {
-	r := o.domain(d).Read
+func (o *Observations) RecordPrefill(d api.DomainName, s api.ServiceName, n api.Tokens, took time.Duration) {
+	r := o.domain(d).Prefill
 	x := r[s]
 	x.Tokens += n
 	x.MS += int(took.Milliseconds())
 	r[s] = x
 }
 
-// Met notes what a request met at an engine.
-func (o *Observations) Met(d api.DomainName, n api.ServerName, met placement.Outcome) {
-	m := o.domain(d).Met
+// RecordOutcome notes what a request met at an engine.
+func (o *Observations) RecordOutcome(d api.DomainName, n api.ServerName, outcome placement.Outcome) {
+	m := o.domain(d).Outcomes
 	x := m[n]
-	switch met {
+	switch outcome {
 	case placement.Served:
 		x.Served++
 	case placement.Full:
@@ -64,7 +64,7 @@
 
 // Take gives what was seen in a domain since the last time. Where the report that
 // carries it is lost, so is this: it is of one entry VM, and soon of the past.
-func (o *Observations) Take(d api.DomainName) Observed {
+func (o *Observations) Take(d api.DomainName) DomainObservations {
 	x := o.domains[d]
 	delete(o.domains, d)
 	return x
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -75,7 +75,7 @@
 	if n := l.load.Unread; n > 0 {
 		d := time.Since(l.at)
 		g.admission(q.service.Name).reading.Record(l.ahead+n, d)
-		g.observations.Read(l.domain, q.service.Name, l.ahead+n, d)
+		g.observations.RecordPrefill(l.domain, q.service.Name, l.ahead+n, d)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,15 +83,15 @@
 	// domains is what the allocators of other failure domains tell, contacts which
 	// of them did not answer.
 	domains  *placement.RemotePools
-	contacts *holder.Contacts
+	contacts *holder.Reachability
 	// fleet knows whether a part of the entry VMs may be behind a cut.
 	fleet throttle.Fleet
 	// incarnation, sequence, asks, reports and observations are of what this entry VM
 	// tells allocators.
 	incarnation  api.Incarnation
 	sequence     int
-	asks         holder.Asks
-	reports      *holder.Reports
+	asks         holder.Requests
+	reports      *holder.ReportSchedule
 	observations *holder.Observations
 	// answers are what servers of silent streams said; inquiries lets one
 	// question serve all streams of a server.
@@ -112,7 +112,7 @@
 		p.Contents = contents.New(p.Log, p.Metrics)
 	}
 	g := &Gateway{
-		domains: placement.NewRemotePools(), contacts: holder.NewContacts(), reports: holder.NewReports(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
+		domains: placement.NewRemotePools(), contacts: holder.NewReachability(), reports: holder.NewReportSchedule(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
 		Parts: p, roster: roster.New(), picker: placement.NewPicker(rand.NewPCG(p.Seed, 0)),
 		runs: map[api.ServerName]map[*run]bool{}, admissions: map[api.ServiceName]*admission{},
 		answers: silence.NewAnswers(), watchdog: newWatchdog(),
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -27,10 +27,10 @@
 		h.Loads[string(n)] = l
 	}
 	o := g.observations.Take(d)
-	for n, x := range o.Read {
+	for n, x := range o.Prefill {
 		h.Read[string(n)] = x
 	}
-	for n, x := range o.Met {
+	for n, x := range o.Outcomes {
 		h.Met[string(n)] = x
 	}
 	return h
@@ -73,7 +73,7 @@
 func (g *Gateway) tellNobody(d api.DomainName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.reports.Own(time.Now(), d)
+	g.reports.AllocatedLocally(time.Now(), d)
 	g.observations.Take(d)
 }
 
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -198,7 +198,7 @@
 
 // noteSilent passes an allocator over for a while; the mutex is held.
 func (g *Gateway) noteSilent(address string, err error) {
-	g.contacts.Failed(time.Now(), address)
+	g.contacts.RecordFailure(time.Now(), address)
 	g.Log.Emit(event.AllocatorSilent, zap.String("address", address), zap.Error(err))
 }
 
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -137,7 +137,7 @@
 	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, at: now}
 	if engine {
 		l.ahead = g.picker.EngineLoads.Total(s.Name).Unread
-		g.reports.Granted(now, s.Domain)
+		g.reports.GrantReceived(now, s.Domain)
 	}
 	l.add(x)
 	if x.Requests > 0 {
@@ -213,7 +213,7 @@
 	l.load.Tokens += x.Tokens
 	l.load.Unread += x.Unread
 	if l.engine {
-		l.gateway.reports.Changed(now, l.domain)
+		l.gateway.reports.ScheduleReport(now, l.domain)
 		l.gateway.letIn(now)
 	}
 }
@@ -230,9 +230,9 @@
 	if !g.isEngine(s) {
 		return
 	}
-	g.observations.Met(s.Domain, s.Name, o)
+	g.observations.RecordOutcome(s.Domain, s.Name, o)
 	if o != placement.Served {
-		g.reports.Changed(now, s.Domain)
+		g.reports.ScheduleReport(now, s.Domain)
 	}
 }
 
