--- a/internal/decide/holder/doc.go
+++ b/internal/decide/holder/doc.go
@@ -1,3 +1,4 @@
-// Package holder decides what an entry VM that holds places at engines tells the
-// entry VMs that allocate them, when, and whom it asks. The hosted gateway calls it.
+// Package holder decides what an entry VM that holds places at engines reports to the entry
+// VMs that allocate these engines, when it reports, and which allocators it can use. The
+// hosted gateway calls it.
 package holder
--- a/internal/decide/holder/observations.go
+++ b/internal/decide/holder/observations.go
@@ -7,21 +7,21 @@
 	"github.com/wardridge/wardridge/internal/decide/placement"
 )
 
-// DomainObservations is what was seen of the engines of one failure domain.
+// DomainObservations is what this entry VM observed at the engines of one failure domain.
 type DomainObservations struct {
-	// Prefill is how long they took to read prompts, by service.
+	// Prefill is the time that engines took to read prompts, by service.
 	Prefill map[api.ServiceName]api.ReadTime
-	// Outcomes is what requests met there, by engine.
+	// Outcomes counts how requests ended, by engine.
 	Outcomes map[api.ServerName]api.Outcomes
 }
 
-// Observations keeps what was seen of engines until the next report to their
-// allocator: who chooses for all has to know what each meets.
+// Observations collects observations of engines until the next report to their allocator,
+// which needs those of all entry VMs because it chooses engines for all of them.
 type Observations struct {
 	domains map[api.DomainName]DomainObservations
 }
 
-// NewObservations makes a record of nothing.
+// NewObservations returns an empty record.
 func NewObservations() *Observations {
 	return &Observations{domains: map[api.DomainName]DomainObservations{}}
 }
@@ -35,8 +35,8 @@
 	return x
 }
 
-// RecordPrefill notes how long an engine of a service took until the first event of a
-// request, with so many tokens to read.
+// RecordPrefill adds the time until the first event of a request at an engine of a service,
+// and the number of prompt tokens that the engine had to read until then.
 func (o *Observations) RecordPrefill(d api.DomainName, s api.ServiceName, n api.Tokens, took time.Duration) {
 	r := o.domain(d).Prefill
 	x := r[s]
@@ -45,7 +45,7 @@
 	r[s] = x
 }
 
-// RecordOutcome notes what a request met at an engine.
+// RecordOutcome adds the outcome of a request at an engine.
 func (o *Observations) RecordOutcome(d api.DomainName, n api.ServerName, outcome placement.Outcome) {
 	m := o.domain(d).Outcomes
 	x := m[n]
@@ -62,8 +62,8 @@
 	m[n] = x
 }
 
-// Take gives what was seen in a domain since the last time. Where the report that
-// carries it is lost, so is this: it is of one entry VM, and soon of the past.
+// Take returns and removes the observations in a domain. If the report that carries them is
+// lost, so are they: they come from a single entry VM and are soon out of date.
 func (o *Observations) Take(d api.DomainName) DomainObservations {
 	x := o.domains[d]
 	delete(o.domains, d)
--- a/internal/decide/holder/reachability.go
+++ b/internal/decide/holder/reachability.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// failureTTL is how long an entry VM that did not answer an ask is passed over:
-// an ask in vain costs a request up to a fifth of a second, and peers know within
-// two seconds that a VM is gone.
+// failureTTL is how long an entry VM that did not answer is left out. A request that gets
+// no answer costs up to a fifth of a second, and peers learn within two seconds that a VM
+// is gone.
 const failureTTL = time.Second
 
-// Reachability remembers which entry VMs did not answer.
+// Reachability tracks which entry VMs did not answer, by address.
 type Reachability struct {
 	retryAt map[string]time.Time
 }
 
-// NewReachability makes a record of no failures.
+// NewReachability returns an empty record.
 func NewReachability() *Reachability {
 	return &Reachability{retryAt: map[string]time.Time{}}
 }
 
-// RecordFailure notes that the VM at an address did not answer.
+// RecordFailure notes that the entry VM at an address did not answer.
 func (c *Reachability) RecordFailure(now time.Time, address string) {
 	c.retryAt[address] = now.Add(failureTTL)
 }
 
-// Usable lists those of some addresses that did not lately fail.
+// Usable returns the addresses that have not failed within failureTTL, in the order given.
 func (c *Reachability) Usable(now time.Time, l []string) []string {
 	var u []string
 	for _, a := range l {
--- a/internal/decide/holder/reports.go
+++ b/internal/decide/holder/reports.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// refreshInterval is the pause between reports of a holder whose loads stand
-	// still: a third of the time after which it counts as gone (placement.Ledger).
+	// refreshInterval is the interval between reports of a holder whose loads do not
+	// change: a third of the time after which the holder counts as gone (placement.Ledger).
 	refreshInterval = time.Second
-	// grantReportDelay is how long a grant that was taken may stay unreported, since it
-	// counts already where it was made; most are read by then, which is reported
-	// along with it.
+	// grantReportDelay is how long a grant may stay unreported, since it already counts at
+	// the allocator that made it. Most prompts are read by then, so that one report covers
+	// both changes.
 	grantReportDelay = 400 * time.Millisecond
 )
 
-// reportState is what was reported to a failure domain's allocator.
+// reportState is the state of the reports to one failure domain's allocator.
 type reportState struct {
-	// due is when the next change has to be reported; zero for none.
+	// due is when the next change has to be reported; zero if there is none.
 	due time.Time
-	// sentAt is when the last report was sent, and to which address.
+	// sentAt is when the last report was sent, and sentTo the address that it was sent to.
 	sentAt   time.Time
 	sentTo   string
 	inFlight bool
 }
 
-// ReportSchedule decides when a holder reports what it holds to which allocator.
+// ReportSchedule decides when a holder sends a report, and to which allocator.
 type ReportSchedule struct {
 	domains map[api.DomainName]*reportState
 }
 
-// NewReportSchedule makes a record of no reports.
+// NewReportSchedule returns an empty schedule.
 func NewReportSchedule() *ReportSchedule {
 	return &ReportSchedule{domains: map[api.DomainName]*reportState{}}
 }
@@ -45,23 +45,26 @@
 	return s
 }
 
-// GrantReceived notes that the loads in a domain changed by a grant.
+// GrantReceived makes a report due within grantReportDelay, after the loads in a domain
+// changed by a grant.
 func (r *ReportSchedule) GrantReceived(now time.Time, d api.DomainName) {
 	r.state(d).scheduleBy(now.Add(grantReportDelay))
 }
 
-// ScheduleReport notes that the loads in a domain changed.
+// ScheduleReport makes a report due now, after the loads or the observations in a domain
+// changed.
 func (r *ReportSchedule) ScheduleReport(now time.Time, d api.DomainName) {
 	r.state(d).scheduleBy(now)
 }
 
+// scheduleBy makes a report due at t unless one is due earlier.
 func (s *reportState) scheduleBy(t time.Time) {
 	if s.due.IsZero() || t.Before(s.due) {
 		s.due = t
 	}
 }
 
-// Due lists the failure domains whose allocators may have to be told.
+// Due returns the failure domains to whose allocators a report may be due.
 func (r *ReportSchedule) Due(now time.Time) []api.DomainName {
 	var l []api.DomainName
 	for d, s := range r.domains {
@@ -72,14 +75,14 @@
 	return l
 }
 
-// changeDue reports whether a change is to be reported now.
+// changeDue reports whether a change has to be reported now.
 func (s *reportState) changeDue(now time.Time) bool {
 	return !s.due.IsZero() && !now.Before(s.due)
 }
 
-// Begin reports whether a report is due to a domain's allocator at an address,
-// and takes it as sent: a change, or all that is held to a new allocator or after
-// a while.
+// Begin reports whether a report to a domain's allocator at an address is due, and if so
+// marks it as in flight. It is due for a change, and while load is held also for a new
+// allocator or after refreshInterval.
 func (r *ReportSchedule) Begin(now time.Time, d api.DomainName, to string, holds bool) bool {
 	s := r.state(d)
 	refresh := holds && (to != s.sentTo || now.Sub(s.sentAt) >= refreshInterval)
@@ -90,14 +93,14 @@
 	return true
 }
 
-// AllocatedLocally notes that this entry VM allocates a domain's engines itself, so that there
-// is nobody to report to.
+// AllocatedLocally notes that this entry VM allocates a domain's engines itself, so that no
+// report is due.
 func (r *ReportSchedule) AllocatedLocally(now time.Time, d api.DomainName) {
 	s := r.state(d)
 	s.due, s.sentAt, s.sentTo = time.Time{}, now, ""
 }
 
-// End notes what became of a report; one that failed is made again.
+// End notes the result of a report. A failed report is due again at once.
 func (r *ReportSchedule) End(now time.Time, d api.DomainName, failed bool) {
 	s := r.state(d)
 	s.inFlight = false
