--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -10,9 +10,9 @@
 
 // A stream of 230 events that came 4 s after the signal was taken and cut at
 // the end of the process.
-func TestTakesStream(t *testing.T) {
-	began := time.Unix(100, 0)
-	s := drain.Stop{Began: began, End: began.Add(7600 * time.Millisecond)}
+func TestAdmitsOnlyStreamsThatFinishInTime(t *testing.T) {
+	start := time.Unix(100, 0)
+	s := drain.Stop{Start: start, End: start.Add(7600 * time.Millisecond)}
 	tests := []struct {
 		name            string
 		after           time.Duration
@@ -31,19 +31,19 @@
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			if got := s.TakesStream(began.Add(c.after), c.expected, c.limit); got != c.want {
+			if got := s.AdmitsStream(start.Add(c.after), c.expected, c.limit); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestTakesCall(t *testing.T) {
+func TestAdmitsOnlyCallsThatFinishInTime(t *testing.T) {
 	s := drain.Stop{End: time.Unix(100, 0)}
-	if got := s.TakesCall(time.Unix(97, 0)); !got {
+	if got := s.AdmitsCall(time.Unix(97, 0)); !got {
 		t.Error("3 s before the end: got false, want true")
 	}
-	if got := s.TakesCall(time.Unix(99, 0)); got {
+	if got := s.AdmitsCall(time.Unix(99, 0)); got {
 		t.Error("1 s before the end: got true, want false")
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -129,7 +129,7 @@
 // Stop turns the readiness before the process ends at a time; requests that
 // still come are served where they will be over by then.
 func (g *Gateway) Stop(end time.Time) {
-	g.stop.Store(&drain.Stop{Began: time.Now(), End: end})
+	g.stop.Store(&drain.Stop{Start: time.Now(), End: end})
 }
 
 // Stopping reports whether the process is about to end.
@@ -280,9 +280,9 @@
 	if s == nil {
 		return nil
 	}
-	takes := s.TakesCall(time.Now())
+	takes := s.AdmitsCall(time.Now())
 	if x.Kind == directory.Stream {
-		takes = s.TakesStream(time.Now(), r.Prompt.Expected, r.Prompt.Limit)
+		takes = s.AdmitsStream(time.Now(), r.Prompt.Expected, r.Prompt.Limit)
 	}
 	if takes {
 		return nil
