--- a/internal/decide/drain/doc.go
+++ b/internal/decide/drain/doc.go
@@ -1,3 +1,3 @@
-// Package drain decides which requests an entry VM that is stopping still
-// takes: only those that will be over before it ends.
+// Package drain decides which requests an entry VM still admits during a planned stop: only
+// those that will finish before the process ends.
 package drain
--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -8,8 +8,8 @@
 	"github.com/wardridge/wardridge/internal/decide/drain"
 )
 
-// A stream of 230 events that came 4 s after the signal was taken and cut at
-// the end of the process.
+// A stream that is admitted too late is cut off when the process ends, as a stream of 230
+// events was that arrived 4 s after the stop signal.
 func TestAdmitsOnlyStreamsThatFinishInTime(t *testing.T) {
 	start := time.Unix(100, 0)
 	s := drain.Stop{Start: start, End: start.Add(7600 * time.Millisecond)}
@@ -24,10 +24,10 @@
 		{"short answer at the signal", 0, 14, 48, true},
 		{"short answer late", 4 * time.Second, 14, 48, true},
 		{"short answer at the end", 7 * time.Second, 14, 48, false},
-		{"unknown length counts as the longest", 0, 0, 2184, false},
-		{"guess that may be far off", 0, 160, 2184, false},
-		{"small guess at the signal", 0, 60, 2184, true},
-		{"small guess when callers had time to go elsewhere", 3700 * time.Millisecond, 60, 2184, false},
+		{"unknown length counts as the limit", 0, 0, 2184, false},
+		{"estimate that may be far off", 0, 160, 2184, false},
+		{"short estimate at the signal", 0, 60, 2184, true},
+		{"short estimate after callers had time to switch to another VM", 3700 * time.Millisecond, 60, 2184, false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
