--- a/internal/decide/holder/reachability.go
+++ b/internal/decide/holder/reachability.go
@@ -18,19 +18,19 @@
 }
 
 // RecordFailure notes that the entry VM at an address did not answer.
-func (c *Reachability) RecordFailure(now time.Time, address string) {
-	c.retryAt[address] = now.Add(failureTTL)
+func (r *Reachability) RecordFailure(now time.Time, address string) {
+	r.retryAt[address] = now.Add(failureTTL)
 }
 
 // Usable returns the addresses that have not failed within failureTTL, in the order given.
-func (c *Reachability) Usable(now time.Time, l []string) []string {
+func (r *Reachability) Usable(now time.Time, l []string) []string {
 	var u []string
 	for _, a := range l {
-		t, ok := c.retryAt[a]
+		t, ok := r.retryAt[a]
 		if ok && now.Before(t) {
 			continue
 		}
-		delete(c.retryAt, a)
+		delete(r.retryAt, a)
 		u = append(u, a)
 	}
 	return u
--- a/internal/decide/holder/requests.go
+++ b/internal/decide/holder/requests.go
@@ -14,18 +14,18 @@
 }
 
 // Begin returns the number of a new request, which is then pending.
-func (a *Requests) Begin() placement.RequestNumber {
-	a.last++
-	a.pending = append(a.pending, a.last)
-	return a.last
+func (r *Requests) Begin() placement.RequestNumber {
+	r.last++
+	r.pending = append(r.pending, r.last)
+	return r.last
 }
 
 // End marks a request as no longer pending.
-func (a *Requests) End(n placement.RequestNumber) {
-	a.pending = slices.DeleteFunc(a.pending, func(x placement.RequestNumber) bool { return x == n })
+func (r *Requests) End(n placement.RequestNumber) {
+	r.pending = slices.DeleteFunc(r.pending, func(x placement.RequestNumber) bool { return x == n })
 }
 
 // State returns the last request begun and the pending ones.
-func (a *Requests) State() (placement.RequestNumber, []placement.RequestNumber) {
-	return a.last, slices.Clone(a.pending)
+func (r *Requests) State() (placement.RequestNumber, []placement.RequestNumber) {
+	return r.last, slices.Clone(r.pending)
 }
--- a/internal/decide/placement/backoff.go
+++ b/internal/decide/placement/backoff.go
@@ -30,20 +30,20 @@
 
 // Add records that a server asked for a backoff. It extends a current one, and never
 // shortens it.
-func (r *Backoffs) Add(now time.Time, n api.ServerName, d time.Duration) {
-	x, ok := r.backoffs[n]
+func (b *Backoffs) Add(now time.Time, n api.ServerName, d time.Duration) {
+	x, ok := b.backoffs[n]
 	if !ok || !now.Before(x.until) {
 		x = backoff{allowance: backoffAllowance}
 	}
 	x.until = later(x.until, now.Add(d))
-	r.backoffs[n] = x
+	b.backoffs[n] = x
 }
 
 // Active reports whether a server is in a backoff.
-func (r *Backoffs) Active(now time.Time, n api.ServerName) bool {
-	x, ok := r.backoffs[n]
+func (b *Backoffs) Active(now time.Time, n api.ServerName) bool {
+	x, ok := b.backoffs[n]
 	if ok && !now.Before(x.until) {
-		delete(r.backoffs, n)
+		delete(b.backoffs, n)
 		return false
 	}
 	return ok
@@ -51,23 +51,23 @@
 
 // TakeAllowance reports whether a request that only this server can take may be sent to it.
 // During a backoff it uses up one request of the allowance.
-func (r *Backoffs) TakeAllowance(now time.Time, n api.ServerName) bool {
-	if !r.Active(now, n) {
+func (b *Backoffs) TakeAllowance(now time.Time, n api.ServerName) bool {
+	if !b.Active(now, n) {
 		return true
 	}
-	x := r.backoffs[n]
+	x := b.backoffs[n]
 	if x.allowance == 0 {
 		return false
 	}
 	x.allowance--
-	r.backoffs[n] = x
+	b.backoffs[n] = x
 	return true
 }
 
 // ActiveAmong returns those of the servers that are in a backoff and, if no other one takes
 // requests, the time until the first backoff ends; otherwise zero.
-func (r *Backoffs) ActiveAmong(now time.Time, l []roster.Member) ([]api.ServerName, time.Duration) {
-	if len(r.backoffs) == 0 {
+func (b *Backoffs) ActiveAmong(now time.Time, l []roster.Member) ([]api.ServerName, time.Duration) {
+	if len(b.backoffs) == 0 {
 		return nil, 0
 	}
 	var inBackoff []api.ServerName
@@ -76,11 +76,11 @@
 	for _, m := range l {
 		switch {
 		case !m.Takes():
-		case !r.Active(now, m.Name):
+		case !b.Active(now, m.Name):
 			available = true
 		default:
 			inBackoff = append(inBackoff, m.Name)
-			if d := r.backoffs[m.Name].until.Sub(now); wait == 0 || d < wait {
+			if d := b.backoffs[m.Name].until.Sub(now); wait == 0 || d < wait {
 				wait = d
 			}
 		}
@@ -92,10 +92,10 @@
 }
 
 // Forget drops the backoffs of servers that are not known.
-func (r *Backoffs) Forget(known func(n api.ServerName) bool) {
-	for n := range r.backoffs {
+func (b *Backoffs) Forget(known func(n api.ServerName) bool) {
+	for n := range b.backoffs {
 		if !known(n) {
-			delete(r.backoffs, n)
+			delete(b.backoffs, n)
 		}
 	}
 }
--- a/internal/decide/placement/ledger.go
+++ b/internal/decide/placement/ledger.go
@@ -97,7 +97,7 @@
 	}
 	l.replaceLoads(h.Loads, x.Loads)
 	h.Holding = x
-	l.dropGrants(h, func(a RequestNumber) bool { return a <= x.LastRequest && !slices.Contains(x.Pending, a) })
+	l.dropGrants(h, func(r RequestNumber) bool { return r <= x.LastRequest && !slices.Contains(x.Pending, r) })
 }
 
 // Recipient identifies the placement request of a holder that a load is granted to.
@@ -126,7 +126,7 @@
 			delete(l.holders, n)
 			continue
 		}
-		l.dropGrants(h, func(a RequestNumber) bool { return now.Sub(h.grants[a][0].grantedAt) > grantTimeout })
+		l.dropGrants(h, func(r RequestNumber) bool { return now.Sub(h.grants[r][0].grantedAt) > grantTimeout })
 	}
 }
 
@@ -163,9 +163,9 @@
 }
 
 // dropGrants removes the grants to the placement requests that match.
-func (l *Ledger) dropGrants(h *holder, match func(a RequestNumber) bool) {
-	maps.DeleteFunc(h.grants, func(a RequestNumber, granted []grant) bool {
-		if !match(a) {
+func (l *Ledger) dropGrants(h *holder, match func(r RequestNumber) bool) {
+	maps.DeleteFunc(h.grants, func(r RequestNumber, granted []grant) bool {
+		if !match(r) {
 			return false
 		}
 		for _, g := range granted {
--- a/internal/decide/placement/ledger_test.go
+++ b/internal/decide/placement/ledger_test.go
@@ -92,19 +92,19 @@
 
 func TestRemotePoolsLessLoaded(t *testing.T) {
 	need := placement.Requirements{Tokens: 3400}
-	home := func(score float64) *placement.Choice { return &placement.Choice{Score: score} }
+	local := func(score float64) *placement.Choice { return &placement.Choice{Score: score} }
 	pool := func(engines int, tokens, unread api.Tokens, waiting int) api.PoolLoad {
 		return api.PoolLoad{Engines: engines, Tokens: tokens, Unread: unread, Waiting: waiting}
 	}
 	tests := []struct {
-		name string
-		home *placement.Choice
-		y, z api.PoolLoad
-		want api.DomainName
+		name  string
+		local *placement.Choice
+		y, z  api.PoolLoad
+		want  api.DomainName
 	}{
-		{"the local domain is as good", home(0.3), pool(2, 13600, 0, 0), pool(2, 20000, 0, 0), ""},
-		{"another domain is less loaded", home(0.6), pool(2, 13600, 0, 0), pool(2, 20000, 0, 0), "y"},
-		{"unread prompts count", home(0.6), pool(2, 13600, 14000, 0), pool(2, 20000, 0, 0), "z"},
+		{"the local domain is as good", local(0.3), pool(2, 13600, 0, 0), pool(2, 20000, 0, 0), ""},
+		{"another domain is less loaded", local(0.6), pool(2, 13600, 0, 0), pool(2, 20000, 0, 0), "y"},
+		{"unread prompts count", local(0.6), pool(2, 13600, 14000, 0), pool(2, 20000, 0, 0), "z"},
 		{"no free memory in the local domain", nil, pool(2, 40000, 0, 0), pool(2, 50000, 0, 0), "y"},
 		{"requests wait there", nil, pool(2, 40000, 0, 3), pool(2, 50000, 0, 0), "z"},
 		{"no engines there", nil, pool(0, 0, 0, 0), pool(0, 0, 0, 0), ""},
@@ -114,11 +114,11 @@
 		d := placement.NewRemotePools()
 		d.Update(begin, "y", map[api.ServiceName]api.PoolLoad{"s": c.y})
 		d.Update(begin, "z", map[api.ServiceName]api.PoolLoad{"s": c.z, "t": pool(9, 0, 0, 0)})
-		got, ok := d.LessLoaded(begin, "s", 34000, need, c.home)
+		got, ok := d.LessLoaded(begin, "s", 34000, need, c.local)
 		if got != c.want || ok != (c.want != "") {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
-		if got, ok := d.LessLoaded(begin.Add(time.Minute), "s", 34000, need, c.home); ok {
+		if got, ok := d.LessLoaded(begin.Add(time.Minute), "s", 34000, need, c.local); ok {
 			t.Errorf("%s, a minute later: got %q, want none", c.name, got)
 		}
 	}
--- a/internal/decide/placement/remote.go
+++ b/internal/decide/placement/remote.go
@@ -37,44 +37,44 @@
 }
 
 // Update records the report of a failure domain's allocator.
-func (d *RemotePools) Update(now time.Time, n api.DomainName, l map[api.ServiceName]api.PoolLoad) {
+func (p *RemotePools) Update(now time.Time, n api.DomainName, l map[api.ServiceName]api.PoolLoad) {
 	for s, x := range l {
-		d.pools[poolKey{s, n}] = poolReport{PoolLoad: x, at: now}
+		p.pools[poolKey{s, n}] = poolReport{PoolLoad: x, at: now}
 	}
 }
 
 // HasAllocator reports whether the engines of a service in a failure domain are allocated
 // there: its allocator reported within poolReportTTL.
-func (d *RemotePools) HasAllocator(now time.Time, s api.ServiceName, n api.DomainName) bool {
-	x, ok := d.pools[poolKey{s, n}]
+func (p *RemotePools) HasAllocator(now time.Time, s api.ServiceName, n api.DomainName) bool {
+	x, ok := p.pools[poolKey{s, n}]
 	return ok && now.Sub(x.at) <= poolReportTTL
 }
 
 // LessLoaded returns another failure domain whose engines have a lower mean score than the
-// best local engine, or, if there is no local choice (home is nil), a domain that is worth
+// best local engine, or, if there is no local choice (local is nil), a domain that is worth
 // more than waiting for a local engine. Domains where requests wait are left out.
-func (d *RemotePools) LessLoaded(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements, home *Choice) (api.DomainName, bool) {
+func (p *RemotePools) LessLoaded(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements, local *Choice) (api.DomainName, bool) {
 	bound := maxMemoryShare + fullUnreadScore
-	if home != nil {
-		bound = home.Score
+	if local != nil {
+		bound = local.Score
 	}
-	return d.bestDomain(now, s, bound, func(x poolReport) (float64, bool) { return remotePenalty + x.meanScore(memory, n), x.Waiting == 0 })
+	return p.bestDomain(now, s, bound, func(x poolReport) (float64, bool) { return remotePenalty + x.meanScore(memory, n), x.Waiting == 0 })
 }
 
 // Fallback returns the failure domain for a request that has no local engine at all, for
 // example while operators have closed the local domain: the one with the lowest load, where
 // each waiting request per engine adds one to the score.
-func (d *RemotePools) Fallback(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements) (api.DomainName, bool) {
-	return d.bestDomain(now, s, math.Inf(1), func(x poolReport) (float64, bool) {
+func (p *RemotePools) Fallback(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements) (api.DomainName, bool) {
+	return p.bestDomain(now, s, math.Inf(1), func(x poolReport) (float64, bool) {
 		return x.meanScore(memory, n) + float64(x.Waiting)/float64(x.Engines), true
 	})
 }
 
 // bestDomain returns the failure domain with the lowest rating below bound among those that
 // have engines of the service; rate returns false to leave a domain out.
-func (d *RemotePools) bestDomain(now time.Time, s api.ServiceName, bound float64, rate func(x poolReport) (float64, bool)) (api.DomainName, bool) {
+func (p *RemotePools) bestDomain(now time.Time, s api.ServiceName, bound float64, rate func(x poolReport) (float64, bool)) (api.DomainName, bool) {
 	best, found := api.DomainName(""), false
-	for k, x := range d.pools {
+	for k, x := range p.pools {
 		if k.service != s || x.Engines == 0 || now.Sub(x.at) > poolReportTTL {
 			continue
 		}
@@ -102,12 +102,12 @@
 
 // AddForwarded adds a request that was forwarded to a failure domain to the load known
 // there, until the next report of its allocator replaces it.
-func (d *RemotePools) AddForwarded(s api.ServiceName, n api.DomainName, x Requirements) {
+func (p *RemotePools) AddForwarded(s api.ServiceName, n api.DomainName, x Requirements) {
 	k := poolKey{s, n}
-	if w, ok := d.pools[k]; ok {
+	if w, ok := p.pools[k]; ok {
 		w.Tokens += x.Tokens
 		w.Unread += x.Unread
-		d.pools[k] = w
+		p.pools[k] = w
 	}
 }
 
--- a/internal/decide/placement/reserve.go
+++ b/internal/decide/placement/reserve.go
@@ -79,9 +79,9 @@
 // notice of a leaving server.
 const maxShortAnswer = 100
 
-// ShortAnswer reports whether a run with this expected answer length releases its memory
+// IsShortAnswer reports whether a run with this expected answer length releases its memory
 // before runs of leaving engines need it.
-func ShortAnswer(expected api.Tokens) bool {
+func IsShortAnswer(expected api.Tokens) bool {
 	return expected <= maxShortAnswer
 }
 
--- a/internal/decide/placement/reserve_test.go
+++ b/internal/decide/placement/reserve_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestShortAnswersAndRecentShortages(t *testing.T) {
-	if !placement.ShortAnswer(12) || placement.ShortAnswer(900) {
+	if !placement.IsShortAnswer(12) || placement.IsShortAnswer(900) {
 		t.Error("short answers: got another result, want 12 tokens to be short and 900 not")
 	}
 	s := &placement.Shortage{}
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -53,7 +53,7 @@
 		},
 		route: q.route.Name, wait: q.Wait,
 	}
-	d.brief = placement.ShortAnswer(q.expected())
+	d.brief = placement.IsShortAnswer(q.expected())
 	if q.protects() {
 		d.expected = q.expected()
 	}
