--- a/internal/decide/holder/reachability.go
+++ b/internal/decide/holder/reachability.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// failureTTL is how long an entry VM that did not answer is left out. A request that gets
-// no answer costs up to a fifth of a second, and peers learn within two seconds that a VM
-// is gone.
+// failureTTL is how long an entry VM that did not answer is left out. Each placement request
+// without an answer delays its caller by up to 200 ms, and peers learn within two seconds
+// that a VM is gone.
 const failureTTL = time.Second
 
 // Reachability tracks which entry VMs did not answer, by address.
--- a/internal/decide/placement/backoff.go
+++ b/internal/decide/placement/backoff.go
@@ -8,7 +8,7 @@
 )
 
 // backoffAllowance is how many requests may be sent to a server during its backoff if no
-// other server can take them, for example because it holds the memory of their runs.
+// other server can take them, for example because this one holds the memory of their runs.
 const backoffAllowance = 2
 
 // backoff is a period in which a server wants no requests from this entry VM.
--- a/internal/decide/placement/load_test.go
+++ b/internal/decide/placement/load_test.go
@@ -20,7 +20,7 @@
 	return vm{table: b, name: n}
 }
 
-// exchange lets two VMs exchange reports. to is the relation of b to a, from that of a to b.
+// exchange lets two VMs exchange reports; to is the relation of b to a, and from that of a to b.
 func exchange(now time.Time, a, b vm, to, from placement.Relation) {
 	x, y := a.table.Report(now, b.name, to), b.table.Report(now, a.name, from)
 	a.table.Update(now, b.name, to, y)
--- a/internal/decide/placement/prefill.go
+++ b/internal/decide/placement/prefill.go
@@ -6,8 +6,8 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// prefillRetention is the weight that earlier prompts retain with each new one: about
-// twenty prompts determine the rate, the last second on a busy VM.
+// prefillRetention is the weight that earlier prompts retain with each new one, so that
+// about the last twenty prompts determine the rate. A busy VM sends that many in a second.
 const prefillRetention = 0.95
 
 // prefillShare is the part of a request's latency target within which an engine has to read
