--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -8,11 +8,11 @@
 	"github.com/wardridge/wardridge/internal/decide/drain"
 )
 
-// A stream of 230 events that came 4 s after the signal was taken and cut at
-// the end of the process.
-func TestTakesStream(t *testing.T) {
-	began := time.Unix(100, 0)
-	s := drain.Stop{Began: began, End: began.Add(7600 * time.Millisecond)}
+// A stream that is admitted too late is cut off when the process ends, as a stream of 230
+// events was that arrived 4 s after the stop signal.
+func TestAdmitsOnlyStreamsThatFinishInTime(t *testing.T) {
+	start := time.Unix(100, 0)
+	s := drain.Stop{Start: start, End: start.Add(7600 * time.Millisecond)}
 	tests := []struct {
 		name            string
 		after           time.Duration
@@ -24,26 +24,26 @@
 		{"short answer at the signal", 0, 14, 48, true},
 		{"short answer late", 4 * time.Second, 14, 48, true},
 		{"short answer at the end", 7 * time.Second, 14, 48, false},
-		{"unknown length counts as the longest", 0, 0, 2184, false},
-		{"guess that may be far off", 0, 160, 2184, false},
-		{"small guess at the signal", 0, 60, 2184, true},
-		{"small guess when callers had time to go elsewhere", 3700 * time.Millisecond, 60, 2184, false},
+		{"unknown length counts as the limit", 0, 0, 2184, false},
+		{"estimate that may be far off", 0, 160, 2184, false},
+		{"short estimate at the signal", 0, 60, 2184, true},
+		{"short estimate after callers had time to switch to another VM", 3700 * time.Millisecond, 60, 2184, false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			if got := s.TakesStream(began.Add(c.after), c.expected, c.limit); got != c.want {
+			if got := s.AdmitsStream(start.Add(c.after), c.expected, c.limit); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestTakesCall(t *testing.T) {
+func TestAdmitsOnlyCallsThatFinishInTime(t *testing.T) {
 	s := drain.Stop{End: time.Unix(100, 0)}
-	if got := s.TakesCall(time.Unix(97, 0)); !got {
+	if got := s.AdmitsCall(time.Unix(97, 0)); !got {
 		t.Error("3 s before the end: got false, want true")
 	}
-	if got := s.TakesCall(time.Unix(99, 0)); got {
+	if got := s.AdmitsCall(time.Unix(99, 0)); got {
 		t.Error("1 s before the end: got true, want false")
 	}
 }
--- a/internal/decide/gossip/hubs.go
+++ b/internal/decide/gossip/hubs.go
@@ -113,12 +113,12 @@
 	hub := p.IsHub(now)
 	switch {
 	case !ok:
-		return placement.Stranger
+		return placement.Unrelated
 	case hub && x.Hub && p.alive(now, x):
 		return placement.Hub
 	case !hub && address == p.PrimaryHub(now):
 		return placement.Primary
 	default:
-		return placement.Stranger
+		return placement.Unrelated
 	}
 }
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -11,179 +11,186 @@
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 )
 
-// Need is what a request asks of a server.
-type Need struct {
-	// Tokens is the engine memory that the request will hold; zero for plain
-	// services.
+// Requirements is what a request needs at a server.
+type Requirements struct {
+	// Tokens is the engine memory that the request will hold; zero for plain services.
 	Tokens api.Tokens
-	// Unread is the part of its prompt that the engine has to read first.
+	// Unread is the part of the prompt that the engine has to read (prefill) first.
 	Unread api.Tokens
 }
 
-// Pool is the servers of one service.
+// Pool is the set of servers of one service, with the rules for a choice among them.
 type Pool struct {
 	Members []roster.Member
-	// Memory is an engine's memory; zero for plain services.
+	// Memory is the memory of one engine; zero for plain services.
 	Memory api.Tokens
-	// Domain is the failure domain to stay in: that of this entry VM, or of the
-	// server that a run is copied from.
+	// Domain is the preferred failure domain: that of this entry VM, or that of the server
+	// that a run is copied from.
 	Domain api.DomainName
-	// Exact is set where the loads of the domain's servers are known as they are, as
-	// on the entry VM that allocates its engines: the best one is chosen. Where they
-	// are known late, a few are compared.
-	Exact bool
-	// Stay leaves the domain only where none of its servers has room. It is for
-	// copies of a run's memory, which take twice as long between domains, while
-	// notices are hardly long enough within one.
-	Stay bool
-	// Room is the share of an engine's memory that may be promised; zero for all
-	// that may be promised at all.
-	Room float64
-	// UnreadMost bounds the prompts that an engine has to read before the first event
-	// of a new request, its own among them; zero for no bound. An engine that reads
-	// nothing takes any.
-	UnreadMost api.Tokens
-	// Warmup bounds what is sent to servers that are cold.
+	// ExactLoads is set if the loads of the domain's servers are known without delay, as on
+	// the entry VM that allocates its engines. The best of all servers is chosen then.
+	// Otherwise loads are known late, and the best of a random sample is chosen.
+	ExactLoads bool
+	// PreferDomain leaves the domain only if none of its servers is usable. It is set for
+	// moves of runs: copying a run's memory takes twice as long between domains, and the
+	// notice of a leaving server is hardly long enough within one.
+	PreferDomain bool
+	// MaxMemoryShare is the share of a busy engine's memory that may be reserved. Zero
+	// leaves only the general bound, maxMemoryShare, which also applies to idle engines.
+	MaxMemoryShare float64
+	// MaxUnread bounds the prompt tokens that an engine has to read before the first event
+	// of a new request, including the request's own; zero for no bound. An engine with
+	// nothing to read accepts any prompt.
+	MaxUnread api.Tokens
+	// Warmup bounds the requests that are sent to cold servers.
 	Warmup Warmup
-	// Standby is set where the servers' allocator is asked since the first choice does not
-	// answer.
+	// Standby is set if the allocator that chooses stands in for the first-choice one,
+	// which does not answer; it then uses only the standby's share of a server's rate
+	// limit.
 	Standby bool
-	// Unlimited leaves out servers that have named a limit: what goes on from a copy can't be
-	// held up there.
-	Unlimited bool
-	// Rests leaves out servers that asked this entry VM for rest, as for its own requests.
-	Rests bool
+	// ExcludeLimited leaves out servers that have announced a rate limit: a run that
+	// resumes from its backup copy cannot wait for a send slot there.
+	ExcludeLimited bool
+	// ExcludeBackingOff leaves out servers in a backoff that they asked this entry VM for;
+	// it is set for the requests of this entry VM.
+	ExcludeBackingOff bool
 }
 
 // Scores are in units of a server's whole capacity.
 const (
-	// unreadScale is the prompt tokens whose reading holds an engine up for
-	// about as long as a full memory is worth: half a second at 14 tokens a ms.
+	// unreadScale is the number of unread prompt tokens that weighs as much as a full
+	// memory. Engines read 14 tokens a ms, so it delays a request by half a second.
 	unreadScale = 7000.0
-	// spread is the part of a score that is drawn: entry VMs that know the same
-	// must not all choose the same server until they hear of each other.
-	spread = 0.15
-	// away is the price of leaving the failure domain. It breaks ties, since a
-	// request moves a few KB and takes a ms more.
-	away = 0.03
-	// cold is the price of a server that has just started and is still slow: it
-	// takes work before one that is a quarter fuller.
-	cold = 0.25
-	// limited is the price of a server that has named a limit, which it does in need.
-	limited = 0.25
-	// avoid puts servers that cool down, fail or lapsed behind all others.
-	avoid = 10.0
-	// memoryBound is the share of an engine's memory that may be promised; the
-	// rest is for answers longer than expected.
-	memoryBound = 0.97
+	// jitter is the largest random addition to a score. Entry VMs that have the same
+	// reports must not all choose the same server before they learn of each other's
+	// choices.
+	jitter = 0.15
+	// remotePenalty is added for a server in another failure domain. It only breaks ties,
+	// since a request there transfers a few KB and takes one ms longer.
+	remotePenalty = 0.03
+	// coldPenalty is added for a server that has just started and is still slow: it is
+	// chosen before a server that has a quarter more of its capacity in use.
+	coldPenalty = 0.25
+	// limitedPenalty is added for a server that has announced a rate limit, since servers
+	// announce one only when they are overloaded.
+	limitedPenalty = 0.25
+	// avoidPenalty ranks servers that are in a cooldown, faulty or lapsed behind all
+	// others.
+	avoidPenalty = 10.0
+	// maxMemoryShare is the share of an engine's memory that may be reserved. The remainder
+	// is for answers that are longer than expected.
+	maxMemoryShare = 0.97
 )
 
-// Picker chooses servers.
+// Picker chooses servers for requests.
 type Picker struct {
-	// Table counts the loads of plain servers, Engines those of engines.
-	Table   *Table
-	Engines *Ledger
-	Health  *Health
-	Sends   *Sends
-	// Limits are what servers have named, and Pacer keeps to them.
-	Limits *throttle.Limits
-	Pacer  *throttle.Pacer
-	Rests  *Rests
-	random *rand.Rand
+	// PlainLoads counts the loads of plain servers, EngineLoads those of engines.
+	PlainLoads  *LoadTable
+	EngineLoads *Ledger
+	Health      *Health
+	Sends       *SendHistory
+	// Limits holds the rate limits that servers have announced, and Pacer spaces the
+	// requests to these servers.
+	Limits   *throttle.Limits
+	Pacer    *throttle.Pacer
+	Backoffs *Backoffs
+	random   *rand.Rand
 }
 
-// NewPicker makes a picker without load that draws from a source.
+// NewPicker returns a picker without any load that draws random numbers from s.
 func NewPicker(s rand.Source) *Picker {
 	r := rand.New(s)
-	return &Picker{Table: NewTable(), Engines: NewLedger(), Health: NewHealth(), Sends: NewSends(r), Limits: throttle.NewLimits(), Pacer: throttle.NewPacer(r), Rests: NewRests(), random: r}
+	return &Picker{PlainLoads: NewLoadTable(), EngineLoads: NewLedger(), Health: NewHealth(), Sends: NewSendHistory(r), Limits: throttle.NewLimits(), Pacer: throttle.NewPacer(r), Backoffs: NewBackoffs(), random: r}
 }
 
-// Choice is a server with the figures that decided for it.
+// Choice is a chosen server with the figures that the choice was based on.
 type Choice struct {
 	roster.Server
-	// Load is what was known to be in flight there.
+	// Load is the load that was known at the server when it was chosen.
 	Load api.ServerLoad
-	// Score rates it, lower is better.
+	// Score is the server's rating; lower is better.
 	Score float64
-	// Of counts the servers that it was chosen from.
-	Of int
+	// Candidates is the number of servers that the server was chosen from.
+	Candidates int
 }
 
-// Pick gives the best of some servers for a need that are none of those tried,
-// or false when no server may take it.
-func (p *Picker) Pick(now time.Time, l Pool, n Need, tried []api.ServerName) (Choice, bool) {
-	all := p.rate(now, l, n, tried)
-	if l.Stay {
-		all = l.near(all)
+// Pick returns the best server of a pool for a request, leaving out those tried, or false
+// if no server can take it.
+func (p *Picker) Pick(now time.Time, l Pool, n Requirements, tried []api.ServerName) (Choice, bool) {
+	all := p.candidates(now, l, n, tried)
+	if l.PreferDomain {
+		all = l.preferDomain(all)
 	}
 	if len(all) == 0 {
 		return Choice{}, false
 	}
 	best := slices.MinFunc(p.sample(now, l, all), func(a, b Choice) int { return cmp.Compare(a.Score, b.Score) })
 	best.Load = p.load(now, l, best.Name)
-	best.Of = len(all)
+	best.Candidates = len(all)
 	return best, true
 }
 
-// near gives those of some servers that are in the domain, or all where none of
-// them is to be had there.
-func (l Pool) near(all []Choice) []Choice {
-	n := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Domain != l.Domain || c.Score >= avoid })
+// preferDomain returns the candidates in the pool's domain, or all candidates if there is
+// none or all of them there are to be avoided.
+func (l Pool) preferDomain(all []Choice) []Choice {
+	n := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Domain != l.Domain || c.Score >= avoidPenalty })
 	if len(n) == 0 {
 		return all
 	}
 	return n
 }
 
-// rate gives the servers that may take a need with their scores.
-func (p *Picker) rate(now time.Time, l Pool, n Need, tried []api.ServerName) []Choice {
+// candidates returns the servers that can take a request, with their scores.
+func (p *Picker) candidates(now time.Time, l Pool, n Requirements, tried []api.ServerName) []Choice {
 	var all []Choice
-	share := p.Health.share(names(l.Members))
+	poolFailureRate := p.Health.meanFailureRate(serverNames(l.Members))
 	for _, m := range l.Members {
-		if !m.AcceptsRequests() || slices.Contains(tried, m.Name) || !p.bears(now, l, m) {
+		if !m.AcceptsRequests() || slices.Contains(tried, m.Name) || !p.mayReceive(now, l, m) {
 			continue
 		}
-		if s, ok := p.score(now, l, m, n, share); ok {
+		if s, ok := p.score(now, l, m, n, poolFailureRate); ok {
 			all = append(all, Choice{Server: m.Server, Score: s})
 		}
 	}
 	return all
 }
 
-// bears reports whether a server may be sent another request: one that rests none, a cold one
-// and an engine that has named a limit only so many a second.
-func (p *Picker) bears(now time.Time, l Pool, m roster.Member) bool {
-	if l.Rests && p.Rests.Resting(now, m.Name) {
+// mayReceive reports whether a server may be sent another request now: none during its
+// backoff, and a limited rate to a cold server or to an engine that has announced a limit.
+func (p *Picker) mayReceive(now time.Time, l Pool, m roster.Member) bool {
+	if l.ExcludeBackingOff && p.Backoffs.Active(now, m.Name) {
 		return false
 	}
-	rate := l.warmup(m)
-	if rate != 0 && now.Before(m.WarmAt) && !p.Sends.allows(now, m.Name, m.WarmAt, rate) {
+	rate := l.warmupRate(m)
+	if rate != 0 && now.Before(m.WarmAt) && !p.Sends.withinRate(now, m.Name, m.WarmAt, rate) {
 		return false
 	}
-	return p.within(now, l, m)
+	return p.withinLimit(now, l, m)
 }
 
-// within reports whether another request to a server stays within the limit that it has named.
-func (p *Picker) within(now time.Time, l Pool, m roster.Member) bool {
+// withinLimit reports whether another request stays within the rate limit that the server
+// has announced.
+func (p *Picker) withinLimit(now time.Time, l Pool, m roster.Member) bool {
 	r, ok := p.Limits.Find(m.Name)
 	switch {
 	case !ok:
 		return true
-	case l.Unlimited:
+	case l.ExcludeLimited:
 		return false
 	case l.Memory == 0:
-		// Who paces the server is asked once it is chosen.
+		// The entry VM that paces a plain server is asked after the choice.
 		return true
 	default:
-		return !p.Pacer.NextSlot(now, m.Name, l.terms(m, r)).After(now)
+		return !p.Pacer.NextSlot(now, m.Name, l.throttleTerms(m, r)).After(now)
 	}
 }
 
-// terms are those of an engine that has named a limit.
-func (l Pool) terms(m roster.Member, r throttle.Rate) throttle.Quota {
-	t := throttle.Quota{Rate: r, Share: throttle.Alone, Members: l.Warmup.Choosers}
+// throttleTerms returns the share of an engine's announced limit that this entry VM may
+// use.
+func (l Pool) throttleTerms(m roster.Member, r throttle.Rate) throttle.Quota {
+	t := throttle.Quota{Rate: r, Share: throttle.Alone, Members: l.Warmup.EntryVMs}
 	switch {
-	case !l.Exact || m.Domain != l.Domain:
+	case !l.ExactLoads || m.Domain != l.Domain:
 	case l.Standby:
 		t.Share = throttle.Standby
 	default:
@@ -192,131 +199,132 @@
 	return t
 }
 
-// Sent notes a request that is sent to a server, or granted to another entry VM.
-func (p *Picker) Sent(now time.Time, n api.ServerName) {
-	p.Sends.Note(now, n)
+// RecordSend notes a request that is sent to a server, or granted to another entry VM.
+func (p *Picker) RecordSend(now time.Time, n api.ServerName) {
+	p.Sends.Record(now, n)
 	p.Pacer.RecordSend(now, n)
 }
 
-// Forget drops what is known of servers that are gone.
-func (p *Picker) Forget(keep func(n api.ServerName) bool) {
-	p.Health.Forget(keep)
-	p.Sends.Forget(keep)
-	p.Limits.Forget(keep)
-	p.Pacer.Forget(keep)
-	p.Rests.Forget(keep)
+// Forget drops the state of the servers that are not known.
+func (p *Picker) Forget(known func(n api.ServerName) bool) {
+	p.Health.Forget(known)
+	p.Sends.Forget(known)
+	p.Limits.Forget(known)
+	p.Pacer.Forget(known)
+	p.Backoffs.Forget(known)
 }
 
 const (
-	// sampleLeast and sampleShare give the number of servers that are compared:
-	// all of a small pool for a few entry VMs, two for many. Loads are known some
-	// hundred ms late, and many that compare all servers meet at the best one.
-	sampleLeast = 2
-	sampleShare = 48
+	// minSample and sampleBudget give the number of servers that are compared: minSample
+	// plus sampleBudget divided by the number of entry VMs. That is every server of a small
+	// pool for a few entry VMs, and two servers for many. Loads are known some hundred ms
+	// late, so many entry VMs that compare all servers would choose the same one.
+	minSample    = 2
+	sampleBudget = 48
 )
 
-// sample draws some of the servers, from those that are not to be avoided where
-// there are any.
+// sample returns a random sample of the candidates, from those not to be avoided if there
+// are any. With exact loads it returns all of these in random order.
 func (p *Picker) sample(now time.Time, l Pool, all []Choice) []Choice {
-	good := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Score >= avoid })
+	good := slices.DeleteFunc(slices.Clone(all), func(c Choice) bool { return c.Score >= avoidPenalty })
 	if len(good) == 0 {
 		return all
 	}
 	p.random.Shuffle(len(good), func(i, j int) { good[i], good[j] = good[j], good[i] })
-	if l.Exact {
+	if l.ExactLoads {
 		return good
 	}
-	return good[:min(len(good), sampleLeast+sampleShare/p.Table.Members(now))]
+	return good[:min(len(good), minSample+sampleBudget/p.PlainLoads.EntryVMs(now))]
 }
 
-// load is what is known to be in flight at a server of a pool.
+// load returns the load that is known at a server of a pool.
 func (p *Picker) load(now time.Time, l Pool, n api.ServerName) api.ServerLoad {
 	if l.Memory > 0 {
-		return p.Engines.Total(n)
+		return p.EngineLoads.Total(n)
 	}
-	return p.Table.Total(now, n)
+	return p.PlainLoads.Total(now, n)
 }
 
-// score rates a server, lower is better; it reports false for an engine whose
-// memory is promised already.
-func (p *Picker) score(now time.Time, l Pool, m roster.Member, n Need, share float64) (float64, bool) {
+// score rates a server; lower is better. It returns false for an engine that has no memory
+// for the request or too much to read before it.
+func (p *Picker) score(now time.Time, l Pool, m roster.Member, n Requirements, poolFailureRate float64) (float64, bool) {
 	t := p.load(now, l, m.Name)
 	s := float64(t.Requests) / float64(max(1, m.Slots))
 	if l.Memory > 0 {
 		used := float64(t.Tokens+n.Tokens) / float64(l.Memory)
-		if !l.takes(t, n, used) {
+		if !l.fits(t, n, used) {
 			return 0, false
 		}
 		s = used + float64(t.Unread)/unreadScale
 	}
-	if !l.Exact || m.Domain != l.Domain {
-		// Others may choose among the same engines.
-		s += spread * p.random.Float64()
+	if !l.ExactLoads || m.Domain != l.Domain {
+		// Other entry VMs may choose among the same servers.
+		s += jitter * p.random.Float64()
 	}
 	if m.Domain != l.Domain {
-		s += away
+		s += remotePenalty
 	}
 	if now.Before(m.WarmAt) {
-		s += cold
+		s += coldPenalty
 	}
 	if _, ok := p.Limits.Find(m.Name); ok {
-		s += limited
+		s += limitedPenalty
 	}
 	if m.State == roster.Lapsed {
-		s += avoid
+		s += avoidPenalty
 	}
 	if p.Health.coolingDown(now, m.Name) {
-		s += avoid
+		s += avoidPenalty
 	}
-	if p.Health.faulty(m.Name, share) {
-		s += avoid
+	if p.Health.faulty(m.Name, poolFailureRate) {
+		s += avoidPenalty
 	}
 	return s, true
 }
 
-// takes reports whether an engine with a load may take a need, with which so
-// much of its memory is promised.
-func (l Pool) takes(t api.ServerLoad, n Need, used float64) bool {
+// fits reports whether an engine with load t can take a request; used is the share of its
+// memory that would be reserved.
+func (l Pool) fits(t api.ServerLoad, n Requirements, used float64) bool {
 	switch {
-	case used > memoryBound:
+	case used > maxMemoryShare:
 		return false
-	case l.Room > 0 && used > l.Room && t.Tokens > 0:
+	case l.MaxMemoryShare > 0 && used > l.MaxMemoryShare && t.Tokens > 0:
 		return false
 	default:
-		return l.UnreadMost == 0 || t.Unread == 0 || t.Unread+n.Unread <= l.UnreadMost
+		return l.MaxUnread == 0 || t.Unread == 0 || t.Unread+n.Unread <= l.MaxUnread
 	}
 }
 
 const (
-	// protectBound is the share of an engine's memory that may be promised with
-	// copies for runs elsewhere; what is above stays for runs of its own.
-	protectBound = 0.5
-	// protectFrom is the expected length of an answer from which a run is worth
-	// a copy: about three seconds in which its server may end.
-	protectFrom = 300
+	// maxBackupShare is the share of an engine's memory up to which backup copies of runs
+	// elsewhere are placed. Memory above it is for the engine's own runs.
+	maxBackupShare = 0.5
+	// minBackupLength is the expected answer length from which a run is worth a backup
+	// copy: about three seconds, during which its server may end.
+	minBackupLength = 300
 )
 
-// Protects reports whether a run whose answer is expected to be so long is worth a
+// WorthBackup reports whether a run with this expected answer length is worth a backup
 // copy.
-func Protects(expected api.Tokens) bool {
-	return expected >= protectFrom
+func WorthBackup(expected api.Tokens) bool {
+	return expected >= minBackupLength
 }
 
-// Protect gives the server that is to keep a copy of a run as it grows, none of
-// those tried, or false where the run is short or memory is needed for runs
+// PickBackup chooses the server that holds the backup copy of a run, leaving out those
+// tried. It returns false if the run is too short or the memory is needed for the runs
 // themselves.
-func (p *Picker) Protect(now time.Time, l Pool, n Need, expected api.Tokens, tried []api.ServerName) (Choice, bool) {
-	if !Protects(expected) {
+func (p *Picker) PickBackup(now time.Time, l Pool, n Requirements, expected api.Tokens, tried []api.ServerName) (Choice, bool) {
+	if !WorthBackup(expected) {
 		return Choice{}, false
 	}
 	x, ok := p.Pick(now, l, n, tried)
 	if !ok {
 		return x, false
 	}
-	return x, float64(x.Load.Tokens+n.Tokens) <= protectBound*float64(l.Memory)
+	return x, float64(x.Load.Tokens+n.Tokens) <= maxBackupShare*float64(l.Memory)
 }
 
-func names(l []roster.Member) []api.ServerName {
+func serverNames(l []roster.Member) []api.ServerName {
 	n := make([]api.ServerName, 0, len(l))
 	for _, m := range l {
 		n = append(n, m.Name)
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -17,7 +17,7 @@
 	return roster.Member{Server: roster.Server{Name: api.ServerName(n), Domain: d, Slots: 24}, State: s}
 }
 
-// coldMember is a server that is warm in so many seconds.
+// coldMember returns a server that is warm in s seconds.
 func coldMember(n string, s int) roster.Member {
 	m := member(n, "x", roster.Ready)
 	m.WarmAt = begin.Add(time.Duration(s) * time.Second)
@@ -30,67 +30,67 @@
 
 func TestPick(t *testing.T) {
 	tests := []struct {
-		name    string
-		members []roster.Member
-		prepare func(p *placement.Picker)
-		stay    bool
-		tried   []api.ServerName
-		want    api.ServerName
+		name         string
+		members      []roster.Member
+		prepare      func(p *placement.Picker)
+		preferDomain bool
+		tried        []api.ServerName
+		want         api.ServerName
 	}{
-		{"least memory promised", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("a", load(9000, 0))
-			p.Engines.Add("b", load(3000, 0))
+		{"least memory reserved", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+			p.EngineLoads.Add("a", load(9000, 0))
+			p.EngineLoads.Add("b", load(3000, 0))
 		}, false, nil, "b"},
-		{"others' loads count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Report(begin, "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
-			p.Engines.Add("a", load(3000, 0))
+		{"loads of other holders count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+			p.EngineLoads.Update(begin, "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
+			p.EngineLoads.Add("a", load(3000, 0))
 		}, false, nil, "a"},
-		{"those of one unheard for long do not", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Report(begin.Add(-10*time.Second), "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
-			p.Engines.Expire(begin)
-			p.Engines.Add("a", load(3000, 0))
+		{"loads of a silent holder do not count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+			p.EngineLoads.Update(begin.Add(-10*time.Second), "vm", placement.Holding{Sequence: 1, Loads: placement.Loads{"b": load(9000, 0)}})
+			p.EngineLoads.Expire(begin)
+			p.EngineLoads.Add("a", load(3000, 0))
 		}, false, nil, "b"},
-		{"prompts to be read hold up", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("a", load(3000, 3000))
-			p.Engines.Add("b", load(6000, 0))
+		{"unread prompts count", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+			p.EngineLoads.Add("a", load(3000, 3000))
+			p.EngineLoads.Add("b", load(6000, 0))
 		}, false, nil, "b"},
-		{"own domain on a tie", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(*placement.Picker) {}, false, nil, "b"},
+		{"local domain on a tie", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(*placement.Picker) {}, false, nil, "b"},
 		{"copies stay in a fuller domain", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(25000, 0))
+			p.EngineLoads.Add("b", load(25000, 0))
 		}, true, nil, "b"},
-		{"copies leave a domain without room", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(32000, 0))
+		{"copies leave a domain without free memory", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+			p.EngineLoads.Add("b", load(32000, 0))
 		}, true, nil, "a"},
-		{"copies leave a domain whose server rests", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Health.Note(begin, "b", placement.Lost)
+		{"copies leave a domain whose server is in a cooldown", []roster.Member{member("a", "y", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+			p.Health.Record(begin, "b", placement.Lost)
 		}, true, nil, "a"},
 		{"cold servers wait until others are fuller", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(3000, 0))
+			p.EngineLoads.Add("b", load(3000, 0))
 		}, false, nil, "b"},
-		{"cold servers help out full ones", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(20000, 0))
+		{"cold servers relieve full ones", []roster.Member{coldMember("a", 1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+			p.EngineLoads.Add("b", load(20000, 0))
 		}, false, nil, "a"},
 		{"warm servers are as good as others", []roster.Member{coldMember("a", -1), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(9000, 0))
+			p.EngineLoads.Add("b", load(9000, 0))
 		}, false, nil, "a"},
 		{"leaving servers take nothing", []roster.Member{member("a", "x", roster.Leaving)}, func(*placement.Picker) {}, false, nil, ""},
 		{"lapsed servers come last", []roster.Member{member("a", "x", roster.Lapsed), member("b", "y", roster.Ready)}, func(p *placement.Picker) {
-			p.Engines.Add("b", load(20000, 0))
+			p.EngineLoads.Add("b", load(20000, 0))
 		}, false, nil, "b"},
-		{"lapsed servers serve where no other does", []roster.Member{member("a", "x", roster.Lapsed)}, func(*placement.Picker) {}, false, nil, "a"},
-		{"servers that lost a request rest", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
-			p.Health.Note(begin, "a", placement.Lost)
-			p.Engines.Add("b", load(9000, 0))
+		{"lapsed servers are used if there is no other", []roster.Member{member("a", "x", roster.Lapsed)}, func(*placement.Picker) {}, false, nil, "a"},
+		{"servers that lost a request are avoided", []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, func(p *placement.Picker) {
+			p.Health.Record(begin, "a", placement.Lost)
+			p.EngineLoads.Add("b", load(9000, 0))
 		}, false, nil, "b"},
 		{"tried servers are left out", []roster.Member{member("a", "x", roster.Ready)}, func(*placement.Picker) {}, false, []api.ServerName{"a"}, ""},
-		{"no room", []roster.Member{member("a", "x", roster.Ready)}, func(p *placement.Picker) { p.Engines.Add("a", load(33000, 0)) }, false, nil, ""},
+		{"no free memory", []roster.Member{member("a", "x", roster.Ready)}, func(p *placement.Picker) { p.EngineLoads.Add("a", load(33000, 0)) }, false, nil, ""},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			p := placement.NewPicker(rand.NewPCG(1, 2))
 			c.prepare(p)
-			l := placement.Pool{Members: c.members, Memory: 34000, Domain: "x", Stay: c.stay}
-			got, _ := p.Pick(begin, l, placement.Need{Tokens: 4000, Unread: 3000}, c.tried)
+			l := placement.Pool{Members: c.members, Memory: 34000, Domain: "x", PreferDomain: c.preferDomain}
+			got, _ := p.Pick(begin, l, placement.Requirements{Tokens: 4000, Unread: 3000}, c.tried)
 			if got.Name != c.want {
 				t.Errorf("got %q, want %q", got.Name, c.want)
 			}
@@ -98,47 +98,47 @@
 	}
 }
 
-// A server that fails half of its requests is put behind, one that fails as
-// often as the others is not.
-func TestFaultyServerIsFoundAgainstItsPool(t *testing.T) {
+// A server that fails half of its requests is avoided even if it is idle; servers that fail as
+// often as their pool are not.
+func TestServerFailingMoreThanItsPoolIsAvoided(t *testing.T) {
 	p := placement.NewPicker(rand.NewPCG(1, 2))
 	l := placement.Pool{Members: []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready), member("c", "x", roster.Ready)}, Domain: "x"}
 	for i := range 60 {
-		p.Health.Note(begin, "b", fails(i%7 == 0))
-		p.Health.Note(begin, "c", fails(i%7 == 1))
-		p.Health.Note(begin, "a", fails(i%2 == 0))
+		p.Health.Record(begin, "b", outcome(i%7 == 0))
+		p.Health.Record(begin, "c", outcome(i%7 == 1))
+		p.Health.Record(begin, "a", outcome(i%2 == 0))
 	}
 	for range 4 {
-		p.Table.Add("b", api.ServerLoad{Requests: 1})
-		p.Table.Add("c", api.ServerLoad{Requests: 1})
+		p.PlainLoads.Add("b", api.ServerLoad{Requests: 1})
+		p.PlainLoads.Add("c", api.ServerLoad{Requests: 1})
 	}
-	got, _ := p.Pick(begin, l, placement.Need{}, nil)
+	got, _ := p.Pick(begin, l, placement.Requirements{}, nil)
 	if got.Name == "a" {
 		t.Error("got the server that fails half of its requests, want another")
 	}
 }
 
-func fails(b bool) placement.Outcome {
+func outcome(b bool) placement.Outcome {
 	if b {
 		return placement.Failed
 	}
 	return placement.Served
 }
 
-func TestRestGrowsAndEnds(t *testing.T) {
+func TestCooldownGrowsAndEnds(t *testing.T) {
 	p := placement.NewPicker(rand.NewPCG(1, 2))
 	l := placement.Pool{Members: []roster.Member{member("a", "x", roster.Ready), member("b", "x", roster.Ready)}, Domain: "x"}
-	p.Table.Add("b", api.ServerLoad{Requests: 4})
+	p.PlainLoads.Add("b", api.ServerLoad{Requests: 4})
 	pick := func(ms int) api.ServerName {
-		s, _ := p.Pick(begin.Add(time.Duration(ms)*time.Millisecond), l, placement.Need{}, nil)
+		s, _ := p.Pick(begin.Add(time.Duration(ms)*time.Millisecond), l, placement.Requirements{}, nil)
 		return s.Name
 	}
-	p.Health.Note(begin, "a", placement.Lost)
+	p.Health.Record(begin, "a", placement.Lost)
 	if got := pick(300); got != "a" {
 		t.Errorf("300 ms after one loss: got %s, want a", got)
 	}
-	p.Health.Note(begin, "a", placement.Lost)
-	p.Health.Note(begin, "a", placement.Lost)
+	p.Health.Record(begin, "a", placement.Lost)
+	p.Health.Record(begin, "a", placement.Lost)
 	if got := pick(300); got != "b" {
 		t.Errorf("300 ms after three losses: got %s, want b", got)
 	}
@@ -147,8 +147,9 @@
 	}
 }
 
-// Sixty entry VMs that know the same must not all choose the one empty server.
-func TestManyDoNotMeetAtTheBestServer(t *testing.T) {
+// Sixty entry VMs with the same reports must not all choose the one idle server, which would
+// overload it before they learn of each other's choices.
+func TestEntryVMsDoNotAllPickTheSameServer(t *testing.T) {
 	var l placement.Pool
 	l.Memory, l.Domain = 34000, "x"
 	for i := range 40 {
@@ -157,34 +158,34 @@
 	got := map[api.ServerName]int{}
 	for seed := range uint64(60) {
 		p := placement.NewPicker(rand.NewPCG(seed, 0))
-		p.Table.Update(begin, "primary", placement.Primary, placement.Report{Members: 59})
+		p.PlainLoads.Update(begin, "primary", placement.Primary, placement.Report{Members: 59})
 		for _, m := range l.Members[1:] {
-			p.Engines.Add(m.Name, load(8000, 0))
+			p.EngineLoads.Add(m.Name, load(8000, 0))
 		}
-		s, _ := p.Pick(begin, l, placement.Need{Tokens: 4000, Unread: 3000}, nil)
+		s, _ := p.Pick(begin, l, placement.Requirements{Tokens: 4000, Unread: 3000}, nil)
 		got[s.Name]++
 	}
 	if got["s0"] > 10 {
-		t.Errorf("choices of the empty server: got %d of 60, want at most 10", got["s0"])
+		t.Errorf("choices of the idle server: got %d of 60, want at most 10", got["s0"])
 	}
 }
 
-// One that knows all loads as they are chooses the best of all servers, whatever
-// is drawn, and places one request after the other evenly.
-func TestExactLoadsGiveTheBestServer(t *testing.T) {
-	l := placement.Pool{Memory: 34000, Domain: "x", Exact: true}
+// With exact loads the least loaded server is chosen whatever the random draw, so that
+// successive requests spread evenly.
+func TestExactLoadsPickTheLeastLoadedServer(t *testing.T) {
+	l := placement.Pool{Memory: 34000, Domain: "x", ExactLoads: true}
 	for i := range 40 {
 		l.Members = append(l.Members, member(fmt.Sprint("s", i), "x", roster.Ready))
 	}
 	p := placement.NewPicker(rand.NewPCG(1, 0))
-	p.Table.Update(begin, "primary", placement.Primary, placement.Report{Members: 300})
+	p.PlainLoads.Update(begin, "primary", placement.Primary, placement.Report{Members: 300})
 	got := map[api.ServerName]int{}
 	for range 80 {
-		x, ok := p.Pick(begin, l, placement.Need{Tokens: 4000, Unread: 3000}, nil)
+		x, ok := p.Pick(begin, l, placement.Requirements{Tokens: 4000, Unread: 3000}, nil)
 		if !ok {
 			t.Fatal("got no server, want one")
 		}
-		p.Engines.Add(x.Name, load(4000, 3000))
+		p.EngineLoads.Add(x.Name, load(4000, 3000))
 		got[x.Name]++
 	}
 	for n, k := range got {
--- /dev/null
+++ b/internal/decide/placement/remote.go
@@ -0,0 +1,126 @@
+package placement
+
+import (
+	"math"
+	"time"
+
+	"github.com/wardridge/wardridge/internal/api"
+	"github.com/wardridge/wardridge/internal/decide/roster"
+)
+
+// poolReportTTL is how long a report on another failure domain's engines is used: a few
+// rounds of the exchange between hubs.
+const poolReportTTL = 3 * time.Second
+
+// poolKey identifies the engines of one service in one failure domain.
+type poolKey struct {
+	service api.ServiceName
+	domain  api.DomainName
+}
+
+// poolReport is the newest report on the engines of one service in one failure domain.
+type poolReport struct {
+	api.PoolLoad
+	at time.Time
+}
+
+// RemotePools holds the engine loads that the allocators of other failure domains report.
+// It holds sums per service: unlike the load of a single engine, they hardly change between
+// two rounds of the exchange.
+type RemotePools struct {
+	pools map[poolKey]poolReport
+}
+
+// NewRemotePools returns an empty record.
+func NewRemotePools() *RemotePools {
+	return &RemotePools{pools: map[poolKey]poolReport{}}
+}
+
+// Update records the report of a failure domain's allocator.
+func (p *RemotePools) Update(now time.Time, n api.DomainName, l map[api.ServiceName]api.PoolLoad) {
+	for s, x := range l {
+		p.pools[poolKey{s, n}] = poolReport{PoolLoad: x, at: now}
+	}
+}
+
+// HasAllocator reports whether the engines of a service in a failure domain are allocated
+// there: its allocator reported within poolReportTTL.
+func (p *RemotePools) HasAllocator(now time.Time, s api.ServiceName, n api.DomainName) bool {
+	x, ok := p.pools[poolKey{s, n}]
+	return ok && now.Sub(x.at) <= poolReportTTL
+}
+
+// LessLoaded returns another failure domain whose engines have a lower mean score than the
+// best local engine, or, if there is no local choice (local is nil), a domain that is worth
+// more than waiting for a local engine. Domains where requests wait are left out.
+func (p *RemotePools) LessLoaded(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements, local *Choice) (api.DomainName, bool) {
+	bound := maxMemoryShare + fullUnreadScore
+	if local != nil {
+		bound = local.Score
+	}
+	return p.bestDomain(now, s, bound, func(x poolReport) (float64, bool) { return remotePenalty + x.meanScore(memory, n), x.Waiting == 0 })
+}
+
+// Fallback returns the failure domain for a request that has no local engine at all, for
+// example while operators have closed the local domain: the one with the lowest load, where
+// each waiting request per engine adds one to the score.
+func (p *RemotePools) Fallback(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements) (api.DomainName, bool) {
+	return p.bestDomain(now, s, math.Inf(1), func(x poolReport) (float64, bool) {
+		return x.meanScore(memory, n) + float64(x.Waiting)/float64(x.Engines), true
+	})
+}
+
+// bestDomain returns the failure domain with the lowest rating below bound among those that
+// have engines of the service; rate returns false to leave a domain out.
+func (p *RemotePools) bestDomain(now time.Time, s api.ServiceName, bound float64, rate func(x poolReport) (float64, bool)) (api.DomainName, bool) {
+	best, found := api.DomainName(""), false
+	for k, x := range p.pools {
+		if k.service != s || x.Engines == 0 || now.Sub(x.at) > poolReportTTL {
+			continue
+		}
+		m, ok := rate(x)
+		if !ok {
+			continue
+		}
+		if m < bound || m == bound && found && k.domain < best {
+			best, found, bound = k.domain, true, m
+		}
+	}
+	return best, found
+}
+
+// fullUnreadScore is the mean score of the unread prompts per engine at which another
+// failure domain counts as full.
+const fullUnreadScore = 1.0
+
+// meanScore returns the score that an engine of the pool has on average for a request.
+func (x poolReport) meanScore(memory api.Tokens, n Requirements) float64 {
+	e := float64(x.Engines)
+	used := (float64(x.Tokens)/e + float64(n.Tokens)) / float64(memory)
+	return used + float64(x.Unread)/e/unreadScale
+}
+
+// AddForwarded adds a request that was forwarded to a failure domain to the load known
+// there, until the next report of its allocator replaces it.
+func (p *RemotePools) AddForwarded(s api.ServiceName, n api.DomainName, x Requirements) {
+	k := poolKey{s, n}
+	if w, ok := p.pools[k]; ok {
+		w.Tokens += x.Tokens
+		w.Unread += x.Unread
+		p.pools[k] = w
+	}
+}
+
+// SumLoads adds up the loads of the engines in a pool that currently take new requests.
+func (p *Picker) SumLoads(now time.Time, l Pool) api.PoolLoad {
+	var x api.PoolLoad
+	for _, m := range l.Members {
+		if m.State == roster.Ready && !m.Closed && p.withinLimit(now, l, m) {
+			t := p.EngineLoads.Total(m.Name)
+			x.Engines++
+			x.Tokens += t.Tokens
+			x.Unread += t.Unread
+		}
+	}
+	return x
+}
--- a/internal/decide/placement/reserve.go
+++ b/internal/decide/placement/reserve.go
@@ -8,96 +8,99 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// reserveHalf is the time in which the memory of an observed leave fades by
-// half: several times the pause between reclaims that come in series.
-const reserveHalf = 15 * time.Second
+// reserveHalfLife is the half-life of the memory reserved after observed leaves: several
+// times the pause between reclaims that come in series.
+const reserveHalfLife = 15 * time.Second
 
-// Reserve learns what share of a service's servers leaves at once, whose runs
-// the others have to take, and whether they find room for them.
+// Reserve estimates how much engine memory of a service to keep free for the runs of
+// servers that leave: the share of servers that leave at once, and whether their runs found
+// free memory.
 type Reserve struct {
-	share float64
-	at    time.Time
-	// short is when a run of a leaving server last found no engine.
-	short time.Time
+	leaveShare float64
+	recordedAt time.Time
+	// lastShortage is when a run of a leaving server last found no engine.
+	lastShortage time.Time
 }
 
-// leaveTime is the time within which servers that leave one after the other
-// count as leaving at once: runs need about as long to be moved.
-const leaveTime = 2 * time.Second
+// leaveWindow is the time within which servers that leave one after the other count as
+// leaving at once: moving their runs takes about as long.
+const leaveWindow = 2 * time.Second
 
-// Note takes all servers of the service as one of them begins to leave.
-func (r *Reserve) Note(now time.Time, l []roster.Member) {
+// RecordLeave updates the share of servers that leave at once. It is given all servers of
+// the service when one of them begins to leave.
+func (r *Reserve) RecordLeave(now time.Time, l []roster.Member) {
 	leaving, staying := 0, 0
 	for _, m := range l {
 		switch {
 		case !m.State.Departing():
 			staying++
-		case now.Sub(m.Since) <= leaveTime:
+		case now.Sub(m.Since) <= leaveWindow:
 			leaving++
 		}
 	}
-	r.share = max(r.left(now), float64(leaving)/float64(max(1, leaving+staying)))
-	r.at = now
+	r.leaveShare = max(r.expectedLeaveShare(now), float64(leaving)/float64(max(1, leaving+staying)))
+	r.recordedAt = now
 }
 
-// Short notes that a run of a leaving server found no engine.
-func (r *Reserve) Short(now time.Time) {
-	r.short = now
+// RecordShortage notes that a run of a leaving server found no engine.
+func (r *Reserve) RecordShortage(now time.Time) {
+	r.lastShortage = now
 }
 
-// need is how much of the memory of servers that leave at once has to be kept: all of
-// it once a run found no engine, and less with time. Most runs find room that others
-// have just left, and memory that is kept for them all is missed by new runs; where none
-// is ever kept, more running answers are cut off in an overload.
-func (r *Reserve) need(now time.Time) float64 {
-	if r.short.IsZero() {
+// reservedShare returns how much of the memory of the servers expected to leave is
+// reserved: all of it when a run found no engine, and less with time. Most runs find memory
+// that others have just released, and new runs lack the memory that is reserved. Without
+// any reserve, however, an overload cuts off more running answers.
+func (r *Reserve) reservedShare(now time.Time) float64 {
+	if r.lastShortage.IsZero() {
 		return 0
 	}
-	return fade(now.Sub(r.short))
+	return decay(now.Sub(r.lastShortage))
 }
 
-// fade is what is left of an observation after a time.
-func fade(d time.Duration) float64 {
-	return math.Exp2(-d.Seconds() / reserveHalf.Seconds())
+// decay returns the weight of an observation of age d.
+func decay(d time.Duration) float64 {
+	return math.Exp2(-d.Seconds() / reserveHalfLife.Seconds())
 }
 
-// left is the share of the servers that is expected to leave at once.
-func (r *Reserve) left(now time.Time) float64 {
-	return r.share * fade(now.Sub(r.at))
+// expectedLeaveShare returns the share of the servers that is expected to leave at once.
+func (r *Reserve) expectedLeaveShare(now time.Time) float64 {
+	return r.leaveShare * decay(now.Sub(r.recordedAt))
 }
 
-// Room is the share of an engine's memory that new runs may be promised: what is
-// above is for the runs of servers that leave.
-func (r *Reserve) Room(now time.Time) float64 {
-	return memoryBound * (1 - r.need(now)*r.left(now))
+// MaxMemoryShare returns the share of an engine's memory that new runs may reserve. The
+// remainder is for the runs of servers that leave.
+func (r *Reserve) MaxMemoryShare(now time.Time) float64 {
+	return maxMemoryShare * (1 - r.reservedShare(now)*r.expectedLeaveShare(now))
 }
 
-// briefMost is the expected length of an answer up to which a run may use memory that
-// is kept: it is read and written in about a second, less than the shortest notice.
-const briefMost = 100
+// maxShortAnswer is the expected answer length up to which a run may use reserved memory:
+// such a prompt is read and its answer generated in about a second, less than the shortest
+// notice of a leaving server.
+const maxShortAnswer = 100
 
-// Brief reports whether a run whose answer is expected to be so long gives its memory
-// back before it is needed for runs of engines that leave.
-func Brief(expected api.Tokens) bool {
-	return expected <= briefMost
+// IsShortAnswer reports whether a run with this expected answer length releases its memory
+// before runs of leaving engines need it.
+func IsShortAnswer(expected api.Tokens) bool {
+	return expected <= maxShortAnswer
 }
 
-// shortTime is how long a shortage of memory counts: the runs that copies would be
-// kept for last about as long. Copies that are begun in a shortage take the place of
+// shortageTTL is how long a shortage of memory counts: about as long as the runs last that
+// backup copies would be held for. Backup copies that are begun in a shortage displace
 // requests and save hardly any answer.
-const shortTime = 15 * time.Second
+const shortageTTL = 15 * time.Second
 
-// Shortage knows when a run last found no room.
+// Shortage tracks when a run last found no free memory.
 type Shortage struct {
 	last time.Time
 }
 
-// Note takes a run that found no room.
-func (s *Shortage) Note(now time.Time) {
+// Record notes a run that found no free memory.
+func (s *Shortage) Record(now time.Time) {
 	s.last = now
 }
 
-// Recent reports whether a run found no room lately.
+// Recent reports whether a run found no free memory within shortageTTL.
 func (s *Shortage) Recent(now time.Time) bool {
-	return !s.last.IsZero() && now.Sub(s.last) < shortTime
+	return !s.last.IsZero() && now.Sub(s.last) < shortageTTL
 }
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -63,13 +63,13 @@
 	}
 	m := d.service.Engine.Memory
 	if !ok && !g.offers(now, d) {
-		return g.domains.Instead(now, d.service.Name, m, d.need)
+		return g.domains.Fallback(now, d.service.Name, m, d.need)
 	}
 	var home *placement.Choice
 	if ok {
 		home = &x
 	}
-	return g.domains.Better(now, d.service.Name, m, d.need, home)
+	return g.domains.LessLoaded(now, d.service.Name, m, d.need, home)
 }
 
 // forward asks the allocator of another failure domain. There the demand waits
@@ -89,7 +89,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.domains.Sent(d.service.Name, to, d.need)
+	g.domains.AddForwarded(d.service.Name, to, d.need)
 	return p, true
 }
 
@@ -135,13 +135,13 @@
 	}
 	return demand{
 		service: s, purpose: a.Purpose, domain: a.Domain, exact: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, waits: a.Waits, expected: a.Expected, brief: a.Brief,
-		need:     placement.Need{Tokens: a.Tokens, Unread: a.Unread},
+		need:     placement.Requirements{Tokens: a.Tokens, Unread: a.Unread},
 		ask:      backlog.Request{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), LatencyTarget: a.AimMS.Duration(), Late: a.Late},
 		route:    a.Route,
 		wait:     a.WaitMS.Duration(),
 		deadline: time.Now().Add(a.LeftMS.Duration()),
 		recipient: &placement.Recipient{
-			VM: a.Holding.VM, Incarnation: a.Holding.Incarnation, Ask: placement.Ask(a.Ask),
+			VM: a.Holding.VM, Incarnation: a.Holding.Incarnation, Request: placement.RequestNumber(a.Ask),
 		},
 	}, nil
 }
@@ -154,31 +154,31 @@
 			ForecastMS: api.ToMilliseconds(p.forecast.Wait), PatienceMS: api.ToMilliseconds(p.forecast.MaxWait), Behind: p.forecast.LateInOverload,
 		}}
 	}
-	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Of, Copy: p.copy}
+	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Candidates, Copy: p.copy}
 }
 
 // Hold takes what another entry VM holds at engines that this one allocates.
 func (g *Gateway) Hold(h api.Holding) {
 	x := placement.Holding{
-		Incarnation: h.Incarnation, Sequence: int64(h.Sequence), Loads: make(placement.Loads, len(h.Loads)), Asked: placement.Ask(h.Asked),
+		Incarnation: h.Incarnation, Sequence: int64(h.Sequence), Loads: make(placement.Loads, len(h.Loads)), LastRequest: placement.RequestNumber(h.Asked),
 	}
 	for n, l := range h.Loads {
 		x.Loads[api.ServerName(n)] = l
 	}
 	for _, n := range h.Open {
-		x.Open = append(x.Open, placement.Ask(n))
+		x.Pending = append(x.Pending, placement.RequestNumber(n))
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	g.picker.Engines.Report(now, h.VM, x)
+	g.picker.EngineLoads.Update(now, h.VM, x)
 	for n, r := range h.Read {
 		if a, ok := g.admissions[api.ServiceName(n)]; ok {
-			a.reading.Note(r.Tokens, time.Duration(r.MS)*time.Millisecond)
+			a.reading.Record(r.Tokens, time.Duration(r.MS)*time.Millisecond)
 		}
 	}
 	for n, x := range h.Met {
-		g.picker.Health.NoteAll(now, api.ServerName(n), x)
+		g.picker.Health.RecordAll(now, api.ServerName(n), x)
 	}
 	g.letIn(now)
 }
@@ -198,8 +198,8 @@
 		if s.Engine == nil {
 			continue
 		}
-		x := g.picker.Sum(now, placement.Pool{
-			Domain: g.Domain, Exact: true, Memory: s.Engine.Memory, Warmup: g.warmup(now, s),
+		x := g.picker.SumLoads(now, placement.Pool{
+			Domain: g.Domain, ExactLoads: true, Memory: s.Engine.Memory, Warmup: g.warmup(now, s),
 			Members: g.members(s.Name, func(m roster.Member) bool { return m.Domain == g.Domain }),
 		})
 		if a, ok := g.admissions[s.Name]; ok {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,16 +82,16 @@
 	admissions map[api.ServiceName]*admission
 	// domains is what the allocators of other failure domains tell, contacts which
 	// of them did not answer.
-	domains  *placement.Domains
-	contacts *holder.Contacts
+	domains  *placement.RemotePools
+	contacts *holder.Reachability
 	// fleet knows whether a part of the entry VMs may be behind a cut.
 	fleet throttle.Fleet
 	// incarnation, sequence, asks, reports and observations are of what this entry VM
 	// tells allocators.
 	incarnation  api.Incarnation
 	sequence     int
-	asks         holder.Asks
-	reports      *holder.Reports
+	asks         holder.Requests
+	reports      *holder.ReportSchedule
 	observations *holder.Observations
 	// answers are what servers of silent streams said; inquiries lets one
 	// question serve all streams of a server.
@@ -112,7 +112,7 @@
 		p.Contents = contents.New(p.Log, p.Metrics)
 	}
 	g := &Gateway{
-		domains: placement.NewDomains(), contacts: holder.NewContacts(), reports: holder.NewReports(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
+		domains: placement.NewRemotePools(), contacts: holder.NewReachability(), reports: holder.NewReportSchedule(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
 		Parts: p, roster: roster.New(), picker: placement.NewPicker(rand.NewPCG(p.Seed, 0)),
 		runs: map[api.ServerName]map[*run]bool{}, admissions: map[api.ServiceName]*admission{},
 		answers: silence.NewResultCache(), watchdog: newWatchdog(),
@@ -129,7 +129,7 @@
 // Stop turns the readiness before the process ends at a time; requests that
 // still come are served where they will be over by then.
 func (g *Gateway) Stop(end time.Time) {
-	g.stop.Store(&drain.Stop{Began: time.Now(), End: end})
+	g.stop.Store(&drain.Stop{Start: time.Now(), End: end})
 }
 
 // Stopping reports whether the process is about to end.
@@ -280,9 +280,9 @@
 	if s == nil {
 		return nil
 	}
-	takes := s.TakesCall(time.Now())
+	takes := s.AdmitsCall(time.Now())
 	if x.Kind == directory.Stream {
-		takes = s.TakesStream(time.Now(), r.Prompt.Expected, r.Prompt.Limit)
+		takes = s.AdmitsStream(time.Now(), r.Prompt.Expected, r.Prompt.Limit)
 	}
 	if takes {
 		return nil
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -44,7 +44,7 @@
 }
 
 // demand is what a new run of a request asks for.
-func (g *Gateway) demand(q *request, n placement.Need, waits bool) demand {
+func (g *Gateway) demand(q *request, n placement.Requirements, waits bool) demand {
 	d := demand{
 		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), waits: waits, tried: q.tried,
 		ask: backlog.Request{
@@ -53,7 +53,7 @@
 		},
 		route: q.route.Name, wait: q.Wait,
 	}
-	d.brief = placement.Brief(q.expected())
+	d.brief = placement.IsShortAnswer(q.expected())
 	if q.protects() {
 		d.expected = q.expected()
 	}
@@ -63,11 +63,11 @@
 // protects reports whether a run of a request may be copied as it grows.
 func (q *request) protects() bool {
 	e := q.service.Engine
-	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.Protects(q.expected())
+	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.WorthBackup(q.expected())
 }
 
 // place gives a stream its first server, for which it may have to wait.
-func (g *Gateway) place(ctx context.Context, q *request, n placement.Need) placed {
+func (g *Gateway) place(ctx context.Context, q *request, n placement.Requirements) placed {
 	if q.Prompt.Tokens > q.service.Engine.Memory {
 		return placed{fault: fault.New(fault.NoServer, "no engine has memory for the prompt")}
 	}
@@ -78,7 +78,7 @@
 }
 
 // placeAgain gives a stream that a server turned away another one.
-func (g *Gateway) placeAgain(ctx context.Context, q *request, n placement.Need, c *call.Call) placed {
+func (g *Gateway) placeAgain(ctx context.Context, q *request, n placement.Requirements, c *call.Call) placed {
 	p := g.obtain(ctx, g.demand(q, n, false))
 	if p.fault != nil {
 		return placed{fault: c.NoServer()}
@@ -109,8 +109,8 @@
 		Route: d.route, WaitMS: api.ToMilliseconds(d.wait), Tried: d.tried, Waits: d.waits, Forwarded: d.forwarded, Standby: d.standby, Late: d.ask.Late,
 	}
 	if r := d.recipient; r != nil {
-		a.Ask = int(r.Ask)
-		a.Holding = api.Holding{Protocol: gossip.Protocol, VM: r.VM, Incarnation: r.Incarnation, Asked: int(r.Ask)}
+		a.Ask = int(r.Request)
+		a.Holding = api.Holding{Protocol: gossip.Protocol, VM: r.VM, Incarnation: r.Incarnation, Asked: int(r.Request)}
 	}
 	return a
 }
@@ -185,7 +185,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if own {
-		g.asks.End(placement.Ask(a.Ask))
+		g.asks.End(placement.RequestNumber(a.Ask))
 	}
 	if err != nil {
 		if ctx.Err() == nil {
@@ -198,7 +198,7 @@
 
 // noteSilent passes an allocator over for a while; the mutex is held.
 func (g *Gateway) noteSilent(address string, err error) {
-	g.contacts.Failed(time.Now(), address)
+	g.contacts.RecordFailure(time.Now(), address)
 	g.Log.Emit(event.AllocatorSilent, zap.String("address", address), zap.Error(err))
 }
 
@@ -220,10 +220,10 @@
 		}, true
 	}
 	m, ok := g.roster.Find(r.Server)
-	if !ok || !m.AcceptsRequests() || d.recipient == nil && g.picker.Rests.Resting(time.Now(), m.Name) {
+	if !ok || !m.AcceptsRequests() || d.recipient == nil && g.picker.Backoffs.Active(time.Now(), m.Name) {
 		return placed{}, false
 	}
-	p := placed{choice: placement.Choice{Server: m.Server, Score: r.Score, Of: r.Of}, copy: r.Copy}
+	p := placed{choice: placement.Choice{Server: m.Server, Score: r.Score, Candidates: r.Of}, copy: r.Copy}
 	if r.Load != nil {
 		p.choice.Load = *r.Load
 	}
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -95,7 +95,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.roster.Find(n)
-	return ok && m.AcceptsRequests() && !g.picker.Rests.Resting(time.Now(), n)
+	return ok && m.AcceptsRequests() && !g.picker.Backoffs.Active(time.Now(), n)
 }
 
 // noneYet is the refusal of a request that no server takes for so long.
@@ -116,8 +116,8 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	l := placement.Pool{Members: g.roster.Service(s.Name), Domain: g.Domain, Warmup: g.warmup(now, s), Rests: true}
-	return g.picker.Pick(now, l, placement.Need{}, tried)
+	l := placement.Pool{Members: g.roster.Service(s.Name), Domain: g.Domain, Warmup: g.warmup(now, s), ExcludeBackingOff: true}
+	return g.picker.Pick(now, l, placement.Requirements{}, tried)
 }
 
 // takePlain reserves the load at a plain server.
@@ -162,7 +162,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	t := throttle.Quota{Rate: r, Share: throttle.Alone, Members: g.picker.Table.Members(now)}
+	t := throttle.Quota{Rate: r, Share: throttle.Alone, Members: g.picker.PlainLoads.EntryVMs(now)}
 	at, ok := g.picker.Pacer.Reserve(now, x.Name, t, patience)
 	return permit{granted: ok, at: at}
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -130,14 +130,14 @@
 func (g *Gateway) spares(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.picker.Rests.Spare(time.Now(), s.Name)
+	return g.picker.Backoffs.TakeAllowance(time.Now(), s.Name)
 }
 
 // noteSent counts a request that only one server can take, whatever that has asked for.
 func (g *Gateway) noteSent(s roster.Server) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.picker.Sent(time.Now(), s.Name)
+	g.picker.RecordSend(time.Now(), s.Name)
 }
 
 // sendUntilTaken sends to one server, again while no connection is made.
