--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, r := range g.all() {
-		if r.at().Name == n {
+		if r.currentServer().Name == n {
 			g.watchdog.close(r)
 		}
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -34,7 +34,7 @@
 // end takes the load of an answer away that needs no server any more.
 func (v served) end() {
 	v.reservation.end()
-	v.backup.end()
+	v.backup.release()
 }
 
 // call serves a request that is answered whole.
--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -76,8 +76,8 @@
 		return
 	}
 	for _, r := range g.all() {
-		r.unprotect(g.unusable)
-		if g.leaving(r.at().Name) {
+		r.dropBackup(g.unusable)
+		if g.leaving(r.currentServer().Name) {
 			// What protected it is gone, so that it has to be moved after all.
 			g.move(r)
 		}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -37,7 +37,7 @@
 
 // listen begins to watch a run's stream; the clean-up ends it.
 func (g *Gateway) listen(r *run, s port.Stream) (*listener, func()) {
-	l := &listener{gateway: g, run: r, stream: s, server: r.at(), watch: silence.NewWatch(r.request.route.GapTarget)}
+	l := &listener{gateway: g, run: r, stream: s, server: r.currentServer(), watch: silence.NewWatch(r.request.route.GapTarget)}
 	g.watchdog.add(l)
 	return l, func() { g.watchdog.remove(l) }
 }
@@ -165,8 +165,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
-	case r.copied != nil:
-		return r.copied.at, true
+	case r.moveCopy != nil:
+		return r.moveCopy.server, true
 	case r.backup != nil:
 		return r.backup.at, true
 	default:
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -37,10 +37,10 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.over || r.backup != nil || r.mover != nil && r.mover.source.Name == r.server.Name {
+	if r.ended || r.backup != nil || r.mover != nil && r.mover.source.Name == r.server.Name {
 		return
 	}
-	if r.stopped && r.copied != nil {
+	if r.stopped && r.moveCopy != nil {
 		// It is about to go on from its copy.
 		return
 	}
@@ -52,7 +52,7 @@
 func (g *Gateway) begin(r *run, e *evacuate.Move) <-chan struct{} {
 	m := &mover{gateway: g, run: r, move: e, source: r.server}
 	done := make(chan struct{})
-	r.mover, r.moved = m, done
+	r.mover, r.moveDone = m, done
 	g.Group.Go(func(ctx context.Context) error {
 		defer close(done)
 		m.steps(ctx)
@@ -71,11 +71,11 @@
 		return false
 	}
 	r.mutex.Lock()
-	if r.over || r.server.Name != s.Name {
+	if r.ended || r.server.Name != s.Name {
 		r.mutex.Unlock()
 		return false
 	}
-	done, own := r.moved, r.mover == nil
+	done, own := r.moveDone, r.mover == nil
 	if own {
 		done = g.begin(r, evacuate.NewFetch(time.Now()))
 	}
@@ -89,10 +89,10 @@
 	if r.server.Name != s.Name {
 		return false
 	}
-	if own && r.copied == nil {
+	if own && r.moveCopy == nil {
 		r.stopped = false
 	}
-	return r.stopped && r.copied != nil
+	return r.stopped && r.moveCopy != nil
 }
 
 // mover takes one run off one server.
@@ -128,7 +128,7 @@
 func (m *mover) ended() bool {
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
-	return m.run.over || m.run.server.Name != m.source.Name
+	return m.run.ended || m.run.server.Name != m.source.Name
 }
 
 // step makes one copy.
@@ -163,7 +163,7 @@
 	if m.run.server.Name != m.source.Name {
 		return false
 	}
-	m.run.stopped, m.run.halted = true, time.Now()
+	m.run.stopped, m.run.stoppedAt = true, time.Now()
 	return true
 }
 
@@ -195,19 +195,19 @@
 // keep notes the copy that a step made; after a stop without room the source
 // itself holds the memory.
 func (m *mover) keep(handle string, o evacuate.Outcome) {
-	h := &held{at: m.target, reservation: m.reservation, resume: port.Resume{Source: m.source.Address, Handle: handle}}
+	h := &kvCopy{server: m.target, reservation: m.reservation, resume: port.Resume{Source: m.source.Address, Handle: handle}}
 	if o != evacuate.Copied {
 		if m.gateway.closed(m.source) {
 			// Going back would be a new request there. What the target has may do.
 			return
 		}
-		h.at = m.source
+		h.server = m.source
 		h.reservation = nil
 	}
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
 	if m.run.mover == m && m.run.server.Name == m.source.Name {
-		m.run.copied = h
+		m.run.moveCopy = h
 		return
 	}
 	// The run has gone on elsewhere: the copy is of no use.
@@ -221,10 +221,10 @@
 	if m.run.mover == m {
 		m.run.mover = nil
 	}
-	c := m.run.copied
-	over := m.run.over && c != nil
+	c := m.run.moveCopy
+	over := m.run.ended && c != nil
 	if over {
-		m.run.copied = nil
+		m.run.moveCopy = nil
 	}
 	used := m.run.reservation == m.reservation || c != nil && c.reservation == m.reservation
 	m.run.mutex.Unlock()
@@ -256,13 +256,13 @@
 }
 
 // drop frees a copy that nobody will use.
-func (g *Gateway) drop(c *held) {
+func (g *Gateway) drop(c *kvCopy) {
 	c.reservation.end()
 	g.Group.Go(func(ctx context.Context) error {
 		x, cancel := context.WithTimeout(ctx, dropTime)
 		defer cancel()
-		if _, err := g.Backends.Release(x, c.at, c.resume.Handle); err != nil {
-			g.Log.Emit(event.CopyKept, zap.String("server", string(c.at.Name)), zap.Error(err))
+		if _, err := g.Backends.Release(x, c.server, c.resume.Handle); err != nil {
+			g.Log.Emit(event.CopyKept, zap.String("server", string(c.server.Name)), zap.Error(err))
 		}
 		return nil
 	})
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -27,7 +27,7 @@
 func (g *Gateway) goOn(ctx context.Context, r *run, broke error) (port.Stream, bool) {
 	began := time.Now()
 	r.mutex.Lock()
-	stopped, done := r.stopped, r.moved
+	stopped, done := r.stopped, r.moveDone
 	r.mutex.Unlock()
 	if stopped && done != nil {
 		select {
@@ -36,10 +36,10 @@
 		case <-ctx.Done():
 		}
 	}
-	from := r.at()
+	from := r.currentServer()
 	if !stopped {
 		g.note(from, placement.Lost)
-		if r.young(began) {
+		if r.startedRecently(began) {
 			g.noteBreak(r.request, from, broke)
 		}
 	}
@@ -56,7 +56,7 @@
 		return nil, false
 	}
 	s, err := g.resume(ctx, r, c)
-	if stopped && !c.kept && c.at.Name != from.Name && fault.Has(err, fault.ServerRefused) {
+	if stopped && !c.fromBackup && c.server.Name != from.Name && fault.Has(err, fault.ServerRefused) {
 		s, c, err = g.goBack(ctx, r, from, c, err)
 	}
 	if err != nil {
@@ -65,7 +65,7 @@
 		return nil, false
 	}
 	g.Metrics.Add(metric.Resumes, 1)
-	g.Log.Emit(event.GenerationResumed, zap.String("request", string(r.request.ID)), zap.String("content", string(r.request.content())), zap.String("from", string(from.Name)), zap.String("to", string(c.at.Name)), zap.Bool("stopped", stopped), zap.Bool("kept", c.kept), zap.Duration("took", time.Since(began)))
+	g.Log.Emit(event.GenerationResumed, zap.String("request", string(r.request.ID)), zap.String("content", string(r.request.content())), zap.String("from", string(from.Name)), zap.String("to", string(c.server.Name)), zap.Bool("stopped", stopped), zap.Bool("kept", c.fromBackup), zap.Duration("took", time.Since(began)))
 	return s, true
 }
 
@@ -76,14 +76,14 @@
 
 // goBack takes a run that its target did not take to the server that has stopped it, which keeps
 // its memory until another one goes on with it.
-func (g *Gateway) goBack(ctx context.Context, r *run, from roster.Server, c *held, refused error) (port.Stream, *held, error) {
-	back := &held{at: from, resume: c.resume}
+func (g *Gateway) goBack(ctx context.Context, r *run, from roster.Server, c *kvCopy, refused error) (port.Stream, *kvCopy, error) {
+	back := &kvCopy{server: from, resume: c.resume}
 	s, err := g.resume(ctx, r, back)
 	switch {
 	case err == nil:
 		g.drop(c)
 		return s, back, nil
-	case g.closed(c.at) && r.haltedWithin(finishTime):
+	case g.closed(c.server) && r.stoppedWithin(finishTime):
 		s, err = g.takeUp(ctx, r, c)
 		return s, c, err
 	default:
@@ -92,36 +92,36 @@
 }
 
 // resume asks the holder of a copy to go on, unless operators have closed its domain.
-func (g *Gateway) resume(ctx context.Context, r *run, c *held) (port.Stream, error) {
-	if g.closed(c.at) {
+func (g *Gateway) resume(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
+	if g.closed(c.server) {
 		return nil, fault.New(fault.ServerRefused, "operators have closed the failure domain of the copy")
 	}
 	return g.takeUp(ctx, r, c)
 }
 
 // takeUp asks the holder of a copy to go on.
-func (g *Gateway) takeUp(ctx context.Context, r *run, c *held) (port.Stream, error) {
-	if !g.spares(c.at) {
+func (g *Gateway) takeUp(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
+	if !g.spares(c.server) {
 		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for rest")
 	}
 	q := r.request
 	x := c.resume
 	x.After, _ = r.progress()
-	b := g.protect(ctx, q, c.at)
-	t := q.attempt(c.at, b)
+	b := g.protect(ctx, q, c.server)
+	t := q.attempt(c.server, b)
 	t.Connect, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
-	g.noteSent(c.at)
+	g.noteSent(c.server)
 	a, err := g.sendUntilTaken(ctx, t)
 	if err != nil {
-		b.end()
+		b.release()
 		return nil, err
 	}
 	if a.Stream == nil {
-		b.end()
+		b.release()
 		return nil, fault.New(fault.BadAnswer, "a resumed run was not answered by a stream")
 	}
 	g.detach(r)
-	g.attach(r, c.at, c.reservation, b)
+	g.attach(r, c.server, c.reservation, b)
 	c.reservation.read()
 	return a.Stream, nil
 }
@@ -156,16 +156,16 @@
 
 // hold takes the copy to go on from: the newest one made on order, or else
 // that of the server which kept one as the run grew.
-func (r *run) hold() *held {
+func (r *run) hold() *kvCopy {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	c, b := r.copied, r.backup
-	r.copied = nil
+	c, b := r.moveCopy, r.backup
+	r.moveCopy = nil
 	if c != nil || b == nil {
 		return c
 	}
 	r.backup = nil
-	return &held{at: b.at, reservation: b.reservation, resume: port.Resume{Source: b.at.Address, Handle: string(r.request.ID)}, kept: true}
+	return &kvCopy{server: b.at, reservation: b.reservation, resume: port.Resume{Source: b.at.Address, Handle: string(r.request.ID)}, fromBackup: true}
 }
 
 // lost logs a generation that can't go on.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -13,13 +13,13 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// held is a copy of a run's memory that a server holds.
-type held struct {
-	at          roster.Server
+// kvCopy is a copy of a run's memory that a server holds.
+type kvCopy struct {
+	server          roster.Server
 	reservation *reservation
 	resume      port.Resume
-	// kept is set for a copy that grew with the run, rather than on order.
-	kept bool
+	// fromBackup is set for a copy that grew with the run, rather than on order.
+	fromBackup bool
 }
 
 // backup is the server that keeps a copy of a run as it grows.
@@ -28,8 +28,8 @@
 	reservation *reservation
 }
 
-// end takes the copy's load away.
-func (b *backup) end() {
+// release takes the copy's load away.
+func (b *backup) release() {
 	if b != nil {
 		b.reservation.end()
 	}
@@ -47,89 +47,89 @@
 	// mover takes the run off its server, nil for none; moved is closed at its
 	// end.
 	mover *mover
-	moved <-chan struct{}
+	moveDone <-chan struct{}
 	// stopped is set once the source was told to stop the run, halted when.
 	stopped bool
-	halted  time.Time
-	// copied is the newest copy of the run's memory, nil for none.
-	copied *held
+	stoppedAt  time.Time
+	// moveCopy is the newest copy of the run's memory, nil for none.
+	moveCopy *kvCopy
 	// backup keeps a copy of the run at its present server, nil for none.
 	backup *backup
-	over   bool
-	pace   pace
+	ended   bool
+	timing   streamTiming
 }
 
-// at is the server that runs it.
-func (r *run) at() roster.Server {
+// currentServer is the server that runs it.
+func (r *run) currentServer() roster.Server {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.server
 }
 
-// haltedWithin reports whether the run was told to stop no longer ago than a time.
-func (r *run) haltedWithin(d time.Duration) bool {
+// stoppedWithin reports whether the run was told to stop no longer ago than a time.
+func (r *run) stoppedWithin(d time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.stopped && time.Since(r.halted) < d
+	return r.stopped && time.Since(r.stoppedAt) < d
 }
 
-// young reports whether the run is in its beginning at its present server.
-func (r *run) young(now time.Time) bool {
+// startedRecently reports whether the run is in its beginning at its present server.
+func (r *run) startedRecently(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.pace.here.IsZero() || now.Sub(r.pace.here) < quarantine.SuspectWindow
+	return r.timing.firstHere.IsZero() || now.Sub(r.timing.firstHere) < quarantine.SuspectWindow
 }
 
-// unprotect gives up a copy that the run may not go on from.
-func (r *run) unprotect(unusable func(s roster.Server) bool) {
+// dropBackup gives up a copy that the run may not go on from.
+func (r *run) dropBackup(unusable func(s roster.Server) bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.backup != nil && unusable(r.backup.at) {
-		r.backup.end()
+		r.backup.release()
 		r.backup = nil
 	}
 }
 
-// pace is what a caller saw of a stream's times.
-type pace struct {
-	// first is the time to the first event, last when the last one came.
-	first time.Duration
-	last  time.Time
-	// here is when the first event came from the present server, zero before it.
-	here time.Time
-	// pause is the longest time between two events, and after the event before
+// streamTiming is what a caller saw of a stream's times.
+type streamTiming struct {
+	// firstEvent is the time to the firstEvent event, last when the last one came.
+	firstEvent time.Duration
+	lastEvent  time.Time
+	// firstHere is when the first event came from the present server, zero before it.
+	firstHere time.Time
+	// longestPause is the longest time between two events, and after the event before
 	// it.
-	pause time.Duration
-	after int
+	longestPause time.Duration
+	pauseAfter int
 	moves int
-	// joining is set until the first event after the run went on elsewhere, and
-	// elsewhere where the longest pause was before such an event.
-	joining, elsewhere bool
-}
-
-// note takes the time of an event.
-func (p *pace) note(now, arrived time.Time, count int) {
-	if p.last.IsZero() {
-		p.first = now.Sub(arrived)
-	} else if d := now.Sub(p.last); d > p.pause {
-		p.pause = d
-		p.after = count - 1
-		p.elsewhere = p.joining
+	// resuming is set until the first event after the run went on pauseInMove, and
+	// pauseInMove where the longest pause was before such an event.
+	resuming, pauseInMove bool
+}
+
+// recordEvent takes the time of an event.
+func (p *streamTiming) recordEvent(now, arrived time.Time, count int) {
+	if p.lastEvent.IsZero() {
+		p.firstEvent = now.Sub(arrived)
+	} else if d := now.Sub(p.lastEvent); d > p.longestPause {
+		p.longestPause = d
+		p.pauseAfter = count - 1
+		p.pauseInMove = p.resuming
 	}
-	p.joining = false
-	p.last = now
-	if p.here.IsZero() {
-		p.here = now
+	p.resuming = false
+	p.lastEvent = now
+	if p.firstHere.IsZero() {
+		p.firstHere = now
 	}
 }
 
-// take judges an event.
-func (r *run) take(id string) sequence.Verdict {
+// acceptEvent judges an event.
+func (r *run) acceptEvent(id string) sequence.Verdict {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	v := r.events.Accept(id)
 	if v == sequence.Deliver {
-		r.pace.note(time.Now(), r.request.Arrived, r.events.Count())
+		r.timing.recordEvent(time.Now(), r.request.Arrived, r.events.Count())
 	}
 	return v
 }
@@ -140,24 +140,24 @@
 	defer r.mutex.Unlock()
 	x := r.request.route
 	switch {
-	case x.LatencyTarget > 0 && r.pace.first > x.LatencyTarget:
+	case x.LatencyTarget > 0 && r.timing.firstEvent > x.LatencyTarget:
 		return lateFirst
-	case x.GapTarget <= 0 || r.pace.pause <= x.GapTarget:
+	case x.GapTarget <= 0 || r.timing.longestPause <= x.GapTarget:
 		return inTime
-	case r.pace.elsewhere:
+	case r.timing.pauseInMove:
 		return lateMoved
 	default:
 		return latePause
 	}
 }
 
-// figures gives the fields of the log line at a stream's end.
-func (r *run) figures() []zap.Field {
+// logFields gives the fields of the log line at a stream's end.
+func (r *run) logFields() []zap.Field {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return []zap.Field{
-		zap.String("server", string(r.server.Name)), zap.Int("events", r.events.Count()), zap.Duration("first", r.pace.first),
-		zap.Duration("pause", r.pace.pause), zap.Int("pause_after", r.pace.after), zap.Int("moves", r.pace.moves),
+		zap.String("server", string(r.server.Name)), zap.Int("events", r.events.Count()), zap.Duration("first", r.timing.firstEvent),
+		zap.Duration("pause", r.timing.longestPause), zap.Int("pause_after", r.timing.pauseAfter), zap.Int("moves", r.timing.moves),
 	}
 }
 
@@ -176,12 +176,12 @@
 	r.reservation = l
 	if r.events.Count() > 0 {
 		r.events.Resume()
-		r.pace.moves++
-		r.pace.joining = true
+		r.timing.moves++
+		r.timing.resuming = true
 	}
 	r.stopped = false
-	r.copied = nil
-	r.pace.here = time.Time{}
+	r.moveCopy = nil
+	r.timing.firstHere = time.Time{}
 	r.mutex.Unlock()
 	g.mutex.Lock()
 	m := g.runs[s.Name]
@@ -191,7 +191,7 @@
 	}
 	m[r] = true
 	g.mutex.Unlock()
-	r.unprotect(g.unusable)
+	r.dropBackup(g.unusable)
 	if g.leaving(s.Name) {
 		g.takeOff(r)
 	}
@@ -205,14 +205,14 @@
 	r.reservation, r.backup = nil, nil
 	r.mutex.Unlock()
 	l.end()
-	b.end()
+	b.release()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.forget(n, r)
+	g.removeRun(n, r)
 }
 
-// forget is detach's part under the gateway's mutex.
-func (g *Gateway) forget(n api.ServerName, r *run) {
+// removeRun is detach's part under the gateway's mutex.
+func (g *Gateway) removeRun(n api.ServerName, r *run) {
 	delete(g.runs[n], r)
 	if len(g.runs[n]) == 0 {
 		delete(g.runs, n)
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -72,8 +72,8 @@
 		g.Log.Emit(event.ServerState, zap.String("server", string(m.Name)), zap.String("address", m.Address), zap.String("state", m.State.String()))
 	}
 	for _, r := range g.all() {
-		r.unprotect(g.unusable)
-		switch s, ok := g.member(r.at().Name); {
+		r.dropBackup(g.unusable)
+		switch s, ok := g.member(r.currentServer().Name); {
 		case ok && s.State == roster.Ended:
 			g.watchdog.close(r)
 		case !ok || s.State.Departing():
@@ -116,7 +116,7 @@
 
 // takeOff moves a run off its server. A copy of it is no use while its holder takes nothing.
 func (g *Gateway) takeOff(r *run) {
-	r.unprotect(func(s roster.Server) bool { return !g.takes(s.Name) })
+	r.dropBackup(func(s roster.Server) bool { return !g.takes(s.Name) })
 	g.move(r)
 }
 
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -126,7 +126,7 @@
 	g.picker.Rests.Note(time.Now(), s.Name, d)
 	g.mutex.Unlock()
 	for _, r := range g.all() {
-		if g.leaving(r.at().Name) {
+		if g.leaving(r.currentServer().Name) {
 			g.takeOff(r)
 		}
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -58,9 +58,9 @@
 // leave ends a run, whatever became of it.
 func (g *Gateway) leave(r *run) {
 	r.mutex.Lock()
-	r.over = true
-	c := r.copied
-	r.copied = nil
+	r.ended = true
+	c := r.moveCopy
+	r.moveCopy = nil
 	r.mutex.Unlock()
 	g.detach(r)
 	if c != nil {
@@ -78,7 +78,7 @@
 		case err == nil:
 			q.sink.End()
 			g.Contents.Answered(q.content)
-			g.done(q, r.lateness(), r.figures()...)
+			g.done(q, r.lateness(), r.logFields()...)
 			return
 		case ctx.Err() != nil || fault.Has(err, fault.CallerGone):
 			g.Metrics.Add(metric.CallersGone, 1)
@@ -114,7 +114,7 @@
 		if err != nil {
 			return err
 		}
-		switch r.take(e.ID) {
+		switch r.acceptEvent(e.ID) {
 		case sequence.Drop:
 			continue
 		case sequence.Gap:
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -106,7 +106,7 @@
 // end takes the load of a place away that nobody needs.
 func (p placed) end() {
 	p.reservation.end()
-	p.backup.end()
+	p.backup.release()
 }
 
 // withdraw ends a demand's wait. Unless it was given a server just before it is
