--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -213,7 +213,7 @@
 		Stream: q.route.Kind == directory.Stream,
 	}
 	if b != nil {
-		a.Protect = b.at.Address
+		a.Protect = b.server.Address
 	}
 	return a
 }
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -145,7 +145,7 @@
 	}
 	p.copy = y.Name
 	if r := g.assign(now, c, y.Server); r != nil {
-		p.backup = &backup{at: y.Server, reservation: r}
+		p.backup = &backup{server: y.Server, reservation: r}
 	}
 	return p
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -168,7 +168,7 @@
 	case r.moveCopy != nil:
 		return r.moveCopy.server, true
 	case r.backup != nil:
-		return r.backup.at, true
+		return r.backup.server, true
 	default:
 		return roster.Server{}, false
 	}
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -53,9 +53,9 @@
 		},
 		route: q.route.Name, wait: q.Wait,
 	}
-	d.brief = placement.Brief(q.expected())
+	d.brief = placement.Brief(q.expectedTokens())
 	if q.protects() {
-		d.expected = q.expected()
+		d.expected = q.expectedTokens()
 	}
 	return d
 }
@@ -63,7 +63,7 @@
 // protects reports whether a run of a request may be copied as it grows.
 func (q *request) protects() bool {
 	e := q.service.Engine
-	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.Protects(q.expected())
+	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.Protects(q.expectedTokens())
 }
 
 // place gives a stream its first server, for which it may have to wait.
@@ -234,7 +234,7 @@
 	p.reservation = g.reserve(now, m.Server, true, d.load())
 	p.reservation.ahead = p.choice.Load.Unread
 	if c, ok := g.roster.Find(r.Copy); ok && c.AcceptsRequests() {
-		p.backup = &backup{at: c.Server, reservation: g.reserve(now, c.Server, true, d.copied(m.Server).load())}
+		p.backup = &backup{server: c.Server, reservation: g.reserve(now, c.Server, true, d.copied(m.Server).load())}
 	}
 	return p, true
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// moveWait is how long a stream that ended waits for the move that ended it.
-	moveWait = 1500 * time.Millisecond
-	// resumeTries bounds the connections that are tried to the only server that
+	// maxMoveWait is how long a stream that ended waits for the move that ended it.
+	maxMoveWait = 1500 * time.Millisecond
+	// maxResumeAttempts bounds the connections that are tried to the only server that
 	// can go on with a run: one lost packet must not lose the run.
-	resumeTries = 3
+	maxResumeAttempts = 3
 )
 
-// goOn resumes a run whose stream broke from the copy of its memory.
-func (g *Gateway) goOn(ctx context.Context, r *run, broke error) (port.Stream, bool) {
+// resumeBroken resumes a run whose stream broke from the copy of its memory.
+func (g *Gateway) resumeBroken(ctx context.Context, r *run, broke error) (port.Stream, bool) {
 	began := time.Now()
 	r.mutex.Lock()
 	stopped, done := r.stopped, r.moveDone
@@ -32,7 +32,7 @@
 	if stopped && done != nil {
 		select {
 		case <-done:
-		case <-time.After(moveWait):
+		case <-time.After(maxMoveWait):
 		case <-ctx.Done():
 		}
 	}
@@ -43,25 +43,25 @@
 			g.noteBreak(r.request, from, broke)
 		}
 	}
-	c := r.hold()
+	c := r.takeCopy()
 	if c == nil {
-		g.lost(r, from, broke)
+		g.recordLost(r, from, broke)
 		return nil, false
 	}
 	if !stopped && !g.Contents.MayGoOn(r.request.content) {
 		// Each server that it was taken to has ended: one with copies ended three of
 		// them for each time that its caller asked.
 		g.drop(c)
-		g.lost(r, from, broke)
+		g.recordLost(r, from, broke)
 		return nil, false
 	}
-	s, err := g.resume(ctx, r, c)
+	s, err := g.resumeFrom(ctx, r, c)
 	if stopped && !c.fromBackup && c.server.Name != from.Name && fault.Has(err, fault.ServerRefused) {
-		s, c, err = g.goBack(ctx, r, from, c, err)
+		s, c, err = g.returnToSource(ctx, r, from, c, err)
 	}
 	if err != nil {
 		c.reservation.end()
-		g.lost(r, from, err)
+		g.recordLost(r, from, err)
 		return nil, false
 	}
 	g.Metrics.Add(metric.Resumes, 1)
@@ -69,39 +69,39 @@
 	return s, true
 }
 
-// finishTime is how long after it was stopped a run may go on at a target whose domain operators
+// closedTargetGrace is how long after it was stopped a run may go on at a target whose domain operators
 // have closed in the meantime, where it can't go back: far less than they allow for what was on
 // its way.
-const finishTime = 500 * time.Millisecond
+const closedTargetGrace = 500 * time.Millisecond
 
-// goBack takes a run that its target did not take to the server that has stopped it, which keeps
+// returnToSource takes a run that its target did not take to the server that has stopped it, which keeps
 // its memory until another one goes on with it.
-func (g *Gateway) goBack(ctx context.Context, r *run, from roster.Server, c *kvCopy, refused error) (port.Stream, *kvCopy, error) {
+func (g *Gateway) returnToSource(ctx context.Context, r *run, from roster.Server, c *kvCopy, refused error) (port.Stream, *kvCopy, error) {
 	back := &kvCopy{server: from, resume: c.resume}
-	s, err := g.resume(ctx, r, back)
+	s, err := g.resumeFrom(ctx, r, back)
 	switch {
 	case err == nil:
 		g.drop(c)
 		return s, back, nil
-	case g.closed(c.server) && r.stoppedWithin(finishTime):
-		s, err = g.takeUp(ctx, r, c)
+	case g.closed(c.server) && r.stoppedWithin(closedTargetGrace):
+		s, err = g.sendResume(ctx, r, c)
 		return s, c, err
 	default:
 		return nil, c, refused
 	}
 }
 
-// resume asks the holder of a copy to go on, unless operators have closed its domain.
-func (g *Gateway) resume(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
+// resumeFrom asks the holder of a copy to go on, unless operators have closed its domain.
+func (g *Gateway) resumeFrom(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
 	if g.closed(c.server) {
 		return nil, fault.New(fault.ServerRefused, "operators have closed the failure domain of the copy")
 	}
-	return g.takeUp(ctx, r, c)
+	return g.sendResume(ctx, r, c)
 }
 
-// takeUp asks the holder of a copy to go on.
-func (g *Gateway) takeUp(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
-	if !g.spares(c.server) {
+// sendResume asks the holder of a copy to go on.
+func (g *Gateway) sendResume(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
+	if !g.allowsResume(c.server) {
 		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for rest")
 	}
 	q := r.request
@@ -110,8 +110,8 @@
 	b := g.protect(ctx, q, c.server)
 	t := q.attempt(c.server, b)
 	t.Connect, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
-	g.noteSent(c.server)
-	a, err := g.sendUntilTaken(ctx, t)
+	g.countSent(c.server)
+	a, err := g.sendUntilConnected(ctx, t)
 	if err != nil {
 		b.release()
 		return nil, err
@@ -126,25 +126,25 @@
 	return a.Stream, nil
 }
 
-// spares reports whether a server may be sent a request that only it can take.
-func (g *Gateway) spares(s roster.Server) bool {
+// allowsResume reports whether a server may be sent a request that only it can take.
+func (g *Gateway) allowsResume(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Rests.Spare(time.Now(), s.Name)
 }
 
-// noteSent counts a request that only one server can take, whatever that has asked for.
-func (g *Gateway) noteSent(s roster.Server) {
+// countSent counts a request that only one server can take, whatever that has asked for.
+func (g *Gateway) countSent(s roster.Server) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.picker.Sent(time.Now(), s.Name)
 }
 
-// sendUntilTaken sends to one server, again while no connection is made.
-func (g *Gateway) sendUntilTaken(ctx context.Context, t port.Attempt) (port.Answer, error) {
+// sendUntilConnected sends to one server, again while no connection is made.
+func (g *Gateway) sendUntilConnected(ctx context.Context, t port.Attempt) (port.Answer, error) {
 	for n := 1; ; n++ {
 		a, err := g.Backends.Send(ctx, t)
-		if !fault.Has(err, fault.NotStarted) || n == resumeTries || ctx.Err() != nil {
+		if !fault.Has(err, fault.NotStarted) || n == maxResumeAttempts || ctx.Err() != nil {
 			return a, err
 		}
 		if port.Refused(err) {
@@ -154,9 +154,9 @@
 	}
 }
 
-// hold takes the copy to go on from: the newest one made on order, or else
+// takeCopy takes the copy to go on from: the newest one made on order, or else
 // that of the server which kept one as the run grew.
-func (r *run) hold() *kvCopy {
+func (r *run) takeCopy() *kvCopy {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	c, b := r.moveCopy, r.backup
@@ -165,11 +165,11 @@
 		return c
 	}
 	r.backup = nil
-	return &kvCopy{server: b.at, reservation: b.reservation, resume: port.Resume{Source: b.at.Address, Handle: string(r.request.ID)}, fromBackup: true}
+	return &kvCopy{server: b.server, reservation: b.reservation, resume: port.Resume{Source: b.server.Address, Handle: string(r.request.ID)}, fromBackup: true}
 }
 
-// lost logs a generation that can't go on.
-func (g *Gateway) lost(r *run, from roster.Server, err error) {
+// recordLost logs a generation that can't go on.
+func (g *Gateway) recordLost(r *run, from roster.Server, err error) {
 	_, n := r.progress()
 	r.request.outcome = "generation_lost"
 	g.tell(r.request)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -15,7 +15,7 @@
 
 // kvCopy is a copy of a run's memory that a server holds.
 type kvCopy struct {
-	server          roster.Server
+	server      roster.Server
 	reservation *reservation
 	resume      port.Resume
 	// fromBackup is set for a copy that grew with the run, rather than on order.
@@ -24,7 +24,7 @@
 
 // backup is the server that keeps a copy of a run as it grows.
 type backup struct {
-	at          roster.Server
+	server      roster.Server
 	reservation *reservation
 }
 
@@ -46,17 +46,17 @@
 	events sequence.Sequence
 	// mover takes the run off its server, nil for none; moved is closed at its
 	// end.
-	mover *mover
+	mover    *mover
 	moveDone <-chan struct{}
 	// stopped is set once the source was told to stop the run, halted when.
-	stopped bool
-	stoppedAt  time.Time
+	stopped   bool
+	stoppedAt time.Time
 	// moveCopy is the newest copy of the run's memory, nil for none.
 	moveCopy *kvCopy
 	// backup keeps a copy of the run at its present server, nil for none.
 	backup *backup
-	ended   bool
-	timing   streamTiming
+	ended  bool
+	timing streamTiming
 }
 
 // currentServer is the server that runs it.
@@ -84,7 +84,7 @@
 func (r *run) dropBackup(unusable func(s roster.Server) bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.backup != nil && unusable(r.backup.at) {
+	if r.backup != nil && unusable(r.backup.server) {
 		r.backup.release()
 		r.backup = nil
 	}
@@ -100,8 +100,8 @@
 	// longestPause is the longest time between two events, and after the event before
 	// it.
 	longestPause time.Duration
-	pauseAfter int
-	moves int
+	pauseAfter   int
+	moves        int
 	// resuming is set until the first event after the run went on pauseInMove, and
 	// pauseInMove where the longest pause was before such an event.
 	resuming, pauseInMove bool
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -152,11 +152,11 @@
 	if !q.protects() {
 		return nil
 	}
-	p := g.obtain(ctx, g.demand(q, need(q), false).copied(source))
+	p := g.obtain(ctx, g.demand(q, streamNeed(q), false).copied(source))
 	if p.fault != nil {
 		return nil
 	}
-	return &backup{at: p.choice.Server, reservation: p.reservation}
+	return &backup{server: p.choice.Server, reservation: p.reservation}
 }
 
 // reservation is the load of one request counted at one server.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -21,16 +21,16 @@
 // memory from the start: a run holds half of its answer on average.
 const expectedShare = 0.5
 
-// need is what a stream asks of an engine.
-func need(q *request) placement.Need {
+// streamNeed is what a stream asks of an engine.
+func streamNeed(q *request) placement.Need {
 	return placement.Need{
-		Tokens: q.Prompt.Tokens + api.Tokens(expectedShare*float64(q.expected())),
+		Tokens: q.Prompt.Tokens + api.Tokens(expectedShare*float64(q.expectedTokens())),
 		Unread: q.Prompt.Tokens,
 	}
 }
 
-// expected is the expected length of the answer.
-func (q *request) expected() api.Tokens {
+// expectedTokens is the expectedTokens length of the answer.
+func (q *request) expectedTokens() api.Tokens {
 	if x := q.Prompt.Expected; x > 0 && x < q.Prompt.Limit {
 		return x
 	}
@@ -39,7 +39,7 @@
 
 // stream serves a request that is answered event by event.
 func (g *Gateway) stream(ctx context.Context, q *request) {
-	v, f := g.try(ctx, q, need(q))
+	v, f := g.try(ctx, q, streamNeed(q))
 	switch {
 	case f != nil:
 		g.fail(q, f)
@@ -49,14 +49,14 @@
 	default:
 		r := &run{request: q}
 		g.attach(r, v.server, v.reservation, v.backup)
-		defer g.leave(r)
+		defer g.endRun(r)
 		q.sink.Begin(v.answer.Head)
 		g.pump(ctx, r, v.answer.Stream)
 	}
 }
 
-// leave ends a run, whatever became of it.
-func (g *Gateway) leave(r *run) {
+// endRun ends a run, whatever became of it.
+func (g *Gateway) endRun(r *run) {
 	r.mutex.Lock()
 	r.ended = true
 	c := r.moveCopy
@@ -88,7 +88,7 @@
 			q.sink.Abort()
 			return
 		}
-		next, ok := g.goOn(ctx, r, err)
+		next, ok := g.resumeBroken(ctx, r, err)
 		if !ok {
 			q.sink.Abort()
 			return
@@ -121,7 +121,7 @@
 			return fault.New(fault.GenerationLost, "events are missing after a take-over, before "+e.ID)
 		}
 		if _, n := r.progress(); n == 1 {
-			g.first(r)
+			g.recordFirstEvent(r)
 		}
 		if err := r.request.sink.Event(e); err != nil {
 			return fault.Wrap(fault.CallerGone, err, "writing an event")
@@ -129,8 +129,8 @@
 	}
 }
 
-// first notes a run's first event.
-func (g *Gateway) first(r *run) {
+// recordFirstEvent notes a run's recordFirstEvent event.
+func (g *Gateway) recordFirstEvent(r *run) {
 	r.mutex.Lock()
 	l := r.reservation
 	r.mutex.Unlock()
