--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -79,7 +79,7 @@
 		r.dropBackup(g.unusable)
 		if g.leaving(r.currentServer().Name) {
 			// What protected it is gone, so that it has to be moved after all.
-			g.move(r)
+			g.startMove(r)
 		}
 	}
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// copyTime bounds one call that copies a run's memory: no server serves
+	// copyTimeout bounds one call that copies a run's memory: no server serves
 	// longer after its notice.
-	copyTime = 3 * time.Second
-	// moveUnread is the prompt that a run on its way counts for at its target, so
+	copyTimeout = 3 * time.Second
+	// moveUnreadTokens is the prompt that a run on its way counts for at its target, so
 	// that no long one is sent there that the run would have to wait behind.
-	moveUnread api.Tokens = 1000
-	// dropTime bounds the call that frees a copy.
-	dropTime = time.Second
+	moveUnreadTokens api.Tokens = 1000
+	// releaseTimeout bounds the call that frees a copy.
+	releaseTimeout = time.Second
 )
 
-// move starts the move of a run off its server, unless one is under way.
-func (g *Gateway) move(r *run) {
+// startMove starts the startMove of a run off its server, unless one is under way.
+func (g *Gateway) startMove(r *run) {
 	e := r.request.service.Engine
 	if e == nil || !e.SupportsMoves {
 		return
@@ -44,18 +44,18 @@
 		// It is about to go on from its copy.
 		return
 	}
-	g.begin(r, evacuate.New(time.Now()))
+	g.beginMove(r, evacuate.New(time.Now()))
 }
 
-// begin starts the steps of a move; the run's mutex is held. The channel is
+// beginMove starts the steps of a move; the run's mutex is held. The channel is
 // closed at their end.
-func (g *Gateway) begin(r *run, e *evacuate.Move) <-chan struct{} {
+func (g *Gateway) beginMove(r *run, e *evacuate.Move) <-chan struct{} {
 	m := &mover{gateway: g, run: r, move: e, source: r.server}
 	done := make(chan struct{})
 	r.mover, r.moveDone = m, done
 	g.Group.Go(func(ctx context.Context) error {
 		defer close(done)
-		m.steps(ctx)
+		m.runSteps(ctx)
 		return nil
 	})
 	return done
@@ -75,9 +75,9 @@
 		r.mutex.Unlock()
 		return false
 	}
-	done, own := r.moveDone, r.mover == nil
-	if own {
-		done = g.begin(r, evacuate.NewFetch(time.Now()))
+	done, started := r.moveDone, r.mover == nil
+	if started {
+		done = g.beginMove(r, evacuate.NewFetch(time.Now()))
 	}
 	r.mutex.Unlock()
 	select {
@@ -89,7 +89,7 @@
 	if r.server.Name != s.Name {
 		return false
 	}
-	if own && r.moveCopy == nil {
+	if started && r.moveCopy == nil {
 		r.stopped = false
 	}
 	return r.stopped && r.moveCopy != nil
@@ -106,26 +106,26 @@
 	tried       []api.ServerName
 }
 
-// steps follows the decisions to their end.
-func (m *mover) steps(ctx context.Context) {
+// runSteps follows the decisions to their end.
+func (m *mover) runSteps(ctx context.Context) {
 	m.gateway.Metrics.Add(metric.MovesBegun, 1)
 	a := m.move.First()
 	for a.Kind == evacuate.Copy || a.Kind == evacuate.Stop {
 		if a.Delay > 0 && !duty.Sleep(ctx, a.Delay) {
 			break
 		}
-		if m.ended() {
+		if m.obsolete() {
 			break
 		}
 		r := m.step(ctx, a)
 		a = m.move.Next(time.Now(), r)
 		m.gateway.Log.Emit(event.MoveStep, zap.String("request", string(m.run.request.ID)), zap.String("from", string(m.source.Name)), zap.String("to", string(m.target.Name)), zap.String("outcome", r.Outcome.String()), zap.Duration("took", r.Took), zap.String("next", a.Kind.String()))
 	}
-	m.end(a.Kind)
+	m.finish(a.Kind)
 }
 
-// ended reports whether the run needs no move any more.
-func (m *mover) ended() bool {
+// obsolete reports whether the run needs no move any more.
+func (m *mover) obsolete() bool {
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
 	return m.run.ended || m.run.server.Name != m.source.Name
@@ -133,21 +133,21 @@
 
 // step makes one copy.
 func (m *mover) step(ctx context.Context, a evacuate.Action) evacuate.Result {
-	if (a.NewTarget || m.gateway.turnsAway(m.target)) && !m.choose(ctx) {
+	if (a.NewTarget || m.gateway.turnsAway(m.target)) && !m.chooseTarget(ctx) {
 		return evacuate.Result{Outcome: evacuate.NoTarget}
 	}
-	if a.Kind == evacuate.Stop && !m.halt() {
+	if a.Kind == evacuate.Stop && !m.markStopped() {
 		return evacuate.Result{Outcome: evacuate.Missing}
 	}
-	c, cancel := context.WithTimeout(ctx, copyTime)
+	c, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	b := time.Now()
 	x, err := m.gateway.Backends.Copy(c, port.CopyOrder{
 		Request: m.run.request.ID, Source: m.source, Target: m.target, Stop: a.Kind == evacuate.Stop,
 	})
-	r := evacuate.Result{Outcome: copied(err), Took: time.Since(b)}
+	r := evacuate.Result{Outcome: copyOutcome(err), Took: time.Since(b)}
 	if x.Handle != "" {
-		m.keep(x.Handle, r.Outcome)
+		m.recordCopy(x.Handle, r.Outcome)
 	}
 	if err != nil {
 		m.gateway.Log.Emit(event.AttemptFailed, zap.String("request", string(m.run.request.ID)), zap.String("server", string(m.source.Name)), zap.Error(err))
@@ -155,9 +155,9 @@
 	return r
 }
 
-// halt notes that the source is about to be told to stop the run; it reports
+// markStopped notes that the source is about to be told to stop the run; it reports
 // false where the run has gone on elsewhere.
-func (m *mover) halt() bool {
+func (m *mover) markStopped() bool {
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
 	if m.run.server.Name != m.source.Name {
@@ -167,15 +167,15 @@
 	return true
 }
 
-// choose picks another target and takes the load off the one before.
-func (m *mover) choose(ctx context.Context) bool {
-	m.release()
+// chooseTarget picks another target and takes the load off the one before.
+func (m *mover) chooseTarget(ctx context.Context) bool {
+	m.releaseTarget()
 	q := m.run.request
 	_, n := m.run.progress()
 	x := q.service.Engine
 	p := m.gateway.obtain(ctx, demand{
 		service: q.service, purpose: api.PlaceAskPurposeMove, domain: m.source.Domain, deadline: q.deadline.At(),
-		need:  placement.Need{Tokens: streamNeed(q).Tokens + api.Tokens(n*x.TokensPerEvent/2), Unread: moveUnread},
+		need:  placement.Need{Tokens: streamNeed(q).Tokens + api.Tokens(n*x.TokensPerEvent/2), Unread: moveUnreadTokens},
 		tried: append(slices.Clone(m.tried), m.source.Name),
 	})
 	if p.fault != nil {
@@ -187,14 +187,14 @@
 	return true
 }
 
-func (m *mover) release() {
+func (m *mover) releaseTarget() {
 	m.reservation.end()
 	m.reservation = nil
 }
 
-// keep notes the copy that a step made; after a stop without room the source
+// recordCopy notes the copy that a step made; after a stop without room the source
 // itself holds the memory.
-func (m *mover) keep(handle string, o evacuate.Outcome) {
+func (m *mover) recordCopy(handle string, o evacuate.Outcome) {
 	h := &kvCopy{server: m.target, reservation: m.reservation, resume: port.Resume{Source: m.source.Address, Handle: handle}}
 	if o != evacuate.Copied {
 		if m.gateway.closed(m.source) {
@@ -212,11 +212,11 @@
 	}
 	// The run has gone on elsewhere: the copy is of no use.
 	m.reservation = nil
-	m.gateway.drop(h)
+	m.gateway.releaseCopy(h)
 }
 
-// end leaves the copy to the run, or frees what nobody will use.
-func (m *mover) end(k evacuate.Kind) {
+// finish leaves the copy to the run, or frees what nobody will use.
+func (m *mover) finish(k evacuate.Kind) {
 	m.run.mutex.Lock()
 	if m.run.mover == m {
 		m.run.mover = nil
@@ -229,18 +229,18 @@
 	used := m.run.reservation == m.reservation || c != nil && c.reservation == m.reservation
 	m.run.mutex.Unlock()
 	if over {
-		m.gateway.drop(c)
+		m.gateway.releaseCopy(c)
 	}
 	if !used {
-		m.release()
+		m.releaseTarget()
 	}
 	if k == evacuate.Resume || k == evacuate.Return {
 		m.gateway.Metrics.Add(metric.MovesDone, 1)
 	}
 }
 
-// copied types the failure of a copy.
-func copied(err error) evacuate.Outcome {
+// copyOutcome types the failure of a copy.
+func copyOutcome(err error) evacuate.Outcome {
 	switch {
 	case err == nil:
 		return evacuate.Copied
@@ -255,11 +255,11 @@
 	}
 }
 
-// drop frees a copy that nobody will use.
-func (g *Gateway) drop(c *kvCopy) {
+// releaseCopy frees a copy that nobody will use.
+func (g *Gateway) releaseCopy(c *kvCopy) {
 	c.reservation.end()
 	g.Group.Go(func(ctx context.Context) error {
-		x, cancel := context.WithTimeout(ctx, dropTime)
+		x, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
 		if _, err := g.Backends.Release(x, c.server, c.resume.Handle); err != nil {
 			g.Log.Emit(event.CopyKept, zap.String("server", string(c.server.Name)), zap.Error(err))
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -51,7 +51,7 @@
 	if !stopped && !g.Contents.MayGoOn(r.request.content) {
 		// Each server that it was taken to has ended: one with copies ended three of
 		// them for each time that its caller asked.
-		g.drop(c)
+		g.releaseCopy(c)
 		g.recordLost(r, from, broke)
 		return nil, false
 	}
@@ -81,7 +81,7 @@
 	s, err := g.resumeFrom(ctx, r, back)
 	switch {
 	case err == nil:
-		g.drop(c)
+		g.releaseCopy(c)
 		return s, back, nil
 	case g.closed(c.server) && r.stoppedWithin(closedTargetGrace):
 		s, err = g.sendResume(ctx, r, c)
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -117,7 +117,7 @@
 // takeOff moves a run off its server. A copy of it is no use while its holder takes nothing.
 func (g *Gateway) takeOff(r *run) {
 	r.dropBackup(func(s roster.Server) bool { return !g.takes(s.Name) })
-	g.move(r)
+	g.startMove(r)
 }
 
 // unusable reports whether a run may not go on at a server that it is not at yet.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -64,7 +64,7 @@
 	r.mutex.Unlock()
 	g.detach(r)
 	if c != nil {
-		g.drop(c)
+		g.releaseCopy(c)
 	}
 }
 
