--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -73,7 +73,7 @@
 	}
 	for _, r := range g.all() {
 		if r.currentServer().Name == n {
-			g.watchdog.close(r)
+			g.watchdog.closeStreams(r)
 		}
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -14,9 +14,9 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// listener notices when one server's stream of a run is silent, and ends it
+// monitor notices when one server's stream of a run is silent, and ends it
 // where the run is to go on elsewhere.
-type listener struct {
+type monitor struct {
 	gateway *Gateway
 	run     *run
 	stream  port.Stream
@@ -24,70 +24,70 @@
 
 	mutex sync.Mutex
 	watch *silence.Watch
-	// waits counts the waits for an event, so that a late finding on one does not
+	// waitCount counts the waitCount for an event, so that a late finding on one does not
 	// end the next; since is when the present one began, due when it is to be
 	// looked into.
-	waits   int
-	waiting bool
-	since   time.Time
-	due     time.Time
+	waitCount    int
+	waiting      bool
+	waitingSince time.Time
+	queryDue     time.Time
 	// inspecting is set while it is looked into.
 	inspecting bool
 }
 
-// listen begins to watch a run's stream; the clean-up ends it.
-func (g *Gateway) listen(r *run, s port.Stream) (*listener, func()) {
-	l := &listener{gateway: g, run: r, stream: s, server: r.currentServer(), watch: silence.NewWatch(r.request.route.GapTarget)}
+// startMonitor begins to watch a run's stream; the clean-up ends it.
+func (g *Gateway) startMonitor(r *run, s port.Stream) (*monitor, func()) {
+	l := &monitor{gateway: g, run: r, stream: s, server: r.currentServer(), watch: silence.NewWatch(r.request.route.GapTarget)}
 	g.watchdog.add(l)
 	return l, func() { g.watchdog.remove(l) }
 }
 
-// wait begins a wait for an event.
-func (l *listener) wait() {
+// beginWait begins a beginWait for an event.
+func (l *monitor) beginWait() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.waits++
+	l.waitCount++
 	l.waiting = true
-	l.since = time.Now()
-	l.due = l.since.Add(l.watch.QueryDelay())
+	l.waitingSince = time.Now()
+	l.queryDue = l.waitingSince.Add(l.watch.QueryDelay())
 }
 
-// heard ends a wait.
-func (l *listener) heard() {
+// endWait ends a wait.
+func (l *monitor) endWait() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.waiting = false
 	l.watch.RecordEvent()
 }
 
-// left is the time until the stream is to be looked into.
-func (l *listener) left(now time.Time) time.Duration {
+// untilQuery is the time until the stream is to be looked into.
+func (l *monitor) untilQuery(now time.Time) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !l.waiting || l.inspecting {
 		return l.watch.QueryDelay()
 	}
-	return l.due.Sub(now)
+	return l.queryDue.Sub(now)
 }
 
-// pause is the time that an event may take.
-func (l *listener) pause() time.Duration {
+// queryDelay is the time that an event may take.
+func (l *monitor) queryDelay() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.watch.QueryDelay()
 }
 
-// begin looks into a wait that has become long.
-func (l *listener) begin(late time.Duration) {
-	l.mark(true)
+// startInspection looks into a wait that has become long.
+func (l *monitor) startInspection(late time.Duration) {
+	l.setInspecting(true)
 	l.gateway.Group.Go(func(ctx context.Context) error {
-		defer l.mark(false)
+		defer l.setInspecting(false)
 		l.inspect(ctx, late)
 		return nil
 	})
 }
 
-func (l *listener) mark(inspecting bool) {
+func (l *monitor) setInspecting(inspecting bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.inspecting = inspecting
@@ -95,21 +95,21 @@
 
 // inspect asks the server and acts on the verdict, unless the stream is heard
 // meanwhile.
-func (l *listener) inspect(ctx context.Context, late time.Duration) {
+func (l *monitor) inspect(ctx context.Context, late time.Duration) {
 	l.mutex.Lock()
-	wait, bound := l.waits, l.watch.QueryTimeout()
+	wait, bound := l.waitCount, l.watch.QueryTimeout()
 	waiting := l.waiting
 	l.mutex.Unlock()
 	if !waiting {
 		return
 	}
 	if silence.ProcessBehind(late, l.stream.Waiting()) {
-		l.again(wait)
+		l.scheduleQuery(wait)
 		return
 	}
 	a := l.gateway.inquire(ctx, l.server, bound)
-	copied := a.Unresponsive() && l.holderAnswers(ctx)
-	s, ok := l.state(wait)
+	copied := a.Unresponsive() && l.backupAnswers(ctx)
+	s, ok := l.streamState(wait)
 	if !ok {
 		return
 	}
@@ -121,13 +121,13 @@
 		l.stream.Close()
 		return
 	}
-	l.again(wait)
+	l.scheduleQuery(wait)
 }
 
-// holderAnswers reports whether a copy of the run is held by a server that
+// backupAnswers reports whether a copy of the run is held by a server that
 // answers at once.
-func (l *listener) holderAnswers(ctx context.Context) bool {
-	h, ok := l.run.holder()
+func (l *monitor) backupAnswers(ctx context.Context) bool {
+	h, ok := l.run.copyHolder()
 	if !ok || l.gateway.closed(h) {
 		return false
 	}
@@ -140,28 +140,28 @@
 	return err == nil
 }
 
-// state describes the stream in a wait; it reports false once that is over.
-func (l *listener) state(wait int) (silence.Stream, bool) {
+// streamState describes the stream in a wait; it reports false once that is over.
+func (l *monitor) streamState(wait int) (silence.Stream, bool) {
 	_, n := l.run.progress()
 	s := silence.Stream{Request: l.run.request.ID, Delivered: n}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	s.SilentFor = time.Since(l.since)
-	return s, l.waiting && l.waits == wait
+	s.SilentFor = time.Since(l.waitingSince)
+	return s, l.waiting && l.waitCount == wait
 }
 
-// again lets the stream wait on.
-func (l *listener) again(wait int) {
+// scheduleQuery lets the stream wait on.
+func (l *monitor) scheduleQuery(wait int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.waiting && l.waits == wait {
+	if l.waiting && l.waitCount == wait {
 		l.watch.RecordQuery()
-		l.due = time.Now().Add(l.watch.QueryDelay())
+		l.queryDue = time.Now().Add(l.watch.QueryDelay())
 	}
 }
 
-// holder is the server that the run could go on at without its own.
-func (r *run) holder() (roster.Server, bool) {
+// copyHolder is the server that the run could go on at without its own.
+func (r *run) copyHolder() (roster.Server, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -75,7 +75,7 @@
 		r.dropBackup(g.unusable)
 		switch s, ok := g.member(r.currentServer().Name); {
 		case ok && s.State == roster.Ended:
-			g.watchdog.close(r)
+			g.watchdog.closeStreams(r)
 		case !ok || s.State.Departing():
 			g.takeOff(r)
 		}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -101,12 +101,12 @@
 func (g *Gateway) relay(ctx context.Context, r *run, s port.Stream) error {
 	stop := context.AfterFunc(ctx, s.Close)
 	defer stop()
-	l, end := g.listen(r, s)
+	l, end := g.startMonitor(r, s)
 	defer end()
 	for {
-		l.wait()
+		l.beginWait()
 		e, err := s.Next()
-		l.heard()
+		l.endWait()
 		g.watchdog.sweep()
 		if errors.Is(err, io.EOF) {
 			return nil
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -10,46 +10,46 @@
 // streams, since each wake-up costs processor time and makes a slow VM slower.
 type watchdog struct {
 	mutex     sync.Mutex
-	listeners map[*listener]bool
+	monitors  map[*monitor]bool
 	timer     *time.Timer
 	armed     bool
-	swept     time.Time
+	lastSweep time.Time
 }
 
 const (
-	// sweepLeast is the least time between two sweeps: a fraction of the pause
+	// minSweepInterval is the least time between two sweeps: a fraction of the pause
 	// after which a server is asked.
-	sweepLeast = 20 * time.Millisecond
-	// fewStreams is the number of streams up to which there is a timer; the events
+	minSweepInterval = 20 * time.Millisecond
+	// maxTimedStreams is the number of streams up to which there is a timer; the events
 	// of more come often enough, each some 20 times a second.
-	fewStreams = 3
-	// roundLeast bounds the timer from below.
-	roundLeast = 5 * time.Millisecond
+	maxTimedStreams = 3
+	// minTimerDelay bounds the timer from below.
+	minTimerDelay = 5 * time.Millisecond
 )
 
 func newWatchdog() *watchdog {
-	return &watchdog{listeners: map[*listener]bool{}}
+	return &watchdog{monitors: map[*monitor]bool{}}
 }
 
-func (w *watchdog) add(l *listener) {
+func (w *watchdog) add(l *monitor) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.listeners[l] = true
-	w.arm(l.pause())
+	w.monitors[l] = true
+	w.arm(l.queryDelay())
 }
 
-func (w *watchdog) remove(l *listener) {
+func (w *watchdog) remove(l *monitor) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.listeners, l)
-	w.arm(l.pause())
+	delete(w.monitors, l)
+	w.arm(l.queryDelay())
 }
 
-// close ends the streams of a run.
-func (w *watchdog) close(r *run) {
+// closeStreams ends the streams of a run.
+func (w *watchdog) closeStreams(r *run) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for l := range w.listeners {
+	for l := range w.monitors {
 		if l.run == r {
 			l.stream.Close()
 		}
@@ -58,30 +58,30 @@
 
 // arm sets the timer where it is needed; the mutex is held.
 func (w *watchdog) arm(d time.Duration) {
-	if n := len(w.listeners); w.armed || n == 0 || n > fewStreams {
+	if n := len(w.monitors); w.armed || n == 0 || n > maxTimedStreams {
 		return
 	}
 	w.armed = true
 	if w.timer == nil {
-		w.timer = time.AfterFunc(d, w.round)
+		w.timer = time.AfterFunc(d, w.onTimer)
 		return
 	}
 	w.timer.Reset(d)
 }
 
-// round is the timer's sweep.
-func (w *watchdog) round() {
+// onTimer is the timer's sweep.
+func (w *watchdog) onTimer() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.armed = false
-	w.arm(max(w.check(time.Now()), roundLeast))
+	w.arm(max(w.check(time.Now()), minTimerDelay))
 }
 
 // sweep looks after all streams, unless that was done just before.
 func (w *watchdog) sweep() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if now := time.Now(); now.Sub(w.swept) >= sweepLeast {
+	if now := time.Now(); now.Sub(w.lastSweep) >= minSweepInterval {
 		w.check(now)
 	}
 }
@@ -89,13 +89,13 @@
 // check begins to inspect the streams whose time has come, and gives the time
 // until the next one's; the mutex is held.
 func (w *watchdog) check(now time.Time) time.Duration {
-	w.swept = now
+	w.lastSweep = now
 	var next time.Duration
-	for l := range w.listeners {
-		d := l.left(now)
+	for l := range w.monitors {
+		d := l.untilQuery(now)
 		if d <= 0 {
-			l.begin(-d)
-			d = l.pause()
+			l.startInspection(-d)
+			d = l.queryDelay()
 		}
 		if next == 0 || d < next {
 			next = d
