--- a/internal/gateway/listener.go
+++ b/internal/gateway/monitor.go
@@ -37,126 +37,126 @@
 
 // startMonitor begins to watch a run's stream; the clean-up ends it.
 func (g *Gateway) startMonitor(r *run, s port.Stream) (*monitor, func()) {
-	l := &monitor{gateway: g, run: r, stream: s, server: r.currentServer(), watch: silence.NewWatch(r.request.route.GapTarget)}
-	g.watchdog.add(l)
-	return l, func() { g.watchdog.remove(l) }
+	m := &monitor{gateway: g, run: r, stream: s, server: r.currentServer(), watch: silence.NewWatch(r.request.route.GapTarget)}
+	g.watchdog.add(m)
+	return m, func() { g.watchdog.remove(m) }
 }
 
 // beginWait begins a beginWait for an event.
-func (l *monitor) beginWait() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.waitCount++
-	l.waiting = true
-	l.waitingSince = time.Now()
-	l.queryDue = l.waitingSince.Add(l.watch.QueryDelay())
+func (m *monitor) beginWait() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.waitCount++
+	m.waiting = true
+	m.waitingSince = time.Now()
+	m.queryDue = m.waitingSince.Add(m.watch.QueryDelay())
 }
 
 // endWait ends a wait.
-func (l *monitor) endWait() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.waiting = false
-	l.watch.RecordEvent()
+func (m *monitor) endWait() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.waiting = false
+	m.watch.RecordEvent()
 }
 
 // untilQuery is the time until the stream is to be looked into.
-func (l *monitor) untilQuery(now time.Time) time.Duration {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if !l.waiting || l.inspecting {
-		return l.watch.QueryDelay()
+func (m *monitor) untilQuery(now time.Time) time.Duration {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if !m.waiting || m.inspecting {
+		return m.watch.QueryDelay()
 	}
-	return l.queryDue.Sub(now)
+	return m.queryDue.Sub(now)
 }
 
 // queryDelay is the time that an event may take.
-func (l *monitor) queryDelay() time.Duration {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.watch.QueryDelay()
+func (m *monitor) queryDelay() time.Duration {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.watch.QueryDelay()
 }
 
 // startInspection looks into a wait that has become long.
-func (l *monitor) startInspection(late time.Duration) {
-	l.setInspecting(true)
-	l.gateway.Group.Go(func(ctx context.Context) error {
-		defer l.setInspecting(false)
-		l.inspect(ctx, late)
+func (m *monitor) startInspection(late time.Duration) {
+	m.setInspecting(true)
+	m.gateway.Group.Go(func(ctx context.Context) error {
+		defer m.setInspecting(false)
+		m.inspect(ctx, late)
 		return nil
 	})
 }
 
-func (l *monitor) setInspecting(inspecting bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.inspecting = inspecting
+func (m *monitor) setInspecting(inspecting bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.inspecting = inspecting
 }
 
 // inspect asks the server and acts on the verdict, unless the stream is heard
 // meanwhile.
-func (l *monitor) inspect(ctx context.Context, late time.Duration) {
-	l.mutex.Lock()
-	wait, bound := l.waitCount, l.watch.QueryTimeout()
-	waiting := l.waiting
-	l.mutex.Unlock()
+func (m *monitor) inspect(ctx context.Context, late time.Duration) {
+	m.mutex.Lock()
+	wait, bound := m.waitCount, m.watch.QueryTimeout()
+	waiting := m.waiting
+	m.mutex.Unlock()
 	if !waiting {
 		return
 	}
-	if silence.ProcessBehind(late, l.stream.Waiting()) {
-		l.scheduleQuery(wait)
+	if silence.ProcessBehind(late, m.stream.Waiting()) {
+		m.scheduleQuery(wait)
 		return
 	}
-	a := l.gateway.inquire(ctx, l.server, bound)
-	copied := a.Unresponsive() && l.backupAnswers(ctx)
-	s, ok := l.streamState(wait)
+	a := m.gateway.inquire(ctx, m.server, bound)
+	copied := a.Unresponsive() && m.backupAnswers(ctx)
+	s, ok := m.streamState(wait)
 	if !ok {
 		return
 	}
 	s.HasBackup = copied
 	v := silence.Decide(s, a)
-	l.gateway.Metrics.Add(metric.SilentStreams, 1)
-	l.gateway.Log.Emit(event.StreamSilent, zap.String("request", string(s.Request)), zap.String("server", string(l.server.Name)), zap.Int("events", s.Delivered), zap.Duration("silent", s.SilentFor), zap.Bool("reached", a.Answered), zap.Int("made", a.Produced[s.Request]), zap.String("verdict", v.String()))
-	if v == silence.Abandon || v == silence.Fetch && l.gateway.fetch(ctx, l.run, l.server) {
-		l.stream.Close()
+	m.gateway.Metrics.Add(metric.SilentStreams, 1)
+	m.gateway.Log.Emit(event.StreamSilent, zap.String("request", string(s.Request)), zap.String("server", string(m.server.Name)), zap.Int("events", s.Delivered), zap.Duration("silent", s.SilentFor), zap.Bool("reached", a.Answered), zap.Int("made", a.Produced[s.Request]), zap.String("verdict", v.String()))
+	if v == silence.Abandon || v == silence.Fetch && m.gateway.fetch(ctx, m.run, m.server) {
+		m.stream.Close()
 		return
 	}
-	l.scheduleQuery(wait)
+	m.scheduleQuery(wait)
 }
 
 // backupAnswers reports whether a copy of the run is held by a server that
 // answers at once.
-func (l *monitor) backupAnswers(ctx context.Context) bool {
-	h, ok := l.run.copyHolder()
-	if !ok || l.gateway.closed(h) {
+func (m *monitor) backupAnswers(ctx context.Context) bool {
+	h, ok := m.run.copyHolder()
+	if !ok || m.gateway.closed(h) {
 		return false
 	}
-	l.mutex.Lock()
-	bound := l.watch.BackupTimeout()
-	l.mutex.Unlock()
+	m.mutex.Lock()
+	bound := m.watch.BackupTimeout()
+	m.mutex.Unlock()
 	c, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
-	_, err := l.gateway.Backends.Report(c, h, true)
+	_, err := m.gateway.Backends.Report(c, h, true)
 	return err == nil
 }
 
 // streamState describes the stream in a wait; it reports false once that is over.
-func (l *monitor) streamState(wait int) (silence.Stream, bool) {
-	_, n := l.run.progress()
-	s := silence.Stream{Request: l.run.request.ID, Delivered: n}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	s.SilentFor = time.Since(l.waitingSince)
-	return s, l.waiting && l.waitCount == wait
+func (m *monitor) streamState(wait int) (silence.Stream, bool) {
+	_, n := m.run.progress()
+	s := silence.Stream{Request: m.run.request.ID, Delivered: n}
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	s.SilentFor = time.Since(m.waitingSince)
+	return s, m.waiting && m.waitCount == wait
 }
 
 // scheduleQuery lets the stream wait on.
-func (l *monitor) scheduleQuery(wait int) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.waiting && l.waitCount == wait {
-		l.watch.RecordQuery()
-		l.queryDue = time.Now().Add(l.watch.QueryDelay())
+func (m *monitor) scheduleQuery(wait int) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.waiting && m.waitCount == wait {
+		m.watch.RecordQuery()
+		m.queryDue = time.Now().Add(m.watch.QueryDelay())
 	}
 }
 
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -31,27 +31,27 @@
 	return &watchdog{monitors: map[*monitor]bool{}}
 }
 
-func (w *watchdog) add(l *monitor) {
+func (w *watchdog) add(m *monitor) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.monitors[l] = true
-	w.arm(l.queryDelay())
+	w.monitors[m] = true
+	w.arm(m.queryDelay())
 }
 
-func (w *watchdog) remove(l *monitor) {
+func (w *watchdog) remove(m *monitor) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.monitors, l)
-	w.arm(l.queryDelay())
+	delete(w.monitors, m)
+	w.arm(m.queryDelay())
 }
 
 // closeStreams ends the streams of a run.
 func (w *watchdog) closeStreams(r *run) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for l := range w.monitors {
-		if l.run == r {
-			l.stream.Close()
+	for m := range w.monitors {
+		if m.run == r {
+			m.stream.Close()
 		}
 	}
 }
@@ -91,11 +91,11 @@
 func (w *watchdog) check(now time.Time) time.Duration {
 	w.lastSweep = now
 	var next time.Duration
-	for l := range w.monitors {
-		d := l.untilQuery(now)
+	for m := range w.monitors {
+		d := m.untilQuery(now)
 		if d <= 0 {
-			l.startInspection(-d)
-			d = l.queryDelay()
+			m.startInspection(-d)
+			d = m.queryDelay()
 		}
 		if next == 0 || d < next {
 			next = d
