--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -130,7 +130,7 @@
 			err = fault.New(fault.OutcomeUnknown, "the server answered "+http.StatusText(a.Status))
 		} else {
 			g.note(s, met(err))
-			g.noteBreak(q, s, err)
+			g.noteBrokenRun(q, s, err)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(q.ID)), zap.String("server", string(s.Name)), zap.String("content", string(q.content())), zap.Error(err))
 		m, f := c.AttemptFailed(outcome(err), err, ctx.Err() != nil, again)
@@ -148,7 +148,7 @@
 // next chooses the server to send to now. Only the first of an engine's request
 // is waited for: what was sent before has used up its time to wait.
 func (g *Gateway) next(ctx context.Context, q *request, n placement.Need, c *call.Call) placed {
-	if f := g.allRest(q, c); f != nil {
+	if f := g.refuseIfAllBackOff(q, c); f != nil {
 		return placed{fault: f}
 	}
 	switch {
--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -30,7 +30,7 @@
 	for _, d := range l {
 		s.Items = append(s.Items, replica.Object[roster.Closure]{Name: string(d), Value: roster.Closure{Domain: d}})
 	}
-	b.Close(s)
+	b.SetClosures(s)
 }
 
 // usual are two engines and two plain servers in two failure domains.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -117,7 +117,7 @@
 		runs: map[api.ServerName]map[*run]bool{}, admissions: map[api.ServiceName]*admission{},
 		answers: silence.NewResultCache(), watchdog: newWatchdog(),
 	}
-	g.Backends = observed{p.Backends, g}
+	g.Backends = signalRecorder{p.Backends, g}
 	return g
 }
 
--- a/internal/gateway/monitor.go
+++ b/internal/gateway/monitor.go
@@ -128,7 +128,7 @@
 // answers at once.
 func (m *monitor) backupAnswers(ctx context.Context) bool {
 	h, ok := m.run.copyHolder()
-	if !ok || m.gateway.closed(h) {
+	if !ok || m.gateway.inClosedDomain(h) {
 		return false
 	}
 	m.mutex.Lock()
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -133,7 +133,7 @@
 
 // step makes one copy.
 func (m *mover) step(ctx context.Context, a evacuate.Action) evacuate.Result {
-	if (a.NewTarget || m.gateway.turnsAway(m.target)) && !m.chooseTarget(ctx) {
+	if (a.NewTarget || m.gateway.avoids(m.target)) && !m.chooseTarget(ctx) {
 		return evacuate.Result{Outcome: evacuate.NoTarget}
 	}
 	if a.Kind == evacuate.Stop && !m.markStopped() {
@@ -197,7 +197,7 @@
 func (m *mover) recordCopy(handle string, o evacuate.Outcome) {
 	h := &kvCopy{server: m.target, reservation: m.reservation, resume: port.Resume{Source: m.source.Address, Handle: handle}}
 	if o != evacuate.Copied {
-		if m.gateway.closed(m.source) {
+		if m.gateway.inClosedDomain(m.source) {
 			// Going back would be a new request there. What the target has may do.
 			return
 		}
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -178,7 +178,7 @@
 	own := d.recipient == nil
 	if own {
 		a.Ask, a.Holding = g.beginAsk(d.domain)
-		l, _ := g.resting(d.service.Name)
+		l, _ := g.backingOff(d.service.Name)
 		a.Tried = append(slices.Clone(a.Tried), l...)
 	}
 	r, err := g.Peers.Ask(c, to, a)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -16,47 +16,47 @@
 )
 
 const (
-	// keepTime bounds one call that writes a refused content to the platform; between
+	// writeTimeout bounds one call that writes a refused content to the platform; between
 	// two of them is a pause that doubles from keepFirst to keepLast.
-	keepTime  = time.Second
-	keepFirst = 200 * time.Millisecond
-	keepLast  = 5 * time.Second
+	writeTimeout    = time.Second
+	minWriteBackoff = 200 * time.Millisecond
+	maxWriteBackoff = 5 * time.Second
 )
 
-// noteBreak takes what the failure of an attempt tells of its content and its server.
-func (g *Gateway) noteBreak(q *request, s roster.Server, err error) {
+// noteBrokenRun takes what the failure of an attempt tells of its content and its server.
+func (g *Gateway) noteBrokenRun(q *request, s roster.Server, err error) {
 	if !g.leaving(s.Name) {
 		g.Contents.Broke(q.content, s.Name, err)
 	}
 }
 
-// judge refuses the contents that have come to be confirmed, and has the platform keep
+// quarantineConfirmed refuses the contents that have come to be confirmed, and has the platform keep
 // them: an entry VM that peers don't reach, or that starts later, learns of them there.
-func (g *Gateway) judge() {
+func (g *Gateway) quarantineConfirmed() {
 	for _, v := range g.Contents.Step() {
 		if v.Local && g.Quarantines != nil {
 			g.Group.Go(func(ctx context.Context) error {
-				g.keepEntry(ctx, v.Entry)
+				g.storeQuarantine(ctx, v.Entry)
 				return nil
 			})
 		}
 	}
 }
 
-// keepEntry writes a refused content to the platform, however long that is away.
-func (g *Gateway) keepEntry(ctx context.Context, e quarantine.Entry) {
-	g.persist(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Keep(c, e) })
+// storeQuarantine writes a refused content to the platform, however long that is away.
+func (g *Gateway) storeQuarantine(ctx context.Context, e quarantine.Entry) {
+	g.retryWrite(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Keep(c, e) })
 }
 
-// release removes a content from the platform, however long that is away.
-func (g *Gateway) release(ctx context.Context, c api.ContentHash) {
-	g.persist(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Release(x, c) })
+// deleteQuarantine removes a content from the platform, however long that is away.
+func (g *Gateway) deleteQuarantine(ctx context.Context, c api.ContentHash) {
+	g.retryWrite(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Release(x, c) })
 }
 
-// persist makes a write about a content again until it is done or not wanted any more.
-func (g *Gateway) persist(ctx context.Context, c api.ContentHash, wanted func() bool, write func(ctx context.Context) error) {
-	for pause := keepFirst; wanted(); pause = min(2*pause, keepLast) {
-		x, cancel := context.WithTimeout(ctx, keepTime)
+// retryWrite makes a write about a content again until it is done or not wanted any more.
+func (g *Gateway) retryWrite(ctx context.Context, c api.ContentHash, wanted func() bool, write func(ctx context.Context) error) {
+	for pause := minWriteBackoff; wanted(); pause = min(2*pause, maxWriteBackoff) {
+		x, cancel := context.WithTimeout(ctx, writeTimeout)
 		g.Metrics.Add(metric.PlatformWrites, 1)
 		err := write(x)
 		cancel()
@@ -70,19 +70,19 @@
 	}
 }
 
-// Correct puts the platform's objects right after it came back from a copy; it is for the
+// CorrectQuarantines puts the platform's objects right after it came back from a copy; it is for the
 // entry VM that follows the platform, so that one writes and not all.
-func (g *Gateway) Correct() {
+func (g *Gateway) CorrectQuarantines() {
 	x := g.Contents.Correct()
 	for _, e := range x.Write {
 		g.Group.Go(func(ctx context.Context) error {
-			g.keepEntry(ctx, e)
+			g.storeQuarantine(ctx, e)
 			return nil
 		})
 	}
 	for _, c := range x.Release {
 		g.Group.Go(func(ctx context.Context) error {
-			g.release(ctx, c)
+			g.deleteQuarantine(ctx, c)
 			return nil
 		})
 	}
@@ -91,8 +91,8 @@
 	}
 }
 
-// Quarantine takes the contents that the platform keeps as refused.
-func (g *Gateway) Quarantine(s replica.Snapshot[quarantine.Entry]) {
+// SetQuarantines takes the contents that the platform keeps as refused.
+func (g *Gateway) SetQuarantines(s replica.Snapshot[quarantine.Entry]) {
 	l := make([]quarantine.Entry, 0, len(s.Items))
 	for _, o := range s.Items {
 		l = append(l, o.Value)
@@ -101,11 +101,11 @@
 	g.Log.Emit(event.ContentDeclared, zap.Int("contents", len(l)), zap.Stringer("version", s.At))
 }
 
-// ReleaseExpired removes from the platform what it keeps beyond its time; it is for the
+// DeleteExpiredQuarantines removes from the platform what it keeps beyond its time; it is for the
 // entry VM that follows the platform.
-func (g *Gateway) ReleaseExpired(ctx context.Context) {
+func (g *Gateway) DeleteExpiredQuarantines(ctx context.Context) {
 	for _, c := range g.Contents.Expired() {
-		x, cancel := context.WithTimeout(ctx, keepTime)
+		x, cancel := context.WithTimeout(ctx, writeTimeout)
 		g.Metrics.Add(metric.PlatformWrites, 1)
 		err := g.Quarantines.Release(x, c)
 		cancel()
@@ -120,7 +120,7 @@
 	return g.Contents.Recent()
 }
 
-// MergeContents takes what a peer knows of contents that end servers.
-func (g *Gateway) MergeContents(l []api.ContentReport) {
+// MergeContentReports takes what a peer knows of contents that end servers.
+func (g *Gateway) MergeContentReports(l []api.ContentReport) {
 	g.Contents.Merge(l)
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -40,7 +40,7 @@
 	if !stopped {
 		g.note(from, placement.Lost)
 		if r.startedRecently(began) {
-			g.noteBreak(r.request, from, broke)
+			g.noteBrokenRun(r.request, from, broke)
 		}
 	}
 	c := r.takeCopy()
@@ -83,7 +83,7 @@
 	case err == nil:
 		g.releaseCopy(c)
 		return s, back, nil
-	case g.closed(c.server) && r.stoppedWithin(closedTargetGrace):
+	case g.inClosedDomain(c.server) && r.stoppedWithin(closedTargetGrace):
 		s, err = g.sendResume(ctx, r, c)
 		return s, c, err
 	default:
@@ -93,7 +93,7 @@
 
 // resumeFrom asks the holder of a copy to go on, unless operators have closed its domain.
 func (g *Gateway) resumeFrom(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
-	if g.closed(c.server) {
+	if g.inClosedDomain(c.server) {
 		return nil, fault.New(fault.ServerRefused, "operators have closed the failure domain of the copy")
 	}
 	return g.sendResume(ctx, r, c)
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -53,8 +53,8 @@
 	g.Retries.SetMembers(n)
 	g.fleet.Observe(now, n)
 	g.mutex.Unlock()
-	g.reopen(now)
-	g.judge()
+	g.expireClosures(now)
+	g.quarantineConfirmed()
 	g.watchdog.sweep()
 	g.changed(c)
 }
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -16,42 +16,42 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// observed notes what backend servers say of themselves in any of their answers, so that no
+// signalRecorder notes what backend servers say of themselves in any of their answers, so that no
 // caller of them has to.
-type observed struct {
+type signalRecorder struct {
 	port.Backends
 	gateway *Gateway
 }
 
 // Send sends a request and gives its answer.
-func (o observed) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
+func (o signalRecorder) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	began := time.Now()
 	x, err := o.Backends.Send(ctx, a)
-	o.gateway.noteSignals(began, a.Server, x.Signals)
+	o.gateway.recordSignals(began, a.Server, x.Signals)
 	return x, err
 }
 
 // Copy copies a run's memory.
-func (o observed) Copy(ctx context.Context, c port.CopyOrder) (port.Copy, error) {
+func (o signalRecorder) Copy(ctx context.Context, c port.CopyOrder) (port.Copy, error) {
 	began := time.Now()
 	x, err := o.Backends.Copy(ctx, c)
-	o.gateway.noteSignals(began, c.Source, x.Signals)
+	o.gateway.recordSignals(began, c.Source, x.Signals)
 	return x, err
 }
 
 // Report asks a server about itself.
-func (o observed) Report(ctx context.Context, s roster.Server, fresh bool) (port.Report, error) {
+func (o signalRecorder) Report(ctx context.Context, s roster.Server, fresh bool) (port.Report, error) {
 	began := time.Now()
 	x, err := o.Backends.Report(ctx, s, fresh)
-	o.gateway.noteSignals(began, s, x.Signals)
+	o.gateway.recordSignals(began, s, x.Signals)
 	return x, err
 }
 
 // Release frees a copy that nothing will use.
-func (o observed) Release(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
+func (o signalRecorder) Release(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
 	began := time.Now()
 	x, err := o.Backends.Release(ctx, s, handle)
-	o.gateway.noteSignals(began, s, x)
+	o.gateway.recordSignals(began, s, x)
 	return x, err
 }
 
@@ -70,19 +70,19 @@
 		changed := known && g.picker.Limits.Merge(time.Now(), x)
 		g.mutex.Unlock()
 		if changed {
-			g.noteLimit(x.Server, x.Named, x.PerSecond, true)
+			g.logLimit(x.Server, x.Named, x.PerSecond, true)
 		}
 	}
 }
 
-// noteLimit logs a limit that is new here.
-func (g *Gateway) noteLimit(n api.ServerName, named bool, perSecond float64, ofPeer bool) {
+// logLimit logs a limit that is new here.
+func (g *Gateway) logLimit(n api.ServerName, named bool, perSecond float64, ofPeer bool) {
 	g.Log.Emit(event.ServerLimit, zap.String("server", string(n)), zap.Bool("limited", named), zap.Float64("per_second", perSecond), zap.Bool("of_peer", ofPeer))
 }
 
-// noteSignals takes what a server says of itself in the answer to a call that was sent at a
+// recordSignals takes what a server says of itself in the answer to a call that was sent at a
 // time.
-func (g *Gateway) noteSignals(sent time.Time, s roster.Server, x port.Signals) {
+func (g *Gateway) recordSignals(sent time.Time, s roster.Server, x port.Signals) {
 	if !x.Answered {
 		return
 	}
@@ -90,37 +90,37 @@
 		g.Log.Emit(event.SignalUnreadable, zap.String("server", string(s.Name)), zap.String("text", x.Unreadable))
 	}
 	if x.Resting {
-		g.noteRest(s, x.Rest)
+		g.recordBackoff(s, x.Rest)
 	}
 	if x.Leaving {
-		g.noteNotice(s)
+		g.recordLeaving(s)
 	}
 	if x.Limited || x.Unreadable == "" {
 		// What can't be read may be the limit, which it does not take back.
-		g.noteAnswerLimit(sent, s, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
+		g.recordLimit(sent, s, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
 	}
 }
 
-// noteAnswerLimit takes the limit in an answer, or that it names none.
-func (g *Gateway) noteAnswerLimit(sent time.Time, s roster.Server, l throttle.Limit) {
+// recordLimit takes the limit in an answer, or that it names none.
+func (g *Gateway) recordLimit(sent time.Time, s roster.Server, l throttle.Limit) {
 	g.mutex.Lock()
 	changed := g.picker.Limits.Record(time.Now(), sent, s.Name, l)
 	g.mutex.Unlock()
 	if changed {
-		g.noteLimit(s.Name, l.Named, float64(l.Rate), false)
+		g.logLimit(s.Name, l.Named, float64(l.Rate), false)
 	}
 }
 
-// noteNotice takes a server's word in an answer that it leaves.
-func (g *Gateway) noteNotice(s roster.Server) {
+// recordLeaving takes a server's word in an answer that it leaves.
+func (g *Gateway) recordLeaving(s roster.Server) {
 	if !g.leaving(s.Name) {
 		g.Log.Emit(event.ServerNotice, zap.String("server", string(s.Name)))
 	}
 	g.NoteLeaving([]api.ServerName{s.Name})
 }
 
-// noteRest takes the rest that a server asked this entry VM for.
-func (g *Gateway) noteRest(s roster.Server, d time.Duration) {
+// recordBackoff takes the rest that a server asked this entry VM for.
+func (g *Gateway) recordBackoff(s roster.Server, d time.Duration) {
 	g.Log.Emit(event.ServerRest, zap.String("server", string(s.Name)), zap.Duration("rest", d))
 	g.mutex.Lock()
 	g.picker.Rests.Note(time.Now(), s.Name, d)
@@ -132,22 +132,22 @@
 	}
 }
 
-// resting lists the servers of a service that asked this entry VM for rest, and gives the time
+// backingOff lists the servers of a service that asked this entry VM for rest, and gives the time
 // until the first of them takes requests again where all do.
-func (g *Gateway) resting(n api.ServiceName) ([]api.ServerName, time.Duration) {
+func (g *Gateway) backingOff(n api.ServiceName) ([]api.ServerName, time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Rests.Among(time.Now(), g.roster.Service(n))
 }
 
-// restSpread is the time over which callers come back that were refused in one rest.
-const restSpread = 500 * time.Millisecond
+// retrySpread is the time over which callers come back that were refused in one rest.
+const retrySpread = 500 * time.Millisecond
 
-// allRest is the refusal of a request since all servers rest, or nil where one does not.
-func (g *Gateway) allRest(q *request, c *call.Call) *fault.Error {
-	_, d := g.resting(q.service.Name)
+// refuseIfAllBackOff is the refusal of a request since all servers rest, or nil where one does not.
+func (g *Gateway) refuseIfAllBackOff(q *request, c *call.Call) *fault.Error {
+	_, d := g.backingOff(q.service.Name)
 	if d == 0 {
 		return nil
 	}
-	return g.noneYet(c, d+time.Duration(rand.Float64()*float64(restSpread)))
+	return g.noneYet(c, d+time.Duration(rand.Float64()*float64(retrySpread)))
 }
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -181,14 +181,14 @@
 // close takes the failure domains that are closed to new work, and tells peers that
 // hear of them from here.
 func (h *Hosted) close(s replica.Snapshot[roster.Closure]) {
-	h.gateway.Close(s)
+	h.gateway.SetClosures(s)
 	h.tell()
 }
 
 // quarantine takes the contents that the platform keeps as refused, and tells peers that
 // hear of them from here.
 func (h *Hosted) quarantine(s replica.Snapshot[quarantine.Entry]) {
-	h.gateway.Quarantine(s)
+	h.gateway.SetQuarantines(s)
 	h.tell()
 }
 
@@ -329,11 +329,11 @@
 		h.pool.Sweep()
 	}
 	if h.quarantines != nil && h.quarantines.Direct() {
-		h.gateway.Correct()
+		h.gateway.CorrectQuarantines()
 	}
 	if h.rounds%releaseRounds == 0 && h.quarantines != nil && h.quarantines.Direct() {
 		h.group.Go(func(ctx context.Context) error {
-			h.gateway.ReleaseExpired(ctx)
+			h.gateway.DeleteExpiredQuarantines(ctx)
 			return nil
 		})
 	}
