--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -14,8 +14,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// halls declares servers by name with their failure domains.
-func (b *bed) halls(domains map[string]api.DomainName, draining ...string) {
+// declareDomains declares servers by name with their failure domains.
+func (b *bed) declareDomains(domains map[string]api.DomainName, draining ...string) {
 	var l []roster.Server
 	for n, d := range domains {
 		l = append(l, server(n, d, slices.Contains(draining, n)))
@@ -23,8 +23,8 @@
 	b.serve(l)
 }
 
-// shut declares the failure domains that are closed.
-func (b *bed) shut(l ...api.DomainName) {
+// closeDomains declares the failure domains that are closed.
+func (b *bed) closeDomains(l ...api.DomainName) {
 	b.version++
 	s := replica.Snapshot[roster.Closure]{At: b.version}
 	for _, d := range l {
@@ -33,13 +33,13 @@
 	b.SetClosures(s)
 }
 
-// usual are two engines and two plain servers in two failure domains.
-func usual() map[string]api.DomainName {
+// twoDomains are two engines and two plain servers in two failure domains.
+func twoDomains() map[string]api.DomainName {
 	return map[string]api.DomainName{"e1": "x", "e2": "y", "p1": "x", "p2": "y"}
 }
 
-// ask sends a request and gives its caller once it has an answer or an event.
-func (b *bed) ask(path string) *caller {
+// send sends a request and gives its caller once it has an answer or an event.
+func (b *bed) send(path string) *caller {
 	c := &caller{}
 	b.Handle(context.Background(), request(path), c)
 	return c
@@ -50,26 +50,26 @@
 		f := newFake()
 		f.total = 3
 		b := newBed(t, f, 9)
-		b.halls(usual())
-		b.shut("x")
+		b.declareDomains(twoDomains())
+		b.closeDomains("x")
 		for range 8 {
 			for _, n := range []string{"p1", "p2"} {
 				f.answers[n] = []any{http.StatusInternalServerError, http.StatusOK}
 			}
-			b.ask("/stream/1")
-			b.ask("/unsafe/1")
+			b.send("/stream/1")
+			b.send("/unsafe/1")
 			// It fails once, and there is nowhere else to try.
-			b.ask("/safe/1")
+			b.send("/safe/1")
 		}
 		for _, n := range f.sends {
 			if n == "e1" || n == "p1" {
 				t.Fatalf("sends while x is closed: got %v, want none to x", f.sends)
 			}
 		}
-		b.shut()
+		b.closeDomains()
 		f.sends = nil
 		for range 16 {
-			b.ask("/stream/1")
+			b.send("/stream/1")
 		}
 		if !slices.Contains(f.sends, "e1") {
 			t.Errorf("sends once x is open: got %v, want some to e1", f.sends)
@@ -81,8 +81,8 @@
 func TestRunsInAClosedDomainGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
-		s.halls(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
-		s.shut("x")
+		s.declareDomains(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
+		s.closeDomains("x")
 		s.whole(t, s.server)
 	})
 }
@@ -92,11 +92,11 @@
 func TestNothingIsLeftOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 9)
-		b.halls(usual())
-		b.shut("x", "y")
+		b.declareDomains(twoDomains())
+		b.closeDomains("x", "y")
 		for _, p := range []string{"/stream/1", "/safe/1", "/unsafe/1"} {
 			began := time.Now()
-			c := b.ask(p)
+			c := b.send(p)
 			if c.fault == nil || c.fault.Code != fault.NoServer || c.fault.Ran != api.RanNo || c.fault.RetryAfter == 0 {
 				t.Errorf("%s: got %v, want a refusal that says not run and when to come back", p, c.fault)
 			}
@@ -115,9 +115,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		o := other(s.server)
-		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"})
-		s.shut("x")
-		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
+		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"})
+		s.closeDomains("x")
+		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
 		s.whole(t, s.server, "e3")
 	})
 }
@@ -127,10 +127,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 80, 5)
 		o := other(s.server)
-		s.halls(map[string]api.DomainName{s.server: "x", o: "x"}, s.server)
+		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x"}, s.server)
 		time.Sleep(copyTime / 2)
-		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
-		s.shut("x")
+		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
+		s.closeDomains("x")
 		s.whole(t, s.server, "e3")
 	})
 }
@@ -141,8 +141,8 @@
 		f := newFake()
 		f.backups = true
 		s := play(t, f, 60, 5)
-		s.halls(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
-		s.shut("y")
+		s.declareDomains(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
+		s.closeDomains("y")
 		s.set(func(f *fake) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || len(f.sends) != 1 {
@@ -162,7 +162,7 @@
 		if b.Ready() {
 			t.Error("before closures are known: got ready, want not")
 		}
-		b.shut()
+		b.closeDomains()
 		if !b.Ready() {
 			t.Error("once none is known to be closed: got not ready, want it")
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -339,11 +339,11 @@
 		b := newBed(t, f, 0)
 		b.Bound(10*time.Second, 0.2, 0)
 		for range 20 {
-			b.ask("/stream/1")
+			b.send("/stream/1")
 		}
 		sent := f.sent()
 		f.answers["p1"], f.answers["p2"] = []any{500, 500}, []any{500, 500}
-		c := b.ask("/safe/1")
+		c := b.send("/safe/1")
 		if got := f.sent() - sent; got != 1 || c.status != 500 {
 			t.Errorf("got status %d after %d sends, want the failure after one", c.status, got)
 		}
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -18,28 +18,28 @@
 // Engines that are taken back in turn: each says so some time before, and another one
 // comes some time after its end.
 const (
-	leaveEvery  = 3300 * time.Millisecond
-	leaveNotice = 1800 * time.Millisecond
-	leaveGap    = 4 * time.Second
+	reclaimInterval  = 3300 * time.Millisecond
+	reclaimNotice    = 1800 * time.Millisecond
+	replacementDelay = 4 * time.Second
 )
 
-// takeBack takes the engines back in turn. What runs at one when it leaves ends there:
+// reclaimEngines takes the engines back in turn. What runs at one when it leaves ends there:
 // its moves always find room.
-func (l *load) takeBack(ctx context.Context) error {
+func (l *load) reclaimEngines(ctx context.Context) error {
 	present := make([]roster.Server, loadEngines)
 	for i := range present {
 		present[i] = roster.Server{Name: api.ServerName(fmt.Sprintf("e%d", i)), Service: "engines", Domain: "x", Slots: 24}
 	}
-	for n := 0; duty.Sleep(ctx, leaveEvery); n++ {
+	for n := 0; duty.Sleep(ctx, reclaimInterval); n++ {
 		x := &present[n%loadEngines]
 		l.group.Go(func(ctx context.Context) error {
-			l.serve(present, func() { x.Draining = true })
-			duty.Sleep(ctx, leaveNotice)
-			l.serve(present, func() { x.Slots = 0 })
-			duty.Sleep(ctx, leaveGap)
-			l.serve(present, func() {
+			l.announceEngines(present, func() { x.Draining = true })
+			duty.Sleep(ctx, reclaimNotice)
+			l.announceEngines(present, func() { x.Slots = 0 })
+			duty.Sleep(ctx, replacementDelay)
+			l.announceEngines(present, func() {
 				*x = roster.Server{Name: x.Name + "+", Service: "engines", Domain: "x", Slots: 24}
-				l.start(string(x.Name))
+				l.startEngine(string(x.Name))
 			})
 			return nil
 		})
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// start begins another engine.
-func (l *load) start(n string) {
+// startEngine begins another engine.
+func (l *load) startEngine(n string) {
 	e := &engine{model: batch.New(engineOptions()), streams: map[api.GenerationID]chan port.Event{}, wake: make(chan struct{}, 1)}
 	l.engines.mutex.Lock()
 	l.engines.all[n] = e
@@ -56,9 +56,9 @@
 	l.group.Go(e.loop)
 }
 
-// serve changes the engines that are present and tells all entry VMs of them; one without
+// announceEngines changes the engines that are present and tells all entry VMs of them; one without
 // slots is away.
-func (l *load) serve(present []roster.Server, change func()) {
+func (l *load) announceEngines(present []roster.Server, change func()) {
 	l.mutex.Lock()
 	change()
 	l.version++
@@ -75,13 +75,13 @@
 	}
 }
 
-// playLeaves plays a load while engines are taken back, over some seeds.
-func playLeaves(t *testing.T, x float64) (got [2]tally) {
+// playWithReclaims plays a load while engines are taken back, over some seeds.
+func playWithReclaims(t *testing.T, x float64) (got [2]tally) {
 	t.Helper()
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
 			l := newLoad(t, seed)
-			l.group.Go(l.takeBack)
+			l.group.Go(l.reclaimEngines)
 			for i, k := range l.play(t, x) {
 				got[i].asked += k.asked
 				got[i].inAim += k.inAim
@@ -100,12 +100,12 @@
 // at 1.2 and 1.4 times the load, of 374 and 428.
 func TestMemoryIsNotKeptInVain(t *testing.T) {
 	for _, c := range []struct {
-		x    float64
-		most int
+		x         float64
+		maxMissed int
 	}{{1.2, 20}, {1.4, 50}} {
-		got := playLeaves(t, c.x)[0]
-		if n := got.late + got.refused; n > c.most {
-			t.Errorf("at %.1f: got %d long answers late or refused of %d, want at most %d", c.x, n, got.asked, c.most)
+		got := playWithReclaims(t, c.x)[0]
+		if n := got.late + got.refused; n > c.maxMissed {
+			t.Errorf("at %.1f: got %d long answers late or refused of %d, want at most %d", c.x, n, got.asked, c.maxMissed)
 		}
 	}
 }
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -9,8 +9,8 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// lives declares engines by name and birth.
-func (b *bed) lives(born map[string]api.Birth) {
+// declareIncarnations declares engines by name and birth.
+func (b *bed) declareIncarnations(born map[string]api.Birth) {
 	var l []roster.Server
 	for n, at := range born {
 		x := server(n, "x", false)
@@ -30,7 +30,7 @@
 			f := newFake()
 			f.backups, f.total = copied, 40
 			b := newBed(t, f, 0)
-			b.lives(map[string]api.Birth{"e1": 1, "e2": 1})
+			b.declareIncarnations(map[string]api.Birth{"e1": 1, "e2": 1})
 			c := b.begin("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
@@ -40,7 +40,7 @@
 			f.mutex.Lock()
 			f.mute[at] = true
 			f.mutex.Unlock()
-			b.lives(map[string]api.Birth{at[:2]: 2, o: 1})
+			b.declareIncarnations(map[string]api.Birth{at[:2]: 2, o: 1})
 			// Well before it would pass for silent.
 			time.Sleep(2 * time.Millisecond)
 			if got, want := f.sent() == 2, copied; got != want {
@@ -68,7 +68,7 @@
 			f := newFake()
 			f.total = 40
 			b := newBed(t, f, 0)
-			b.lives(map[string]api.Birth{"e1": 1})
+			b.declareIncarnations(map[string]api.Birth{"e1": 1})
 			c := b.begin("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
@@ -80,8 +80,8 @@
 			began := time.Now()
 			if known {
 				// Its entry comes back late, as one that lapsed does.
-				b.lives(map[string]api.Birth{"e1": 2})
-				b.lives(map[string]api.Birth{"e1": 1})
+				b.declareIncarnations(map[string]api.Birth{"e1": 2})
+				b.declareIncarnations(map[string]api.Birth{"e1": 1})
 			}
 			for !c.broken() && time.Since(began) < 10*time.Second {
 				time.Sleep(time.Millisecond)
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// streams begins so many streams, of which each is kept a copy of, and gives their callers.
-func (b *bed) streams(n int) []*caller {
+// startStreams begins so many startStreams, of which each is kept a copy of, and gives their callers.
+func (b *bed) startStreams(n int) []*caller {
 	var l []*caller
 	for i := range n {
 		r, k := request("/stream/1"), &caller{}
@@ -33,7 +33,7 @@
 		f := newFake()
 		f.backups, f.total = true, 60
 		b := newBed(t, f, 9)
-		l := b.streams(10)
+		l := b.startStreams(10)
 		time.Sleep(10 * eventGap)
 		f.mutex.Lock()
 		f.signals["e2"] = port.Signals{Answered: true, Resting: true, Rest: time.Minute}
@@ -68,8 +68,8 @@
 	})
 }
 
-// rests lets a server ask this entry VM for rest, in the report that it is asked for.
-func (b *bed) rests(n string, d time.Duration) {
+// reportBackoff lets a server ask this entry VM for rest, in the report that it is asked for.
+func (b *bed) reportBackoff(n string, d time.Duration) {
 	b.fake.mutex.Lock()
 	b.fake.signals[n] = port.Signals{Answered: true, Resting: true, Rest: d}
 	b.fake.mutex.Unlock()
@@ -83,13 +83,13 @@
 		do   func(s *scene, holder string)
 	}{
 		{"rests first", func(s *scene, holder string) {
-			s.rests(holder, time.Minute)
-			s.three(s.server)
+			s.reportBackoff(holder, time.Minute)
+			s.declareThreeEngines(s.server)
 		}},
 		{"rests while the server leaves", func(s *scene, holder string) {
-			s.three(s.server)
+			s.declareThreeEngines(s.server)
 			time.Sleep(eventGap)
-			s.rests(holder, time.Minute)
+			s.reportBackoff(holder, time.Minute)
 		}},
 	}
 	for _, c := range tests {
@@ -98,7 +98,7 @@
 				f := newFake()
 				f.backups = true
 				s := play(t, f, 60, 5)
-				s.three("")
+				s.declareThreeEngines("")
 				f.mutex.Lock()
 				holder := f.handles["r"]
 				f.mutex.Unlock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// three declares three engines, of which one may be leaving.
-func (b *bed) three(leaving string) {
+// declareThreeEngines declares declareThreeEngines engines, of which one may be leaving.
+func (b *bed) declareThreeEngines(leaving string) {
 	m := map[string]bool{"e1": false, "e2": false, "e3": false}
 	if leaving != "" {
 		m[leaving] = true
@@ -124,10 +124,10 @@
 		target := other(s.server)
 		s.set(func(f *fake) { f.turnsAway[target] = true })
 		s.servers(map[string]bool{s.server: true, target: false})
-		for s.fake.sent() < 3 && !s.over() {
+		for s.fake.sent() < 3 && !s.streamEnded() {
 			time.Sleep(eventGap)
 		}
-		s.three(s.server)
+		s.declareThreeEngines(s.server)
 		s.whole(t, s.server, target, s.server, "e3")
 	})
 }
@@ -135,10 +135,10 @@
 func TestStoppedRunIsNotMovedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
-		s.three(s.server)
+		s.declareThreeEngines(s.server)
 		s.awaitStop()
 		began := time.Now()
-		s.rests("e9", time.Minute)
+		s.reportBackoff("e9", time.Minute)
 		<-s.done
 		if got, want := time.Since(began), 60*eventGap; got > want || !s.caller.whole(s.fake.total) {
 			t.Errorf("got the stream whole: %v, after %v, want it within %v", s.caller.whole(s.fake.total), got, want)
@@ -151,9 +151,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		target := other(s.server)
-		s.halls(map[string]api.DomainName{s.server: "x", target: "y"}, s.server)
+		s.declareDomains(map[string]api.DomainName{s.server: "x", target: "y"}, s.server)
 		s.awaitStop()
-		s.shut("y")
+		s.closeDomains("y")
 		s.whole(t, s.server, s.server)
 	})
 }
@@ -164,7 +164,7 @@
 		s := play(t, newFake(), 60, 5)
 		s.servers(map[string]bool{s.server: true, other(s.server): false})
 		s.awaitStop()
-		s.shut("x")
+		s.closeDomains("x")
 		<-s.done
 		if !s.caller.whole(s.fake.total) {
 			t.Errorf("events: got %d of %d, want the whole stream", s.count(), s.fake.total)
@@ -179,8 +179,8 @@
 	}
 }
 
-// over reports whether the stream has ended.
-func (s *scene) over() bool {
+// streamEnded reports whether the stream has ended.
+func (s *scene) streamEnded() bool {
 	select {
 	case <-s.done:
 		return true
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -71,7 +71,7 @@
 			t.Fatal("a silent stream: got its end, want it waited for")
 		default:
 		}
-		if c := s.choose(t); c != other(s.server) {
+		if c := s.serverOfNewStream(t); c != other(s.server) {
 			t.Errorf("while it is silent: got new work at %s, want it at %s", c, other(s.server))
 		}
 		s.set(func(f *fake) {
@@ -117,8 +117,8 @@
 	})
 }
 
-// choose gives the server that a new stream would go to.
-func (s *scene) choose(t *testing.T) string {
+// serverOfNewStream gives the server that a new stream would go to.
+func (s *scene) serverOfNewStream(t *testing.T) string {
 	t.Helper()
 	c := &caller{}
 	s.set(func(f *fake) { f.total = 1 })
