--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -45,7 +45,7 @@
 	return c
 }
 
-func TestClosedDomainGetsNothingNew(t *testing.T) {
+func TestClosedDomainGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 3
@@ -78,7 +78,7 @@
 }
 
 // Runs in a domain that closes go on where they are.
-func TestRunsInAClosedDomainGoOn(t *testing.T) {
+func TestRunsInClosedDomainContinue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
 		s.declareDomains(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
@@ -89,7 +89,7 @@
 
 // What can't be served is refused at once, as not run, however long its caller would
 // wait.
-func TestNothingIsLeftOpen(t *testing.T) {
+func TestRequestsAreRefusedAtOnceWhenAllDomainsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 9)
 		b.declareDomains(twoDomains())
@@ -123,7 +123,7 @@
 }
 
 // A target whose domain closes during the move is given up for another one.
-func TestTargetsDomainClosesDuringAMove(t *testing.T) {
+func TestMoveChangesTargetWhenTargetDomainCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 80, 5)
 		o := other(s.server)
@@ -136,7 +136,7 @@
 }
 
 // Going on from a copy is a new request: one in a closed domain is not used.
-func TestCopyInAClosedDomainIsGivenUp(t *testing.T) {
+func TestCopyInClosedDomainIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -24,7 +24,7 @@
 
 // When a server has started again, behind connections that stay silent, its runs go on
 // from their copies at once, or end.
-func TestRunsOfAnEndedLife(t *testing.T) {
+func TestRunsOfARestartedServerResumeOrEndAtOnce(t *testing.T) {
 	for _, copied := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFake()
@@ -62,7 +62,7 @@
 
 // Where no entry tells of it, a server itself does once its stream is silent: that it
 // knows the run no more must not be taken for a run that is under way.
-func TestServerTellsOfItsLaterLife(t *testing.T) {
+func TestSilentServerReportsItsRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFake()
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -98,7 +98,7 @@
 // Memory that no run of a leaving engine needs is used by new runs: where as much was
 // kept free as was seen to leave, 31 and 68 of the long answers came late or not at all
 // at 1.2 and 1.4 times the load, of 374 and 428.
-func TestMemoryIsNotKeptInVain(t *testing.T) {
+func TestMemoryThatNoMoveNeedsIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		x         float64
 		maxMissed int
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -28,7 +28,7 @@
 	return l
 }
 
-func TestFewRunsGoOnAtAServerThatRests(t *testing.T) {
+func TestFewRunsResumeAtServerInBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups, f.total = true, 60
@@ -77,7 +77,7 @@
 }
 
 // A run whose copy is at a server that rests is moved when its own server leaves.
-func TestRunIsMovedWhereTheHolderOfItsCopyRests(t *testing.T) {
+func TestRunIsMovedWhenItsBackupServerBacksOff(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(s *scene, holder string)
@@ -118,7 +118,7 @@
 	b.servers(m)
 }
 
-func TestRunThatItsTargetTurnsAwayGoesBack(t *testing.T) {
+func TestRunRefusedByTargetReturnsToSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		target := other(s.server)
@@ -147,7 +147,7 @@
 }
 
 // A run whose target's domain operators close at its last step goes back as well.
-func TestRunWhoseTargetIsClosedGoesBack(t *testing.T) {
+func TestRunReturnsToSourceWhenTargetDomainCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		target := other(s.server)
@@ -159,7 +159,7 @@
 }
 
 // A run whose server and target operators close at its last step goes on all the same.
-func TestRunWhoseServerAndTargetAreClosedGoesOn(t *testing.T) {
+func TestStoppedRunResumesWhenSourceAndTargetDomainsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		s.servers(map[string]bool{s.server: true, other(s.server): false})
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -8,7 +8,7 @@
 
 // A server that crashes without a word leaves its connections open: only its
 // silence shows it.
-func TestRunGoesOnFromItsKeptCopyWhereItsServerIsSilent(t *testing.T) {
+func TestRunResumesFromBackupCopyWhenServerIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
@@ -25,7 +25,7 @@
 // Where the holder of the copy is silent as well, it is not the server that has
 // crashed: found by the soak with 300 VMs on one machine (seed 2001), where runs
 // that were alive were given up for copies that were gone.
-func TestRunIsNotGivenUpWhereNoServerAnswers(t *testing.T) {
+func TestRunIsNotAbandonedWhenNoServerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
@@ -43,7 +43,7 @@
 }
 
 // A VM that is slow itself, or wakes up, has not read what has arrived.
-func TestServerIsNotAskedWhileItsBytesWait(t *testing.T) {
+func TestServerIsNotQueriedWhileItsBytesAreUnread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
@@ -61,7 +61,7 @@
 }
 
 // Without a copy nothing else can go on with the run; its server may come back.
-func TestSilentRunWithoutACopyIsWaitedFor(t *testing.T) {
+func TestSilentRunWithoutCopyIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
 		s.set(func(f *fake) { f.dark[s.server] = true })
@@ -84,7 +84,7 @@
 }
 
 // Connections may go silent for good while new ones work.
-func TestRunIsFetchedWhereItsConnectionIsSilent(t *testing.T) {
+func TestRunIsFetchedWhenOnlyItsConnectionIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
 		s.set(func(f *fake) { f.mute[s.server], f.ahead = true, 5 })
@@ -97,7 +97,7 @@
 
 // A run that its server no longer knows has ended there: what it sent may still
 // come, as after lost packets.
-func TestRunThatCannotBeFetchedIsWaitedFor(t *testing.T) {
+func TestRunThatCannotBeFetchedIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
 		s.set(func(f *fake) { f.mute[s.server], f.ahead, f.missing = true, 5, 100 })
@@ -108,7 +108,7 @@
 }
 
 // A slow server answers and makes no more events than arrive.
-func TestSlowStreamIsLeftAlone(t *testing.T) {
+func TestSlowStreamIsNotMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups, f.gap = true, 2*time.Second
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -8,7 +8,7 @@
 
 // A stream that goes on at another server after the VM was suspended is given no more time
 // there than its caller has left.
-func TestTimeLeftAfterASuspension(t *testing.T) {
+func TestResumedRunGetsOnlyTheTimeLeftAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 60
