--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -101,7 +101,7 @@
 
 // sendResume asks the holder of a copy to go on.
 func (g *Gateway) sendResume(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
-	if !g.allowsResume(c.server) {
+	if !g.reserveResume(c.server) {
 		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for rest")
 	}
 	q := r.request
@@ -126,8 +126,8 @@
 	return a.Stream, nil
 }
 
-// allowsResume reports whether a server may be sent a request that only it can take.
-func (g *Gateway) allowsResume(s roster.Server) bool {
+// reserveResume reports whether a server may be sent a request that only it can take.
+func (g *Gateway) reserveResume(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Rests.Spare(time.Now(), s.Name)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -108,18 +108,18 @@
 }
 
 // recordEvent takes the time of an event.
-func (p *streamTiming) recordEvent(now, arrived time.Time, count int) {
-	if p.lastEvent.IsZero() {
-		p.firstEvent = now.Sub(arrived)
-	} else if d := now.Sub(p.lastEvent); d > p.longestPause {
-		p.longestPause = d
-		p.pauseAfter = count - 1
-		p.pauseInMove = p.resuming
+func (t *streamTiming) recordEvent(now, arrived time.Time, count int) {
+	if t.lastEvent.IsZero() {
+		t.firstEvent = now.Sub(arrived)
+	} else if d := now.Sub(t.lastEvent); d > t.longestPause {
+		t.longestPause = d
+		t.pauseAfter = count - 1
+		t.pauseInMove = t.resuming
 	}
-	p.resuming = false
-	p.lastEvent = now
-	if p.firstHere.IsZero() {
-		p.firstHere = now
+	t.resuming = false
+	t.lastEvent = now
+	if t.firstHere.IsZero() {
+		t.firstHere = now
 	}
 }
 
