--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -12,8 +12,8 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// SetClosures takes the failure domains that operators have closed to new work. Runs there
-// go on; copies there are given up, since going on from one is a new request.
+// SetClosures sets the failure domains that operators have closed to new work. Runs in them
+// continue. Copies in them are dropped, since a resume from a copy is a new request.
 func (g *Gateway) SetClosures(s replica.Snapshot[roster.Closure]) {
 	l := make([]roster.Closure, 0, len(s.Items))
 	for _, o := range s.Items {
@@ -28,14 +28,15 @@
 	g.closuresChanged(closed, opened, zap.Stringer("version", s.At))
 }
 
-// RetainedClosures gives the domains that stay closed though the platform has lost it.
+// RetainedClosures lists the domains that stay closed although the platform's store has lost
+// their closure.
 func (g *Gateway) RetainedClosures() []api.KeptClosure {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.roster.RetainedClosures(time.Now())
 }
 
-// MergeRetainedClosures takes those of a peer.
+// MergeRetainedClosures adds the closures that a peer retains.
 func (g *Gateway) MergeRetainedClosures(l []api.KeptClosure) {
 	if len(l) == 0 {
 		return
@@ -50,7 +51,7 @@
 	g.closuresChanged(closed, opened, zap.Bool("of_peer", true))
 }
 
-// expireClosures opens the domains that were kept closed for long enough.
+// expireClosures opens the domains whose retained closure has expired.
 func (g *Gateway) expireClosures(now time.Time) {
 	g.mutex.Lock()
 	closed, opened := g.roster.ExpireClosures(now, g.warmUpTime)
@@ -61,8 +62,8 @@
 	g.closuresChanged(closed, opened, zap.Bool("kept", true))
 }
 
-// closuresChanged logs which domains were closed and opened, and gives up copies in those that
-// were closed.
+// closuresChanged logs which domains were closed and opened, and drops the backup copies in
+// those that were closed.
 func (g *Gateway) closuresChanged(closed, opened []api.DomainName, why zap.Field) {
 	for _, d := range closed {
 		g.Metrics.Add(metric.DomainsClosed, 1)
@@ -78,28 +79,28 @@
 	for _, r := range g.all() {
 		r.dropBackup(g.unusable)
 		if g.leaving(r.currentServer().Name) {
-			// What protected it is gone, so that it has to be moved after all.
+			// The run has lost its backup copy, so that it has to be moved after all.
 			g.startMove(r)
 		}
 	}
 }
 
-// inClosedDomain reports whether operators have inClosedDomain a server's failure domain.
+// inClosedDomain reports whether operators have closed a server's failure domain.
 func (g *Gateway) inClosedDomain(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.roster.Closed(s.Domain)
 }
 
-// avoids reports whether a server gets no request for now that it could serve: its domain is
-// closed, or it has asked for rest.
+// avoids reports whether no requests are sent to a server for now although it could serve them:
+// its failure domain is closed, or it has asked this entry VM for a backoff.
 func (g *Gateway) avoids(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.roster.Closed(s.Domain) || g.picker.Rests.Resting(time.Now(), s.Name)
 }
 
-// warmUpTime is how long the servers of a service are cold after a start.
+// warmUpTime returns how long the servers of a service are cold after a start.
 func (g *Gateway) warmUpTime(n api.ServiceName) time.Duration {
 	d := g.directory.Load()
 	if d == nil {
--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// declareDomains declares servers by name with their failure domains.
+// declareDomains declares servers by name with their failure domains, some of them draining.
 func (b *bed) declareDomains(domains map[string]api.DomainName, draining ...string) {
 	var l []roster.Server
 	for n, d := range domains {
@@ -23,7 +23,7 @@
 	b.serve(l)
 }
 
-// closeDomains declares the failure domains that are closed.
+// closeDomains declares which failure domains are closed.
 func (b *bed) closeDomains(l ...api.DomainName) {
 	b.version++
 	s := replica.Snapshot[roster.Closure]{At: b.version}
@@ -33,18 +33,21 @@
 	b.SetClosures(s)
 }
 
-// twoDomains are two engines and two plain servers in two failure domains.
+// twoDomains returns two engines and two plain servers, one of each in each of two failure
+// domains.
 func twoDomains() map[string]api.DomainName {
 	return map[string]api.DomainName{"e1": "x", "e2": "y", "p1": "x", "p2": "y"}
 }
 
-// send sends a request and gives its caller once it has an answer or an event.
+// send handles a request to its end and returns its caller.
 func (b *bed) send(path string) *caller {
 	c := &caller{}
 	b.Handle(context.Background(), request(path), c)
 	return c
 }
 
+// No request must be sent to a server in a closed failure domain, neither as a first attempt nor as a
+// retry, until the domain is opened.
 func TestClosedDomainGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -58,7 +61,7 @@
 			}
 			b.send("/stream/1")
 			b.send("/unsafe/1")
-			// It fails once, and there is nowhere else to try.
+			// The first attempt fails, and no other open server is left for a retry.
 			b.send("/safe/1")
 		}
 		for _, n := range f.sends {
@@ -72,12 +75,12 @@
 			b.send("/stream/1")
 		}
 		if !slices.Contains(f.sends, "e1") {
-			t.Errorf("sends once x is open: got %v, want some to e1", f.sends)
+			t.Errorf("sends after x is opened: got %v, want some to e1", f.sends)
 		}
 	})
 }
 
-// Runs in a domain that closes go on where they are.
+// Runs in a failure domain that is closed must continue where they are.
 func TestRunsInClosedDomainContinue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
@@ -87,8 +90,8 @@
 	})
 }
 
-// What can't be served is refused at once, as not run, however long its caller would
-// wait.
+// A request that no open server can serve must be refused at once, as not run, even if its caller
+// is willing to wait.
 func TestRequestsAreRefusedAtOnceWhenAllDomainsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 9)
@@ -98,7 +101,7 @@
 			began := time.Now()
 			c := b.send(p)
 			if c.fault == nil || c.fault.Code != fault.NoServer || c.fault.Ran != api.RanNo || c.fault.RetryAfter == 0 {
-				t.Errorf("%s: got %v, want a refusal that says not run and when to come back", p, c.fault)
+				t.Errorf("%s: got %v, want a refusal with ran no and a retry time", p, c.fault)
 			}
 			if d := time.Since(began); d > 0 {
 				t.Errorf("%s: refused after %v, want it at once", p, d)
@@ -110,7 +113,7 @@
 	})
 }
 
-// A run that has to leave its engine goes to one in an open domain, or waits for one.
+// A run that has to leave its engine must move to one in an open domain, or wait for one.
 func TestMovesAvoidClosedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
@@ -122,7 +125,7 @@
 	})
 }
 
-// A target whose domain closes during the move is given up for another one.
+// A target whose failure domain is closed during the move must be replaced by another one.
 func TestMoveChangesTargetWhenTargetDomainCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 80, 5)
@@ -135,7 +138,7 @@
 	})
 }
 
-// Going on from a copy is a new request: one in a closed domain is not used.
+// A resume from a copy is a new request, so that a copy in a closed domain must not be used.
 func TestCopyInClosedDomainIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -146,7 +149,7 @@
 		s.set(func(f *fake) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || len(f.sends) != 1 {
-			t.Errorf("got aborted %v after sends %v, want it broken off and nothing sent to the copy", s.aborted, f.sends)
+			t.Errorf("got aborted %v after sends %v, want it aborted and nothing sent to the backup server", s.aborted, f.sends)
 		}
 		if l := s.Held(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
@@ -154,17 +157,17 @@
 	})
 }
 
-// An entry VM that does not know yet which domains are closed takes no callers.
+// An entry VM that does not know yet which failure domains are closed must not be ready.
 func TestReadyWaitsForClosures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 0)
 		b.Closable = true
 		if b.Ready() {
-			t.Error("before closures are known: got ready, want not")
+			t.Error("before closures are known: got ready, want not ready")
 		}
 		b.closeDomains()
 		if !b.Ready() {
-			t.Error("once none is known to be closed: got not ready, want it")
+			t.Error("after all domains are known to be open: got not ready, want ready")
 		}
 	})
 }
--- a/internal/gateway/configure.go
+++ b/internal/gateway/configure.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Configure brings the platform's configuration into force unless a newer one is.
+// Configure applies the platform's configuration unless a newer one is in force.
 func (g *Gateway) Configure(s replica.Snapshot[directory.Config]) {
 	for _, o := range s.Items {
 		if g.apply(o.Value) {
@@ -19,12 +19,13 @@
 	}
 }
 
-// AppliedNumber is the operators' number of the configuration in force, zero for none.
+// AppliedNumber returns the operators' version number of the configuration in force, zero if
+// there is none.
 func (g *Gateway) AppliedNumber() api.ConfigNumber {
 	return api.ConfigNumber(g.Applied().Version)
 }
 
-// Applied is the configuration in force, the zero value for none.
+// Applied returns the configuration in force, or the zero value if there is none.
 func (g *Gateway) Applied() directory.Config {
 	d := g.directory.Load()
 	if d == nil {
@@ -33,9 +34,9 @@
 	return d.Config
 }
 
-// Apply brings a peer's configuration into force unless a newer one is. After the platform
-// came back from a copy only peers know what it has lost: an entry VM that started then
-// served by an older configuration until operators wrote again
+// Apply applies a peer's configuration unless a newer one is in force. After the platform's
+// store is restored from a backup, only peers know the configuration that the backup lacks:
+// without them, an entry VM that starts then serves by an older one until operators write again
 // (TestVMStartedAfterTheStoreCameBackFromACopy).
 func (g *Gateway) Apply(c directory.Config) {
 	if c.Version > 0 && g.apply(c) {
@@ -43,8 +44,9 @@
 	}
 }
 
-// apply reports whether a configuration is newer than the one in force, by the operators'
-// own number: that of the platform orders writes, and an older one may be written last.
+// apply applies a configuration if it is newer than the one in force, and reports whether it
+// is. It compares the operators' version numbers: the platform's versions only order writes,
+// and an older configuration may be written last.
 func (g *Gateway) apply(c directory.Config) bool {
 	g.configuring.Lock()
 	defer g.configuring.Unlock()
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -9,7 +9,7 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// declareIncarnations declares engines by name and birth.
+// declareIncarnations declares engines by id and by the birth of their current incarnation.
 func (b *bed) declareIncarnations(born map[string]api.Birth) {
 	var l []roster.Server
 	for n, at := range born {
@@ -22,8 +22,8 @@
 	b.serve(l)
 }
 
-// When a server has started again, behind connections that stay silent, its runs go on
-// from their copies at once, or end.
+// A restarted server may leave the connections of its previous incarnation open and silent. Its
+// runs must resume from their backup copies at once, or end, rather than wait for events.
 func TestRunsOfARestartedServerResumeOrEndAtOnce(t *testing.T) {
 	for _, copied := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -41,17 +41,17 @@
 			f.mute[at] = true
 			f.mutex.Unlock()
 			b.declareIncarnations(map[string]api.Birth{at[:2]: 2, o: 1})
-			// Well before it would pass for silent.
+			// Well before the stream counts as silent.
 			time.Sleep(2 * time.Millisecond)
 			if got, want := f.sent() == 2, copied; got != want {
-				t.Errorf("copied %v: got gone on %v, want %v", copied, got, want)
+				t.Errorf("backup copy %v: got resumed %v, want %v", copied, got, want)
 			}
 			if c.broken() == copied {
-				t.Errorf("copied %v: got broken off %v, want %v", copied, c.broken(), !copied)
+				t.Errorf("backup copy %v: got broken off %v, want %v", copied, c.broken(), !copied)
 			}
 			time.Sleep(time.Minute)
 			if copied && !c.whole(f.total) {
-				t.Errorf("got %v ended %v, want all events", c.ids, c.ended)
+				t.Errorf("events: got %v ended %v, want all events and an end", c.ids, c.ended)
 			}
 			if l := b.Held(); len(l) != 0 {
 				t.Errorf("loads at the end: got %v, want none", l)
@@ -60,8 +60,8 @@
 	}
 }
 
-// Where no entry tells of it, a server itself does once its stream is silent: that it
-// knows the run no more must not be taken for a run that is under way.
+// If no entry announces a restart, the server's report does, once a stream is silent. The report
+// of the new incarnation lacks the run, which must not be taken for a run that is in progress.
 func TestSilentServerReportsItsRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -79,7 +79,7 @@
 			f.mutex.Unlock()
 			began := time.Now()
 			if known {
-				// Its entry comes back late, as one that lapsed does.
+				// An older entry appears late, as after a lapse.
 				b.declareIncarnations(map[string]api.Birth{"e1": 2})
 				b.declareIncarnations(map[string]api.Birth{"e1": 1})
 			}
@@ -87,7 +87,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			if got := time.Since(began); got > 2*gapAim {
-				t.Errorf("known %v: got the stream broken off after %v, want it within %v", known, got, 2*gapAim)
+				t.Errorf("restart known %v: got the stream broken off after %v, want it within %v", known, got, 2*gapAim)
 			}
 		})
 	}
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -15,16 +15,16 @@
 	"github.com/wardridge/wardridge/internal/standin/batch"
 )
 
-// Engines that are taken back in turn: each says so some time before, and another one
-// comes some time after its end.
+// Engines are reclaimed in turn. Each gives notice some time before its end, and is replaced by
+// another one some time after it.
 const (
 	reclaimInterval  = 3300 * time.Millisecond
 	reclaimNotice    = 1800 * time.Millisecond
 	replacementDelay = 4 * time.Second
 )
 
-// reclaimEngines takes the engines back in turn. What runs at one when it leaves ends there:
-// its moves always find room.
+// reclaimEngines reclaims the engines in turn. The runs of a reclaimed engine continue at the
+// engine to their end, as if their moves always found a target with free memory.
 func (l *load) reclaimEngines(ctx context.Context) error {
 	present := make([]roster.Server, loadEngines)
 	for i := range present {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// startEngine begins another engine.
+// startEngine starts another engine.
 func (l *load) startEngine(n string) {
 	e := &engine{model: batch.New(engineOptions()), streams: map[api.GenerationID]chan port.Event{}, wake: make(chan struct{}, 1)}
 	l.engines.mutex.Lock()
@@ -56,8 +56,8 @@
 	l.group.Go(e.loop)
 }
 
-// announceEngines changes the engines that are present and tells all entry VMs of them; one without
-// slots is away.
+// announceEngines changes the engines that are present and announces them to all entry VMs. An
+// engine without slots is absent.
 func (l *load) announceEngines(present []roster.Server, change func()) {
 	l.mutex.Lock()
 	change()
@@ -75,7 +75,7 @@
 	}
 }
 
-// playWithReclaims plays a load while engines are taken back, over some seeds.
+// playWithReclaims plays a load while engines are reclaimed, with several seeds.
 func playWithReclaims(t *testing.T, x float64) (got [2]tally) {
 	t.Helper()
 	for seed := range uint64(3) {
@@ -95,9 +95,9 @@
 	return got
 }
 
-// Memory that no run of a leaving engine needs is used by new runs: where as much was
-// kept free as was seen to leave, 31 and 68 of the long answers came late or not at all
-// at 1.2 and 1.4 times the load, of 374 and 428.
+// Memory that no run of a leaving engine needs must be used for new runs. If as much memory as
+// was seen to leave is kept free, 31 of 374 long answers at 1.2 times the load and 68 of 428 at
+// 1.4 times the load are late or refused.
 func TestMemoryThatNoMoveNeedsIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		x         float64
@@ -105,7 +105,7 @@
 	}{{1.2, 20}, {1.4, 50}} {
 		got := playWithReclaims(t, c.x)[0]
 		if n := got.late + got.refused; n > c.maxMissed {
-			t.Errorf("at %.1f: got %d long answers late or refused of %d, want at most %d", c.x, n, got.asked, c.maxMissed)
+			t.Errorf("at %.1f times the load: got %d of %d long answers late or refused, want at most %d", c.x, n, got.asked, c.maxMissed)
 		}
 	}
 }
--- a/internal/gateway/monitor.go
+++ b/internal/gateway/monitor.go
@@ -14,8 +14,8 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// monitor notices when one server's stream of a run is silent, and ends it
-// where the run is to go on elsewhere.
+// monitor detects that the stream of a run at one server is silent, and closes the stream if
+// the run is to resume on another server.
 type monitor struct {
 	gateway *Gateway
 	run     *run
@@ -24,25 +24,26 @@
 
 	mutex sync.Mutex
 	watch *silence.Watch
-	// waitCount counts the waitCount for an event, so that a late finding on one does not
-	// end the next; since is when the present one began, due when it is to be
-	// looked into.
+	// waitCount counts the waits for an event, so that the late result of an inspection in one
+	// wait does not end the next. waitingSince is when the current wait began, queryDue when
+	// the server is to be queried.
 	waitCount    int
 	waiting      bool
 	waitingSince time.Time
 	queryDue     time.Time
-	// inspecting is set while it is looked into.
+	// inspecting is set while an inspection is in progress.
 	inspecting bool
 }
 
-// startMonitor begins to watch a run's stream; the clean-up ends it.
+// startMonitor registers a monitor of a run's stream with the watchdog. The function that it
+// returns removes the monitor.
 func (g *Gateway) startMonitor(r *run, s port.Stream) (*monitor, func()) {
 	m := &monitor{gateway: g, run: r, stream: s, server: r.currentServer(), watch: silence.NewWatch(r.request.route.GapTarget)}
 	g.watchdog.add(m)
 	return m, func() { g.watchdog.remove(m) }
 }
 
-// beginWait begins a beginWait for an event.
+// beginWait records that the stream waits for an event.
 func (m *monitor) beginWait() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -52,7 +53,7 @@
 	m.queryDue = m.waitingSince.Add(m.watch.QueryDelay())
 }
 
-// endWait ends a wait.
+// endWait records that the wait has ended with an event or an error.
 func (m *monitor) endWait() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -60,7 +61,7 @@
 	m.watch.RecordEvent()
 }
 
-// untilQuery is the time until the stream is to be looked into.
+// untilQuery returns the time until the server is to be queried, negative if that is overdue.
 func (m *monitor) untilQuery(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -70,14 +71,14 @@
 	return m.queryDue.Sub(now)
 }
 
-// queryDelay is the time that an event may take.
+// queryDelay returns the time without an event after which the server is queried.
 func (m *monitor) queryDelay() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.watch.QueryDelay()
 }
 
-// startInspection looks into a wait that has become long.
+// startInspection inspects the silent stream in the background, late by the given time.
 func (m *monitor) startInspection(late time.Duration) {
 	m.setInspecting(true)
 	m.gateway.Group.Go(func(ctx context.Context) error {
@@ -93,8 +94,7 @@
 	m.inspecting = inspecting
 }
 
-// inspect asks the server and acts on the verdict, unless the stream is heard
-// meanwhile.
+// inspect queries the server and acts on the verdict, unless an event arrives in the meantime.
 func (m *monitor) inspect(ctx context.Context, late time.Duration) {
 	m.mutex.Lock()
 	wait, bound := m.waitCount, m.watch.QueryTimeout()
@@ -108,12 +108,12 @@
 		return
 	}
 	a := m.gateway.inquire(ctx, m.server, bound)
-	copied := a.Unresponsive() && m.backupAnswers(ctx)
+	hasBackup := a.Unresponsive() && m.backupAnswers(ctx)
 	s, ok := m.streamState(wait)
 	if !ok {
 		return
 	}
-	s.HasBackup = copied
+	s.HasBackup = hasBackup
 	v := silence.Decide(s, a)
 	m.gateway.Metrics.Add(metric.SilentStreams, 1)
 	m.gateway.Log.Emit(event.StreamSilent, zap.String("request", string(s.Request)), zap.String("server", string(m.server.Name)), zap.Int("events", s.Delivered), zap.Duration("silent", s.SilentFor), zap.Bool("reached", a.Answered), zap.Int("made", a.Produced[s.Request]), zap.String("verdict", v.String()))
@@ -124,8 +124,7 @@
 	m.scheduleQuery(wait)
 }
 
-// backupAnswers reports whether a copy of the run is held by a server that
-// answers at once.
+// backupAnswers reports whether another server holds a copy of the run and answers at once.
 func (m *monitor) backupAnswers(ctx context.Context) bool {
 	h, ok := m.run.copyHolder()
 	if !ok || m.gateway.inClosedDomain(h) {
@@ -140,7 +139,7 @@
 	return err == nil
 }
 
-// streamState describes the stream in a wait; it reports false once that is over.
+// streamState returns the state of the stream, and reports false if the given wait is over.
 func (m *monitor) streamState(wait int) (silence.Stream, bool) {
 	_, n := m.run.progress()
 	s := silence.Stream{Request: m.run.request.ID, Delivered: n}
@@ -150,7 +149,7 @@
 	return s, m.waiting && m.waitCount == wait
 }
 
-// scheduleQuery lets the stream wait on.
+// scheduleQuery lets the stream continue to wait, and schedules the next query in this wait.
 func (m *monitor) scheduleQuery(wait int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -160,7 +159,7 @@
 	}
 }
 
-// copyHolder is the server that the run could go on at without its own.
+// copyHolder returns the server that holds a copy from which the run could resume, if any.
 func (r *run) copyHolder() (roster.Server, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// copyTimeout bounds one call that copies a run's memory: no server serves
-	// longer after its notice.
+	// copyTimeout bounds one call that copies a run's memory: no server serves longer than
+	// this after it gave notice that it leaves.
 	copyTimeout = 3 * time.Second
-	// moveUnreadTokens is the prompt that a run on its way counts for at its target, so
-	// that no long one is sent there that the run would have to wait behind.
+	// moveUnreadTokens is the length of the unread prompt that a run counts for at its target
+	// while it is moved, so that no long prompt is sent there that would delay the run.
 	moveUnreadTokens api.Tokens = 1000
-	// releaseTimeout bounds the call that frees a copy.
+	// releaseTimeout bounds one call that frees a copy.
 	releaseTimeout = time.Second
 )
 
-// startMove starts the startMove of a run off its server, unless one is under way.
+// startMove starts a move of a run off its server, unless a move is in progress or a backup
+// server can resume the run.
 func (g *Gateway) startMove(r *run) {
 	e := r.request.service.Engine
 	if e == nil || !e.SupportsMoves {
@@ -41,14 +42,14 @@
 		return
 	}
 	if r.stopped && r.moveCopy != nil {
-		// It is about to go on from its copy.
+		// The run is about to resume from its copy.
 		return
 	}
 	g.beginMove(r, evacuate.New(time.Now()))
 }
 
-// beginMove starts the steps of a move; the run's mutex is held. The channel is
-// closed at their end.
+// beginMove starts the steps of a move in the background and returns a channel that is closed
+// when they end; the run's mutex is held.
 func (g *Gateway) beginMove(r *run, e *evacuate.Move) <-chan struct{} {
 	m := &mover{gateway: g, run: r, move: e, source: r.server}
 	done := make(chan struct{})
@@ -61,10 +62,10 @@
 	return done
 }
 
-// fetch stops a run at a server whose events don't arrive any more, and copies
-// it to another one. It reports whether the run was stopped and a copy of it is
-// in hand; a run that its server no longer knows has ended there, and what it
-// sent may still arrive.
+// fetch stops a run at a server whose events no longer arrive, and copies it to another one.
+// It reports whether the run was stopped and can resume from a copy. It reports false if the
+// server no longer knows the run: then the run has ended there, and the events that it sent
+// may still arrive.
 func (g *Gateway) fetch(ctx context.Context, r *run, s roster.Server) bool {
 	e := r.request.service.Engine
 	if e == nil || !e.SupportsMoves {
@@ -95,7 +96,7 @@
 	return r.stopped && r.moveCopy != nil
 }
 
-// mover takes one run off one server.
+// mover executes one move of a run off its server.
 type mover struct {
 	gateway     *Gateway
 	run         *run
@@ -106,7 +107,7 @@
 	tried       []api.ServerName
 }
 
-// runSteps follows the decisions to their end.
+// runSteps executes the steps of the move until no further copy or stop step follows.
 func (m *mover) runSteps(ctx context.Context) {
 	m.gateway.Metrics.Add(metric.MovesBegun, 1)
 	a := m.move.First()
@@ -124,14 +125,14 @@
 	m.finish(a.Kind)
 }
 
-// obsolete reports whether the run needs no move any more.
+// obsolete reports whether the move is no longer needed: the run has ended or left the source.
 func (m *mover) obsolete() bool {
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
 	return m.run.ended || m.run.server.Name != m.source.Name
 }
 
-// step makes one copy.
+// step executes one copy or stop step, and first chooses a target if it needs another one.
 func (m *mover) step(ctx context.Context, a evacuate.Action) evacuate.Result {
 	if (a.NewTarget || m.gateway.avoids(m.target)) && !m.chooseTarget(ctx) {
 		return evacuate.Result{Outcome: evacuate.NoTarget}
@@ -155,8 +156,8 @@
 	return r
 }
 
-// markStopped notes that the source is about to be told to stop the run; it reports
-// false where the run has gone on elsewhere.
+// markStopped records that the source is about to be ordered to stop the run. It reports false
+// if another server has resumed the run.
 func (m *mover) markStopped() bool {
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
@@ -167,7 +168,8 @@
 	return true
 }
 
-// chooseTarget picks another target and takes the load off the one before.
+// chooseTarget releases the previous target and chooses another one. It reports false if none
+// has free capacity.
 func (m *mover) chooseTarget(ctx context.Context) bool {
 	m.releaseTarget()
 	q := m.run.request
@@ -187,18 +189,20 @@
 	return true
 }
 
+// releaseTarget ends the load reservation at the target.
 func (m *mover) releaseTarget() {
 	m.reservation.end()
 	m.reservation = nil
 }
 
-// recordCopy notes the copy that a step made; after a stop without room the source
-// itself holds the memory.
+// recordCopy records the copy that a step made. If a stop step failed for lack of free memory
+// at the target, the run may resume at the source, which retains the memory.
 func (m *mover) recordCopy(handle string, o evacuate.Outcome) {
 	h := &kvCopy{server: m.target, reservation: m.reservation, resume: port.Resume{Source: m.source.Address, Handle: handle}}
 	if o != evacuate.Copied {
 		if m.gateway.inClosedDomain(m.source) {
-			// Going back would be a new request there. What the target has may do.
+			// A return would be a new request in a closed failure domain. An earlier copy at
+			// the target may do instead.
 			return
 		}
 		h.server = m.source
@@ -210,12 +214,12 @@
 		m.run.moveCopy = h
 		return
 	}
-	// The run has gone on elsewhere: the copy is of no use.
+	// Another server has resumed the run, so that the copy is of no use.
 	m.reservation = nil
 	m.gateway.releaseCopy(h)
 }
 
-// finish leaves the copy to the run, or frees what nobody will use.
+// finish ends the move. It leaves a copy to the run, or frees what is no longer needed.
 func (m *mover) finish(k evacuate.Kind) {
 	m.run.mutex.Lock()
 	if m.run.mover == m {
@@ -239,7 +243,7 @@
 	}
 }
 
-// copyOutcome types the failure of a copy.
+// copyOutcome returns the outcome of a copy for the decision on the next step.
 func copyOutcome(err error) evacuate.Outcome {
 	switch {
 	case err == nil:
@@ -255,7 +259,8 @@
 	}
 }
 
-// releaseCopy frees a copy that nobody will use.
+// releaseCopy ends the load reservation of a copy that is not needed, and frees its memory in
+// the background.
 func (g *Gateway) releaseCopy(c *kvCopy) {
 	c.reservation.end()
 	g.Group.Go(func(ctx context.Context) error {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -16,22 +16,24 @@
 )
 
 const (
-	// writeTimeout bounds one call that writes a refused content to the platform; between
-	// two of them is a pause that doubles from keepFirst to keepLast.
+	// writeTimeout bounds one call that writes a quarantined content to the platform. The pause
+	// before a retry doubles from minWriteBackoff to maxWriteBackoff.
 	writeTimeout    = time.Second
 	minWriteBackoff = 200 * time.Millisecond
 	maxWriteBackoff = 5 * time.Second
 )
 
-// noteBrokenRun takes what the failure of an attempt tells of its content and its server.
+// noteBrokenRun records a failed run against its content, as the possible cause of a crash of
+// the server. A server that is leaving has not crashed.
 func (g *Gateway) noteBrokenRun(q *request, s roster.Server, err error) {
 	if !g.leaving(s.Name) {
 		g.Contents.Broke(q.content, s.Name, err)
 	}
 }
 
-// quarantineConfirmed refuses the contents that have come to be confirmed, and has the platform keep
-// them: an entry VM that peers don't reach, or that starts later, learns of them there.
+// quarantineConfirmed quarantines the contents that are now confirmed to crash servers, and
+// writes those found here to the platform: an entry VM that peers can't reach, or that starts
+// later, learns of them there.
 func (g *Gateway) quarantineConfirmed() {
 	for _, v := range g.Contents.Step() {
 		if v.Local && g.Quarantines != nil {
@@ -43,17 +45,19 @@
 	}
 }
 
-// storeQuarantine writes a refused content to the platform, however long that is away.
+// storeQuarantine writes a quarantined content to the platform, and retries while the platform
+// is not available.
 func (g *Gateway) storeQuarantine(ctx context.Context, e quarantine.Entry) {
 	g.retryWrite(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Keep(c, e) })
 }
 
-// deleteQuarantine removes a content from the platform, however long that is away.
+// deleteQuarantine removes a content from the platform, and retries while the platform is not
+// available.
 func (g *Gateway) deleteQuarantine(ctx context.Context, c api.ContentHash) {
 	g.retryWrite(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Release(x, c) })
 }
 
-// retryWrite makes a write about a content again until it is done or not wanted any more.
+// retryWrite retries a write for a content until it succeeds or is no longer wanted.
 func (g *Gateway) retryWrite(ctx context.Context, c api.ContentHash, wanted func() bool, write func(ctx context.Context) error) {
 	for pause := minWriteBackoff; wanted(); pause = min(2*pause, maxWriteBackoff) {
 		x, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -70,8 +74,9 @@
 	}
 }
 
-// CorrectQuarantines puts the platform's objects right after it came back from a copy; it is for the
-// entry VM that follows the platform, so that one writes and not all.
+// CorrectQuarantines writes and deletes what the platform's quarantines lack or have in excess
+// after a restore of its store. Only the entry VM that follows the platform calls it, so that
+// not all entry VMs write.
 func (g *Gateway) CorrectQuarantines() {
 	x := g.Contents.Correct()
 	for _, e := range x.Write {
@@ -91,7 +96,7 @@
 	}
 }
 
-// SetQuarantines takes the contents that the platform keeps as refused.
+// SetQuarantines sets the contents that the platform stores as quarantined.
 func (g *Gateway) SetQuarantines(s replica.Snapshot[quarantine.Entry]) {
 	l := make([]quarantine.Entry, 0, len(s.Items))
 	for _, o := range s.Items {
@@ -101,8 +106,8 @@
 	g.Log.Emit(event.ContentDeclared, zap.Int("contents", len(l)), zap.Stringer("version", s.At))
 }
 
-// DeleteExpiredQuarantines removes from the platform what it keeps beyond its time; it is for the
-// entry VM that follows the platform.
+// DeleteExpiredQuarantines removes from the platform the contents whose quarantine has expired.
+// Only the entry VM that follows the platform calls it.
 func (g *Gateway) DeleteExpiredQuarantines(ctx context.Context) {
 	for _, c := range g.Contents.Expired() {
 		x, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -115,12 +120,12 @@
 	}
 }
 
-// ContentReports gives what peers may not know of contents that end servers.
+// ContentReports returns the recent reports on contents that crash servers, for peers.
 func (g *Gateway) ContentReports() []api.ContentReport {
 	return g.Contents.Recent()
 }
 
-// MergeContentReports takes what a peer knows of contents that end servers.
+// MergeContentReports adds a peer's reports on contents that crash servers.
 func (g *Gateway) MergeContentReports(l []api.ContentReport) {
 	g.Contents.Merge(l)
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// maxMoveWait is how long a stream that ended waits for the move that ended it.
+	// maxMoveWait is how long a stream that ended waits for the move that stopped its run.
 	maxMoveWait = 1500 * time.Millisecond
-	// maxResumeAttempts bounds the connections that are tried to the only server that
-	// can go on with a run: one lost packet must not lose the run.
+	// maxResumeAttempts bounds the connection attempts to the only server that can resume a
+	// run: one lost packet must not lose the run.
 	maxResumeAttempts = 3
 )
 
-// resumeBroken resumes a run whose stream broke from the copy of its memory.
+// resumeBroken resumes a run whose stream broke off from a copy of its KV cache. It reports
+// false if the run is lost.
 func (g *Gateway) resumeBroken(ctx context.Context, r *run, broke error) (port.Stream, bool) {
 	began := time.Now()
 	r.mutex.Lock()
@@ -49,8 +50,9 @@
 		return nil, false
 	}
 	if !stopped && !g.Contents.MayGoOn(r.request.content) {
-		// Each server that it was taken to has ended: one with copies ended three of
-		// them for each time that its caller asked.
+		// This content has crashed the servers that ran it. If its run were resumed from
+		// backup copies further, it would crash three servers for each time that its caller
+		// sends it.
 		g.releaseCopy(c)
 		g.recordLost(r, from, broke)
 		return nil, false
@@ -69,13 +71,14 @@
 	return s, true
 }
 
-// closedTargetGrace is how long after it was stopped a run may go on at a target whose domain operators
-// have closed in the meantime, where it can't go back: far less than they allow for what was on
-// its way.
+// closedTargetGrace is the time after its stop in which a run that can't return to its source
+// may resume at its target although operators have closed the target's failure domain in the
+// meantime. It is far less than operators allow for requests that are on their way.
 const closedTargetGrace = 500 * time.Millisecond
 
-// returnToSource takes a run that its target did not take to the server that has stopped it, which keeps
-// its memory until another one goes on with it.
+// returnToSource resumes a run that its target refused at the source that stopped it. The
+// source retains the run's memory until another server resumes the run. If the source refuses
+// too, the run may resume at a target whose domain was closed just now.
 func (g *Gateway) returnToSource(ctx context.Context, r *run, from roster.Server, c *kvCopy, refused error) (port.Stream, *kvCopy, error) {
 	back := &kvCopy{server: from, resume: c.resume}
 	s, err := g.resumeFrom(ctx, r, back)
@@ -91,18 +94,20 @@
 	}
 }
 
-// resumeFrom asks the holder of a copy to go on, unless operators have closed its domain.
+// resumeFrom resumes a run at the server that holds a copy, unless operators have closed the
+// server's failure domain.
 func (g *Gateway) resumeFrom(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
 	if g.inClosedDomain(c.server) {
-		return nil, fault.New(fault.ServerRefused, "operators have closed the failure domain of the copy")
+		return nil, fault.New(fault.ServerRefused, "operators have closed the failure domain of the server that holds the copy")
 	}
 	return g.sendResume(ctx, r, c)
 }
 
-// sendResume asks the holder of a copy to go on.
+// sendResume sends the server that holds a copy the request to resume the run, and registers
+// the run there on success.
 func (g *Gateway) sendResume(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
 	if !g.reserveResume(c.server) {
-		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for rest")
+		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for a backoff")
 	}
 	q := r.request
 	x := c.resume
@@ -118,7 +123,7 @@
 	}
 	if a.Stream == nil {
 		b.release()
-		return nil, fault.New(fault.BadAnswer, "a resumed run was not answered by a stream")
+		return nil, fault.New(fault.BadAnswer, "a resume was answered without a stream")
 	}
 	g.detach(r)
 	g.attach(r, c.server, c.reservation, b)
@@ -126,21 +131,23 @@
 	return a.Stream, nil
 }
 
-// reserveResume reports whether a server may be sent a request that only it can take.
+// reserveResume reports whether a run may be resumed at a server, and counts the resume. A
+// server in its backoff is sent only a few requests that no other server can serve.
 func (g *Gateway) reserveResume(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Rests.Spare(time.Now(), s.Name)
 }
 
-// countSent counts a request that only one server can take, whatever that has asked for.
+// countSent counts a request that only this server can serve. It counts against the server's
+// limit, but is sent even if the limit is reached.
 func (g *Gateway) countSent(s roster.Server) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.picker.Sent(time.Now(), s.Name)
 }
 
-// sendUntilConnected sends to one server, again while no connection is made.
+// sendUntilConnected sends to one server, and retries while the connection fails.
 func (g *Gateway) sendUntilConnected(ctx context.Context, t port.Attempt) (port.Answer, error) {
 	for n := 1; ; n++ {
 		a, err := g.Backends.Send(ctx, t)
@@ -154,8 +161,8 @@
 	}
 }
 
-// takeCopy takes the copy to go on from: the newest one made on order, or else
-// that of the server which kept one as the run grew.
+// takeCopy removes and returns the copy from which the run resumes: the newest one of a move,
+// or else the backup copy. It returns nil if there is none.
 func (r *run) takeCopy() *kvCopy {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -168,7 +175,7 @@
 	return &kvCopy{server: b.server, reservation: b.reservation, resume: port.Resume{Source: b.server.Address, Handle: string(r.request.ID)}, fromBackup: true}
 }
 
-// recordLost logs a generation that can't go on.
+// recordLost records and logs a run that can't be resumed.
 func (g *Gateway) recordLost(r *run, from roster.Server, err error) {
 	_, n := r.progress()
 	r.request.outcome = "generation_lost"
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -13,74 +13,77 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// kvCopy is a copy of a run's memory that a server holds.
+// kvCopy is a copy of a run's KV cache from which a server can resume the run.
 type kvCopy struct {
 	server      roster.Server
 	reservation *reservation
 	resume      port.Resume
-	// fromBackup is set for a copy that grew with the run, rather than on order.
+	// fromBackup is set for a backup copy, which the source kept up to date while the run
+	// went on. The other copies are made by the steps of a move.
 	fromBackup bool
 }
 
-// backup is the server that keeps a copy of a run as it grows.
+// backup is the backup server of a run, which holds a copy that is kept up to date while
+// the run goes on.
 type backup struct {
 	server      roster.Server
 	reservation *reservation
 }
 
-// release takes the copy's load away.
+// release ends the load reservation of the backup copy. A nil backup has none.
 func (b *backup) release() {
 	if b != nil {
 		b.reservation.end()
 	}
 }
 
-// run is one running generation on its way to its caller.
+// run is one generation whose events are relayed to its caller.
 type run struct {
 	request *request
 
 	mutex       sync.Mutex
 	server      roster.Server
 	reservation *reservation
-	// events judges what goes to the caller.
+	// events decides which events are delivered to the caller.
 	events sequence.Sequence
-	// mover takes the run off its server, nil for none; moved is closed at its
-	// end.
+	// mover moves the run off its server, nil if no move is in progress. moveDone is closed
+	// when the newest move ends.
 	mover    *mover
 	moveDone <-chan struct{}
-	// stopped is set once the source was told to stop the run, halted when.
+	// stopped is set when a move is about to order the server to stop the run, at stoppedAt.
 	stopped   bool
 	stoppedAt time.Time
-	// moveCopy is the newest copy of the run's memory, nil for none.
+	// moveCopy is the newest copy that a move made, nil for none.
 	moveCopy *kvCopy
-	// backup keeps a copy of the run at its present server, nil for none.
+	// backup holds a backup copy of the run at its current server, nil for none.
 	backup *backup
 	ended  bool
 	timing streamTiming
 }
 
-// currentServer is the server that runs it.
+// currentServer returns the server that executes the run.
 func (r *run) currentServer() roster.Server {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.server
 }
 
-// stoppedWithin reports whether the run was told to stop no longer ago than a time.
+// stoppedWithin reports whether a move stopped the run less than d ago.
 func (r *run) stoppedWithin(d time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.stopped && time.Since(r.stoppedAt) < d
 }
 
-// startedRecently reports whether the run is in its beginning at its present server.
+// startedRecently reports whether the run has just started at its current server, so that
+// its content may be what crashed the server.
 func (r *run) startedRecently(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.timing.firstHere.IsZero() || now.Sub(r.timing.firstHere) < quarantine.SuspectWindow
 }
 
-// dropBackup gives up a copy that the run may not go on from.
+// dropBackup drops the run's backup copy if the run may not resume at its backup server.
 func (r *run) dropBackup(unusable func(s roster.Server) bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -90,24 +93,25 @@
 	}
 }
 
-// streamTiming is what a caller saw of a stream's times.
+// streamTiming records when the caller of a stream received its events.
 type streamTiming struct {
-	// firstEvent is the time to the firstEvent event, last when the last one came.
+	// firstEvent is the time from the request's arrival to the first event, and lastEvent
+	// the time of the newest one.
 	firstEvent time.Duration
 	lastEvent  time.Time
-	// firstHere is when the first event came from the present server, zero before it.
+	// firstHere is the time of the first event from the current server, zero before it.
 	firstHere time.Time
-	// longestPause is the longest time between two events, and after the event before
-	// it.
+	// longestPause is the longest time between two events, and pauseAfter the number of the
+	// event before it.
 	longestPause time.Duration
 	pauseAfter   int
 	moves        int
-	// resuming is set until the first event after the run went on pauseInMove, and
-	// pauseInMove where the longest pause was before such an event.
+	// resuming is set from a resume until the next event. pauseInMove is set if the longest
+	// pause was in that time.
 	resuming, pauseInMove bool
 }
 
-// recordEvent takes the time of an event.
+// recordEvent records the time of the count-th event.
 func (t *streamTiming) recordEvent(now, arrived time.Time, count int) {
 	if t.lastEvent.IsZero() {
 		t.firstEvent = now.Sub(arrived)
@@ -123,7 +127,7 @@
 	}
 }
 
-// acceptEvent judges an event.
+// acceptEvent decides what to do with an event, and records its time if it is delivered.
 func (r *run) acceptEvent(id string) sequence.Verdict {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -134,7 +138,7 @@
 	return v
 }
 
-// lateness says what a stream missed of what its route aims for.
+// lateness returns which target of its route the stream missed, if any.
 func (r *run) lateness() lateness {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -151,7 +155,7 @@
 	}
 }
 
-// logFields gives the fields of the log line at a stream's end.
+// logFields returns the fields of the log line at the end of a stream.
 func (r *run) logFields() []zap.Field {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -161,14 +165,15 @@
 	}
 }
 
-// progress gives the last event's id and the count.
+// progress returns the id of the last event delivered and the number of events delivered.
 func (r *run) progress() (string, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.events.LastID(), r.events.Count()
 }
 
-// attach counts a run at its server and moves it on if that leaves.
+// attach registers a run at the server that now executes it, and starts a move if that
+// server is leaving.
 func (g *Gateway) attach(r *run, s roster.Server, l *reservation, b *backup) {
 	r.mutex.Lock()
 	r.backup = b
@@ -197,7 +202,7 @@
 	}
 }
 
-// detach ends the count of a run at its server.
+// detach unregisters a run from its server and ends its load reservations.
 func (g *Gateway) detach(r *run) {
 	r.mutex.Lock()
 	n := r.server.Name
@@ -211,7 +216,7 @@
 	g.removeRun(n, r)
 }
 
-// removeRun is detach's part under the gateway's mutex.
+// removeRun unregisters a run from a server; the mutex is held.
 func (g *Gateway) removeRun(n api.ServerName, r *run) {
 	delete(g.runs[n], r)
 	if len(g.runs[n]) == 0 {
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -16,14 +16,14 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// signalRecorder notes what backend servers say of themselves in any of their answers, so that no
-// caller of them has to.
+// signalRecorder wraps the backend servers and records the signals in each of their answers:
+// limits, backoffs and notices that they leave. So its callers don't have to.
 type signalRecorder struct {
 	port.Backends
 	gateway *Gateway
 }
 
-// Send sends a request and gives its answer.
+// Send sends a request and returns its answer.
 func (o signalRecorder) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	began := time.Now()
 	x, err := o.Backends.Send(ctx, a)
@@ -39,7 +39,7 @@
 	return x, err
 }
 
-// Report asks a server about itself.
+// Report requests a server's report on itself.
 func (o signalRecorder) Report(ctx context.Context, s roster.Server, fresh bool) (port.Report, error) {
 	began := time.Now()
 	x, err := o.Backends.Report(ctx, s, fresh)
@@ -47,7 +47,7 @@
 	return x, err
 }
 
-// Release frees a copy that nothing will use.
+// Release frees a copy of a run's memory.
 func (o signalRecorder) Release(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
 	began := time.Now()
 	x, err := o.Backends.Release(ctx, s, handle)
@@ -55,14 +55,14 @@
 	return x, err
 }
 
-// Limits lists what servers have named, for peers.
+// Limits lists the limits that servers have announced, for peers.
 func (g *Gateway) Limits() []api.ServerLimit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Limits.Reports(time.Now())
 }
 
-// MergeLimits takes what servers have named to a peer.
+// MergeLimits adds the limits that servers have announced to a peer.
 func (g *Gateway) MergeLimits(l []api.ServerLimit) {
 	for _, x := range l {
 		g.mutex.Lock()
@@ -75,12 +75,12 @@
 	}
 }
 
-// logLimit logs a limit that is new here.
+// logLimit logs a limit that is new to this entry VM, or that a server no longer announces.
 func (g *Gateway) logLimit(n api.ServerName, named bool, perSecond float64, ofPeer bool) {
 	g.Log.Emit(event.ServerLimit, zap.String("server", string(n)), zap.Bool("limited", named), zap.Float64("per_second", perSecond), zap.Bool("of_peer", ofPeer))
 }
 
-// recordSignals takes what a server says of itself in the answer to a call that was sent at a
+// recordSignals records the signals in a server's answer to a call that was sent at a given
 // time.
 func (g *Gateway) recordSignals(sent time.Time, s roster.Server, x port.Signals) {
 	if !x.Answered {
@@ -96,12 +96,12 @@
 		g.recordLeaving(s)
 	}
 	if x.Limited || x.Unreadable == "" {
-		// What can't be read may be the limit, which it does not take back.
+		// An unreadable signal may be the limit, so that its absence does not withdraw one.
 		g.recordLimit(sent, s, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
 	}
 }
 
-// recordLimit takes the limit in an answer, or that it names none.
+// recordLimit records the limit in an answer, or that the answer announces none.
 func (g *Gateway) recordLimit(sent time.Time, s roster.Server, l throttle.Limit) {
 	g.mutex.Lock()
 	changed := g.picker.Limits.Record(time.Now(), sent, s.Name, l)
@@ -111,7 +111,7 @@
 	}
 }
 
-// recordLeaving takes a server's word in an answer that it leaves.
+// recordLeaving records a server's notice in an answer that it is leaving.
 func (g *Gateway) recordLeaving(s roster.Server) {
 	if !g.leaving(s.Name) {
 		g.Log.Emit(event.ServerNotice, zap.String("server", string(s.Name)))
@@ -119,7 +119,8 @@
 	g.NoteLeaving([]api.ServerName{s.Name})
 }
 
-// recordBackoff takes the rest that a server asked this entry VM for.
+// recordBackoff records the backoff that a server asked this entry VM for. Runs that have to
+// leave their server are moved if their backup server is the one that backs off.
 func (g *Gateway) recordBackoff(s roster.Server, d time.Duration) {
 	g.Log.Emit(event.ServerRest, zap.String("server", string(s.Name)), zap.Duration("rest", d))
 	g.mutex.Lock()
@@ -132,18 +133,20 @@
 	}
 }
 
-// backingOff lists the servers of a service that asked this entry VM for rest, and gives the time
-// until the first of them takes requests again where all do.
+// backingOff lists the servers of a service that have asked this entry VM for a backoff. If all
+// have, it also returns the time until the first of them takes requests again, else zero.
 func (g *Gateway) backingOff(n api.ServiceName) ([]api.ServerName, time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Rests.Among(time.Now(), g.roster.Service(n))
 }
 
-// retrySpread is the time over which callers come back that were refused in one rest.
+// retrySpread is the time over which the retries of callers are spread that were refused
+// because all servers had asked for a backoff.
 const retrySpread = 500 * time.Millisecond
 
-// refuseIfAllBackOff is the refusal of a request since all servers rest, or nil where one does not.
+// refuseIfAllBackOff returns the refusal of a request if all servers of its service have asked
+// for a backoff, or else nil.
 func (g *Gateway) refuseIfAllBackOff(q *request, c *call.Call) *fault.Error {
 	_, d := g.backingOff(q.service.Name)
 	if d == 0 {
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -11,13 +11,13 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// startStreams begins so many startStreams, of which each is kept a copy of, and gives their callers.
+// startStreams starts n streams, each with a backup copy, and returns their callers.
 func (b *bed) startStreams(n int) []*caller {
 	var l []*caller
 	for i := range n {
 		r, k := request("/stream/1"), &caller{}
 		r.ID = api.RequestID(fmt.Sprintf("r%d", i))
-		// Short prompts leave memory for a copy of each.
+		// Short prompts leave free memory for a backup copy of each run.
 		r.Prompt.Tokens = 300
 		b.Group.Go(func(ctx context.Context) error {
 			b.Handle(ctx, r, k)
@@ -28,6 +28,8 @@
 	return l
 }
 
+// A server that asked for a backoff must be sent only a few of the runs that no other server can
+// resume: those that have their backup copies there.
 func TestFewRunsResumeAtServerInBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -57,18 +59,19 @@
 			}
 		}
 		if here < 3 {
-			t.Fatalf("runs at the server that ends: got %d, want more than may go on", here)
+			t.Fatalf("runs at the server that crashes: got %d, want at least 3, more than may resume", here)
 		}
 		if got := f.sent() - before; got != 2 {
-			t.Errorf("sends after it ended: got %d, want 2", got)
+			t.Errorf("sends after the crash: got %d, want 2", got)
 		}
 		if want := len(l) - here + 2; whole != want {
-			t.Errorf("whole streams: got %d of %d, want %d", whole, len(l), want)
+			t.Errorf("complete streams: got %d of %d, want %d", whole, len(l), want)
 		}
 	})
 }
 
-// reportBackoff lets a server ask this entry VM for rest, in the report that it is asked for.
+// reportBackoff lets a server ask this entry VM for a backoff in its next report, and requests
+// the report.
 func (b *bed) reportBackoff(n string, d time.Duration) {
 	b.fake.mutex.Lock()
 	b.fake.signals[n] = port.Signals{Answered: true, Resting: true, Rest: d}
@@ -76,20 +79,20 @@
 	_, _ = b.Backends.Report(context.Background(), server(n, "x", false), false)
 }
 
-// A run whose copy is at a server that rests is moved when its own server leaves.
+// A run whose backup server has asked for a backoff must be moved when its server leaves.
 func TestRunIsMovedWhenItsBackupServerBacksOff(t *testing.T) {
 	tests := []struct {
 		name string
-		do   func(s *scene, holder string)
+		do   func(s *scene, backupServer string)
 	}{
-		{"rests first", func(s *scene, holder string) {
-			s.reportBackoff(holder, time.Minute)
+		{"backoff before the notice", func(s *scene, backupServer string) {
+			s.reportBackoff(backupServer, time.Minute)
 			s.declareThreeEngines(s.server)
 		}},
-		{"rests while the server leaves", func(s *scene, holder string) {
+		{"backoff after the notice", func(s *scene, backupServer string) {
 			s.declareThreeEngines(s.server)
 			time.Sleep(eventGap)
-			s.reportBackoff(holder, time.Minute)
+			s.reportBackoff(backupServer, time.Minute)
 		}},
 	}
 	for _, c := range tests {
@@ -100,16 +103,16 @@
 				s := play(t, f, 60, 5)
 				s.declareThreeEngines("")
 				f.mutex.Lock()
-				holder := f.handles["r"]
+				backupServer := f.handles["r"]
 				f.mutex.Unlock()
-				c.do(s, holder)
+				c.do(s, backupServer)
 				s.whole(t, s.server, "e3")
 			})
 		})
 	}
 }
 
-// declareThreeEngines declares declareThreeEngines engines, of which one may be leaving.
+// declareThreeEngines declares three engines, one of which may be leaving; empty for none.
 func (b *bed) declareThreeEngines(leaving string) {
 	m := map[string]bool{"e1": false, "e2": false, "e3": false}
 	if leaving != "" {
@@ -118,6 +121,7 @@
 	b.servers(m)
 }
 
+// A run that its target refuses at the end of a move must resume at its source.
 func TestRunRefusedByTargetReturnsToSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
@@ -132,6 +136,8 @@
 	})
 }
 
+// A backoff that any server asks for must not start a second move of a run that is stopped and
+// about to resume.
 func TestStoppedRunIsNotMovedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
@@ -141,12 +147,13 @@
 		s.reportBackoff("e9", time.Minute)
 		<-s.done
 		if got, want := time.Since(began), 60*eventGap; got > want || !s.caller.whole(s.fake.total) {
-			t.Errorf("got the stream whole: %v, after %v, want it within %v", s.caller.whole(s.fake.total), got, want)
+			t.Errorf("got the stream complete: %v, after %v, want it within %v", s.caller.whole(s.fake.total), got, want)
 		}
 	})
 }
 
-// A run whose target's domain operators close at its last step goes back as well.
+// A run must return to its source if operators close its target's domain during the last step
+// of the move.
 func TestRunReturnsToSourceWhenTargetDomainCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
@@ -158,7 +165,8 @@
 	})
 }
 
-// A run whose server and target operators close at its last step goes on all the same.
+// A run must resume at its target even if operators close the domain of its source and target
+// during the last step of the move.
 func TestStoppedRunResumesWhenSourceAndTargetDomainsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
@@ -172,7 +180,7 @@
 	})
 }
 
-// awaitStop waits until the stream's run was stopped, and its move has ended.
+// awaitStop waits until the stream's run is stopped for the last step of its move.
 func (s *scene) awaitStop() {
 	for stopped := false; !stopped; time.Sleep(5 * time.Millisecond) {
 		s.set(func(f *fake) { stopped = len(f.stops) > 0 })
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A server that crashes without a word leaves its connections open: only its
-// silence shows it.
+// A server that crashes without closing its connections is detected only by its silence. Its
+// runs must resume from their backup copies within an acceptable pause.
 func TestRunResumesFromBackupCopyWhenServerIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -17,14 +17,13 @@
 		began := time.Now()
 		s.whole(t, s.server, other(s.server))
 		if got, want := time.Since(began), 35*eventGap+gapAim; got > want {
-			t.Errorf("the rest took %v, want no pause above %v", got, gapAim)
+			t.Errorf("remaining events: got them after %v, want no pause above %v", got, gapAim)
 		}
 	})
 }
 
-// Where the holder of the copy is silent as well, it is not the server that has
-// crashed: found by the soak with 300 VMs on one machine (seed 2001), where runs
-// that were alive were given up for copies that were gone.
+// If the backup server is silent as well, the server has probably not crashed. In the soak with
+// 300 VMs on one machine (seed 2001), live runs were abandoned for copies that no longer existed.
 func TestRunIsNotAbandonedWhenNoServerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -42,7 +41,8 @@
 	})
 }
 
-// A VM that is slow itself, or wakes up, has not read what has arrived.
+// An entry VM that is slow or was suspended has unread bytes on its connections. It must not
+// take that for the silence of a server.
 func TestServerIsNotQueriedWhileItsBytesAreUnread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -52,7 +52,7 @@
 		time.Sleep(3 * time.Second)
 		s.set(func(f *fake) {
 			if f.reports != 0 {
-				t.Errorf("questions: got %d, want none", f.reports)
+				t.Errorf("queries: got %d, want none", f.reports)
 			}
 			f.mute[s.server] = false
 		})
@@ -60,7 +60,8 @@
 	})
 }
 
-// Without a copy nothing else can go on with the run; its server may come back.
+// Without a copy, no other server can resume a silent run, and its server may answer again. So
+// the run must not be ended, while new requests go to other servers.
 func TestSilentRunWithoutCopyIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
@@ -68,22 +69,22 @@
 		time.Sleep(5 * time.Second)
 		select {
 		case <-s.done:
-			t.Fatal("a silent stream: got its end, want it waited for")
+			t.Fatal("silent stream: got its end, want it not ended")
 		default:
 		}
 		if c := s.serverOfNewStream(t); c != other(s.server) {
-			t.Errorf("while it is silent: got new work at %s, want it at %s", c, other(s.server))
+			t.Errorf("new stream while the server is silent: got it at %s, want it at %s", c, other(s.server))
 		}
 		s.set(func(f *fake) {
-			// Each question goes out over two connections.
+			// Each query is sent over two connections.
 			if n := f.reports; n > 2*8 {
-				t.Errorf("questions in 5 s: got %d, want fewer and fewer", n)
+				t.Errorf("queries in 5 s: got %d, want at most 16, at growing intervals", n)
 			}
 		})
 	})
 }
 
-// Connections may go silent for good while new ones work.
+// A connection may stay silent for good while new connections to the same server work.
 func TestRunIsFetchedWhenOnlyItsConnectionIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
@@ -95,8 +96,8 @@
 	})
 }
 
-// A run that its server no longer knows has ended there: what it sent may still
-// come, as after lost packets.
+// A run that its server no longer knows has ended there. The events that it sent may still
+// arrive, as after lost packets, so that the stream must not be closed.
 func TestRunThatCannotBeFetchedIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
@@ -107,7 +108,8 @@
 	})
 }
 
-// A slow server answers and makes no more events than arrive.
+// A slow server answers queries and has produced no more events than arrived. Its runs must not
+// be moved.
 func TestSlowStreamIsNotMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -117,7 +119,7 @@
 	})
 }
 
-// serverOfNewStream gives the server that a new stream would go to.
+// serverOfNewStream starts a short stream and returns the server that it was sent to.
 func (s *scene) serverOfNewStream(t *testing.T) string {
 	t.Helper()
 	c := &caller{}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -17,11 +17,11 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// expectedShare is the part of an answer's expected length that counts as
-// memory from the start: a run holds half of its answer on average.
+// expectedShare is the share of an answer's expected length that counts as used memory
+// from the start: averaged over its time, a run holds half of its answer.
 const expectedShare = 0.5
 
-// streamNeed is what a stream asks of an engine.
+// streamNeed returns the memory and prompt tokens that a stream needs at an engine.
 func streamNeed(q *request) placement.Need {
 	return placement.Need{
 		Tokens: q.Prompt.Tokens + api.Tokens(expectedShare*float64(q.expectedTokens())),
@@ -29,7 +29,8 @@
 	}
 }
 
-// expectedTokens is the expectedTokens length of the answer.
+// expectedTokens returns the expected length of the answer: the caller's limit if no shorter
+// length is expected.
 func (q *request) expectedTokens() api.Tokens {
 	if x := q.Prompt.Expected; x > 0 && x < q.Prompt.Limit {
 		return x
@@ -37,7 +38,7 @@
 	return q.Prompt.Limit
 }
 
-// stream serves a request that is answered event by event.
+// stream serves a request on a stream route. A server may still give a whole answer.
 func (g *Gateway) stream(ctx context.Context, q *request) {
 	v, f := g.try(ctx, q, streamNeed(q))
 	switch {
@@ -55,7 +56,7 @@
 	}
 }
 
-// endRun ends a run, whatever became of it.
+// endRun unregisters a run that has ended in any way, and frees its copies.
 func (g *Gateway) endRun(r *run) {
 	r.mutex.Lock()
 	r.ended = true
@@ -68,7 +69,8 @@
 	}
 }
 
-// pump passes events on until the stream is whole, lost, or the caller left.
+// pump relays events, from one server after the other, until the stream is complete, the
+// run is lost or the caller is gone.
 func (g *Gateway) pump(ctx context.Context, r *run, s port.Stream) {
 	for {
 		err := g.relay(ctx, r, s)
@@ -97,7 +99,8 @@
 	}
 }
 
-// relay passes one server's events on; nil is the proper end.
+// relay relays the events of one server to the caller. It returns nil at the regular end of
+// the stream.
 func (g *Gateway) relay(ctx context.Context, r *run, s port.Stream) error {
 	stop := context.AfterFunc(ctx, s.Close)
 	defer stop()
@@ -118,7 +121,7 @@
 		case sequence.Drop:
 			continue
 		case sequence.Gap:
-			return fault.New(fault.GenerationLost, "events are missing after a take-over, before "+e.ID)
+			return fault.New(fault.GenerationLost, "events are missing after a resume, before event "+e.ID)
 		}
 		if _, n := r.progress(); n == 1 {
 			g.recordFirstEvent(r)
@@ -129,7 +132,8 @@
 	}
 }
 
-// recordFirstEvent notes a run's recordFirstEvent event.
+// recordFirstEvent records the first event of a run: its prompt is read, and the caller's time
+// to the first event is known.
 func (g *Gateway) recordFirstEvent(r *run) {
 	r.mutex.Lock()
 	l := r.reservation
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A stream that goes on at another server after the VM was suspended is given no more time
+// A stream that resumes on another server after the VM was suspended must not get more time
 // there than its caller has left.
 func TestResumedRunGetsOnlyTheTimeLeftAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -26,10 +26,10 @@
 		b.notice(at)
 		time.Sleep(time.Minute)
 		if !c.whole(f.total) || len(f.lefts) != 2 {
-			t.Fatalf("got %d events and %d sends, want all events by way of two servers", c.count(), len(f.lefts))
+			t.Fatalf("got %d events and %d sends, want all events in two sends", c.count(), len(f.lefts))
 		}
-		if got, most := f.lefts[1], f.lefts[0]-suspended; got > most {
-			t.Errorf("time left for the second server: got %v, want at most %v", got, most)
+		if got, limit := f.lefts[1], f.lefts[0]-suspended; got > limit {
+			t.Errorf("time left for the second server: got %v, want at most %v", got, limit)
 		}
 	})
 }
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// watchdog looks after all streams: as events arrive, when the process runs
-// anyway, with the gateway's clock, and with a timer only while there are few
-// streams, since each wake-up costs processor time and makes a slow VM slower.
+// watchdog checks all streams for silence: whenever an event arrives, as the process runs then
+// anyway, and in the gateway's periodic step. It uses a timer only while there are few streams,
+// since each wake-up costs processor time and slows an overloaded VM further.
 type watchdog struct {
 	mutex     sync.Mutex
 	monitors  map[*monitor]bool
@@ -17,13 +17,13 @@
 }
 
 const (
-	// minSweepInterval is the least time between two sweeps: a fraction of the pause
-	// after which a server is asked.
+	// minSweepInterval is the minimum time between two sweeps: a fraction of the pause after
+	// which a server is queried.
 	minSweepInterval = 20 * time.Millisecond
-	// maxTimedStreams is the number of streams up to which there is a timer; the events
-	// of more come often enough, each some 20 times a second.
+	// maxTimedStreams is the number of streams up to which a timer is used. The events of more
+	// streams arrive often enough to check all of them: about 20 a second for each stream.
 	maxTimedStreams = 3
-	// minTimerDelay bounds the timer from below.
+	// minTimerDelay is the minimum delay of the timer.
 	minTimerDelay = 5 * time.Millisecond
 )
 
@@ -45,7 +45,7 @@
 	w.arm(m.queryDelay())
 }
 
-// closeStreams ends the streams of a run.
+// closeStreams closes the streams of a run, so that the run is resumed elsewhere or lost.
 func (w *watchdog) closeStreams(r *run) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -56,7 +56,8 @@
 	}
 }
 
-// arm sets the timer where it is needed; the mutex is held.
+// arm starts the timer unless it runs already, or the number of streams requires none; the
+// mutex is held.
 func (w *watchdog) arm(d time.Duration) {
 	if n := len(w.monitors); w.armed || n == 0 || n > maxTimedStreams {
 		return
@@ -69,7 +70,7 @@
 	w.timer.Reset(d)
 }
 
-// onTimer is the timer's sweep.
+// onTimer checks all streams when the timer fires, and starts the timer again.
 func (w *watchdog) onTimer() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -77,7 +78,7 @@
 	w.arm(max(w.check(time.Now()), minTimerDelay))
 }
 
-// sweep looks after all streams, unless that was done just before.
+// sweep checks all streams, unless they were checked less than minSweepInterval ago.
 func (w *watchdog) sweep() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -86,8 +87,8 @@
 	}
 }
 
-// check begins to inspect the streams whose time has come, and gives the time
-// until the next one's; the mutex is held.
+// check starts an inspection of each stream whose query is due, and returns the time until the
+// next query; the mutex is held.
 func (w *watchdog) check(now time.Time) time.Duration {
 	w.lastSweep = now
 	var next time.Duration
