--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -25,7 +25,7 @@
 
 // resumeBroken resumes a run whose stream broke off from a copy of its KV cache. It reports
 // false if the run is lost.
-func (g *Gateway) resumeBroken(ctx context.Context, r *run, broke error) (port.Stream, bool) {
+func (g *Gateway) resumeBroken(ctx context.Context, r *run, cause error) (port.Stream, bool) {
 	began := time.Now()
 	r.mutex.Lock()
 	stopped, done := r.stopped, r.moveDone
@@ -41,20 +41,19 @@
 	if !stopped {
 		g.note(from, placement.Lost)
 		if r.startedRecently(began) {
-			g.noteBrokenRun(r.request, from, broke)
+			g.noteBrokenRun(r.request, from, cause)
 		}
 	}
 	c := r.takeCopy()
 	if c == nil {
-		g.recordLost(r, from, broke)
+		g.recordLost(r, from, cause)
 		return nil, false
 	}
 	if !stopped && !g.Contents.MayGoOn(r.request.content) {
-		// This content has crashed the servers that ran it. If its run were resumed from
-		// backup copies further, it would crash three servers for each time that its caller
-		// sends it.
+		// This content has crashed the servers that ran it. If its run were resumed again from
+		// a backup copy, it could crash three servers each time that its caller sends it.
 		g.releaseCopy(c)
-		g.recordLost(r, from, broke)
+		g.recordLost(r, from, cause)
 		return nil, false
 	}
 	s, err := g.resumeFrom(ctx, r, c)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -18,13 +18,12 @@
 	server      roster.Server
 	reservation *reservation
 	resume      port.Resume
-	// fromBackup is set for a backup copy, which the source kept up to date while the run
-	// went on. The other copies are made by the steps of a move.
+	// fromBackup is set for a backup copy, which grew along with the run. The other copies are
+	// made by the steps of a move.
 	fromBackup bool
 }
 
-// backup is the backup server of a run, which holds a copy that is kept up to date while
-// the run goes on.
+// backup is the backup server of a run, which holds a copy that grows along with the run.
 type backup struct {
 	server      roster.Server
 	reservation *reservation
@@ -53,7 +52,8 @@
 	// stopped is set when a move is about to order the server to stop the run, at stoppedAt.
 	stopped   bool
 	stoppedAt time.Time
-	// moveCopy is the newest copy that a move made, nil for none.
+	// moveCopy is the newest copy that a move made, nil for none. After a stop step that found
+	// no free memory at the target, it is the memory that the source retains.
 	moveCopy *kvCopy
 	// backup holds a backup copy of the run at its current server, nil for none.
 	backup *backup
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -17,7 +17,7 @@
 )
 
 // signalRecorder wraps the backend servers and records the signals in each of their answers:
-// limits, backoffs and notices that they leave. So its callers don't have to.
+// limits, backoffs and notices that they leave. Callers of the servers need not do so.
 type signalRecorder struct {
 	port.Backends
 	gateway *Gateway
