--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -72,8 +72,8 @@
 		return
 	}
 	for _, r := range g.all() {
-		if r.at().Name == n {
-			g.watchdog.close(r)
+		if r.currentServer().Name == n {
+			g.watchdog.closeStreams(r)
 		}
 	}
 }
--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -14,8 +14,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// halls declares servers by name with their failure domains.
-func (b *bed) halls(domains map[string]api.DomainName, draining ...string) {
+// declareDomains declares servers by name with their failure domains, some of them draining.
+func (b *bed) declareDomains(domains map[string]api.DomainName, draining ...string) {
 	var l []roster.Server
 	for n, d := range domains {
 		l = append(l, server(n, d, slices.Contains(draining, n)))
@@ -23,82 +23,85 @@
 	b.serve(l)
 }
 
-// shut declares the failure domains that are closed.
-func (b *bed) shut(l ...api.DomainName) {
+// closeDomains declares which failure domains are closed.
+func (b *bed) closeDomains(l ...api.DomainName) {
 	b.version++
 	s := replica.Snapshot[roster.Closure]{At: b.version}
 	for _, d := range l {
 		s.Items = append(s.Items, replica.Object[roster.Closure]{Name: string(d), Value: roster.Closure{Domain: d}})
 	}
-	b.Close(s)
+	b.SetClosures(s)
 }
 
-// usual are two engines and two plain servers in two failure domains.
-func usual() map[string]api.DomainName {
+// twoDomains returns two engines and two plain servers, one of each in each of two failure
+// domains.
+func twoDomains() map[string]api.DomainName {
 	return map[string]api.DomainName{"e1": "x", "e2": "y", "p1": "x", "p2": "y"}
 }
 
-// ask sends a request and gives its caller once it has an answer or an event.
-func (b *bed) ask(path string) *caller {
+// send handles a request to its end and returns its caller.
+func (b *bed) send(path string) *caller {
 	c := &caller{}
 	b.Handle(context.Background(), request(path), c)
 	return c
 }
 
-func TestClosedDomainGetsNothingNew(t *testing.T) {
+// No request must be sent to a server in a closed failure domain, neither as a first attempt nor as a
+// retry, until the domain is opened.
+func TestClosedDomainGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 3
 		b := newBed(t, f, 9)
-		b.halls(usual())
-		b.shut("x")
+		b.declareDomains(twoDomains())
+		b.closeDomains("x")
 		for range 8 {
 			for _, n := range []string{"p1", "p2"} {
 				f.answers[n] = []any{http.StatusInternalServerError, http.StatusOK}
 			}
-			b.ask("/stream/1")
-			b.ask("/unsafe/1")
-			// It fails once, and there is nowhere else to try.
-			b.ask("/safe/1")
+			b.send("/stream/1")
+			b.send("/unsafe/1")
+			// The first attempt fails, and no other open server is left for a retry.
+			b.send("/safe/1")
 		}
 		for _, n := range f.sends {
 			if n == "e1" || n == "p1" {
 				t.Fatalf("sends while x is closed: got %v, want none to x", f.sends)
 			}
 		}
-		b.shut()
+		b.closeDomains()
 		f.sends = nil
 		for range 16 {
-			b.ask("/stream/1")
+			b.send("/stream/1")
 		}
 		if !slices.Contains(f.sends, "e1") {
-			t.Errorf("sends once x is open: got %v, want some to e1", f.sends)
+			t.Errorf("sends after x is opened: got %v, want some to e1", f.sends)
 		}
 	})
 }
 
-// Runs in a domain that closes go on where they are.
-func TestRunsInAClosedDomainGoOn(t *testing.T) {
+// Runs in a failure domain that is closed must continue where they are.
+func TestRunsInClosedDomainContinue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
-		s.halls(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
-		s.shut("x")
+		s.declareDomains(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
+		s.closeDomains("x")
 		s.whole(t, s.server)
 	})
 }
 
-// What can't be served is refused at once, as not run, however long its caller would
-// wait.
-func TestNothingIsLeftOpen(t *testing.T) {
+// A request that no open server can serve must be refused at once, as not run, even if its caller
+// is willing to wait.
+func TestRequestsAreRefusedAtOnceWhenAllDomainsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 9)
-		b.halls(usual())
-		b.shut("x", "y")
+		b.declareDomains(twoDomains())
+		b.closeDomains("x", "y")
 		for _, p := range []string{"/stream/1", "/safe/1", "/unsafe/1"} {
 			began := time.Now()
-			c := b.ask(p)
+			c := b.send(p)
 			if c.fault == nil || c.fault.Code != fault.NoServer || c.fault.Ran != api.RanNo || c.fault.RetryAfter == 0 {
-				t.Errorf("%s: got %v, want a refusal that says not run and when to come back", p, c.fault)
+				t.Errorf("%s: got %v, want a refusal with ran no and a retry time", p, c.fault)
 			}
 			if d := time.Since(began); d > 0 {
 				t.Errorf("%s: refused after %v, want it at once", p, d)
@@ -110,43 +113,43 @@
 	})
 }
 
-// A run that has to leave its engine goes to one in an open domain, or waits for one.
+// A run that has to leave its engine must move to one in an open domain, or wait for one.
 func TestMovesAvoidClosedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		o := other(s.server)
-		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"})
-		s.shut("x")
-		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
+		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"})
+		s.closeDomains("x")
+		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
 		s.whole(t, s.server, "e3")
 	})
 }
 
-// A target whose domain closes during the move is given up for another one.
-func TestTargetsDomainClosesDuringAMove(t *testing.T) {
+// A target whose failure domain is closed during the move must be replaced by another one.
+func TestMoveChangesTargetWhenTargetDomainCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 80, 5)
 		o := other(s.server)
-		s.halls(map[string]api.DomainName{s.server: "x", o: "x"}, s.server)
+		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x"}, s.server)
 		time.Sleep(copyTime / 2)
-		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
-		s.shut("x")
+		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
+		s.closeDomains("x")
 		s.whole(t, s.server, "e3")
 	})
 }
 
-// Going on from a copy is a new request: one in a closed domain is not used.
-func TestCopyInAClosedDomainIsGivenUp(t *testing.T) {
+// A resume from a copy is a new request, so that a copy in a closed domain must not be used.
+func TestCopyInClosedDomainIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
 		s := play(t, f, 60, 5)
-		s.halls(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
-		s.shut("y")
+		s.declareDomains(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
+		s.closeDomains("y")
 		s.set(func(f *fake) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || len(f.sends) != 1 {
-			t.Errorf("got aborted %v after sends %v, want it broken off and nothing sent to the copy", s.aborted, f.sends)
+			t.Errorf("got aborted %v after sends %v, want it aborted and nothing sent to the backup server", s.aborted, f.sends)
 		}
 		if l := s.Held(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
@@ -154,17 +157,17 @@
 	})
 }
 
-// An entry VM that does not know yet which domains are closed takes no callers.
+// An entry VM that does not know yet which failure domains are closed must not be ready.
 func TestReadyWaitsForClosures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 0)
 		b.Closable = true
 		if b.Ready() {
-			t.Error("before closures are known: got ready, want not")
+			t.Error("before closures are known: got ready, want not ready")
 		}
-		b.shut()
+		b.closeDomains()
 		if !b.Ready() {
-			t.Error("once none is known to be closed: got not ready, want it")
+			t.Error("after all domains are known to be open: got not ready, want ready")
 		}
 	})
 }
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -9,8 +9,8 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// lives declares engines by name and birth.
-func (b *bed) lives(born map[string]api.Birth) {
+// declareIncarnations declares engines by id and by the birth of their current incarnation.
+func (b *bed) declareIncarnations(born map[string]api.Birth) {
 	var l []roster.Server
 	for n, at := range born {
 		x := server(n, "x", false)
@@ -22,15 +22,15 @@
 	b.serve(l)
 }
 
-// When a server has started again, behind connections that stay silent, its runs go on
-// from their copies at once, or end.
-func TestRunsOfAnEndedLife(t *testing.T) {
+// A restarted server may leave the connections of its previous incarnation open and silent. Its
+// runs must resume from their backup copies at once, or end, rather than wait for events.
+func TestRunsOfARestartedServerResumeOrEndAtOnce(t *testing.T) {
 	for _, copied := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFake()
 			f.backups, f.total = copied, 40
 			b := newBed(t, f, 0)
-			b.lives(map[string]api.Birth{"e1": 1, "e2": 1})
+			b.declareIncarnations(map[string]api.Birth{"e1": 1, "e2": 1})
 			c := b.begin("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
@@ -40,18 +40,18 @@
 			f.mutex.Lock()
 			f.mute[at] = true
 			f.mutex.Unlock()
-			b.lives(map[string]api.Birth{at[:2]: 2, o: 1})
-			// Well before it would pass for silent.
+			b.declareIncarnations(map[string]api.Birth{at[:2]: 2, o: 1})
+			// Well before the stream counts as silent.
 			time.Sleep(2 * time.Millisecond)
 			if got, want := f.sent() == 2, copied; got != want {
-				t.Errorf("copied %v: got gone on %v, want %v", copied, got, want)
+				t.Errorf("backup copy %v: got resumed %v, want %v", copied, got, want)
 			}
 			if c.broken() == copied {
-				t.Errorf("copied %v: got broken off %v, want %v", copied, c.broken(), !copied)
+				t.Errorf("backup copy %v: got broken off %v, want %v", copied, c.broken(), !copied)
 			}
 			time.Sleep(time.Minute)
 			if copied && !c.whole(f.total) {
-				t.Errorf("got %v ended %v, want all events", c.ids, c.ended)
+				t.Errorf("events: got %v ended %v, want all events and an end", c.ids, c.ended)
 			}
 			if l := b.Held(); len(l) != 0 {
 				t.Errorf("loads at the end: got %v, want none", l)
@@ -60,15 +60,15 @@
 	}
 }
 
-// Where no entry tells of it, a server itself does once its stream is silent: that it
-// knows the run no more must not be taken for a run that is under way.
-func TestServerTellsOfItsLaterLife(t *testing.T) {
+// If no entry announces a restart, the server's report does, once a stream is silent. The report
+// of the new incarnation lacks the run, which must not be taken for a run that is in progress.
+func TestSilentServerReportsItsRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFake()
 			f.total = 40
 			b := newBed(t, f, 0)
-			b.lives(map[string]api.Birth{"e1": 1})
+			b.declareIncarnations(map[string]api.Birth{"e1": 1})
 			c := b.begin("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
@@ -79,15 +79,15 @@
 			f.mutex.Unlock()
 			began := time.Now()
 			if known {
-				// Its entry comes back late, as one that lapsed does.
-				b.lives(map[string]api.Birth{"e1": 2})
-				b.lives(map[string]api.Birth{"e1": 1})
+				// An older entry appears late, as after a lapse.
+				b.declareIncarnations(map[string]api.Birth{"e1": 2})
+				b.declareIncarnations(map[string]api.Birth{"e1": 1})
 			}
 			for !c.broken() && time.Since(began) < 10*time.Second {
 				time.Sleep(time.Millisecond)
 			}
 			if got := time.Since(began); got > 2*gapAim {
-				t.Errorf("known %v: got the stream broken off after %v, want it within %v", known, got, 2*gapAim)
+				t.Errorf("restart known %v: got the stream broken off after %v, want it within %v", known, got, 2*gapAim)
 			}
 		})
 	}
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -19,65 +19,66 @@
 )
 
 const (
-	// copyTime bounds one call that copies a run's memory: no server serves
-	// longer after its notice.
-	copyTime = 3 * time.Second
-	// moveUnread is the prompt that a run on its way counts for at its target, so
-	// that no long one is sent there that the run would have to wait behind.
-	moveUnread api.Tokens = 1000
-	// dropTime bounds the call that frees a copy.
-	dropTime = time.Second
+	// copyTimeout bounds one call that copies a run's memory: no server serves longer than
+	// this after it gave notice that it leaves.
+	copyTimeout = 3 * time.Second
+	// moveUnreadTokens is the length of the unread prompt that a run counts for at its target
+	// while it is moved, so that no long prompt is sent there that would delay the run.
+	moveUnreadTokens api.Tokens = 1000
+	// releaseTimeout bounds one call that frees a copy.
+	releaseTimeout = time.Second
 )
 
-// move starts the move of a run off its server, unless one is under way.
-func (g *Gateway) move(r *run) {
+// startMove starts a move of a run off its server, unless a move is in progress or a backup
+// server can resume the run.
+func (g *Gateway) startMove(r *run) {
 	e := r.request.service.Engine
 	if e == nil || !e.SupportsMoves {
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.over || r.backup != nil || r.mover != nil && r.mover.source.Name == r.server.Name {
+	if r.ended || r.backup != nil || r.mover != nil && r.mover.source.Name == r.server.Name {
 		return
 	}
-	if r.stopped && r.copied != nil {
-		// It is about to go on from its copy.
+	if r.stopped && r.moveCopy != nil {
+		// The run is about to resume from its copy.
 		return
 	}
-	g.begin(r, evacuate.New(time.Now()))
+	g.beginMove(r, evacuate.New(time.Now()))
 }
 
-// begin starts the steps of a move; the run's mutex is held. The channel is
-// closed at their end.
-func (g *Gateway) begin(r *run, e *evacuate.Move) <-chan struct{} {
+// beginMove starts the steps of a move in the background and returns a channel that is closed
+// when they end; the run's mutex is held.
+func (g *Gateway) beginMove(r *run, e *evacuate.Move) <-chan struct{} {
 	m := &mover{gateway: g, run: r, move: e, source: r.server}
 	done := make(chan struct{})
-	r.mover, r.moved = m, done
+	r.mover, r.moveDone = m, done
 	g.Group.Go(func(ctx context.Context) error {
 		defer close(done)
-		m.steps(ctx)
+		m.runSteps(ctx)
 		return nil
 	})
 	return done
 }
 
-// fetch stops a run at a server whose events don't arrive any more, and copies
-// it to another one. It reports whether the run was stopped and a copy of it is
-// in hand; a run that its server no longer knows has ended there, and what it
-// sent may still arrive.
+// fetch stops a run at a server whose events no longer arrive, and copies it to another one.
+// It reports whether the run was stopped and can resume from a copy. It reports false if the
+// server no longer knows the run: then the run has ended there, and the events that it sent
+// may still arrive.
 func (g *Gateway) fetch(ctx context.Context, r *run, s roster.Server) bool {
 	e := r.request.service.Engine
 	if e == nil || !e.SupportsMoves {
 		return false
 	}
 	r.mutex.Lock()
-	if r.over || r.server.Name != s.Name {
+	if r.ended || r.server.Name != s.Name {
 		r.mutex.Unlock()
 		return false
 	}
-	done, own := r.moved, r.mover == nil
-	if own {
-		done = g.begin(r, evacuate.NewFetch(time.Now()))
+	done, started := r.moveDone, r.mover == nil
+	if started {
+		done = g.beginMove(r, evacuate.NewFetch(time.Now()))
 	}
 	r.mutex.Unlock()
 	select {
@@ -89,13 +90,13 @@
 	if r.server.Name != s.Name {
 		return false
 	}
-	if own && r.copied == nil {
+	if started && r.moveCopy == nil {
 		r.stopped = false
 	}
-	return r.stopped && r.copied != nil
+	return r.stopped && r.moveCopy != nil
 }
 
-// mover takes one run off one server.
+// mover executes one move of a run off its server.
 type mover struct {
 	gateway     *Gateway
 	run         *run
@@ -106,48 +107,48 @@
 	tried       []api.ServerName
 }
 
-// steps follows the decisions to their end.
-func (m *mover) steps(ctx context.Context) {
+// runSteps executes the steps of the move until no further copy or stop step follows.
+func (m *mover) runSteps(ctx context.Context) {
 	m.gateway.Metrics.Add(metric.MovesBegun, 1)
 	a := m.move.First()
 	for a.Kind == evacuate.Copy || a.Kind == evacuate.Stop {
 		if a.Delay > 0 && !duty.Sleep(ctx, a.Delay) {
 			break
 		}
-		if m.ended() {
+		if m.obsolete() {
 			break
 		}
 		r := m.step(ctx, a)
 		a = m.move.Next(time.Now(), r)
 		m.gateway.Log.Emit(event.MoveStep, zap.String("request", string(m.run.request.ID)), zap.String("from", string(m.source.Name)), zap.String("to", string(m.target.Name)), zap.String("outcome", r.Outcome.String()), zap.Duration("took", r.Took), zap.String("next", a.Kind.String()))
 	}
-	m.end(a.Kind)
+	m.finish(a.Kind)
 }
 
-// ended reports whether the run needs no move any more.
-func (m *mover) ended() bool {
+// obsolete reports whether the move is no longer needed: the run has ended or left the source.
+func (m *mover) obsolete() bool {
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
-	return m.run.over || m.run.server.Name != m.source.Name
+	return m.run.ended || m.run.server.Name != m.source.Name
 }
 
-// step makes one copy.
+// step executes one copy or stop step, and first chooses a target if it needs another one.
 func (m *mover) step(ctx context.Context, a evacuate.Action) evacuate.Result {
-	if (a.NewTarget || m.gateway.turnsAway(m.target)) && !m.choose(ctx) {
+	if (a.NewTarget || m.gateway.avoids(m.target)) && !m.chooseTarget(ctx) {
 		return evacuate.Result{Outcome: evacuate.NoTarget}
 	}
-	if a.Kind == evacuate.Stop && !m.halt() {
+	if a.Kind == evacuate.Stop && !m.markStopped() {
 		return evacuate.Result{Outcome: evacuate.Missing}
 	}
-	c, cancel := context.WithTimeout(ctx, copyTime)
+	c, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	b := time.Now()
 	x, err := m.gateway.Backends.Copy(c, port.CopyOrder{
 		Request: m.run.request.ID, Source: m.source, Target: m.target, Stop: a.Kind == evacuate.Stop,
 	})
-	r := evacuate.Result{Outcome: copied(err), Took: time.Since(b)}
+	r := evacuate.Result{Outcome: copyOutcome(err), Took: time.Since(b)}
 	if x.Handle != "" {
-		m.keep(x.Handle, r.Outcome)
+		m.recordCopy(x.Handle, r.Outcome)
 	}
 	if err != nil {
 		m.gateway.Log.Emit(event.AttemptFailed, zap.String("request", string(m.run.request.ID)), zap.String("server", string(m.source.Name)), zap.Error(err))
@@ -155,27 +156,28 @@
 	return r
 }
 
-// halt notes that the source is about to be told to stop the run; it reports
-// false where the run has gone on elsewhere.
-func (m *mover) halt() bool {
+// markStopped records that the source is about to be ordered to stop the run. It reports false
+// if another server has resumed the run.
+func (m *mover) markStopped() bool {
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
 	if m.run.server.Name != m.source.Name {
 		return false
 	}
-	m.run.stopped, m.run.halted = true, time.Now()
+	m.run.stopped, m.run.stoppedAt = true, time.Now()
 	return true
 }
 
-// choose picks another target and takes the load off the one before.
-func (m *mover) choose(ctx context.Context) bool {
-	m.release()
+// chooseTarget releases the previous target and chooses another one. It reports false if none
+// has free capacity.
+func (m *mover) chooseTarget(ctx context.Context) bool {
+	m.releaseTarget()
 	q := m.run.request
 	_, n := m.run.progress()
 	x := q.service.Engine
 	p := m.gateway.obtain(ctx, demand{
 		service: q.service, purpose: api.PlaceAskPurposeMove, domain: m.source.Domain, deadline: q.deadline.At(),
-		need:  placement.Requirements{Tokens: need(q).Tokens + api.Tokens(n*x.TokensPerEvent/2), Unread: moveUnread},
+		need:  placement.Requirements{Tokens: streamNeed(q).Tokens + api.Tokens(n*x.TokensPerEvent/2), Unread: moveUnreadTokens},
 		tried: append(slices.Clone(m.tried), m.source.Name),
 	})
 	if p.fault != nil {
@@ -187,60 +189,62 @@
 	return true
 }
 
-func (m *mover) release() {
+// releaseTarget ends the load reservation at the target.
+func (m *mover) releaseTarget() {
 	m.reservation.end()
 	m.reservation = nil
 }
 
-// keep notes the copy that a step made; after a stop without room the source
-// itself holds the memory.
-func (m *mover) keep(handle string, o evacuate.Outcome) {
-	h := &held{at: m.target, reservation: m.reservation, resume: port.Resume{Source: m.source.Address, Handle: handle}}
+// recordCopy records the copy that a step made. If a stop step failed for lack of free memory
+// at the target, the run may resume at the source, which retains the memory.
+func (m *mover) recordCopy(handle string, o evacuate.Outcome) {
+	h := &kvCopy{server: m.target, reservation: m.reservation, resume: port.Resume{Source: m.source.Address, Handle: handle}}
 	if o != evacuate.Copied {
-		if m.gateway.closed(m.source) {
-			// Going back would be a new request there. What the target has may do.
+		if m.gateway.inClosedDomain(m.source) {
+			// A return would be a new request in a closed failure domain. An earlier copy at
+			// the target may do instead.
 			return
 		}
-		h.at = m.source
+		h.server = m.source
 		h.reservation = nil
 	}
 	m.run.mutex.Lock()
 	defer m.run.mutex.Unlock()
 	if m.run.mover == m && m.run.server.Name == m.source.Name {
-		m.run.copied = h
+		m.run.moveCopy = h
 		return
 	}
-	// The run has gone on elsewhere: the copy is of no use.
+	// Another server has resumed the run, so that the copy is of no use.
 	m.reservation = nil
-	m.gateway.drop(h)
+	m.gateway.releaseCopy(h)
 }
 
-// end leaves the copy to the run, or frees what nobody will use.
-func (m *mover) end(k evacuate.Kind) {
+// finish ends the move. It leaves a copy to the run, or frees what is no longer needed.
+func (m *mover) finish(k evacuate.Kind) {
 	m.run.mutex.Lock()
 	if m.run.mover == m {
 		m.run.mover = nil
 	}
-	c := m.run.copied
-	over := m.run.over && c != nil
+	c := m.run.moveCopy
+	over := m.run.ended && c != nil
 	if over {
-		m.run.copied = nil
+		m.run.moveCopy = nil
 	}
 	used := m.run.reservation == m.reservation || c != nil && c.reservation == m.reservation
 	m.run.mutex.Unlock()
 	if over {
-		m.gateway.drop(c)
+		m.gateway.releaseCopy(c)
 	}
 	if !used {
-		m.release()
+		m.releaseTarget()
 	}
 	if k == evacuate.Resume || k == evacuate.Return {
 		m.gateway.Metrics.Add(metric.MovesDone, 1)
 	}
 }
 
-// copied types the failure of a copy.
-func copied(err error) evacuate.Outcome {
+// copyOutcome returns the outcome of a copy for the decision on the next step.
+func copyOutcome(err error) evacuate.Outcome {
 	switch {
 	case err == nil:
 		return evacuate.Copied
@@ -255,14 +259,15 @@
 	}
 }
 
-// drop frees a copy that nobody will use.
-func (g *Gateway) drop(c *held) {
+// releaseCopy ends the load reservation of a copy that is not needed, and frees its memory in
+// the background.
+func (g *Gateway) releaseCopy(c *kvCopy) {
 	c.reservation.end()
 	g.Group.Go(func(ctx context.Context) error {
-		x, cancel := context.WithTimeout(ctx, dropTime)
+		x, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
-		if _, err := g.Backends.Release(x, c.at, c.resume.Handle); err != nil {
-			g.Log.Emit(event.CopyKept, zap.String("server", string(c.at.Name)), zap.Error(err))
+		if _, err := g.Backends.Release(x, c.server, c.resume.Handle); err != nil {
+			g.Log.Emit(event.CopyKept, zap.String("server", string(c.server.Name)), zap.Error(err))
 		}
 		return nil
 	})
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -53,9 +53,9 @@
 		},
 		route: q.route.Name, wait: q.Wait,
 	}
-	d.brief = placement.IsShortAnswer(q.expected())
+	d.brief = placement.IsShortAnswer(q.expectedTokens())
 	if q.protects() {
-		d.expected = q.expected()
+		d.expected = q.expectedTokens()
 	}
 	return d
 }
@@ -63,7 +63,7 @@
 // protects reports whether a run of a request may be copied as it grows.
 func (q *request) protects() bool {
 	e := q.service.Engine
-	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.WorthBackup(q.expected())
+	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.WorthBackup(q.expectedTokens())
 }
 
 // place gives a stream its first server, for which it may have to wait.
@@ -178,7 +178,7 @@
 	own := d.recipient == nil
 	if own {
 		a.Ask, a.Holding = g.beginAsk(d.domain)
-		l, _ := g.resting(d.service.Name)
+		l, _ := g.backingOff(d.service.Name)
 		a.Tried = append(slices.Clone(a.Tried), l...)
 	}
 	r, err := g.Peers.Ask(c, to, a)
@@ -234,7 +234,7 @@
 	p.reservation = g.reserve(now, m.Server, true, d.load())
 	p.reservation.ahead = p.choice.Load.Unread
 	if c, ok := g.roster.Find(r.Copy); ok && c.AcceptsRequests() {
-		p.backup = &backup{at: c.Server, reservation: g.reserve(now, c.Server, true, d.copied(m.Server).load())}
+		p.backup = &backup{server: c.Server, reservation: g.reserve(now, c.Server, true, d.copied(m.Server).load())}
 	}
 	return p, true
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -16,135 +16,141 @@
 )
 
 const (
-	// moveWait is how long a stream that ended waits for the move that ended it.
-	moveWait = 1500 * time.Millisecond
-	// resumeTries bounds the connections that are tried to the only server that
-	// can go on with a run: one lost packet must not lose the run.
-	resumeTries = 3
+	// maxMoveWait is how long a stream that ended waits for the move that stopped its run.
+	maxMoveWait = 1500 * time.Millisecond
+	// maxResumeAttempts bounds the connection attempts to the only server that can resume a
+	// run: one lost packet must not lose the run.
+	maxResumeAttempts = 3
 )
 
-// goOn resumes a run whose stream broke from the copy of its memory.
-func (g *Gateway) goOn(ctx context.Context, r *run, broke error) (port.Stream, bool) {
+// resumeBroken resumes a run whose stream broke off from a copy of its KV cache. It reports
+// false if the run is lost.
+func (g *Gateway) resumeBroken(ctx context.Context, r *run, cause error) (port.Stream, bool) {
 	began := time.Now()
 	r.mutex.Lock()
-	stopped, done := r.stopped, r.moved
+	stopped, done := r.stopped, r.moveDone
 	r.mutex.Unlock()
 	if stopped && done != nil {
 		select {
 		case <-done:
-		case <-time.After(moveWait):
+		case <-time.After(maxMoveWait):
 		case <-ctx.Done():
 		}
 	}
-	from := r.at()
+	from := r.currentServer()
 	if !stopped {
 		g.note(from, placement.Lost)
-		if r.young(began) {
-			g.noteBreak(r.request, from, broke)
+		if r.startedRecently(began) {
+			g.noteBrokenRun(r.request, from, cause)
 		}
 	}
-	c := r.hold()
+	c := r.takeCopy()
 	if c == nil {
-		g.lost(r, from, broke)
+		g.recordLost(r, from, cause)
 		return nil, false
 	}
 	if !stopped && !g.Contents.MayGoOn(r.request.content) {
-		// Each server that it was taken to has ended: one with copies ended three of
-		// them for each time that its caller asked.
-		g.drop(c)
-		g.lost(r, from, broke)
+		// This content has crashed the servers that ran it. If its run were resumed again from
+		// a backup copy, it could crash three servers each time that its caller sends it.
+		g.releaseCopy(c)
+		g.recordLost(r, from, cause)
 		return nil, false
 	}
-	s, err := g.resume(ctx, r, c)
-	if stopped && !c.kept && c.at.Name != from.Name && fault.Has(err, fault.ServerRefused) {
-		s, c, err = g.goBack(ctx, r, from, c, err)
+	s, err := g.resumeFrom(ctx, r, c)
+	if stopped && !c.fromBackup && c.server.Name != from.Name && fault.Has(err, fault.ServerRefused) {
+		s, c, err = g.returnToSource(ctx, r, from, c, err)
 	}
 	if err != nil {
 		c.reservation.end()
-		g.lost(r, from, err)
+		g.recordLost(r, from, err)
 		return nil, false
 	}
 	g.Metrics.Add(metric.Resumes, 1)
-	g.Log.Emit(event.GenerationResumed, zap.String("request", string(r.request.ID)), zap.String("content", string(r.request.content())), zap.String("from", string(from.Name)), zap.String("to", string(c.at.Name)), zap.Bool("stopped", stopped), zap.Bool("kept", c.kept), zap.Duration("took", time.Since(began)))
+	g.Log.Emit(event.GenerationResumed, zap.String("request", string(r.request.ID)), zap.String("content", string(r.request.content())), zap.String("from", string(from.Name)), zap.String("to", string(c.server.Name)), zap.Bool("stopped", stopped), zap.Bool("kept", c.fromBackup), zap.Duration("took", time.Since(began)))
 	return s, true
 }
 
-// finishTime is how long after it was stopped a run may go on at a target whose domain operators
-// have closed in the meantime, where it can't go back: far less than they allow for what was on
-// its way.
-const finishTime = 500 * time.Millisecond
+// closedTargetGrace is the time after its stop in which a run that can't return to its source
+// may resume at its target although operators have closed the target's failure domain in the
+// meantime. It is far less than operators allow for requests that are on their way.
+const closedTargetGrace = 500 * time.Millisecond
 
-// goBack takes a run that its target did not take to the server that has stopped it, which keeps
-// its memory until another one goes on with it.
-func (g *Gateway) goBack(ctx context.Context, r *run, from roster.Server, c *held, refused error) (port.Stream, *held, error) {
-	back := &held{at: from, resume: c.resume}
-	s, err := g.resume(ctx, r, back)
+// returnToSource resumes a run that its target refused at the source that stopped it. The
+// source retains the run's memory until another server resumes the run. If the source refuses
+// too, the run may resume at a target whose domain was closed just now.
+func (g *Gateway) returnToSource(ctx context.Context, r *run, from roster.Server, c *kvCopy, refused error) (port.Stream, *kvCopy, error) {
+	back := &kvCopy{server: from, resume: c.resume}
+	s, err := g.resumeFrom(ctx, r, back)
 	switch {
 	case err == nil:
-		g.drop(c)
+		g.releaseCopy(c)
 		return s, back, nil
-	case g.closed(c.at) && r.haltedWithin(finishTime):
-		s, err = g.takeUp(ctx, r, c)
+	case g.inClosedDomain(c.server) && r.stoppedWithin(closedTargetGrace):
+		s, err = g.sendResume(ctx, r, c)
 		return s, c, err
 	default:
 		return nil, c, refused
 	}
 }
 
-// resume asks the holder of a copy to go on, unless operators have closed its domain.
-func (g *Gateway) resume(ctx context.Context, r *run, c *held) (port.Stream, error) {
-	if g.closed(c.at) {
-		return nil, fault.New(fault.ServerRefused, "operators have closed the failure domain of the copy")
+// resumeFrom resumes a run at the server that holds a copy, unless operators have closed the
+// server's failure domain.
+func (g *Gateway) resumeFrom(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
+	if g.inClosedDomain(c.server) {
+		return nil, fault.New(fault.ServerRefused, "operators have closed the failure domain of the server that holds the copy")
 	}
-	return g.takeUp(ctx, r, c)
+	return g.sendResume(ctx, r, c)
 }
 
-// takeUp asks the holder of a copy to go on.
-func (g *Gateway) takeUp(ctx context.Context, r *run, c *held) (port.Stream, error) {
-	if !g.spares(c.at) {
-		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for rest")
+// sendResume sends the server that holds a copy the request to resume the run, and registers
+// the run there on success.
+func (g *Gateway) sendResume(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
+	if !g.reserveResume(c.server) {
+		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for a backoff")
 	}
 	q := r.request
 	x := c.resume
 	x.After, _ = r.progress()
-	b := g.protect(ctx, q, c.at)
-	t := q.attempt(c.at, b)
+	b := g.protect(ctx, q, c.server)
+	t := q.attempt(c.server, b)
 	t.Connect, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
-	g.noteSent(c.at)
-	a, err := g.sendUntilTaken(ctx, t)
+	g.countSent(c.server)
+	a, err := g.sendUntilConnected(ctx, t)
 	if err != nil {
-		b.end()
+		b.release()
 		return nil, err
 	}
 	if a.Stream == nil {
-		b.end()
-		return nil, fault.New(fault.BadAnswer, "a resumed run was not answered by a stream")
+		b.release()
+		return nil, fault.New(fault.BadAnswer, "a resume was answered without a stream")
 	}
 	g.detach(r)
-	g.attach(r, c.at, c.reservation, b)
+	g.attach(r, c.server, c.reservation, b)
 	c.reservation.read()
 	return a.Stream, nil
 }
 
-// spares reports whether a server may be sent a request that only it can take.
-func (g *Gateway) spares(s roster.Server) bool {
+// reserveResume reports whether a run may be resumed at a server, and counts the resume. A
+// server in its backoff is sent only a few requests that no other server can serve.
+func (g *Gateway) reserveResume(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Backoffs.TakeAllowance(time.Now(), s.Name)
 }
 
-// noteSent counts a request that only one server can take, whatever that has asked for.
-func (g *Gateway) noteSent(s roster.Server) {
+// countSent counts a request that only this server can serve. It counts against the server's
+// limit, but is sent even if the limit is reached.
+func (g *Gateway) countSent(s roster.Server) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.picker.RecordSend(time.Now(), s.Name)
 }
 
-// sendUntilTaken sends to one server, again while no connection is made.
-func (g *Gateway) sendUntilTaken(ctx context.Context, t port.Attempt) (port.Answer, error) {
+// sendUntilConnected sends to one server, and retries while the connection fails.
+func (g *Gateway) sendUntilConnected(ctx context.Context, t port.Attempt) (port.Answer, error) {
 	for n := 1; ; n++ {
 		a, err := g.Backends.Send(ctx, t)
-		if !fault.Has(err, fault.NotStarted) || n == resumeTries || ctx.Err() != nil {
+		if !fault.Has(err, fault.NotStarted) || n == maxResumeAttempts || ctx.Err() != nil {
 			return a, err
 		}
 		if port.Refused(err) {
@@ -154,22 +160,22 @@
 	}
 }
 
-// hold takes the copy to go on from: the newest one made on order, or else
-// that of the server which kept one as the run grew.
-func (r *run) hold() *held {
+// takeCopy removes and returns the copy from which the run resumes: the newest one of a move,
+// or else the backup copy. It returns nil if there is none.
+func (r *run) takeCopy() *kvCopy {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	c, b := r.copied, r.backup
-	r.copied = nil
+	c, b := r.moveCopy, r.backup
+	r.moveCopy = nil
 	if c != nil || b == nil {
 		return c
 	}
 	r.backup = nil
-	return &held{at: b.at, reservation: b.reservation, resume: port.Resume{Source: b.at.Address, Handle: string(r.request.ID)}, kept: true}
+	return &kvCopy{server: b.server, reservation: b.reservation, resume: port.Resume{Source: b.server.Address, Handle: string(r.request.ID)}, fromBackup: true}
 }
 
-// lost logs a generation that can't go on.
-func (g *Gateway) lost(r *run, from roster.Server, err error) {
+// recordLost records and logs a run that can't be resumed.
+func (g *Gateway) recordLost(r *run, from roster.Server, err error) {
 	_, n := r.progress()
 	r.request.outcome = "generation_lost"
 	g.tell(r.request)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -13,162 +13,167 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// held is a copy of a run's memory that a server holds.
-type held struct {
-	at          roster.Server
+// kvCopy is a copy of a run's KV cache from which a server can resume the run.
+type kvCopy struct {
+	server      roster.Server
 	reservation *reservation
 	resume      port.Resume
-	// kept is set for a copy that grew with the run, rather than on order.
-	kept bool
+	// fromBackup is set for a backup copy, which grew along with the run. The other copies are
+	// made by the steps of a move.
+	fromBackup bool
 }
 
-// backup is the server that keeps a copy of a run as it grows.
+// backup is the backup server of a run, which holds a copy that grows along with the run.
 type backup struct {
-	at          roster.Server
+	server      roster.Server
 	reservation *reservation
 }
 
-// end takes the copy's load away.
-func (b *backup) end() {
+// release ends the load reservation of the backup copy. A nil backup has none.
+func (b *backup) release() {
 	if b != nil {
 		b.reservation.end()
 	}
 }
 
-// run is one running generation on its way to its caller.
+// run is one generation whose events are relayed to its caller.
 type run struct {
 	request *request
 
 	mutex       sync.Mutex
 	server      roster.Server
 	reservation *reservation
-	// events judges what goes to the caller.
+	// events decides which events are delivered to the caller.
 	events sequence.Sequence
-	// mover takes the run off its server, nil for none; moved is closed at its
-	// end.
-	mover *mover
-	moved <-chan struct{}
-	// stopped is set once the source was told to stop the run, halted when.
-	stopped bool
-	halted  time.Time
-	// copied is the newest copy of the run's memory, nil for none.
-	copied *held
-	// backup keeps a copy of the run at its present server, nil for none.
+	// mover moves the run off its server, nil if no move is in progress. moveDone is closed
+	// when the newest move ends.
+	mover    *mover
+	moveDone <-chan struct{}
+	// stopped is set when a move is about to order the server to stop the run, at stoppedAt.
+	stopped   bool
+	stoppedAt time.Time
+	// moveCopy is the newest copy that a move made, nil for none. After a stop step that found
+	// no free memory at the target, it is the memory that the source retains.
+	moveCopy *kvCopy
+	// backup holds a backup copy of the run at its current server, nil for none.
 	backup *backup
-	over   bool
-	pace   pace
+	ended  bool
+	timing streamTiming
 }
 
-// at is the server that runs it.
-func (r *run) at() roster.Server {
+// currentServer returns the server that executes the run.
+func (r *run) currentServer() roster.Server {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.server
 }
 
-// haltedWithin reports whether the run was told to stop no longer ago than a time.
-func (r *run) haltedWithin(d time.Duration) bool {
+// stoppedWithin reports whether a move stopped the run less than d ago.
+func (r *run) stoppedWithin(d time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.stopped && time.Since(r.halted) < d
+	return r.stopped && time.Since(r.stoppedAt) < d
 }
 
-// young reports whether the run is in its beginning at its present server.
-func (r *run) young(now time.Time) bool {
+// startedRecently reports whether the run has just started at its current server, so that
+// its content may be what crashed the server.
+func (r *run) startedRecently(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.pace.here.IsZero() || now.Sub(r.pace.here) < quarantine.SuspectWindow
+	return r.timing.firstHere.IsZero() || now.Sub(r.timing.firstHere) < quarantine.SuspectWindow
 }
 
-// unprotect gives up a copy that the run may not go on from.
-func (r *run) unprotect(unusable func(s roster.Server) bool) {
+// dropBackup drops the run's backup copy if the run may not resume at its backup server.
+func (r *run) dropBackup(unusable func(s roster.Server) bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.backup != nil && unusable(r.backup.at) {
-		r.backup.end()
+	if r.backup != nil && unusable(r.backup.server) {
+		r.backup.release()
 		r.backup = nil
 	}
 }
 
-// pace is what a caller saw of a stream's times.
-type pace struct {
-	// first is the time to the first event, last when the last one came.
-	first time.Duration
-	last  time.Time
-	// here is when the first event came from the present server, zero before it.
-	here time.Time
-	// pause is the longest time between two events, and after the event before
-	// it.
-	pause time.Duration
-	after int
-	moves int
-	// joining is set until the first event after the run went on elsewhere, and
-	// elsewhere where the longest pause was before such an event.
-	joining, elsewhere bool
-}
-
-// note takes the time of an event.
-func (p *pace) note(now, arrived time.Time, count int) {
-	if p.last.IsZero() {
-		p.first = now.Sub(arrived)
-	} else if d := now.Sub(p.last); d > p.pause {
-		p.pause = d
-		p.after = count - 1
-		p.elsewhere = p.joining
+// streamTiming records when the caller of a stream received its events.
+type streamTiming struct {
+	// firstEvent is the time from the request's arrival to the first event, and lastEvent
+	// the time of the newest one.
+	firstEvent time.Duration
+	lastEvent  time.Time
+	// firstHere is the time of the first event from the current server, zero before it.
+	firstHere time.Time
+	// longestPause is the longest time between two events, and pauseAfter the number of the
+	// event before it.
+	longestPause time.Duration
+	pauseAfter   int
+	moves        int
+	// resuming is set from a resume until the next event. pauseInMove is set if the longest
+	// pause was in that time.
+	resuming, pauseInMove bool
+}
+
+// recordEvent records the time of the count-th event.
+func (t *streamTiming) recordEvent(now, arrived time.Time, count int) {
+	if t.lastEvent.IsZero() {
+		t.firstEvent = now.Sub(arrived)
+	} else if d := now.Sub(t.lastEvent); d > t.longestPause {
+		t.longestPause = d
+		t.pauseAfter = count - 1
+		t.pauseInMove = t.resuming
 	}
-	p.joining = false
-	p.last = now
-	if p.here.IsZero() {
-		p.here = now
+	t.resuming = false
+	t.lastEvent = now
+	if t.firstHere.IsZero() {
+		t.firstHere = now
 	}
 }
 
-// take judges an event.
-func (r *run) take(id string) sequence.Verdict {
+// acceptEvent decides what to do with an event, and records its time if it is delivered.
+func (r *run) acceptEvent(id string) sequence.Verdict {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	v := r.events.Accept(id)
 	if v == sequence.Deliver {
-		r.pace.note(time.Now(), r.request.Arrived, r.events.Count())
+		r.timing.recordEvent(time.Now(), r.request.Arrived, r.events.Count())
 	}
 	return v
 }
 
-// lateness says what a stream missed of what its route aims for.
+// lateness returns which target of its route the stream missed, if any.
 func (r *run) lateness() lateness {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	x := r.request.route
 	switch {
-	case x.LatencyTarget > 0 && r.pace.first > x.LatencyTarget:
+	case x.LatencyTarget > 0 && r.timing.firstEvent > x.LatencyTarget:
 		return lateFirst
-	case x.GapTarget <= 0 || r.pace.pause <= x.GapTarget:
+	case x.GapTarget <= 0 || r.timing.longestPause <= x.GapTarget:
 		return inTime
-	case r.pace.elsewhere:
+	case r.timing.pauseInMove:
 		return lateMoved
 	default:
 		return latePause
 	}
 }
 
-// figures gives the fields of the log line at a stream's end.
-func (r *run) figures() []zap.Field {
+// logFields returns the fields of the log line at the end of a stream.
+func (r *run) logFields() []zap.Field {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return []zap.Field{
-		zap.String("server", string(r.server.Name)), zap.Int("events", r.events.Count()), zap.Duration("first", r.pace.first),
-		zap.Duration("pause", r.pace.pause), zap.Int("pause_after", r.pace.after), zap.Int("moves", r.pace.moves),
+		zap.String("server", string(r.server.Name)), zap.Int("events", r.events.Count()), zap.Duration("first", r.timing.firstEvent),
+		zap.Duration("pause", r.timing.longestPause), zap.Int("pause_after", r.timing.pauseAfter), zap.Int("moves", r.timing.moves),
 	}
 }
 
-// progress gives the last event's id and the count.
+// progress returns the id of the last event delivered and the number of events delivered.
 func (r *run) progress() (string, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.events.LastID(), r.events.Count()
 }
 
-// attach counts a run at its server and moves it on if that leaves.
+// attach registers a run at the server that now executes it, and starts a move if that
+// server is leaving.
 func (g *Gateway) attach(r *run, s roster.Server, l *reservation, b *backup) {
 	r.mutex.Lock()
 	r.backup = b
@@ -176,12 +181,12 @@
 	r.reservation = l
 	if r.events.Count() > 0 {
 		r.events.Resume()
-		r.pace.moves++
-		r.pace.joining = true
+		r.timing.moves++
+		r.timing.resuming = true
 	}
 	r.stopped = false
-	r.copied = nil
-	r.pace.here = time.Time{}
+	r.moveCopy = nil
+	r.timing.firstHere = time.Time{}
 	r.mutex.Unlock()
 	g.mutex.Lock()
 	m := g.runs[s.Name]
@@ -191,13 +196,13 @@
 	}
 	m[r] = true
 	g.mutex.Unlock()
-	r.unprotect(g.unusable)
+	r.dropBackup(g.unusable)
 	if g.leaving(s.Name) {
 		g.takeOff(r)
 	}
 }
 
-// detach ends the count of a run at its server.
+// detach unregisters a run from its server and ends its load reservations.
 func (g *Gateway) detach(r *run) {
 	r.mutex.Lock()
 	n := r.server.Name
@@ -205,14 +210,14 @@
 	r.reservation, r.backup = nil, nil
 	r.mutex.Unlock()
 	l.end()
-	b.end()
+	b.release()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.forget(n, r)
+	g.removeRun(n, r)
 }
 
-// forget is detach's part under the gateway's mutex.
-func (g *Gateway) forget(n api.ServerName, r *run) {
+// removeRun unregisters a run from a server; the mutex is held.
+func (g *Gateway) removeRun(n api.ServerName, r *run) {
 	delete(g.runs[n], r)
 	if len(g.runs[n]) == 0 {
 		delete(g.runs, n)
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -53,8 +53,8 @@
 	g.Retries.SetMembers(n)
 	g.fleet.Observe(now, n)
 	g.mutex.Unlock()
-	g.reopen(now)
-	g.judge()
+	g.expireClosures(now)
+	g.quarantineConfirmed()
 	g.watchdog.sweep()
 	g.changed(c)
 }
@@ -72,10 +72,10 @@
 		g.Log.Emit(event.ServerState, zap.String("server", string(m.Name)), zap.String("address", m.Address), zap.String("state", m.State.String()))
 	}
 	for _, r := range g.all() {
-		r.unprotect(g.unusable)
-		switch s, ok := g.member(r.at().Name); {
+		r.dropBackup(g.unusable)
+		switch s, ok := g.member(r.currentServer().Name); {
 		case ok && s.State == roster.Ended:
-			g.watchdog.close(r)
+			g.watchdog.closeStreams(r)
 		case !ok || s.State.Departing():
 			g.takeOff(r)
 		}
@@ -116,8 +116,8 @@
 
 // takeOff moves a run off its server. A copy of it is no use while its holder takes nothing.
 func (g *Gateway) takeOff(r *run) {
-	r.unprotect(func(s roster.Server) bool { return !g.takes(s.Name) })
-	g.move(r)
+	r.dropBackup(func(s roster.Server) bool { return !g.takes(s.Name) })
+	g.startMove(r)
 }
 
 // unusable reports whether a run may not go on at a server that it is not at yet.
@@ -152,11 +152,11 @@
 	if !q.protects() {
 		return nil
 	}
-	p := g.obtain(ctx, g.demand(q, need(q), false).copied(source))
+	p := g.obtain(ctx, g.demand(q, streamNeed(q), false).copied(source))
 	if p.fault != nil {
 		return nil
 	}
-	return &backup{at: p.choice.Server, reservation: p.reservation}
+	return &backup{server: p.choice.Server, reservation: p.reservation}
 }
 
 // reservation is the load of one request counted at one server.
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -16,53 +16,53 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// observed notes what backend servers say of themselves in any of their answers, so that no
-// caller of them has to.
-type observed struct {
+// signalRecorder wraps the backend servers and records the signals in each of their answers:
+// limits, backoffs and notices that they leave. Callers of the servers need not do so.
+type signalRecorder struct {
 	port.Backends
 	gateway *Gateway
 }
 
-// Send sends a request and gives its answer.
-func (o observed) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
+// Send sends a request and returns its answer.
+func (o signalRecorder) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	began := time.Now()
 	x, err := o.Backends.Send(ctx, a)
-	o.gateway.noteSignals(began, a.Server, x.Signals)
+	o.gateway.recordSignals(began, a.Server, x.Signals)
 	return x, err
 }
 
 // Copy copies a run's memory.
-func (o observed) Copy(ctx context.Context, c port.CopyOrder) (port.Copy, error) {
+func (o signalRecorder) Copy(ctx context.Context, c port.CopyOrder) (port.Copy, error) {
 	began := time.Now()
 	x, err := o.Backends.Copy(ctx, c)
-	o.gateway.noteSignals(began, c.Source, x.Signals)
+	o.gateway.recordSignals(began, c.Source, x.Signals)
 	return x, err
 }
 
-// Report asks a server about itself.
-func (o observed) Report(ctx context.Context, s roster.Server, fresh bool) (port.Report, error) {
+// Report requests a server's report on itself.
+func (o signalRecorder) Report(ctx context.Context, s roster.Server, fresh bool) (port.Report, error) {
 	began := time.Now()
 	x, err := o.Backends.Report(ctx, s, fresh)
-	o.gateway.noteSignals(began, s, x.Signals)
+	o.gateway.recordSignals(began, s, x.Signals)
 	return x, err
 }
 
-// Release frees a copy that nothing will use.
-func (o observed) Release(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
+// Release frees a copy of a run's memory.
+func (o signalRecorder) Release(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
 	began := time.Now()
 	x, err := o.Backends.Release(ctx, s, handle)
-	o.gateway.noteSignals(began, s, x)
+	o.gateway.recordSignals(began, s, x)
 	return x, err
 }
 
-// Limits lists what servers have named, for peers.
+// Limits lists the limits that servers have announced, for peers.
 func (g *Gateway) Limits() []api.ServerLimit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Limits.Reports(time.Now())
 }
 
-// MergeLimits takes what servers have named to a peer.
+// MergeLimits adds the limits that servers have announced to a peer.
 func (g *Gateway) MergeLimits(l []api.ServerLimit) {
 	for _, x := range l {
 		g.mutex.Lock()
@@ -70,19 +70,19 @@
 		changed := known && g.picker.Limits.Merge(time.Now(), x)
 		g.mutex.Unlock()
 		if changed {
-			g.noteLimit(x.Server, x.Named, x.PerSecond, true)
+			g.logLimit(x.Server, x.Named, x.PerSecond, true)
 		}
 	}
 }
 
-// noteLimit logs a limit that is new here.
-func (g *Gateway) noteLimit(n api.ServerName, named bool, perSecond float64, ofPeer bool) {
+// logLimit logs a limit that is new to this entry VM, or that a server no longer announces.
+func (g *Gateway) logLimit(n api.ServerName, named bool, perSecond float64, ofPeer bool) {
 	g.Log.Emit(event.ServerLimit, zap.String("server", string(n)), zap.Bool("limited", named), zap.Float64("per_second", perSecond), zap.Bool("of_peer", ofPeer))
 }
 
-// noteSignals takes what a server says of itself in the answer to a call that was sent at a
+// recordSignals records the signals in a server's answer to a call that was sent at a given
 // time.
-func (g *Gateway) noteSignals(sent time.Time, s roster.Server, x port.Signals) {
+func (g *Gateway) recordSignals(sent time.Time, s roster.Server, x port.Signals) {
 	if !x.Answered {
 		return
 	}
@@ -90,64 +90,67 @@
 		g.Log.Emit(event.SignalUnreadable, zap.String("server", string(s.Name)), zap.String("text", x.Unreadable))
 	}
 	if x.Resting {
-		g.noteRest(s, x.Rest)
+		g.recordBackoff(s, x.Rest)
 	}
 	if x.Leaving {
-		g.noteNotice(s)
+		g.recordLeaving(s)
 	}
 	if x.Limited || x.Unreadable == "" {
-		// What can't be read may be the limit, which it does not take back.
-		g.noteAnswerLimit(sent, s, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
+		// An unreadable signal may be the limit, so that its absence does not withdraw one.
+		g.recordLimit(sent, s, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
 	}
 }
 
-// noteAnswerLimit takes the limit in an answer, or that it names none.
-func (g *Gateway) noteAnswerLimit(sent time.Time, s roster.Server, l throttle.Limit) {
+// recordLimit records the limit in an answer, or that the answer announces none.
+func (g *Gateway) recordLimit(sent time.Time, s roster.Server, l throttle.Limit) {
 	g.mutex.Lock()
 	changed := g.picker.Limits.Record(time.Now(), sent, s.Name, l)
 	g.mutex.Unlock()
 	if changed {
-		g.noteLimit(s.Name, l.Named, float64(l.Rate), false)
+		g.logLimit(s.Name, l.Named, float64(l.Rate), false)
 	}
 }
 
-// noteNotice takes a server's word in an answer that it leaves.
-func (g *Gateway) noteNotice(s roster.Server) {
+// recordLeaving records a server's notice in an answer that it is leaving.
+func (g *Gateway) recordLeaving(s roster.Server) {
 	if !g.leaving(s.Name) {
 		g.Log.Emit(event.ServerNotice, zap.String("server", string(s.Name)))
 	}
 	g.NoteLeaving([]api.ServerName{s.Name})
 }
 
-// noteRest takes the rest that a server asked this entry VM for.
-func (g *Gateway) noteRest(s roster.Server, d time.Duration) {
+// recordBackoff records the backoff that a server asked this entry VM for. Runs that have to
+// leave their server are moved if their backup server is the one that backs off.
+func (g *Gateway) recordBackoff(s roster.Server, d time.Duration) {
 	g.Log.Emit(event.ServerRest, zap.String("server", string(s.Name)), zap.Duration("rest", d))
 	g.mutex.Lock()
 	g.picker.Backoffs.Add(time.Now(), s.Name, d)
 	g.mutex.Unlock()
 	for _, r := range g.all() {
-		if g.leaving(r.at().Name) {
+		if g.leaving(r.currentServer().Name) {
 			g.takeOff(r)
 		}
 	}
 }
 
-// resting lists the servers of a service that asked this entry VM for rest, and gives the time
-// until the first of them takes requests again where all do.
-func (g *Gateway) resting(n api.ServiceName) ([]api.ServerName, time.Duration) {
+// backingOff lists the servers of a service that have asked this entry VM for a backoff. If all
+// have, it also returns the time until the first of them takes requests again, else zero.
+func (g *Gateway) backingOff(n api.ServiceName) ([]api.ServerName, time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Backoffs.ActiveAmong(time.Now(), g.roster.Service(n))
 }
 
-// restSpread is the time over which callers come back that were refused in one rest.
-const restSpread = 500 * time.Millisecond
+// retrySpread is the time over which the retries of callers are spread that were refused
+// because all servers had asked for a backoff.
+const retrySpread = 500 * time.Millisecond
 
-// allRest is the refusal of a request since all servers rest, or nil where one does not.
-func (g *Gateway) allRest(q *request, c *call.Call) *fault.Error {
-	_, d := g.resting(q.service.Name)
+// refuseIfAllBackOff returns the refusal of a request if all servers of its service have asked
+// for a backoff, or else nil.
+func (g *Gateway) refuseIfAllBackOff(q *request, c *call.Call) *fault.Error {
+	_, d := g.backingOff(q.service.Name)
 	if d == 0 {
 		return nil
 	}
-	return g.noneYet(c, d+time.Duration(rand.Float64()*float64(restSpread)))
+	return g.noneYet(c, d+time.Duration(rand.Float64()*float64(retrySpread)))
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -17,29 +17,30 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// expectedShare is the part of an answer's expected length that counts as
-// memory from the start: a run holds half of its answer on average.
+// expectedShare is the share of an answer's expected length that counts as used memory
+// from the start: averaged over its time, a run holds half of its answer.
 const expectedShare = 0.5
 
-// need is what a stream asks of an engine.
-func need(q *request) placement.Requirements {
+// streamNeed returns the memory and prompt tokens that a stream needs at an engine.
+func streamNeed(q *request) placement.Requirements {
 	return placement.Requirements{
-		Tokens: q.Prompt.Tokens + api.Tokens(expectedShare*float64(q.expected())),
+		Tokens: q.Prompt.Tokens + api.Tokens(expectedShare*float64(q.expectedTokens())),
 		Unread: q.Prompt.Tokens,
 	}
 }
 
-// expected is the expected length of the answer.
-func (q *request) expected() api.Tokens {
+// expectedTokens returns the expected length of the answer: the caller's limit if no shorter
+// length is expected.
+func (q *request) expectedTokens() api.Tokens {
 	if x := q.Prompt.Expected; x > 0 && x < q.Prompt.Limit {
 		return x
 	}
 	return q.Prompt.Limit
 }
 
-// stream serves a request that is answered event by event.
+// stream serves a request on a stream route. A server may still give a whole answer.
 func (g *Gateway) stream(ctx context.Context, q *request) {
-	v, f := g.try(ctx, q, need(q))
+	v, f := g.try(ctx, q, streamNeed(q))
 	switch {
 	case f != nil:
 		g.fail(q, f)
@@ -49,26 +50,27 @@
 	default:
 		r := &run{request: q}
 		g.attach(r, v.server, v.reservation, v.backup)
-		defer g.leave(r)
+		defer g.endRun(r)
 		q.sink.Begin(v.answer.Head)
 		g.pump(ctx, r, v.answer.Stream)
 	}
 }
 
-// leave ends a run, whatever became of it.
-func (g *Gateway) leave(r *run) {
+// endRun unregisters a run that has ended in any way, and frees its copies.
+func (g *Gateway) endRun(r *run) {
 	r.mutex.Lock()
-	r.over = true
-	c := r.copied
-	r.copied = nil
+	r.ended = true
+	c := r.moveCopy
+	r.moveCopy = nil
 	r.mutex.Unlock()
 	g.detach(r)
 	if c != nil {
-		g.drop(c)
+		g.releaseCopy(c)
 	}
 }
 
-// pump passes events on until the stream is whole, lost, or the caller left.
+// pump relays events, from one server after the other, until the stream is complete, the
+// run is lost or the caller is gone.
 func (g *Gateway) pump(ctx context.Context, r *run, s port.Stream) {
 	for {
 		err := g.relay(ctx, r, s)
@@ -78,7 +80,7 @@
 		case err == nil:
 			q.sink.End()
 			g.Contents.Answered(q.content)
-			g.done(q, r.lateness(), r.figures()...)
+			g.done(q, r.lateness(), r.logFields()...)
 			return
 		case ctx.Err() != nil || fault.Has(err, fault.CallerGone):
 			g.Metrics.Add(metric.CallersGone, 1)
@@ -88,7 +90,7 @@
 			q.sink.Abort()
 			return
 		}
-		next, ok := g.goOn(ctx, r, err)
+		next, ok := g.resumeBroken(ctx, r, err)
 		if !ok {
 			q.sink.Abort()
 			return
@@ -97,16 +99,17 @@
 	}
 }
 
-// relay passes one server's events on; nil is the proper end.
+// relay relays the events of one server to the caller. It returns nil at the regular end of
+// the stream.
 func (g *Gateway) relay(ctx context.Context, r *run, s port.Stream) error {
 	stop := context.AfterFunc(ctx, s.Close)
 	defer stop()
-	l, end := g.listen(r, s)
+	l, end := g.startMonitor(r, s)
 	defer end()
 	for {
-		l.wait()
+		l.beginWait()
 		e, err := s.Next()
-		l.heard()
+		l.endWait()
 		g.watchdog.sweep()
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -114,14 +117,14 @@
 		if err != nil {
 			return err
 		}
-		switch r.take(e.ID) {
+		switch r.acceptEvent(e.ID) {
 		case sequence.Drop:
 			continue
 		case sequence.Gap:
-			return fault.New(fault.GenerationLost, "events are missing after a take-over, before "+e.ID)
+			return fault.New(fault.GenerationLost, "events are missing after a resume, before event "+e.ID)
 		}
 		if _, n := r.progress(); n == 1 {
-			g.first(r)
+			g.recordFirstEvent(r)
 		}
 		if err := r.request.sink.Event(e); err != nil {
 			return fault.Wrap(fault.CallerGone, err, "writing an event")
@@ -129,8 +132,9 @@
 	}
 }
 
-// first notes a run's first event.
-func (g *Gateway) first(r *run) {
+// recordFirstEvent records the first event of a run: its prompt is read, and the caller's time
+// to the first event is known.
+func (g *Gateway) recordFirstEvent(r *run) {
 	r.mutex.Lock()
 	l := r.reservation
 	r.mutex.Unlock()
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -5,97 +5,98 @@
 	"time"
 )
 
-// watchdog looks after all streams: as events arrive, when the process runs
-// anyway, with the gateway's clock, and with a timer only while there are few
-// streams, since each wake-up costs processor time and makes a slow VM slower.
+// watchdog checks all streams for silence: whenever an event arrives, as the process runs then
+// anyway, and in the gateway's periodic step. It uses a timer only while there are few streams,
+// since each wake-up costs processor time and slows an overloaded VM further.
 type watchdog struct {
 	mutex     sync.Mutex
-	listeners map[*listener]bool
+	monitors  map[*monitor]bool
 	timer     *time.Timer
 	armed     bool
-	swept     time.Time
+	lastSweep time.Time
 }
 
 const (
-	// sweepLeast is the least time between two sweeps: a fraction of the pause
-	// after which a server is asked.
-	sweepLeast = 20 * time.Millisecond
-	// fewStreams is the number of streams up to which there is a timer; the events
-	// of more come often enough, each some 20 times a second.
-	fewStreams = 3
-	// roundLeast bounds the timer from below.
-	roundLeast = 5 * time.Millisecond
+	// minSweepInterval is the minimum time between two sweeps: a fraction of the pause after
+	// which a server is queried.
+	minSweepInterval = 20 * time.Millisecond
+	// maxTimedStreams is the number of streams up to which a timer is used. The events of more
+	// streams arrive often enough to check all of them: about 20 a second for each stream.
+	maxTimedStreams = 3
+	// minTimerDelay is the minimum delay of the timer.
+	minTimerDelay = 5 * time.Millisecond
 )
 
 func newWatchdog() *watchdog {
-	return &watchdog{listeners: map[*listener]bool{}}
+	return &watchdog{monitors: map[*monitor]bool{}}
 }
 
-func (w *watchdog) add(l *listener) {
+func (w *watchdog) add(m *monitor) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.listeners[l] = true
-	w.arm(l.pause())
+	w.monitors[m] = true
+	w.arm(m.queryDelay())
 }
 
-func (w *watchdog) remove(l *listener) {
+func (w *watchdog) remove(m *monitor) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.listeners, l)
-	w.arm(l.pause())
+	delete(w.monitors, m)
+	w.arm(m.queryDelay())
 }
 
-// close ends the streams of a run.
-func (w *watchdog) close(r *run) {
+// closeStreams closes the streams of a run, so that the run is resumed elsewhere or lost.
+func (w *watchdog) closeStreams(r *run) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for l := range w.listeners {
-		if l.run == r {
-			l.stream.Close()
+	for m := range w.monitors {
+		if m.run == r {
+			m.stream.Close()
 		}
 	}
 }
 
-// arm sets the timer where it is needed; the mutex is held.
+// arm starts the timer unless it runs already, or the number of streams requires none; the
+// mutex is held.
 func (w *watchdog) arm(d time.Duration) {
-	if n := len(w.listeners); w.armed || n == 0 || n > fewStreams {
+	if n := len(w.monitors); w.armed || n == 0 || n > maxTimedStreams {
 		return
 	}
 	w.armed = true
 	if w.timer == nil {
-		w.timer = time.AfterFunc(d, w.round)
+		w.timer = time.AfterFunc(d, w.onTimer)
 		return
 	}
 	w.timer.Reset(d)
 }
 
-// round is the timer's sweep.
-func (w *watchdog) round() {
+// onTimer checks all streams when the timer fires, and starts the timer again.
+func (w *watchdog) onTimer() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.armed = false
-	w.arm(max(w.check(time.Now()), roundLeast))
+	w.arm(max(w.check(time.Now()), minTimerDelay))
 }
 
-// sweep looks after all streams, unless that was done just before.
+// sweep checks all streams, unless they were checked less than minSweepInterval ago.
 func (w *watchdog) sweep() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if now := time.Now(); now.Sub(w.swept) >= sweepLeast {
+	if now := time.Now(); now.Sub(w.lastSweep) >= minSweepInterval {
 		w.check(now)
 	}
 }
 
-// check begins to inspect the streams whose time has come, and gives the time
-// until the next one's; the mutex is held.
+// check starts an inspection of each stream whose query is due, and returns the time until the
+// next query; the mutex is held.
 func (w *watchdog) check(now time.Time) time.Duration {
-	w.swept = now
+	w.lastSweep = now
 	var next time.Duration
-	for l := range w.listeners {
-		d := l.left(now)
+	for m := range w.monitors {
+		d := m.untilQuery(now)
 		if d <= 0 {
-			l.begin(-d)
-			d = l.pause()
+			m.startInspection(-d)
+			d = m.queryDelay()
 		}
 		if next == 0 || d < next {
 			next = d
