--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// StallBound is the gap between tokens beyond which it counts as a stall.
-const StallBound = 200 * time.Millisecond
+// StallThreshold is the gap between tokens beyond which it counts as a stall.
+const StallThreshold = 200 * time.Millisecond
 
 // progressEvery is the number of tokens after which the dispatcher is told.
 const progressEvery = 16
@@ -211,8 +211,8 @@
 	if e.Index == 0 {
 		m.Add(metric.FirstTokens, 1)
 		m.Add(metric.FirstTokenMS, now.Sub(t.chat.began).Milliseconds())
-	} else if g := now.Sub(t.last); g > StallBound {
-		m.Add(metric.StallMS, (g - StallBound).Milliseconds())
+	} else if g := now.Sub(t.last); g > StallThreshold {
+		m.Add(metric.StallMS, (g - StallThreshold).Milliseconds())
 	}
 	t.last = now
 	if e.Index%progressEvery == progressEvery-1 {
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -20,8 +20,8 @@
 	s := relayServer()
 	s.settings = api.EntrySettings{BodyLimitKB: 16, DeadlineMS: 1000, HeaderWaitMS: 1000}
 	began := time.Now()
-	s.Life = lifecycle.New(func() time.Time { return began })
-	s.Life.Serve()
+	s.Lifecycle = lifecycle.New(func() time.Time { return began })
+	s.Lifecycle.Serve()
 	v := &config.View{
 		Models:         map[api.ModelName]api.ModelSpec{"desk": {ContextTokens: 1000}},
 		WorkspaceByKey: map[string]api.WorkspaceName{"2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683": "w"},
--- a/internal/entry/relay_test.go
+++ b/internal/entry/relay_test.go
@@ -64,7 +64,7 @@
 func relayServer() *Server {
 	set := api.Settings{Entry: api.EntrySettings{SlowReaderMS: 1000}, Engine: api.EngineSettings{StallMS: 1000}}
 	d := dispatch.New(dispatch.Options{Admission: admit.Slots{N: 1}, Routing: route.TwoChoices{}, QueueLimit: 1})
-	return New(Parts{Settings: set, Log: event.Discard(), Metrics: metric.New(), Broker: broker.New(d), Explain: explain.New("a", 1)})
+	return New(Options{Settings: set, Log: event.Discard(), Metrics: metric.New(), Broker: broker.New(d), Explain: explain.New("a", 1)})
 }
 
 // BenchmarkRelayToken is the work on one token without the sockets.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -40,12 +40,12 @@
 	PathHealth   = "/healthz"
 )
 
-// Parts are what the callers' side works with.
-type Parts struct {
+// Options are what the callers' side works with.
+type Options struct {
 	Settings api.Settings
 	Log      *event.Log
 	Metrics  *metric.Set
-	Life     *lifecycle.Life
+	Lifecycle     *lifecycle.Life
 	View     func() *config.View
 	Broker   *broker.Broker
 	Engines  *engine.Client
@@ -56,15 +56,15 @@
 	Deadlines *clock.Deadlines
 	// Contents knows the contents that end servers; nil makes a guard of its own.
 	Contents *contents.Guard
-	// Reused sends calls over connections that are kept.
-	Reused *http.Client
-	// Single sends each call over a connection of its own.
-	Single *http.Client
+	// KeepAliveClient sends calls over connections that are kept.
+	KeepAliveClient *http.Client
+	// SingleUseClient sends each call over a connection of its own.
+	SingleUseClient *http.Client
 }
 
 // Server serves callers.
 type Server struct {
-	Parts
+	Options
 	settings api.EntrySettings
 	engine   api.EngineSettings
 
@@ -77,7 +77,7 @@
 }
 
 // New makes the callers' side.
-func New(p Parts) *Server {
+func New(p Options) *Server {
 	if p.Deadlines == nil {
 		p.Deadlines = clock.NewDeadlines(clock.Boot)
 	}
@@ -85,7 +85,7 @@
 		p.Contents = contents.New(p.Log, p.Metrics)
 	}
 	return &Server{
-		Parts: p, settings: p.Settings.Entry, engine: p.Settings.Engine,
+		Options: p, settings: p.Settings.Entry, engine: p.Settings.Engine,
 		limiter: limit.New(), services: backend.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)),
 		budget: retry.New(p.Settings.Engine.RetryPermille),
 	}
@@ -113,7 +113,7 @@
 
 // health answers the balancer.
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	if st := s.Life.State(); st != api.PeerStateServing {
+	if st := s.Lifecycle.State(); st != api.PeerStateServing {
 		f := fault.New(fault.Stopping, "this entry VM is "+string(st))
 		wire.Refuse(w, f, "")
 		return
@@ -125,7 +125,7 @@
 // panic to the one request.
 func (s *Server) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		leave, f := s.Life.Enter()
+		leave, f := s.Lifecycle.Enter()
 		if f != nil {
 			s.Metrics.Add(metric.RequestsRefused, 1)
 			wire.Refuse(w, f, "")
@@ -184,15 +184,15 @@
 	})
 }
 
-// Listed notes whether the platform's list says that a server is leaving.
-func (s *Server) Listed(n api.ServerName, leaving bool) {
+// SetListedLeaving notes whether the platform's list says that a server is leaving.
+func (s *Server) SetListedLeaving(n api.ServerName, leaving bool) {
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
 	s.services.SetListedLeaving(n, leaving)
 }
 
-// Members sets the number of entry VMs that share the limits of workspaces and servers.
-func (s *Server) Members(n int) {
+// SetMembers sets the number of entry VMs that share the limits of workspaces and servers.
+func (s *Server) SetMembers(n int) {
 	s.limitMutex.Lock()
 	s.limiter.SetMembers(n)
 	s.limitMutex.Unlock()
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -241,9 +241,9 @@
 // kept connection, so one that is not repeatable has a connection of its own.
 func (s *Server) client(c *call) *http.Client {
 	if c.once {
-		return s.Single
+		return s.SingleUseClient
 	}
-	return s.Reused
+	return s.KeepAliveClient
 }
 
 func (s *Server) exchange(r *http.Request, c *call, n api.ServerName) (*claims.Answer, error) {
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Leaving lists the servers that said in an answer to this entry VM that they leave.
-func (s *Server) Leaving() []api.ServerName {
+// AnnouncedLeaving lists the servers that said in an answer to this entry VM that they leave.
+func (s *Server) AnnouncedLeaving() []api.ServerName {
 	s.serviceMutex.Lock()
 	defer s.serviceMutex.Unlock()
 	return s.services.AnnouncedLeaving(time.Now())
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -12,7 +12,7 @@
 )
 
 // StallBound is the gap between tokens beyond which it counts as a stall.
-const StallBound = entry.StallBound
+const StallBound = entry.StallThreshold
 
 // ErrorCount is how often one type of error came.
 type ErrorCount struct {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,7 +45,7 @@
 		InFlight:      c.Life.InFlight(),
 		Contents:      c.Contents.All(),
 		Limits:        c.Entry.Limits(),
-		Leaving:       c.Entry.Leaving(),
+		Leaving:       c.Entry.AnnouncedLeaving(),
 	}
 }
 
@@ -85,7 +85,7 @@
 		if v.Role == api.VMRoleBackend {
 			leaving := v.State == api.VMStateLeaving
 			c.Broker.Listed(api.ServerName(v.Name), leaving)
-			c.Entry.Listed(api.ServerName(v.Name), leaving)
+			c.Entry.SetListedLeaving(api.ServerName(v.Name), leaving)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	c.Deadlines.Check()
 	c.Contents.Step()
 	c.Contents.Verify(c.Group, connects(c.Machine.Dial, c.address))
-	c.Entry.Members(c.Beat.Serving())
+	c.Entry.SetMembers(c.Beat.Serving())
 	for _, l := range c.Leaders {
 		l.Want(c.Life.State() == api.PeerStateServing && c.Beat.Candidate(l.Duty()))
 	}
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -154,11 +154,11 @@
 	c.Group, closer = duty.New(context.WithoutCancel(c.Context))
 	c.cleanup(closer)
 	c.Poll = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.lost)
-	c.Entry = entry.New(entry.Parts{
-		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Life: c.Life,
+	c.Entry = entry.New(entry.Options{
+		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Lifecycle: c.Life,
 		View: func() *config.View { return c.Follow.View() }, Broker: c.Broker,
 		Engines: c.Engines, Claims: c.Claims, Explain: c.Explain, Group: c.Group, Contents: c.Contents, Deadlines: c.Deadlines,
-		Reused: c.Reused, Single: c.Single,
+		KeepAliveClient: c.Reused, SingleUseClient: c.Single,
 	})
 	c.Follow = follow.New(c.Platform, c.Life, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poll.Declare, c.Entry.Declare)
 	c.Beat = heartbeat.New(c.heartbeat, c.catchUp, c.merge, c.Peers, c.Log, c.Metrics)
