--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -88,7 +88,7 @@
 		}
 		t.server.Metrics.Add(metric.Resumes, 1)
 		t.server.Log.Emit(event.GenerationResumed, zap.String("request", string(t.chat.id)), zap.Int("from", t.answer.NextIndex()))
-		t.server.note(t.chat.request, "resume", "the stream from "+string(t.engine)+" broke; it goes on from the next token")
+		t.server.explain(t.chat.request, "resume", "the stream from "+string(t.engine)+" broke; it goes on from the next token")
 		// The end of the wait is judged by the next break.
 		duty.Sleep(ctx, n.Wait)
 		o = t.resume
@@ -133,9 +133,9 @@
 // patience is the silence after which a stream counts as broken.
 func (t *attempt) patience() time.Duration {
 	if t.answer.NextIndex() == 0 {
-		return t.server.engine.FirstTokenMS.Duration()
+		return t.server.engineSettings.FirstTokenMS.Duration()
 	}
-	return t.server.engine.StallMS.Duration()
+	return t.server.engineSettings.StallMS.Duration()
 }
 
 func (t *attempt) broke(c answer.Cause) (answer.Decision, bool) {
@@ -185,7 +185,7 @@
 func (t *attempt) take(e api.TokenEvent) (bool, error) {
 	switch t.answer.HandleEvent(e) {
 	case answer.Deliver:
-		t.watch.Reset(t.server.engine.StallMS.Duration())
+		t.watch.Reset(t.server.engineSettings.StallMS.Duration())
 		t.progress(e)
 		return true, t.sink.Token(e)
 	case answer.Finish:
@@ -210,7 +210,7 @@
 	m := t.server.Metrics
 	if e.Index == 0 {
 		m.Add(metric.FirstTokens, 1)
-		m.Add(metric.FirstTokenMS, now.Sub(t.chat.began).Milliseconds())
+		m.Add(metric.FirstTokenMS, now.Sub(t.chat.started).Milliseconds())
 	} else if g := now.Sub(t.last); g > StallThreshold {
 		m.Add(metric.StallMS, (g - StallThreshold).Milliseconds())
 	}
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -40,7 +40,7 @@
 
 // chat serves a chat completion.
 func (s *Server) chat(w http.ResponseWriter, r *http.Request) {
-	q, err := s.head(r)
+	q, err := s.readHead(r)
 	if err != nil {
 		s.refuse(w, q, err)
 		return
@@ -50,7 +50,7 @@
 		s.refuse(w, q, err)
 		return
 	}
-	s.admitted(w, r, q, func(ctx context.Context) error {
+	s.runAdmitted(w, r, q, func(ctx context.Context) error {
 		if f := s.Contents.Check(c.content); f != nil {
 			return f
 		}
@@ -64,7 +64,7 @@
 
 // readChat reads and checks the body.
 func (s *Server) readChat(w http.ResponseWriter, r *http.Request, c *chat) error {
-	b, err := s.body(w, r)
+	b, err := s.readBody(w, r)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 // claimChat claims a completion that is not repeatable and has a key; it
 // reports true when the caller was served with a kept answer.
 func (s *Server) claimChat(ctx context.Context, w http.ResponseWriter, c *chat) (bool, error) {
-	if !c.once || c.key == "" {
+	if !c.notRepeatable || c.key == "" {
 		return false, nil
 	}
 	p, a, err := s.claim(ctx, c.request, claims.Hash(http.MethodPost, PathChat, c.body))
@@ -178,12 +178,12 @@
 	s.settle(ctx, c, k, f)
 	if f == nil {
 		s.Contents.Answered(c.content)
-		s.done(c.request)
+		s.recordDone(c.request)
 		return
 	}
 	if k.Started() {
-		s.count(f, c.id)
-		s.note(c.request, "failed", f.Error())
+		s.recordFailure(f, c.id)
+		s.explain(c.request, "failed", f.Error())
 		k.Fail(f)
 		return
 	}
@@ -214,7 +214,7 @@
 
 // policy bounds what an answer may try.
 func (s *Server) policy(c *chat) answer.Policy {
-	return answer.Policy{Repeatable: !c.once, MaxResumeTime: s.engine.ResumeMS.Duration(), Deadline: c.deadline}
+	return answer.Policy{Repeatable: !c.notRepeatable, MaxResumeTime: s.engineSettings.ResumeMS.Duration(), Deadline: c.deadline}
 }
 
 // run finds an engine, generates, and tries again or resumes as decided.
@@ -232,7 +232,7 @@
 			s.Broker.Finish(c.id, 0, false)
 			return f.WithRan(a.Ran())
 		}
-		s.note(c.request, "dispatch", string(g.Server)+": "+g.Reason)
+		s.explain(c.request, "dispatch", string(g.Server)+": "+g.Reason)
 		c.engine = g.Server
 		t := &attempt{server: s, chat: c, answer: a, sink: k, engine: g.Server}
 		n := t.run(ctx)
@@ -243,7 +243,7 @@
 			}
 			s.Metrics.Add(metric.Retries, 1)
 			s.Log.Emit(event.GenerationRetried, zap.String("request", string(c.id)), zap.String("content", string(c.content())), zap.String("server", string(g.Server)))
-			s.note(c.request, "retry", "the attempt on "+string(g.Server)+" broke before its first token")
+			s.explain(c.request, "retry", "the attempt on "+string(g.Server)+" broke before its first token")
 			c.work.Avoid = g.Server
 			acquire = s.Broker.Again
 		case answer.Fail:
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -21,11 +21,11 @@
 	})
 	switch {
 	case err != nil:
-		s.note(q, "claim", err.Error())
+		s.explain(q, "claim", err.Error())
 	case a != nil:
-		s.note(q, "claim", "an earlier attempt was answered; its answer is given again")
+		s.explain(q, "claim", "an earlier attempt was answered; its answer is given again")
 	default:
-		s.note(q, "claim", "recorded before the send")
+		s.explain(q, "claim", "recorded before the send")
 	}
 	return p, a, err
 }
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -18,7 +18,7 @@
 // fuzzServer knows one workspace and one model, and no engine.
 func fuzzServer() *Server {
 	s := relayServer()
-	s.settings = api.EntrySettings{BodyLimitKB: 16, DeadlineMS: 1000, HeaderWaitMS: 1000}
+	s.entrySettings = api.EntrySettings{BodyLimitKB: 16, DeadlineMS: 1000, HeaderWaitMS: 1000}
 	began := time.Now()
 	s.Lifecycle = lifecycle.New(func() time.Time { return began })
 	s.Lifecycle.Serve()
--- a/internal/entry/relay_test.go
+++ b/internal/entry/relay_test.go
@@ -46,7 +46,7 @@
 // relay passes one stream on, from the engine's bytes to the caller's.
 func relay(b *testing.B, s *Server, body []byte, w http.ResponseWriter) {
 	b.Helper()
-	c := &chat{request: &request{id: "r", workspace: config.Workspace{Name: "w"}, began: time.Now()}, engine: "e"}
+	c := &chat{request: &request{id: "r", workspace: config.Workspace{Name: "w"}, started: time.Now()}, engine: "e"}
 	c.ask.Model = "desk"
 	k := newStreamSink(s, w, c)
 	t := &attempt{server: s, chat: c, sink: k, answer: answer.New(answer.Policy{Repeatable: true, Deadline: time.Now().Add(time.Hour)}), last: time.Now()}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -18,9 +18,9 @@
 
 // Bounds of what callers may put into headers.
 const (
-	keyLimit      = 256
-	kindLimit     = 64
-	deadlineLimit = 2 * time.Hour
+	maxKeyBytes  = 256
+	maxKindBytes = 64
+	maxTimeout   = 2 * time.Hour
 )
 
 // defaultKind is the kind of requests that name none.
@@ -28,21 +28,21 @@
 
 // request is what is known of a request from its head.
 type request struct {
-	id        api.RequestID
-	workspace config.Workspace
-	view      *config.View
-	priority  api.Priority
-	kind      api.RequestKind
-	began     time.Time
-	deadline  time.Time
-	key       string
-	once      bool
+	id            api.RequestID
+	workspace     config.Workspace
+	view          *config.View
+	priority      api.Priority
+	kind          api.RequestKind
+	started       time.Time
+	deadline      time.Time
+	key           string
+	notRepeatable bool
 	// resumed tells that its generation runs whatever becomes of this call.
 	resumed bool
 }
 
-// head reads a request's head and finds its workspace by its key.
-func (s *Server) head(r *http.Request) (*request, error) {
+// readHead reads a request's readHead and finds its workspace by its key.
+func (s *Server) readHead(r *http.Request) (*request, error) {
 	v := s.View()
 	w, err := authenticate(v, r)
 	if err != nil {
@@ -53,10 +53,10 @@
 		workspace: w,
 		view:      v,
 		kind:      defaultKind,
-		began:     time.Now(),
+		started:   time.Now(),
 	}
 	s.Explain.Open(q.id, w.Name)
-	for _, f := range []func(*request, http.Header) error{s.readDeadline, readPriority, readKind, readOnce} {
+	for _, f := range []func(*request, http.Header) error{s.readDeadline, readPriority, readKind, readNotRepeatable} {
 		if err := f(q, r.Header); err != nil {
 			return q, err
 		}
@@ -77,20 +77,20 @@
 	return v.Workspaces[n], nil
 }
 
-func invalid(header, allowed string) error {
+func invalidHeader(header, allowed string) error {
 	return fault.New(fault.InvalidHeader, header+" has to be "+allowed)
 }
 
 func (s *Server) readDeadline(q *request, h http.Header) error {
-	d := s.settings.DeadlineMS.Duration()
+	d := s.entrySettings.DeadlineMS.Duration()
 	if v := h.Get(wire.HeaderDeadline); v != "" {
 		n, err := strconv.Atoi(v)
 		d = time.Duration(n) * time.Millisecond
-		if err != nil || n <= 0 || d > deadlineLimit {
-			return invalid(wire.HeaderDeadline, "a number of ms from 1 to "+strconv.Itoa(int(deadlineLimit.Milliseconds())))
+		if err != nil || n <= 0 || d > maxTimeout {
+			return invalidHeader(wire.HeaderDeadline, "a number of ms from 1 to "+strconv.Itoa(int(maxTimeout.Milliseconds())))
 		}
 	}
-	q.deadline = q.began.Add(d)
+	q.deadline = q.started.Add(d)
 	return nil
 }
 
@@ -105,15 +105,15 @@
 			q.priority = v
 		}
 	default:
-		return invalid(wire.HeaderPriority, "interactive, standard or background")
+		return invalidHeader(wire.HeaderPriority, "interactive, standard or background")
 	}
 	return nil
 }
 
 func readKind(q *request, h http.Header) error {
 	v := h.Get(wire.HeaderKind)
-	if len(v) > kindLimit {
-		return invalid(wire.HeaderKind, "at most "+strconv.Itoa(kindLimit)+" bytes")
+	if len(v) > maxKindBytes {
+		return invalidHeader(wire.HeaderKind, "at most "+strconv.Itoa(maxKindBytes)+" bytes")
 	}
 	if v != "" {
 		q.kind = api.RequestKind(v)
@@ -121,17 +121,17 @@
 	return nil
 }
 
-func readOnce(q *request, h http.Header) error {
+func readNotRepeatable(q *request, h http.Header) error {
 	q.key = h.Get(wire.HeaderIdempotency)
-	if len(q.key) > keyLimit {
-		return invalid(wire.HeaderIdempotency, "at most "+strconv.Itoa(keyLimit)+" bytes")
+	if len(q.key) > maxKeyBytes {
+		return invalidHeader(wire.HeaderIdempotency, "at most "+strconv.Itoa(maxKeyBytes)+" bytes")
 	}
 	switch v := h.Get(wire.HeaderNotRepeatable); v {
 	case "", "false":
 	case "true":
-		q.once = true
+		q.notRepeatable = true
 	default:
-		return invalid(wire.HeaderNotRepeatable, "true or false")
+		return invalidHeader(wire.HeaderNotRepeatable, "true or false")
 	}
 	return nil
 }
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -70,7 +70,7 @@
 
 // resume goes on with a stream whose connection or entry VM was lost.
 func (s *Server) resume(w http.ResponseWriter, r *http.Request) {
-	q, err := s.head(r)
+	q, err := s.readHead(r)
 	if err != nil {
 		s.refuse(w, q, err)
 		return
@@ -85,7 +85,7 @@
 		return
 	}
 	q.resumed = true
-	s.admitted(w, r, q, func(ctx context.Context) error {
+	s.runAdmitted(w, r, q, func(ctx context.Context) error {
 		s.goOn(ctx, w, c, g, next)
 		return nil
 	})
@@ -103,7 +103,7 @@
 		server: s, chat: c, sink: k, engine: c.engine, address: v.Address,
 		answer: answer.NewResumed(s.policy(c), g, next), last: time.Now(),
 	}
-	s.note(c.request, "resume", "the caller came back for token "+strconv.Itoa(next)+" of "+string(c.engine))
+	s.explain(c.request, "resume", "the caller came back for token "+strconv.Itoa(next)+" of "+string(c.engine))
 	n := t.stream(ctx, t.resume)
 	f := n.Fault
 	if n.Action == finished {
@@ -113,9 +113,9 @@
 	}
 	switch {
 	case f == nil:
-		s.done(c.request)
+		s.recordDone(c.request)
 	case k.Started():
-		s.count(f, c.id)
+		s.recordFailure(f, c.id)
 		k.Fail(f)
 	default:
 		s.refuse(w, c.request, f)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -42,16 +42,16 @@
 
 // Options are what the callers' side works with.
 type Options struct {
-	Settings api.Settings
-	Log      *event.Log
-	Metrics  *metric.Set
-	Lifecycle     *lifecycle.Life
-	View     func() *config.View
-	Broker   *broker.Broker
-	Engines  *engine.Client
-	Claims   *claims.Keeper
-	Explain  *explain.Recorder
-	Group    *duty.Group
+	Settings  api.Settings
+	Log       *event.Log
+	Metrics   *metric.Set
+	Lifecycle *lifecycle.Life
+	View      func() *config.View
+	Broker    *broker.Broker
+	Engines   *engine.Client
+	Claims    *claims.Keeper
+	Explain   *explain.Recorder
+	Group     *duty.Group
 	// Deadlines end requests at their callers' times; nil makes some by the boot clock.
 	Deadlines *clock.Deadlines
 	// Contents knows the contents that end servers; nil makes a guard of its own.
@@ -65,15 +65,15 @@
 // Server serves callers.
 type Server struct {
 	Options
-	settings api.EntrySettings
-	engine   api.EngineSettings
+	entrySettings  api.EntrySettings
+	engineSettings api.EngineSettings
 
 	limitMutex sync.Mutex
 	limiter    *limit.Limiter
 
-	serviceMutex sync.Mutex
-	services     *backend.Servers
-	budget       *retry.Budget
+	serverMutex sync.Mutex
+	servers     *backend.Servers
+	retryBudget *retry.Budget
 }
 
 // New makes the callers' side.
@@ -85,9 +85,9 @@
 		p.Contents = contents.New(p.Log, p.Metrics)
 	}
 	return &Server{
-		Options: p, settings: p.Settings.Entry, engine: p.Settings.Engine,
-		limiter: limit.New(), services: backend.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)),
-		budget: retry.New(p.Settings.Engine.RetryPermille),
+		Options: p, entrySettings: p.Settings.Entry, engineSettings: p.Settings.Engine,
+		limiter: limit.New(), servers: backend.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)),
+		retryBudget: retry.New(p.Settings.Engine.RetryPermille),
 	}
 }
 
@@ -96,7 +96,7 @@
 	r := chi.NewRouter()
 	r.Get(PathHealth, s.health)
 	r.Group(func(r chi.Router) {
-		r.Use(s.guard)
+		r.Use(s.middleware)
 		r.Post(PathChat, s.chat)
 		r.Get(PathChat+"/{request}", s.resume)
 		r.HandleFunc(PathServices+"/{service}", s.service)
@@ -121,9 +121,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// guard lets a request in, bounds the time its body may take, and keeps a
+// middleware lets a request in, bounds the time its body may take, and keeps a
 // panic to the one request.
-func (s *Server) guard(next http.Handler) http.Handler {
+func (s *Server) middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		leave, f := s.Lifecycle.Enter()
 		if f != nil {
@@ -132,17 +132,17 @@
 			return
 		}
 		defer leave()
-		defer s.recover(w)
+		defer s.recoverPanic(w)
 		s.Metrics.Add(metric.RequestsTotal, 1)
 		c := http.NewResponseController(w)
 		// A writer without deadlines is a test's.
-		_ = c.SetReadDeadline(time.Now().Add(s.settings.HeaderWaitMS.Duration()))
+		_ = c.SetReadDeadline(time.Now().Add(s.entrySettings.HeaderWaitMS.Duration()))
 		next.ServeHTTP(w, r)
 	})
 }
 
-// recover answers a request whose handler panicked.
-func (s *Server) recover(w http.ResponseWriter) {
+// recoverPanic answers a request whose handler panicked.
+func (s *Server) recoverPanic(w http.ResponseWriter) {
 	v := recover()
 	if v == nil {
 		return
@@ -154,10 +154,10 @@
 	wire.Refuse(w, fault.New(fault.Internal, "a defect of the system"), "")
 }
 
-// body reads a request's body and lifts the bound on the time it may take.
-func (s *Server) body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+// readBody reads a request's readBody and lifts the bound on the time it may take.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	const kilo = 1024
-	b, err := wire.Body(w, r, int64(s.settings.BodyLimitKB)*kilo)
+	b, err := wire.Body(w, r, int64(s.entrySettings.BodyLimitKB)*kilo)
 	if err != nil {
 		return nil, err
 	}
@@ -173,9 +173,9 @@
 			l = append(l, backend.Server{Name: n, Draining: v.Draining(x)})
 		}
 	}
-	s.serviceMutex.Lock()
-	s.services.Declare(l)
-	s.serviceMutex.Unlock()
+	s.serverMutex.Lock()
+	s.servers.Declare(l)
+	s.serverMutex.Unlock()
 	s.limitMutex.Lock()
 	defer s.limitMutex.Unlock()
 	s.limiter.RetainWorkspaces(func(w api.WorkspaceName) bool {
@@ -186,9 +186,9 @@
 
 // SetListedLeaving notes whether the platform's list says that a server is leaving.
 func (s *Server) SetListedLeaving(n api.ServerName, leaving bool) {
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	s.services.SetListedLeaving(n, leaving)
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	s.servers.SetListedLeaving(n, leaving)
 }
 
 // SetMembers sets the number of entry VMs that share the limits of workspaces and servers.
@@ -196,9 +196,9 @@
 	s.limitMutex.Lock()
 	s.limiter.SetMembers(n)
 	s.limitMutex.Unlock()
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	s.services.SetMembers(time.Now(), n)
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	s.servers.SetMembers(time.Now(), n)
 }
 
 // admit holds a workspace to its limits; the clean-up ends the request.
@@ -216,9 +216,9 @@
 	}, nil
 }
 
-// admitted runs a request within its workspace's limits and its deadline, and
+// runAdmitted runs a request within its workspace's limits and its deadline, and
 // refuses it with the failure that f gives.
-func (s *Server) admitted(w http.ResponseWriter, r *http.Request, q *request, f func(ctx context.Context) error) {
+func (s *Server) runAdmitted(w http.ResponseWriter, r *http.Request, q *request, f func(ctx context.Context) error) {
 	done, err := s.admit(q.workspace)
 	if err != nil {
 		s.refuse(w, q, err)
@@ -241,26 +241,26 @@
 		if q.resumed && f.Ran == api.RanNo {
 			f = f.WithRan(api.RanYes)
 		}
-		s.note(q, "refused", f.Error())
+		s.explain(q, "refused", f.Error())
 	}
-	s.count(f, id)
+	s.recordFailure(f, id)
 	wire.Refuse(w, f, id)
 }
 
-// done counts a request that was answered whole.
-func (s *Server) done(q *request) {
+// recordDone counts a request that was answered whole.
+func (s *Server) recordDone(q *request) {
 	s.Metrics.Add(metric.RequestsDone, 1)
-	s.note(q, "done", "answered whole")
-	s.Log.Emit(event.RequestDone, zap.String("request", string(q.id)), zap.String("workspace", string(q.workspace.Name)), zap.Duration("took", time.Since(q.began)))
+	s.explain(q, "done", "answered whole")
+	s.Log.Emit(event.RequestDone, zap.String("request", string(q.id)), zap.String("workspace", string(q.workspace.Name)), zap.Duration("took", time.Since(q.started)))
 }
 
-func (s *Server) count(f *fault.Error, id api.RequestID) {
+func (s *Server) recordFailure(f *fault.Error, id api.RequestID) {
 	e, m := ending.Of(f)
 	s.Metrics.Add(m, 1)
 	s.Log.Emit(e, zap.String("request", string(id)), zap.String("type", f.Code.Kind().Type), zap.Int("code", int(f.Code)), zap.String("ran", string(f.Ran)), zap.Error(f))
 }
 
-func (s *Server) note(q *request, step, detail string) {
+func (s *Server) explain(q *request, step, detail string) {
 	s.Explain.Note(q.id, step, detail)
 }
 
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -24,12 +24,12 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// answerLimit bounds the answers of plain services, which are held whole so
+// maxAnswerBytes bounds the answers of plain services, which are held whole so
 // that a caller never gets a part of one.
-const answerLimit = 16 << 20
+const maxAnswerBytes = 16 << 20
 
-// passed are the request headers that plain services see.
-var passed = []string{wire.HeaderType, "Accept", "Accept-Language", "User-Agent", wire.HeaderIdempotency}
+// forwardedHeaders are the request headers that plain services see.
+var forwardedHeaders = []string{wire.HeaderType, "Accept", "Accept-Language", "User-Agent", wire.HeaderIdempotency}
 
 // call is one call of a plain service.
 type call struct {
@@ -46,7 +46,7 @@
 
 // service serves a call of a plain service.
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
-	q, err := s.head(r)
+	q, err := s.readHead(r)
 	if err != nil {
 		s.refuse(w, q, err)
 		return
@@ -56,7 +56,7 @@
 		s.refuse(w, q, err)
 		return
 	}
-	s.admitted(w, r, q, func(ctx context.Context) error {
+	s.runAdmitted(w, r, q, func(ctx context.Context) error {
 		a, err := s.claimCall(ctx, c)
 		if err != nil {
 			return err
@@ -65,7 +65,7 @@
 			s.replay(w, q, a)
 			return nil
 		}
-		s.finishCall(ctx, w, c)
+		s.runCall(ctx, w, c)
 		return nil
 	})
 }
@@ -79,7 +79,7 @@
 	if !q.workspace.MayCall(n) {
 		return nil, fault.New(fault.NotAllowed, "the workspace may not call "+string(n))
 	}
-	b, err := s.body(w, r)
+	b, err := s.readBody(w, r)
 	if err != nil {
 		return nil, err
 	}
@@ -87,19 +87,19 @@
 		request: q, service: x, method: r.Method, query: r.URL.RawQuery, body: b, header: r.Header,
 		path: "/" + strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, PathServices+"/"+string(n)), "/"),
 	}
-	c.once = c.once || x.AtMostOnce(c.method, c.path)
+	c.notRepeatable = c.notRepeatable || x.AtMostOnce(c.method, c.path)
 	return c, nil
 }
 
-// content names what the call asks for, the same for every attempt of its caller.
-func (c *call) content() api.ContentHash {
+// contentHash names what the call asks for, the same for every attempt of its caller.
+func (c *call) contentHash() api.ContentHash {
 	return quarantine.Hash(c.workspace.Name, c.method, string(c.service.Name), c.path+"?"+c.query, c.body)
 }
 
 // claimCall claims a call that is not repeatable and has a key; a call without
 // a key is sent at most once by this entry VM, and asking again is a new call.
 func (s *Server) claimCall(ctx context.Context, c *call) (*claims.Answer, error) {
-	if !c.once || c.key == "" {
+	if !c.notRepeatable || c.key == "" {
 		return nil, nil
 	}
 	p, a, err := s.claim(ctx, c.request, claims.Hash(c.method, c.path+"?"+c.query, c.body))
@@ -107,21 +107,21 @@
 	return a, err
 }
 
-// finishCall runs the call, records a claimed one's outcome, and answers.
-func (s *Server) finishCall(ctx context.Context, w http.ResponseWriter, c *call) {
-	a, err := s.try(ctx, c)
+// runCall runs the call, records a claimed one's outcome, and answers.
+func (s *Server) runCall(ctx context.Context, w http.ResponseWriter, c *call) {
+	a, err := s.callWithRetries(ctx, c)
 	if c.permit != nil {
-		s.settleCall(ctx, c, a, err)
+		s.recordCallOutcome(ctx, c, a, err)
 	}
 	if err != nil {
 		s.refuse(w, c.request, err)
 		return
 	}
-	s.done(c.request)
+	s.recordDone(c.request)
 	s.replay(w, c.request, a)
 }
 
-func (s *Server) settleCall(ctx context.Context, c *call, a *claims.Answer, err error) {
+func (s *Server) recordCallOutcome(ctx context.Context, c *call, a *claims.Answer, err error) {
 	d, cancel := detached(ctx)
 	defer cancel()
 	switch {
@@ -132,15 +132,15 @@
 	}
 }
 
-// try sends the call to one server after the other while it may be repeated
+// callWithRetries sends the call to one server after the other while it may be repeated
 // or provably was not sent.
-func (s *Server) try(ctx context.Context, c *call) (*claims.Answer, error) {
-	d := decide.New(c.once)
+func (s *Server) callWithRetries(ctx context.Context, c *call) (*claims.Answer, error) {
+	d := decide.New(c.notRepeatable)
 	for {
-		if f := s.Contents.Check(c.content); f != nil {
+		if f := s.Contents.Check(c.contentHash); f != nil {
 			return nil, d.Refusal(f)
 		}
-		x := s.pick(c)
+		x := s.pickServer(c)
 		n := x.Name
 		switch {
 		case n == "" && x.Wait > 0:
@@ -149,18 +149,18 @@
 		case n == "":
 			return nil, d.NoServer()
 		}
-		a, err := s.send(ctx, c, n)
-		s.release(n, err)
+		a, err := s.sendAttempt(ctx, c, n)
+		s.releaseServer(n, err)
 		if err == nil {
 			if a.Status/100 == 2 {
-				s.Contents.Answered(c.content)
+				s.Contents.Answered(c.contentHash)
 			}
 			return a, nil
 		}
-		s.Contents.Broke(c.content, n, err)
-		s.note(c.request, "failed", string(n)+": "+err.Error())
+		s.Contents.Broke(c.contentHash, n, err)
+		s.explain(c.request, "failed", string(n)+": "+err.Error())
 		o := outcome(err)
-		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.again); m == decide.Fail {
+		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.takeRetry); m == decide.Fail {
 			return nil, f
 		}
 		if o == decide.Unsent && c.permit != nil {
@@ -182,32 +182,32 @@
 	}
 }
 
-func (s *Server) pick(c *call) backend.Choice {
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
+func (s *Server) pickServer(c *call) backend.Choice {
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
 	if len(c.tried) == 0 {
-		s.budget.CountFresh()
+		s.retryBudget.CountFresh()
 	}
-	x := s.services.Pick(time.Now(), c.service.Servers, c.tried)
+	x := s.servers.Pick(time.Now(), c.service.Servers, c.tried)
 	c.tried = append(c.tried, x.Name)
 	return x
 }
 
-// again takes one retry out of the budget.
-func (s *Server) again() bool {
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	return s.budget.Allow()
+// takeRetry takes one retry out of the budget.
+func (s *Server) takeRetry() bool {
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	return s.retryBudget.Allow()
 }
 
-func (s *Server) release(n api.ServerName, err error) {
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	s.services.Done(time.Now(), n, err != nil)
+func (s *Server) releaseServer(n api.ServerName, err error) {
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	s.servers.Done(time.Now(), n, err != nil)
 }
 
-// send makes one attempt on one server.
-func (s *Server) send(ctx context.Context, c *call, n api.ServerName) (*claims.Answer, error) {
+// sendAttempt makes one attempt on one server.
+func (s *Server) sendAttempt(ctx context.Context, c *call, n api.ServerName) (*claims.Answer, error) {
 	v, ok := s.View().Servers[n]
 	if !ok {
 		return nil, fault.New(fault.NotStarted, "the server is no longer declared")
@@ -224,7 +224,7 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.NotStarted, err, "making the call")
 	}
-	for _, h := range passed {
+	for _, h := range forwardedHeaders {
 		if x := c.header.Get(h); x != "" {
 			r.Header.Set(h, x)
 		}
@@ -233,32 +233,32 @@
 	if c.permit != nil && !c.permit.Send() {
 		return nil, fault.New(fault.ClaimHeld, "another attempt with this key took the claim over").WithRan(api.RanNo)
 	}
-	s.note(c.request, "send", string(n))
-	return s.exchange(r, c, n)
+	s.explain(c.request, "send", string(n))
+	return s.roundTrip(r, c, n)
 }
 
-// client picks how a call is sent. The transport itself may repeat a call on a
+// clientFor picks how a call is sent. The transport itself may repeat a call on a
 // kept connection, so one that is not repeatable has a connection of its own.
-func (s *Server) client(c *call) *http.Client {
-	if c.once {
+func (s *Server) clientFor(c *call) *http.Client {
+	if c.notRepeatable {
 		return s.SingleUseClient
 	}
 	return s.KeepAliveClient
 }
 
-func (s *Server) exchange(r *http.Request, c *call, n api.ServerName) (*claims.Answer, error) {
+func (s *Server) roundTrip(r *http.Request, c *call, n api.ServerName) (*claims.Answer, error) {
 	began := time.Now()
-	a, err := s.client(c).Do(r)
+	a, err := s.clientFor(c).Do(r)
 	if err != nil {
 		return nil, wire.Broken(err)
 	}
 	defer func() { _ = a.Body.Close() }()
 	s.noteSignals(began, n, signals.Signals(a.StatusCode, a.Header))
-	b, err := io.ReadAll(io.LimitReader(a.Body, answerLimit+1))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, fault.Wrap(fault.BadAnswer, err, "the answer was cut short")
 	}
-	if len(b) > answerLimit {
+	if len(b) > maxAnswerBytes {
 		return nil, fault.New(fault.BadAnswer, "the answer is too large")
 	}
 	if id := a.Header.Get(wire.HeaderRequest); id != "" && id != string(c.id) {
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -30,9 +30,9 @@
 		// It may be the limit that can't be read.
 		return
 	}
-	s.serviceMutex.Lock()
-	changed := s.services.NoteLimit(time.Now(), sent, n, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
-	s.serviceMutex.Unlock()
+	s.serverMutex.Lock()
+	changed := s.servers.NoteLimit(time.Now(), sent, n, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
+	s.serverMutex.Unlock()
 	if changed {
 		s.noteLimit(n, x.Limited, x.Limit, false)
 	}
@@ -45,17 +45,17 @@
 
 // Limits lists what servers have named, for peers.
 func (s *Server) Limits() []api.ServerLimit {
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	return s.services.Limits(time.Now())
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	return s.servers.Limits(time.Now())
 }
 
 // MergeLimits takes what servers have named to a peer.
 func (s *Server) MergeLimits(l []api.ServerLimit) {
 	for _, x := range l {
-		s.serviceMutex.Lock()
-		changed := s.services.MergeLimit(time.Now(), x)
-		s.serviceMutex.Unlock()
+		s.serverMutex.Lock()
+		changed := s.servers.MergeLimit(time.Now(), x)
+		s.serverMutex.Unlock()
 		if changed {
 			s.noteLimit(x.Server, x.Named, x.PerSecond, true)
 		}
@@ -64,9 +64,9 @@
 
 // AnnouncedLeaving lists the servers that said in an answer to this entry VM that they leave.
 func (s *Server) AnnouncedLeaving() []api.ServerName {
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	return s.services.AnnouncedLeaving(time.Now())
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	return s.servers.AnnouncedLeaving(time.Now())
 }
 
 // MergeLeaving takes servers that said in an answer to a peer that they leave.
@@ -77,9 +77,9 @@
 }
 
 func (s *Server) noteLeaving(n api.ServerName, here bool) {
-	s.serviceMutex.Lock()
-	changed := s.services.NoteLeaving(time.Now(), n, here)
-	s.serviceMutex.Unlock()
+	s.serverMutex.Lock()
+	changed := s.servers.NoteLeaving(time.Now(), n, here)
+	s.serverMutex.Unlock()
 	if changed {
 		s.Log.Emit(event.ServerNotice, zap.String("server", string(n)))
 	}
@@ -88,7 +88,7 @@
 // noteRest takes the rest that a server asked this entry VM for.
 func (s *Server) noteRest(n api.ServerName, d time.Duration) {
 	s.Log.Emit(event.ServerRest, zap.String("server", string(n)), zap.Duration("rest", d))
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	s.services.SetBackoff(time.Now(), n, d)
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	s.servers.SetBackoff(time.Now(), n, d)
 }
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -168,7 +168,7 @@
 // failure and end the request's context instead, so a write that took long is
 // remembered.
 func (k *streamSink) timed(f func() error) error {
-	limit := k.server.settings.SlowReaderMS.Duration()
+	limit := k.server.entrySettings.SlowReaderMS.Duration()
 	began := time.Now()
 	if began.Sub(k.bounded) >= limit/boundParts {
 		k.bounded = began
