--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -31,10 +31,10 @@
 	engine api.ServerName
 
 	address string
-	// begun is when the engine began to stream the generation.
-	begun time.Time
-	last  time.Time
-	watch *time.Timer
+	// streamOpened is when the engine began to stream the generation.
+	streamOpened time.Time
+	lastToken    time.Time
+	silenceTimer *time.Timer
 }
 
 // run generates until the answer is whole, has failed, or has to be tried
@@ -43,7 +43,7 @@
 	n := t.generate(ctx)
 	t.server.Broker.Finish(t.chat.id, api.Tokens(t.answer.NextIndex()), n.Action == finished)
 	if n.Action != finished {
-		t.cancel(ctx)
+		t.cancelGeneration(ctx)
 	}
 	return n
 }
@@ -54,7 +54,7 @@
 		return t.answer.Break(time.Now(), answer.NotConnected)
 	}
 	t.address = v.Address
-	t.last = time.Now()
+	t.lastToken = time.Now()
 	if !t.answer.Begin(api.GenerationID(uuid.NewString())) {
 		f := fault.New(fault.OutcomeUnknown, "the request was sent and may not be sent again")
 		return answer.Decision{Action: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
@@ -63,26 +63,26 @@
 		f := fault.New(fault.ClaimHeld, "another attempt with this key took the claim over").WithRan(api.RanNo)
 		return answer.Decision{Action: answer.Fail, Fault: f}
 	}
-	return t.stream(ctx, t.start)
+	return t.readStreams(ctx, t.openNew)
 }
 
-type open func(ctx context.Context) (*engine.Stream, error)
+type openFunc func(ctx context.Context) (*engine.Stream, error)
 
-func (t *attempt) start(ctx context.Context) (*engine.Stream, error) {
-	g := t.chat.generate
+func (t *attempt) openNew(ctx context.Context) (*engine.Stream, error) {
+	g := t.chat.engineRequest
 	g.Generation = t.answer.Generation()
 	t.answer.MarkSent()
 	return t.server.Engines.Start(ctx, t.address, g)
 }
 
-func (t *attempt) resume(ctx context.Context) (*engine.Stream, error) {
+func (t *attempt) openResumed(ctx context.Context) (*engine.Stream, error) {
 	return t.server.Engines.Resume(ctx, t.address, t.answer.Generation(), t.answer.NextIndex())
 }
 
-// stream reads streams of one generation until it ends or must not go on.
-func (t *attempt) stream(ctx context.Context, o open) answer.Decision {
+// readStreams reads streams of one generation until it ends or must not go on.
+func (t *attempt) readStreams(ctx context.Context, o openFunc) answer.Decision {
 	for {
-		n, done := t.once(ctx, o)
+		n, done := t.readStream(ctx, o)
 		if done || n.Action != answer.Resume {
 			return n
 		}
@@ -91,28 +91,28 @@
 		t.server.explain(t.chat.request, "resume", "the stream from "+string(t.engine)+" broke; it goes on from the next token")
 		// The end of the wait is judged by the next break.
 		duty.Sleep(ctx, n.Wait)
-		o = t.resume
+		o = t.openResumed
 	}
 }
 
-// once reads one stream; it reports true when the attempt is over.
-func (t *attempt) once(ctx context.Context, o open) (answer.Decision, bool) {
+// readStream reads one stream; it reports true when the attempt is over.
+func (t *attempt) readStream(ctx context.Context, o openFunc) (answer.Decision, bool) {
 	x, cancel := context.WithCancel(ctx)
 	defer cancel()
 	x, span := trace.Start(x, "engine")
 	defer span.End()
-	t.watch = time.AfterFunc(t.patience(), cancel)
-	defer t.watch.Stop()
+	t.silenceTimer = time.AfterFunc(t.maxSilence(), cancel)
+	defer t.silenceTimer.Stop()
 	s, err := o(x)
 	if err != nil {
-		return t.opened(ctx, err)
+		return t.handleOpenError(ctx, err)
 	}
 	defer s.Close()
 	t.answer.MarkOpened()
-	if t.begun.IsZero() {
-		t.begun = time.Now()
+	if t.streamOpened.IsZero() {
+		t.streamOpened = time.Now()
 	}
-	err = s.Each(t.sink.Flush, t.take)
+	err = s.Each(t.sink.Flush, t.handleEvent)
 	switch {
 	case err == nil:
 		return answer.Decision{Action: finished}, true
@@ -120,49 +120,49 @@
 		t.server.Metrics.Add(metric.SlowReaders, 1)
 		return answer.Decision{Action: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
 	case ctx.Err() != nil:
-		return t.ended(ctx), true
+		return t.contextEnded(ctx), true
 	case fault.Has(err, fault.CallerGone):
 		return answer.Decision{Action: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
 	}
-	if time.Since(t.begun) < quarantine.SuspectWindow {
-		t.server.Contents.Broke(t.chat.content, t.engine, err)
+	if time.Since(t.streamOpened) < quarantine.SuspectWindow {
+		t.server.Contents.Broke(t.chat.contentHash, t.engine, err)
 	}
-	return t.broke(answer.Broken)
+	return t.handleBreak(answer.Broken)
 }
 
-// patience is the silence after which a stream counts as broken.
-func (t *attempt) patience() time.Duration {
+// maxSilence is the silence after which a stream counts as broken.
+func (t *attempt) maxSilence() time.Duration {
 	if t.answer.NextIndex() == 0 {
 		return t.server.engineSettings.FirstTokenMS.Duration()
 	}
 	return t.server.engineSettings.StallMS.Duration()
 }
 
-func (t *attempt) broke(c answer.Cause) (answer.Decision, bool) {
+func (t *attempt) handleBreak(c answer.Cause) (answer.Decision, bool) {
 	n := t.answer.Break(time.Now(), c)
 	return n, n.Action != answer.Resume
 }
 
-// opened judges a stream that could not be opened.
-func (t *attempt) opened(ctx context.Context, err error) (answer.Decision, bool) {
+// handleOpenError judges a stream that could not be handleOpenError.
+func (t *attempt) handleOpenError(ctx context.Context, err error) (answer.Decision, bool) {
 	var b *engine.StreamError
 	if !errors.As(err, &b) {
 		b = &engine.StreamError{Cause: answer.Broken, Err: err}
 	}
 	if ctx.Err() != nil && b.Cause != answer.Refused {
-		return t.ended(ctx), true
+		return t.contextEnded(ctx), true
 	}
-	t.server.Contents.Broke(t.chat.content, t.engine, b)
-	t.refused(b)
-	n, done := t.broke(b.Cause)
+	t.server.Contents.Broke(t.chat.contentHash, t.engine, b)
+	t.reportUnavailable(b)
+	n, done := t.handleBreak(b.Cause)
 	if t.answer.Unsent() && t.chat.permit != nil {
 		t.chat.permit.Unsent()
 	}
 	return n, done
 }
 
-// refused tells the dispatcher of an engine that takes no work.
-func (t *attempt) refused(b *engine.StreamError) {
+// reportUnavailable tells the dispatcher of an engine that takes no work.
+func (t *attempt) reportUnavailable(b *engine.StreamError) {
 	var r *engine.RefusalError
 	switch {
 	case errors.As(b.Err, &r) && b.Cause == answer.Refused:
@@ -172,8 +172,8 @@
 	}
 }
 
-// ended types the end of the caller's own context.
-func (t *attempt) ended(ctx context.Context) answer.Decision {
+// contextEnded types the end of the caller's own context.
+func (t *attempt) contextEnded(ctx context.Context) answer.Decision {
 	f := fault.New(fault.CallerGone, "the caller closed its connection")
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		f = fault.New(fault.DeadlinePassed, "the deadline passed")
@@ -181,11 +181,11 @@
 	return answer.Decision{Action: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
 }
 
-// take judges one event and passes its token on.
-func (t *attempt) take(e api.TokenEvent) (bool, error) {
+// handleEvent judges one event and passes its token on.
+func (t *attempt) handleEvent(e api.TokenEvent) (bool, error) {
 	switch t.answer.HandleEvent(e) {
 	case answer.Deliver:
-		t.watch.Reset(t.server.engineSettings.StallMS.Duration())
+		t.silenceTimer.Reset(t.server.engineSettings.StallMS.Duration())
 		t.progress(e)
 		return true, t.sink.Token(e)
 	case answer.Finish:
@@ -202,8 +202,8 @@
 // StallThreshold is the gap between tokens beyond which it counts as a stall.
 const StallThreshold = 200 * time.Millisecond
 
-// progressEvery is the number of tokens after which the dispatcher is told.
-const progressEvery = 16
+// progressInterval is the number of tokens after which the dispatcher is told.
+const progressInterval = 16
 
 func (t *attempt) progress(e api.TokenEvent) {
 	now := time.Now()
@@ -211,17 +211,17 @@
 	if e.Index == 0 {
 		m.Add(metric.FirstTokens, 1)
 		m.Add(metric.FirstTokenMS, now.Sub(t.chat.started).Milliseconds())
-	} else if g := now.Sub(t.last); g > StallThreshold {
+	} else if g := now.Sub(t.lastToken); g > StallThreshold {
 		m.Add(metric.StallMS, (g - StallThreshold).Milliseconds())
 	}
-	t.last = now
-	if e.Index%progressEvery == progressEvery-1 {
+	t.lastToken = now
+	if e.Index%progressInterval == progressInterval-1 {
 		t.server.Broker.Progress(t.chat.id, api.Tokens(e.Index+1))
 	}
 }
 
-// cancel tells the engine that nobody wants the generation any more.
-func (t *attempt) cancel(ctx context.Context) {
+// cancelGeneration tells the engine that nobody wants the generation any more.
+func (t *attempt) cancelGeneration(ctx context.Context) {
 	if t.address == "" {
 		return
 	}
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -29,11 +29,11 @@
 // chat is one chat completion.
 type chat struct {
 	*request
-	body     []byte
-	ask      api.ChatRequest
-	work     dispatch.Work
-	generate api.GenerateRequest
-	permit   *claims.Permit
+	body          []byte
+	params        api.ChatRequest
+	work          dispatch.Work
+	engineRequest api.GenerateRequest
+	permit        *claims.Permit
 	// engine is the engine of the present attempt.
 	engine api.ServerName
 }
@@ -51,13 +51,13 @@
 		return
 	}
 	s.runAdmitted(w, r, q, func(ctx context.Context) error {
-		if f := s.Contents.Check(c.content); f != nil {
+		if f := s.Contents.Check(c.contentHash); f != nil {
 			return f
 		}
 		if served, err := s.claimChat(ctx, w, c); err != nil || served {
 			return err
 		}
-		s.answer(ctx, w, c)
+		s.complete(ctx, w, c)
 		return nil
 	})
 }
@@ -69,26 +69,26 @@
 		return err
 	}
 	c.body = b
-	if err := wire.Parse(b, &c.ask); err != nil {
+	if err := wire.Parse(b, &c.params); err != nil {
 		return err
 	}
 	return c.check()
 }
 
-// content names what the completion asks for, the same for every attempt of its caller.
-func (c *chat) content() api.ContentHash {
+// contentHash names what the completion asks for, the same for every attempt of its caller.
+func (c *chat) contentHash() api.ContentHash {
 	return quarantine.Hash(c.workspace.Name, http.MethodPost, "", PathChat, c.body)
 }
 
 // check finds the model and sizes the request.
 func (c *chat) check() error {
-	if len(c.ask.Messages) == 0 {
+	if len(c.params.Messages) == 0 {
 		return fault.New(fault.InvalidRequest, "messages has to hold at least one message")
 	}
-	if c.ask.MaxTokens < 0 {
+	if c.params.MaxTokens < 0 {
 		return fault.New(fault.InvalidRequest, "max_tokens has to be 0 or more")
 	}
-	m, a, _ := strings.Cut(string(c.ask.Model), ":")
+	m, a, _ := strings.Cut(string(c.params.Model), ":")
 	model, adapter := api.ModelName(m), api.AdapterName(a)
 	spec, ok := c.view.Models[model]
 	if !ok {
@@ -98,30 +98,30 @@
 		return fault.New(fault.UnknownModel, "no adapter "+a+" of model "+m+" is declared")
 	}
 	if !c.workspace.MayUse(model, adapter) {
-		return fault.New(fault.NotAllowed, "the workspace may not use "+string(c.ask.Model))
+		return fault.New(fault.NotAllowed, "the workspace may not use "+string(c.params.Model))
 	}
 	return c.size(model, adapter, spec)
 }
 
 func (c *chat) size(model api.ModelName, adapter api.AdapterName, spec api.ModelSpec) error {
-	p := prompt(c.ask.Messages)
+	p := prompt(c.params.Messages)
 	n := tokens(p)
 	if n >= spec.ContextTokens {
 		return fault.New(fault.TooLarge, fmt.Sprintf("the prompt has about %d tokens, the model takes %d in all", n, spec.ContextTokens))
 	}
-	most := spec.ContextTokens - n
-	if c.ask.MaxTokens > 0 {
-		most = min(most, c.ask.MaxTokens)
+	maxTokens := spec.ContextTokens - n
+	if c.params.MaxTokens > 0 {
+		maxTokens = min(maxTokens, c.params.MaxTokens)
 	}
-	prefix, length := sharedPrefix(c.ask)
+	prefix, length := sharedPrefix(c.params)
 	c.work = dispatch.Work{
 		Request: c.id, Workspace: c.workspace.Name, Weight: c.workspace.Weight,
 		Kind: c.kind, Priority: c.priority, Model: model, Adapter: adapter,
-		PromptTokens: n, MaxTokens: most, Prefix: prefix, Deadline: c.deadline,
+		PromptTokens: n, MaxTokens: maxTokens, Prefix: prefix, Deadline: c.deadline,
 	}
-	c.generate = api.GenerateRequest{
-		Model: model, Adapter: adapter, Prompt: p, PromptTokens: n, MaxTokens: most,
-		Priority: c.priority, Prefix: prefix, PrefixTokens: length, Metadata: c.ask.Metadata,
+	c.engineRequest = api.GenerateRequest{
+		Model: model, Adapter: adapter, Prompt: p, PromptTokens: n, MaxTokens: maxTokens,
+		Priority: c.priority, Prefix: prefix, PrefixTokens: length, Metadata: c.params.Metadata,
 	}
 	return nil
 }
@@ -168,16 +168,16 @@
 	return false, nil
 }
 
-// answer runs a completion and gives the caller its outcome.
-func (s *Server) answer(ctx context.Context, w http.ResponseWriter, c *chat) {
-	k := s.sink(w, c)
+// complete runs a completion and gives the caller its outcome.
+func (s *Server) complete(ctx context.Context, w http.ResponseWriter, c *chat) {
+	k := s.newSink(w, c)
 	f := s.run(ctx, c, k)
 	if f == nil {
 		f = k.Finish()
 	}
-	s.settle(ctx, c, k, f)
+	s.recordChatOutcome(ctx, c, k, f)
 	if f == nil {
-		s.Contents.Answered(c.content)
+		s.Contents.Answered(c.contentHash)
 		s.recordDone(c.request)
 		return
 	}
@@ -190,8 +190,8 @@
 	s.refuse(w, c.request, f)
 }
 
-// settle records the outcome of a claimed completion.
-func (s *Server) settle(ctx context.Context, c *chat, k sink, f *fault.Error) {
+// recordChatOutcome records the outcome of a claimed completion.
+func (s *Server) recordChatOutcome(ctx context.Context, c *chat, k sink, f *fault.Error) {
 	if c.permit == nil {
 		return
 	}
@@ -199,17 +199,17 @@
 	defer cancel()
 	switch {
 	case f == nil:
-		c.permit.Done(d, claims.Answer{Status: http.StatusOK, ContentType: wire.TypeJSON, Body: k.Whole()})
+		c.permit.Done(d, claims.Answer{Status: http.StatusOK, ContentType: wire.TypeJSON, Body: k.Completion()})
 	case f.Ran == api.RanNo:
 		c.permit.Abandon(d)
 	}
 }
 
-func (s *Server) sink(w http.ResponseWriter, c *chat) sink {
-	if c.ask.Stream {
+func (s *Server) newSink(w http.ResponseWriter, c *chat) sink {
+	if c.params.Stream {
 		return newStreamSink(s, w, c)
 	}
-	return newWholeSink(w, c)
+	return newBufferedSink(w, c)
 }
 
 // policy bounds what an answer may try.
@@ -226,9 +226,9 @@
 		g, err := acquire(x, c.work)
 		span.End()
 		if err != nil {
-			return s.unplaced(ctx, a, err)
+			return s.dispatchFault(ctx, a, err)
 		}
-		if f := s.Contents.Check(c.content); f != nil {
+		if f := s.Contents.Check(c.contentHash); f != nil {
 			s.Broker.Finish(c.id, 0, false)
 			return f.WithRan(a.Ran())
 		}
@@ -238,11 +238,11 @@
 		n := t.run(ctx)
 		switch n.Action {
 		case answer.Retry:
-			if !s.Contents.MayGoOn(c.content) {
+			if !s.Contents.MayGoOn(c.contentHash) {
 				return fault.New(fault.OutcomeUnknown, "servers ended while they ran requests of this content").WithRan(a.Ran())
 			}
 			s.Metrics.Add(metric.Retries, 1)
-			s.Log.Emit(event.GenerationRetried, zap.String("request", string(c.id)), zap.String("content", string(c.content())), zap.String("server", string(g.Server)))
+			s.Log.Emit(event.GenerationRetried, zap.String("request", string(c.id)), zap.String("content", string(c.contentHash())), zap.String("server", string(g.Server)))
 			s.explain(c.request, "retry", "the attempt on "+string(g.Server)+" broke before its first token")
 			c.work.Avoid = g.Server
 			acquire = s.Broker.Again
@@ -254,9 +254,9 @@
 	}
 }
 
-// unplaced types a request that got no engine; an earlier attempt of it may
+// dispatchFault types a request that got no engine; an earlier attempt of it may
 // have run all the same.
-func (s *Server) unplaced(ctx context.Context, a *answer.Answer, err error) *fault.Error {
+func (s *Server) dispatchFault(ctx context.Context, a *answer.Answer, err error) *fault.Error {
 	f := fault.From(err)
 	if f.Code == fault.CallerGone && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		f = fault.New(fault.DeadlinePassed, "the deadline passed while the request waited").After(time.Second)
--- a/internal/entry/relay_test.go
+++ b/internal/entry/relay_test.go
@@ -22,13 +22,13 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// discard is a response writer that keeps nothing.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that keeps nothing.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) WriteHeader(int)             {}
-func (d discard) Flush()                      {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) WriteHeader(int)             {}
+func (d discardWriter) Flush()                      {}
 
 func stream(tokens int) []byte {
 	var b bytes.Buffer
@@ -47,13 +47,13 @@
 func relay(b *testing.B, s *Server, body []byte, w http.ResponseWriter) {
 	b.Helper()
 	c := &chat{request: &request{id: "r", workspace: config.Workspace{Name: "w"}, started: time.Now()}, engine: "e"}
-	c.ask.Model = "desk"
+	c.params.Model = "desk"
 	k := newStreamSink(s, w, c)
-	t := &attempt{server: s, chat: c, sink: k, answer: answer.New(answer.Policy{Repeatable: true, Deadline: time.Now().Add(time.Hour)}), last: time.Now()}
+	t := &attempt{server: s, chat: c, sink: k, answer: answer.New(answer.Policy{Repeatable: true, Deadline: time.Now().Add(time.Hour)}), lastToken: time.Now()}
 	t.answer.Begin("0123456789abcdef")
-	t.watch = time.NewTimer(time.Hour)
+	t.silenceTimer = time.NewTimer(time.Hour)
 	x := engine.NewStream(io.NopCloser(bytes.NewReader(body)))
-	if err := x.Each(k.Flush, t.take); err != nil {
+	if err := x.Each(k.Flush, t.handleEvent); err != nil {
 		b.Fatal(err)
 	}
 	if f := k.Finish(); f != nil {
@@ -74,7 +74,7 @@
 	body := stream(tokens)
 	b.ReportAllocs()
 	for n := 0; n < b.N; n += tokens {
-		relay(b, s, body, discard{http.Header{}})
+		relay(b, s, body, discardWriter{http.Header{}})
 	}
 }
 
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -21,11 +21,11 @@
 // Event ids tell where a stream comes from, so that any entry VM can go on
 // with it: model.generation.server.mac.index, each part in base64 but the
 // last.
-const placeParts = 5
+const eventIDParts = 5
 
-// place is the part of an event id before the index.
-func (c *chat) place(g api.GenerationID) string {
-	l := []string{string(c.ask.Model), string(g), string(c.engine)}
+// eventIDPrefix is the part of an event id before the index.
+func (c *chat) eventIDPrefix(g api.GenerationID) string {
+	l := []string{string(c.params.Model), string(g), string(c.engine)}
 	mac := c.sign(l)
 	for i, v := range l {
 		l[i] = base64.RawURLEncoding.EncodeToString([]byte(v))
@@ -40,19 +40,19 @@
 	return h.Sum(nil)
 }
 
-// find reads an event id back; next is the index after the event's.
-func (c *chat) find(id string) (g api.GenerationID, next int, err error) {
+// parseEventID reads an event id back; next is the index after the event's.
+func (c *chat) parseEventID(id string) (g api.GenerationID, next int, err error) {
 	unknown := fault.New(fault.UnknownStream, wire.HeaderLastEvent+" is not an event id of this request")
 	l := strings.Split(id, ".")
-	if len(l) != placeParts {
+	if len(l) != eventIDParts {
 		return "", 0, unknown
 	}
-	n, err := strconv.Atoi(l[placeParts-1])
+	n, err := strconv.Atoi(l[eventIDParts-1])
 	if err != nil || n < 0 {
 		return "", 0, unknown
 	}
 	var d []string
-	for _, v := range l[:placeParts-1] {
+	for _, v := range l[:eventIDParts-1] {
 		b, err := base64.RawURLEncoding.DecodeString(v)
 		if err != nil {
 			return "", 0, unknown
@@ -64,7 +64,7 @@
 	if !hmac.Equal([]byte(mac), c.sign(d)) {
 		return "", 0, unknown
 	}
-	c.ask.Model, c.engine = api.ModelName(d[0]), api.ServerName(d[2])
+	c.params.Model, c.engine = api.ModelName(d[0]), api.ServerName(d[2])
 	return api.GenerationID(d[1]), n + 1, nil
 }
 
@@ -78,20 +78,20 @@
 	q.id = api.RequestID(chi.URLParam(r, "request"))
 	s.Explain.Open(q.id, q.workspace.Name)
 	c := &chat{request: q}
-	c.ask.Stream = true
-	g, next, err := c.find(r.Header.Get(wire.HeaderLastEvent))
+	c.params.Stream = true
+	g, next, err := c.parseEventID(r.Header.Get(wire.HeaderLastEvent))
 	if err != nil {
 		s.refuse(w, q, err)
 		return
 	}
 	q.resumed = true
 	s.runAdmitted(w, r, q, func(ctx context.Context) error {
-		s.goOn(ctx, w, c, g, next)
+		s.resumeStream(ctx, w, c, g, next)
 		return nil
 	})
 }
 
-func (s *Server) goOn(ctx context.Context, w http.ResponseWriter, c *chat, g api.GenerationID, next int) {
+func (s *Server) resumeStream(ctx context.Context, w http.ResponseWriter, c *chat, g api.GenerationID, next int) {
 	v, ok := s.View().Servers[c.engine]
 	if !ok {
 		s.refuse(w, c.request, fault.New(fault.GenerationLost, "the engine of this stream is gone"))
@@ -101,15 +101,15 @@
 	k.count, k.flushed = api.Tokens(next), api.Tokens(next)
 	t := &attempt{
 		server: s, chat: c, sink: k, engine: c.engine, address: v.Address,
-		answer: answer.NewResumed(s.policy(c), g, next), last: time.Now(),
+		answer: answer.NewResumed(s.policy(c), g, next), lastToken: time.Now(),
 	}
 	s.explain(c.request, "resume", "the caller came back for token "+strconv.Itoa(next)+" of "+string(c.engine))
-	n := t.stream(ctx, t.resume)
+	n := t.readStreams(ctx, t.openResumed)
 	f := n.Fault
 	if n.Action == finished {
 		f = k.Finish()
 	} else {
-		t.cancel(ctx)
+		t.cancelGeneration(ctx)
 	}
 	switch {
 	case f == nil:
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -253,7 +253,7 @@
 		return nil, wire.Broken(err)
 	}
 	defer func() { _ = a.Body.Close() }()
-	s.noteSignals(began, n, signals.Signals(a.StatusCode, a.Header))
+	s.noteSignals(began, n, signalHeaders.Signals(a.StatusCode, a.Header))
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, fault.Wrap(fault.BadAnswer, err, "the answer was cut short")
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -12,8 +12,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// signals are the headers in which the servers of plain services say something of themselves.
-var signals = port.SignalHeaders{Limit: wire.HeaderLimit, Leaving: wire.HeaderLeaving, Rest: wire.HeaderRetryAfter}
+// signalHeaders are the headers in which the servers of plain services say something of themselves.
+var signalHeaders = port.SignalHeaders{Limit: wire.HeaderLimit, Leaving: wire.HeaderLeaving, Rest: wire.HeaderRetryAfter}
 
 // noteSignals takes what a server says of itself in the answer to a call that was sent at a time.
 func (s *Server) noteSignals(sent time.Time, n api.ServerName, x port.Signals) {
@@ -24,7 +24,7 @@
 		s.noteLeaving(n, true)
 	}
 	if x.Resting {
-		s.noteRest(n, x.Rest)
+		s.noteBackoff(n, x.Rest)
 	}
 	if !x.Limited && x.Unreadable != "" {
 		// It may be the limit that can't be read.
@@ -34,12 +34,12 @@
 	changed := s.servers.NoteLimit(time.Now(), sent, n, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
 	s.serverMutex.Unlock()
 	if changed {
-		s.noteLimit(n, x.Limited, x.Limit, false)
+		s.logLimit(n, x.Limited, x.Limit, false)
 	}
 }
 
-// noteLimit logs a limit that is new here.
-func (s *Server) noteLimit(n api.ServerName, named bool, perSecond float64, ofPeer bool) {
+// logLimit logs a limit that is new here.
+func (s *Server) logLimit(n api.ServerName, named bool, perSecond float64, ofPeer bool) {
 	s.Log.Emit(event.ServerLimit, zap.String("server", string(n)), zap.Bool("limited", named), zap.Float64("per_second", perSecond), zap.Bool("of_peer", ofPeer))
 }
 
@@ -57,7 +57,7 @@
 		changed := s.servers.MergeLimit(time.Now(), x)
 		s.serverMutex.Unlock()
 		if changed {
-			s.noteLimit(x.Server, x.Named, x.PerSecond, true)
+			s.logLimit(x.Server, x.Named, x.PerSecond, true)
 		}
 	}
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// noteRest takes the rest that a server asked this entry VM for.
-func (s *Server) noteRest(n api.ServerName, d time.Duration) {
+// noteBackoff takes the rest that a server asked this entry VM for.
+func (s *Server) noteBackoff(n api.ServerName, d time.Duration) {
 	s.Log.Emit(event.ServerRest, zap.String("server", string(n)), zap.Duration("rest", d))
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -19,7 +19,7 @@
 const (
 	objectChunk      = "chat.completion.chunk"
 	objectCompletion = "chat.completion"
-	doneMark         = "[DONE]"
+	doneMarker       = "[DONE]"
 	eventError       = "error"
 	roleAssistant    = "assistant"
 )
@@ -38,12 +38,12 @@
 	Started() bool
 	// Fail ends an answer that was begun with a fault.
 	Fail(f *fault.Error)
-	// Whole is the answer in one message, for a claim's record.
-	Whole() []byte
+	// Completion is the answer in one message, for a claim's record.
+	Completion() []byte
 }
 
-// wholeSink gathers an answer that is not streamed.
-type wholeSink struct {
+// bufferedSink gathers an answer that is not streamed.
+type bufferedSink struct {
 	writer http.ResponseWriter
 	chat   *chat
 	text   strings.Builder
@@ -52,41 +52,41 @@
 	begun  bool
 }
 
-func newWholeSink(w http.ResponseWriter, c *chat) *wholeSink {
-	return &wholeSink{writer: w, chat: c}
+func newBufferedSink(w http.ResponseWriter, c *chat) *bufferedSink {
+	return &bufferedSink{writer: w, chat: c}
 }
 
-func (k *wholeSink) Token(e api.TokenEvent) error {
+func (k *bufferedSink) Token(e api.TokenEvent) error {
 	k.text.WriteString(e.Text)
 	k.count++
 	return nil
 }
 
-func (k *wholeSink) Flush() error         { return nil }
-func (k *wholeSink) End(e api.TokenEvent) { k.finish = e.Finish }
-func (k *wholeSink) Started() bool        { return k.begun }
-func (k *wholeSink) Fail(*fault.Error)    {}
+func (k *bufferedSink) Flush() error         { return nil }
+func (k *bufferedSink) End(e api.TokenEvent) { k.finish = e.Finish }
+func (k *bufferedSink) Started() bool        { return k.begun }
+func (k *bufferedSink) Fail(*fault.Error)    {}
 
-func (k *wholeSink) Finish() *fault.Error {
+func (k *bufferedSink) Finish() *fault.Error {
 	k.begun = true
 	h := k.writer.Header()
 	h.Set(wire.HeaderRequest, string(k.chat.id))
 	h.Set(wire.HeaderType, wire.TypeJSON)
 	k.writer.WriteHeader(http.StatusOK)
-	if _, err := k.writer.Write(k.Whole()); err != nil {
+	if _, err := k.writer.Write(k.Completion()); err != nil {
 		return fault.Wrap(fault.CallerGone, err, "the caller closed its connection").WithRan(api.RanYes)
 	}
 	return nil
 }
 
-func (k *wholeSink) Whole() []byte {
+func (k *bufferedSink) Completion() []byte {
 	return completion(k.chat, k.text.String(), k.count, k.finish)
 }
 
 func completion(c *chat, text string, n api.Tokens, finish string) []byte {
-	p := c.generate.PromptTokens
+	p := c.engineRequest.PromptTokens
 	b, err := json.Marshal(api.ChatCompletion{
-		ID: c.id, Object: objectCompletion, Model: c.ask.Model,
+		ID: c.id, Object: objectCompletion, Model: c.params.Model,
 		Choices: []api.ChatChoice{{
 			Message:      api.ChatMessage{Role: roleAssistant, Content: text},
 			FinishReason: finish,
@@ -101,22 +101,22 @@
 
 // streamSink passes tokens on as they come.
 type streamSink struct {
-	server  *Server
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	chat    *chat
-	place   string
-	text    *strings.Builder
-	count   api.Tokens
-	flushed api.Tokens
-	finish  string
-	begun   bool
-	bounded time.Time
-	slow    bool
+	server      *Server
+	writer      http.ResponseWriter
+	controller  *http.ResponseController
+	chat        *chat
+	idPrefix    string
+	text        *strings.Builder
+	count       api.Tokens
+	flushed     api.Tokens
+	finish      string
+	begun       bool
+	deadlineSet time.Time
+	slow        bool
 }
 
 func newStreamSink(s *Server, w http.ResponseWriter, c *chat) *streamSink {
-	k := &streamSink{server: s, writer: w, control: http.NewResponseController(w), chat: c}
+	k := &streamSink{server: s, writer: w, controller: http.NewResponseController(w), chat: c}
 	if c.permit != nil {
 		// Only a claimed answer is kept.
 		k.text = &strings.Builder{}
@@ -130,7 +130,7 @@
 	h.Set(wire.HeaderType, wire.TypeEvents)
 	h.Set("Cache-Control", "no-store")
 	k.begun = true
-	k.place = k.chat.place(g)
+	k.idPrefix = k.chat.eventIDPrefix(g)
 }
 
 func (k *streamSink) Token(e api.TokenEvent) error {
@@ -141,39 +141,39 @@
 	if k.text != nil {
 		k.text.WriteString(e.Text)
 	}
-	return k.event(e.Index, e.Text, nil)
+	return k.writeEvent(e.Index, e.Text, nil)
 }
 
-func (k *streamSink) event(index int, text string, finish *string) error {
+func (k *streamSink) writeEvent(index int, text string, finish *string) error {
 	b, err := json.Marshal(api.ChatChunk{
-		ID: k.chat.id, Object: objectChunk, Model: k.chat.ask.Model,
+		ID: k.chat.id, Object: objectChunk, Model: k.chat.params.Model,
 		Choices: []api.ChatChunkChoice{{Delta: api.ChatDelta{Content: text}, FinishReason: finish}},
 	})
 	if err != nil {
 		return fault.Wrap(fault.Internal, err, "encoding a chunk")
 	}
-	m := sse.Message{ID: sse.ID(k.place + strconv.Itoa(index))}
+	m := sse.Message{ID: sse.ID(k.idPrefix + strconv.Itoa(index))}
 	m.AppendData(string(b))
-	return k.write(&m)
+	return k.writeMessage(&m)
 }
 
-func (k *streamSink) write(m *sse.Message) error {
-	return k.timed(func() error {
+func (k *streamSink) writeMessage(m *sse.Message) error {
+	return k.withWriteDeadline(func() error {
 		_, err := m.WriteTo(k.writer)
 		return err
 	})
 }
 
-// timed does one write under the bound on slow readers. The writer may lose a
+// withWriteDeadline does one write under the bound on slow readers. The writer may lose a
 // failure and end the request's context instead, so a write that took long is
 // remembered.
-func (k *streamSink) timed(f func() error) error {
+func (k *streamSink) withWriteDeadline(f func() error) error {
 	limit := k.server.entrySettings.SlowReaderMS.Duration()
 	began := time.Now()
-	if began.Sub(k.bounded) >= limit/boundParts {
-		k.bounded = began
+	if began.Sub(k.deadlineSet) >= limit/deadlineRenewals {
+		k.deadlineSet = began
 		// A writer without deadlines is a test's.
-		_ = k.control.SetWriteDeadline(began.Add(limit))
+		_ = k.controller.SetWriteDeadline(began.Add(limit))
 	}
 	err := f()
 	if time.Since(began) >= limit/2 {
@@ -188,8 +188,8 @@
 	return nil
 }
 
-// boundParts is how often within the bound its deadline is set anew.
-const boundParts = 4
+// deadlineRenewals is how often within the bound its deadline is set anew.
+const deadlineRenewals = 4
 
 func (k *streamSink) Flush() error {
 	if k.flushed == k.count {
@@ -197,7 +197,7 @@
 	}
 	k.server.Metrics.Add(metric.TokensRelayed, int64(k.count-k.flushed))
 	k.flushed = k.count
-	return k.timed(k.control.Flush)
+	return k.withWriteDeadline(k.controller.Flush)
 }
 
 func (k *streamSink) End(e api.TokenEvent) {
@@ -208,19 +208,19 @@
 }
 
 func (k *streamSink) Finish() *fault.Error {
-	if err := k.event(int(k.count), "", &k.finish); err != nil {
+	if err := k.writeEvent(int(k.count), "", &k.finish); err != nil {
 		return fault.From(err).WithRan(api.RanYes)
 	}
 	m := sse.Message{}
-	m.AppendData(doneMark)
-	if err := k.write(&m); err != nil {
+	m.AppendData(doneMarker)
+	if err := k.writeMessage(&m); err != nil {
 		return fault.From(err).WithRan(api.RanYes)
 	}
 	if err := k.Flush(); err != nil {
 		return fault.From(err).WithRan(api.RanYes)
 	}
 	// The last events may hold no token, so they are flushed in any case.
-	_ = k.control.Flush()
+	_ = k.controller.Flush()
 	return nil
 }
 
@@ -235,11 +235,11 @@
 	m := sse.Message{Type: sse.Type(eventError)}
 	m.AppendData(string(b))
 	// A caller that is gone needs no answer.
-	_ = k.write(&m)
-	_ = k.control.Flush()
+	_ = k.writeMessage(&m)
+	_ = k.controller.Flush()
 }
 
-func (k *streamSink) Whole() []byte {
+func (k *streamSink) Completion() []byte {
 	if k.text == nil {
 		return nil
 	}
