--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -72,7 +72,7 @@
 	if err := wire.Parse(b, &c.params); err != nil {
 		return err
 	}
-	return c.check()
+	return c.validate()
 }
 
 // contentHash names what the completion asks for, the same for every attempt of its caller.
@@ -80,8 +80,8 @@
 	return quarantine.Hash(c.workspace.Name, http.MethodPost, "", PathChat, c.body)
 }
 
-// check finds the model and sizes the request.
-func (c *chat) check() error {
+// validate finds the model and sizes the request.
+func (c *chat) validate() error {
 	if len(c.params.Messages) == 0 {
 		return fault.New(fault.InvalidRequest, "messages has to hold at least one message")
 	}
@@ -100,10 +100,10 @@
 	if !c.workspace.MayUse(model, adapter) {
 		return fault.New(fault.NotAllowed, "the workspace may not use "+string(c.params.Model))
 	}
-	return c.size(model, adapter, spec)
+	return c.prepare(model, adapter, spec)
 }
 
-func (c *chat) size(model api.ModelName, adapter api.AdapterName, spec api.ModelSpec) error {
+func (c *chat) prepare(model api.ModelName, adapter api.AdapterName, spec api.ModelSpec) error {
 	p := prompt(c.params.Messages)
 	n := tokens(p)
 	if n >= spec.ContextTokens {
@@ -161,7 +161,7 @@
 		return false, err
 	}
 	if a != nil {
-		s.replay(w, c.request, a)
+		s.writeAnswer(w, c.request, a)
 		return true, nil
 	}
 	c.permit = p
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -30,8 +30,8 @@
 	return p, a, err
 }
 
-// replay answers with the kept answer of an earlier attempt.
-func (s *Server) replay(w http.ResponseWriter, q *request, a *claims.Answer) {
+// writeAnswer answers with the kept answer of an earlier attempt.
+func (s *Server) writeAnswer(w http.ResponseWriter, q *request, a *claims.Answer) {
 	h := w.Header()
 	h.Set(wire.HeaderRequest, string(q.id))
 	h.Set(wire.HeaderRan, string(api.RanYes))
--- a/internal/entry/relay_test.go
+++ b/internal/entry/relay_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestRelayIsWhole(t *testing.T) {
+func TestRelayDeliversEveryEvent(t *testing.T) {
 	w := httptest.NewRecorder()
 	b := &testing.B{}
 	relay(b, relayServer(), stream(50), w)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -62,7 +62,7 @@
 			return err
 		}
 		if a != nil {
-			s.replay(w, q, a)
+			s.writeAnswer(w, q, a)
 			return nil
 		}
 		s.runCall(ctx, w, c)
@@ -118,7 +118,7 @@
 		return
 	}
 	s.recordDone(c.request)
-	s.replay(w, c.request, a)
+	s.writeAnswer(w, c.request, a)
 }
 
 func (s *Server) recordCallOutcome(ctx context.Context, c *call, a *claims.Answer, err error) {
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -49,7 +49,7 @@
 	text   strings.Builder
 	count  api.Tokens
 	finish string
-	begun  bool
+	started  bool
 }
 
 func newBufferedSink(w http.ResponseWriter, c *chat) *bufferedSink {
@@ -64,11 +64,11 @@
 
 func (k *bufferedSink) Flush() error         { return nil }
 func (k *bufferedSink) End(e api.TokenEvent) { k.finish = e.Finish }
-func (k *bufferedSink) Started() bool        { return k.begun }
+func (k *bufferedSink) Started() bool        { return k.started }
 func (k *bufferedSink) Fail(*fault.Error)    {}
 
 func (k *bufferedSink) Finish() *fault.Error {
-	k.begun = true
+	k.started = true
 	h := k.writer.Header()
 	h.Set(wire.HeaderRequest, string(k.chat.id))
 	h.Set(wire.HeaderType, wire.TypeJSON)
