--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -19,7 +19,7 @@
 	"github.com/wardridge/wardridge/internal/trace"
 )
 
-// finished is the outcome of an attempt whose answer is whole.
+// finished is the action after an attempt that completed its answer.
 const finished answer.Action = -1
 
 // attempt is one generation on one engine.
@@ -31,14 +31,14 @@
 	engine api.ServerName
 
 	address string
-	// streamOpened is when the engine began to stream the generation.
+	// streamOpened is when the engine first opened a stream of the generation.
 	streamOpened time.Time
 	lastToken    time.Time
 	silenceTimer *time.Timer
 }
 
-// run generates until the answer is whole, has failed, or has to be tried
-// elsewhere, and gives the engine back.
+// run generates until the answer is complete, has failed or has to be retried elsewhere,
+// and then releases the engine.
 func (t *attempt) run(ctx context.Context) answer.Decision {
 	n := t.generate(ctx)
 	t.server.Broker.Finish(t.chat.id, api.Tokens(t.answer.NextIndex()), n.Action == finished)
@@ -66,6 +66,7 @@
 	return t.readStreams(ctx, t.openNew)
 }
 
+// openFunc opens a stream of the generation.
 type openFunc func(ctx context.Context) (*engine.Stream, error)
 
 func (t *attempt) openNew(ctx context.Context) (*engine.Stream, error) {
@@ -79,7 +80,8 @@
 	return t.server.Engines.Resume(ctx, t.address, t.answer.Generation(), t.answer.NextIndex())
 }
 
-// readStreams reads streams of one generation until it ends or must not go on.
+// readStreams reads streams of one generation, each from where the last one broke, until
+// the generation ends or can't be resumed.
 func (t *attempt) readStreams(ctx context.Context, o openFunc) answer.Decision {
 	for {
 		n, done := t.readStream(ctx, o)
@@ -88,14 +90,15 @@
 		}
 		t.server.Metrics.Add(metric.Resumes, 1)
 		t.server.Log.Emit(event.GenerationResumed, zap.String("request", string(t.chat.id)), zap.Int("from", t.answer.NextIndex()))
-		t.server.explain(t.chat.request, "resume", "the stream from "+string(t.engine)+" broke; it goes on from the next token")
-		// The end of the wait is judged by the next break.
+		t.server.explain(t.chat.request, "resume", "the stream from "+string(t.engine)+" broke; resuming it at the next token")
+		// If the context ends during the wait, the next stream fails to open, and that is
+		// handled as any other failure.
 		duty.Sleep(ctx, n.Wait)
 		o = t.openResumed
 	}
 }
 
-// readStream reads one stream; it reports true when the attempt is over.
+// readStream reads one stream. It returns true if the attempt is over.
 func (t *attempt) readStream(ctx context.Context, o openFunc) (answer.Decision, bool) {
 	x, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -130,7 +133,7 @@
 	return t.handleBreak(answer.Broken)
 }
 
-// maxSilence is the silence after which a stream counts as broken.
+// maxSilence returns the time without a token after which a stream counts as broken.
 func (t *attempt) maxSilence() time.Duration {
 	if t.answer.NextIndex() == 0 {
 		return t.server.engineSettings.FirstTokenMS.Duration()
@@ -138,12 +141,15 @@
 	return t.server.engineSettings.StallMS.Duration()
 }
 
+// handleBreak decides what to do after the stream broke. It returns true if the attempt is
+// over.
 func (t *attempt) handleBreak(c answer.Cause) (answer.Decision, bool) {
 	n := t.answer.Break(time.Now(), c)
 	return n, n.Action != answer.Resume
 }
 
-// handleOpenError judges a stream that could not be handleOpenError.
+// handleOpenError decides what to do after a stream could not be opened. It returns true
+// if the attempt is over.
 func (t *attempt) handleOpenError(ctx context.Context, err error) (answer.Decision, bool) {
 	var b *engine.StreamError
 	if !errors.As(err, &b) {
@@ -161,7 +167,8 @@
 	return n, done
 }
 
-// reportUnavailable tells the dispatcher of an engine that takes no work.
+// reportUnavailable tells the dispatcher that an engine refuses requests or can't be
+// reached.
 func (t *attempt) reportUnavailable(b *engine.StreamError) {
 	var r *engine.RefusalError
 	switch {
@@ -172,7 +179,8 @@
 	}
 }
 
-// contextEnded types the end of the caller's own context.
+// contextEnded returns the failure of a request whose caller has left or whose deadline
+// has passed.
 func (t *attempt) contextEnded(ctx context.Context) answer.Decision {
 	f := fault.New(fault.CallerGone, "the caller closed its connection")
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
@@ -181,7 +189,8 @@
 	return answer.Decision{Action: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
 }
 
-// handleEvent judges one event and passes its token on.
+// handleEvent handles one event of a stream and sends its token to the caller. It returns
+// false after the last event.
 func (t *attempt) handleEvent(e api.TokenEvent) (bool, error) {
 	switch t.answer.HandleEvent(e) {
 	case answer.Deliver:
@@ -199,10 +208,10 @@
 	}
 }
 
-// StallThreshold is the gap between tokens beyond which it counts as a stall.
+// StallThreshold is the gap between tokens above which the excess counts as a stall.
 const StallThreshold = 200 * time.Millisecond
 
-// progressInterval is the number of tokens after which the dispatcher is told.
+// progressInterval is the number of tokens between two progress updates to the dispatcher.
 const progressInterval = 16
 
 func (t *attempt) progress(e api.TokenEvent) {
@@ -220,7 +229,7 @@
 	}
 }
 
-// cancelGeneration tells the engine that nobody wants the generation any more.
+// cancelGeneration tells the engine that the generation is no longer needed.
 func (t *attempt) cancelGeneration(ctx context.Context) {
 	if t.address == "" {
 		return
@@ -229,7 +238,8 @@
 	t.server.Group.Go(func(context.Context) error {
 		d, cancel := detached(ctx)
 		defer cancel()
-		// An engine that can't be told ends an unread generation by itself.
+		// An engine that can't be reached ends the generation by itself, since nobody reads
+		// it.
 		_ = t.server.Engines.Cancel(d, address, g)
 		return nil
 	})
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -23,7 +23,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bytesPerToken estimates a prompt's tokens from its length.
+// bytesPerToken estimates the number of tokens in a prompt from its length.
 const bytesPerToken = 4
 
 // chat is one chat completion.
@@ -34,11 +34,11 @@
 	work          dispatch.Work
 	engineRequest api.GenerateRequest
 	permit        *claims.Permit
-	// engine is the engine of the present attempt.
+	// engine is the engine of the current attempt.
 	engine api.ServerName
 }
 
-// chat serves a chat completion.
+// chat handles a chat completion.
 func (s *Server) chat(w http.ResponseWriter, r *http.Request) {
 	q, err := s.readHead(r)
 	if err != nil {
@@ -62,7 +62,7 @@
 	})
 }
 
-// readChat reads and checks the body.
+// readChat reads and validates the body.
 func (s *Server) readChat(w http.ResponseWriter, r *http.Request, c *chat) error {
 	b, err := s.readBody(w, r)
 	if err != nil {
@@ -75,18 +75,20 @@
 	return c.validate()
 }
 
-// contentHash names what the completion asks for, the same for every attempt of its caller.
+// contentHash identifies the content of the completion. All attempts of its caller have
+// the same.
 func (c *chat) contentHash() api.ContentHash {
 	return quarantine.Hash(c.workspace.Name, http.MethodPost, "", PathChat, c.body)
 }
 
-// validate finds the model and sizes the request.
+// validate checks the parameters, and prepares the completion for the model and the
+// adapter that they name.
 func (c *chat) validate() error {
 	if len(c.params.Messages) == 0 {
-		return fault.New(fault.InvalidRequest, "messages has to hold at least one message")
+		return fault.New(fault.InvalidRequest, "messages must hold at least one message")
 	}
 	if c.params.MaxTokens < 0 {
-		return fault.New(fault.InvalidRequest, "max_tokens has to be 0 or more")
+		return fault.New(fault.InvalidRequest, "max_tokens must be 0 or more")
 	}
 	m, a, _ := strings.Cut(string(c.params.Model), ":")
 	model, adapter := api.ModelName(m), api.AdapterName(a)
@@ -103,11 +105,13 @@
 	return c.prepare(model, adapter, spec)
 }
 
+// prepare estimates the tokens of the completion, and sets the work for the dispatcher and
+// the request for the engine.
 func (c *chat) prepare(model api.ModelName, adapter api.AdapterName, spec api.ModelSpec) error {
 	p := prompt(c.params.Messages)
 	n := tokens(p)
 	if n >= spec.ContextTokens {
-		return fault.New(fault.TooLarge, fmt.Sprintf("the prompt has about %d tokens, the model takes %d in all", n, spec.ContextTokens))
+		return fault.New(fault.TooLarge, fmt.Sprintf("the prompt has about %d tokens, but the context of the model is limited to %d", n, spec.ContextTokens))
 	}
 	maxTokens := spec.ContextTokens - n
 	if c.params.MaxTokens > 0 {
@@ -141,7 +145,8 @@
 	return api.Tokens(len(s)/bytesPerToken + 1)
 }
 
-// sharedPrefix is the system message, which many requests begin with.
+// sharedPrefix returns the routing key and the length of the system message, with which
+// many requests begin.
 func sharedPrefix(c api.ChatRequest) (string, api.Tokens) {
 	m := c.Messages[0]
 	if m.Role != "system" {
@@ -150,8 +155,8 @@
 	return fmt.Sprintf("%s/%016x", c.Model, xxhash.Sum64String(m.Content)), tokens(m.Content)
 }
 
-// claimChat claims a completion that is not repeatable and has a key; it
-// reports true when the caller was served with a kept answer.
+// claimChat claims a completion that is not repeatable and has an idempotency key. It
+// returns true if it has sent the caller the recorded answer of an earlier attempt.
 func (s *Server) claimChat(ctx context.Context, w http.ResponseWriter, c *chat) (bool, error) {
 	if !c.notRepeatable || c.key == "" {
 		return false, nil
@@ -168,7 +173,7 @@
 	return false, nil
 }
 
-// complete runs a completion and gives the caller its outcome.
+// complete runs a completion and sends the caller its outcome.
 func (s *Server) complete(ctx context.Context, w http.ResponseWriter, c *chat) {
 	k := s.newSink(w, c)
 	f := s.run(ctx, c, k)
@@ -190,7 +195,8 @@
 	s.refuse(w, c.request, f)
 }
 
-// recordChatOutcome records the outcome of a claimed completion.
+// recordChatOutcome records the outcome of a claimed completion. The claim of a completion
+// that may have run without an answer stays as it is.
 func (s *Server) recordChatOutcome(ctx context.Context, c *chat, k sink, f *fault.Error) {
 	if c.permit == nil {
 		return
@@ -212,12 +218,13 @@
 	return newBufferedSink(w, c)
 }
 
-// policy bounds what an answer may try.
+// policy returns the limits on the attempts of an answer.
 func (s *Server) policy(c *chat) answer.Policy {
 	return answer.Policy{Repeatable: !c.notRepeatable, MaxResumeTime: s.engineSettings.ResumeMS.Duration(), Deadline: c.deadline}
 }
 
-// run finds an engine, generates, and tries again or resumes as decided.
+// run finds an engine, generates the answer there, and retries on other engines as
+// decided.
 func (s *Server) run(ctx context.Context, c *chat, k sink) *fault.Error {
 	a := answer.New(s.policy(c))
 	acquire := s.Broker.Acquire
@@ -239,11 +246,11 @@
 		switch n.Action {
 		case answer.Retry:
 			if !s.Contents.MayGoOn(c.contentHash) {
-				return fault.New(fault.OutcomeUnknown, "servers ended while they ran requests of this content").WithRan(a.Ran())
+				return fault.New(fault.OutcomeUnknown, "servers crashed while they ran requests with this content").WithRan(a.Ran())
 			}
 			s.Metrics.Add(metric.Retries, 1)
 			s.Log.Emit(event.GenerationRetried, zap.String("request", string(c.id)), zap.String("content", string(c.contentHash())), zap.String("server", string(g.Server)))
-			s.explain(c.request, "retry", "the attempt on "+string(g.Server)+" broke before its first token")
+			s.explain(c.request, "retry", "the attempt on "+string(g.Server)+" failed before its first token")
 			c.work.Avoid = g.Server
 			acquire = s.Broker.Again
 		case answer.Fail:
@@ -254,8 +261,8 @@
 	}
 }
 
-// dispatchFault types a request that got no engine; an earlier attempt of it may
-// have run all the same.
+// dispatchFault returns the fault of a request that got no engine. An earlier attempt of
+// the request may have run.
 func (s *Server) dispatchFault(ctx context.Context, a *answer.Answer, err error) *fault.Error {
 	f := fault.From(err)
 	if f.Code == fault.CallerGone && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -10,7 +10,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// claim makes the claim of a request that is not repeatable.
+// claim claims a request that is not repeatable. It returns a permit to send the request,
+// or the recorded answer of an earlier attempt.
 func (s *Server) claim(ctx context.Context, q *request, hash string) (*claims.Permit, *claims.Answer, error) {
 	ctx, span := trace.Start(ctx, "claim")
 	defer span.End()
@@ -23,14 +24,15 @@
 	case err != nil:
 		s.explain(q, "claim", err.Error())
 	case a != nil:
-		s.explain(q, "claim", "an earlier attempt was answered; its answer is given again")
+		s.explain(q, "claim", "an earlier attempt was answered; its recorded answer is sent again")
 	default:
-		s.explain(q, "claim", "recorded before the send")
+		s.explain(q, "claim", "recorded before the request is sent")
 	}
 	return p, a, err
 }
 
-// writeAnswer answers with the kept answer of an earlier attempt.
+// writeAnswer sends a complete answer, which may be the recorded answer of an earlier
+// attempt.
 func (s *Server) writeAnswer(w http.ResponseWriter, q *request, a *claims.Answer) {
 	h := w.Header()
 	h.Set(wire.HeaderRequest, string(q.id))
@@ -43,6 +45,6 @@
 		status = http.StatusOK
 	}
 	w.WriteHeader(status)
-	// A caller that is gone needs no answer.
+	// The write fails only if the caller has left, which needs no handling.
 	_, _ = w.Write(a.Body)
 }
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,3 +1,3 @@
-// Package entry is the callers' side: chat completions, resumed streams and
-// plain services.
+// Package entry serves callers: chat completions, the resumption of their streams, and
+// calls to plain services.
 package entry
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -15,7 +15,7 @@
 
 const fuzzKey = "key"
 
-// fuzzServer knows one workspace and one model, and no engine.
+// fuzzServer creates a server with one workspace, one model and no engine.
 func fuzzServer() *Server {
 	s := relayServer()
 	s.entrySettings = api.EntrySettings{BodyLimitKB: 16, DeadlineMS: 1000, HeaderWaitMS: 1000}
@@ -33,8 +33,8 @@
 	return s
 }
 
-// FuzzChat sends any body, key and headers: nobody gets in without the key,
-// and every answer is a typed refusal, as there is no engine.
+// FuzzChat sends arbitrary bodies, keys and headers. No request is accepted without the
+// key, and each answer is a typed refusal, since there is no engine.
 func FuzzChat(f *testing.F) {
 	f.Add(`{"model":"desk","messages":[{"role":"user","content":"x"}]}`, fuzzKey, "interactive", "100")
 	f.Add(`{"model":"desk:","messages":[{}]}`, fuzzKey, "", "-1")
--- a/internal/entry/relay_test.go
+++ b/internal/entry/relay_test.go
@@ -22,7 +22,7 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// discardWriter is a response writer that keeps nothing.
+// discardWriter is a response writer that discards what is written.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header         { return d.header }
@@ -30,6 +30,7 @@
 func (d discardWriter) WriteHeader(int)             {}
 func (d discardWriter) Flush()                      {}
 
+// stream encodes an engine's stream of a number of tokens.
 func stream(tokens int) []byte {
 	var b bytes.Buffer
 	for i := range tokens + 1 {
@@ -43,7 +44,7 @@
 	return b.Bytes()
 }
 
-// relay passes one stream on, from the engine's bytes to the caller's.
+// relay reads one encoded stream of an engine and sends it to the caller.
 func relay(b *testing.B, s *Server, body []byte, w http.ResponseWriter) {
 	b.Helper()
 	c := &chat{request: &request{id: "r", workspace: config.Workspace{Name: "w"}, started: time.Now()}, engine: "e"}
@@ -67,7 +68,7 @@
 	return New(Options{Settings: set, Log: event.Discard(), Metrics: metric.New(), Broker: broker.New(d), Explain: explain.New("a", 1)})
 }
 
-// BenchmarkRelayToken is the work on one token without the sockets.
+// BenchmarkRelayToken measures the work for one token without the network.
 func BenchmarkRelayToken(b *testing.B) {
 	s := relayServer()
 	const tokens = 1000
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -16,17 +16,17 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Bounds of what callers may put into headers.
+// Limits of the header values that callers may send.
 const (
 	maxKeyBytes  = 256
 	maxKindBytes = 64
 	maxTimeout   = 2 * time.Hour
 )
 
-// defaultKind is the kind of requests that name none.
+// defaultKind is the kind of a request that does not name one.
 const defaultKind = "default"
 
-// request is what is known of a request from its head.
+// request is what the headers of a request tell, and the workspace that it belongs to.
 type request struct {
 	id            api.RequestID
 	workspace     config.Workspace
@@ -37,11 +37,12 @@
 	deadline      time.Time
 	key           string
 	notRepeatable bool
-	// resumed tells that its generation runs whatever becomes of this call.
+	// resumed is set if the request resumes a generation, which runs regardless of what
+	// happens to this request.
 	resumed bool
 }
 
-// readHead reads a request's readHead and finds its workspace by its key.
+// readHead reads the headers of a request and finds its workspace by the caller's key.
 func (s *Server) readHead(r *http.Request) (*request, error) {
 	v := s.View()
 	w, err := authenticate(v, r)
@@ -78,7 +79,7 @@
 }
 
 func invalidHeader(header, allowed string) error {
-	return fault.New(fault.InvalidHeader, header+" has to be "+allowed)
+	return fault.New(fault.InvalidHeader, header+" must be "+allowed)
 }
 
 func (s *Server) readDeadline(q *request, h http.Header) error {
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// readPriority takes the workspace's own priority unless a lower one is named.
+// readPriority sets the priority of the workspace, or a lower one if the request names it.
 func readPriority(q *request, h http.Header) error {
 	q.priority = q.workspace.Priority
 	v := api.Priority(h.Get(wire.HeaderPriority))
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -18,12 +18,12 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Event ids tell where a stream comes from, so that any entry VM can go on
-// with it: model.generation.server.mac.index, each part in base64 but the
-// last.
+// An event id tells where its stream comes from, so that any entry VM can resume the
+// stream: model.generation.server.mac.index. All parts except the index are encoded in
+// base64.
 const eventIDParts = 5
 
-// eventIDPrefix is the part of an event id before the index.
+// eventIDPrefix returns the part of an event id before the index.
 func (c *chat) eventIDPrefix(g api.GenerationID) string {
 	l := []string{string(c.params.Model), string(g), string(c.engine)}
 	mac := c.sign(l)
@@ -33,14 +33,16 @@
 	return strings.Join(append(l, base64.RawURLEncoding.EncodeToString(mac)), ".") + "."
 }
 
-// sign binds a place to the workspace, so that no other can read its stream.
+// sign returns a MAC of the request id and the parts of an event id, with a key of the
+// workspace, so that no other workspace can read the stream.
 func (r *request) sign(parts []string) []byte {
 	h := hmac.New(sha256.New, []byte(r.workspace.KeySha256))
 	h.Write([]byte(strings.Join(append([]string{string(r.id)}, parts...), "\x00")))
 	return h.Sum(nil)
 }
 
-// parseEventID reads an event id back; next is the index after the event's.
+// parseEventID decodes and verifies an event id, and sets the model and the engine from
+// it. The returned index is the one after the event.
 func (c *chat) parseEventID(id string) (g api.GenerationID, next int, err error) {
 	unknown := fault.New(fault.UnknownStream, wire.HeaderLastEvent+" is not an event id of this request")
 	l := strings.Split(id, ".")
@@ -68,7 +70,8 @@
 	return api.GenerationID(d[1]), n + 1, nil
 }
 
-// resume goes on with a stream whose connection or entry VM was lost.
+// resume handles the request of a caller to resume a stream after the connection or the
+// entry VM was lost.
 func (s *Server) resume(w http.ResponseWriter, r *http.Request) {
 	q, err := s.readHead(r)
 	if err != nil {
@@ -91,10 +94,12 @@
 	})
 }
 
+// resumeStream streams a generation to the caller, starting at the token with the index
+// next.
 func (s *Server) resumeStream(ctx context.Context, w http.ResponseWriter, c *chat, g api.GenerationID, next int) {
 	v, ok := s.View().Servers[c.engine]
 	if !ok {
-		s.refuse(w, c.request, fault.New(fault.GenerationLost, "the engine of this stream is gone"))
+		s.refuse(w, c.request, fault.New(fault.GenerationLost, "the engine of this stream is no longer declared"))
 		return
 	}
 	k := newStreamSink(s, w, c)
@@ -103,7 +108,7 @@
 		server: s, chat: c, sink: k, engine: c.engine, address: v.Address,
 		answer: answer.NewResumed(s.policy(c), g, next), lastToken: time.Now(),
 	}
-	s.explain(c.request, "resume", "the caller came back for token "+strconv.Itoa(next)+" of "+string(c.engine))
+	s.explain(c.request, "resume", "the caller resumes the stream from "+string(c.engine)+" at token "+strconv.Itoa(next))
 	n := t.readStreams(ctx, t.openResumed)
 	f := n.Fault
 	if n.Action == finished {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -33,14 +33,14 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Paths of the callers' interface.
+// Paths of the HTTP interface for callers.
 const (
 	PathChat     = "/v1/chat/completions"
 	PathServices = "/services"
 	PathHealth   = "/healthz"
 )
 
-// Options are what the callers' side works with.
+// Options are the settings, the clients and the shared state that a Server works with.
 type Options struct {
 	Settings  api.Settings
 	Log       *event.Log
@@ -52,17 +52,19 @@
 	Claims    *claims.Keeper
 	Explain   *explain.Recorder
 	Group     *duty.Group
-	// Deadlines end requests at their callers' times; nil makes some by the boot clock.
+	// Deadlines cancels requests at their deadlines. If it is nil, New creates one that uses
+	// the boot clock.
 	Deadlines *clock.Deadlines
-	// Contents knows the contents that end servers; nil makes a guard of its own.
+	// Contents detects contents that crash servers. If it is nil, New creates a separate
+	// guard.
 	Contents *contents.Guard
-	// KeepAliveClient sends calls over connections that are kept.
+	// KeepAliveClient sends calls over reused connections.
 	KeepAliveClient *http.Client
 	// SingleUseClient sends each call over a connection of its own.
 	SingleUseClient *http.Client
 }
 
-// Server serves callers.
+// Server serves the requests of callers.
 type Server struct {
 	Options
 	entrySettings  api.EntrySettings
@@ -76,7 +78,7 @@
 	retryBudget *retry.Budget
 }
 
-// New makes the callers' side.
+// New creates a server for callers.
 func New(p Options) *Server {
 	if p.Deadlines == nil {
 		p.Deadlines = clock.NewDeadlines(clock.Boot)
@@ -91,7 +93,7 @@
 	}
 }
 
-// Handler routes the callers' interface.
+// Handler routes the requests of callers.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get(PathHealth, s.health)
@@ -111,7 +113,8 @@
 	return trace.Handler("caller", r, otelhttp.WithFilter(func(r *http.Request) bool { return r.URL.Path != PathHealth }))
 }
 
-// health answers the balancer.
+// health answers the health checks of the load balancer, which succeed while this entry VM
+// is serving.
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
 	if st := s.Lifecycle.State(); st != api.PeerStateServing {
 		f := fault.New(fault.Stopping, "this entry VM is "+string(st))
@@ -121,8 +124,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// middleware lets a request in, bounds the time its body may take, and keeps a
-// panic to the one request.
+// middleware admits a request, limits the time to read its body, and recovers from panics
+// of its handler.
 func (s *Server) middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		leave, f := s.Lifecycle.Enter()
@@ -135,13 +138,14 @@
 		defer s.recoverPanic(w)
 		s.Metrics.Add(metric.RequestsTotal, 1)
 		c := http.NewResponseController(w)
-		// A writer without deadlines is a test's.
+		// Only the response writers of tests don't support deadlines.
 		_ = c.SetReadDeadline(time.Now().Add(s.entrySettings.HeaderWaitMS.Duration()))
 		next.ServeHTTP(w, r)
 	})
 }
 
-// recoverPanic answers a request whose handler panicked.
+// recoverPanic answers a request whose handler panicked. It passes http.ErrAbortHandler
+// on.
 func (s *Server) recoverPanic(w http.ResponseWriter) {
 	v := recover()
 	if v == nil {
@@ -151,10 +155,10 @@
 		panic(v)
 	}
 	s.Log.Emit(event.HandlerPanicked, zap.Any("panic", v), zap.ByteString("stack", debug.Stack()))
-	wire.Refuse(w, fault.New(fault.Internal, "a defect of the system"), "")
+	wire.Refuse(w, fault.New(fault.Internal, "internal error"), "")
 }
 
-// readBody reads a request's readBody and lifts the bound on the time it may take.
+// readBody reads the body of a request, and then removes the deadline for reading it.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	const kilo = 1024
 	b, err := wire.Body(w, r, int64(s.entrySettings.BodyLimitKB)*kilo)
@@ -165,7 +169,7 @@
 	return b, nil
 }
 
-// Declare takes a view: the servers of plain services and the workspaces.
+// Declare applies a configuration: the servers of plain services and the workspaces.
 func (s *Server) Declare(v *config.View) {
 	var l []backend.Server
 	for n, x := range v.Servers {
@@ -184,14 +188,15 @@
 	})
 }
 
-// SetListedLeaving notes whether the platform's list says that a server is leaving.
+// SetListedLeaving sets whether a server is leaving by the platform's list.
 func (s *Server) SetListedLeaving(n api.ServerName, leaving bool) {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
 	s.servers.SetListedLeaving(n, leaving)
 }
 
-// SetMembers sets the number of entry VMs that share the limits of workspaces and servers.
+// SetMembers sets the number of entry VMs, which share the limits of workspaces and
+// servers.
 func (s *Server) SetMembers(n int) {
 	s.limitMutex.Lock()
 	s.limiter.SetMembers(n)
@@ -201,13 +206,14 @@
 	s.servers.SetMembers(time.Now(), n)
 }
 
-// admit holds a workspace to its limits; the clean-up ends the request.
+// admit applies the limits of a workspace to a request. The returned function ends the
+// request.
 func (s *Server) admit(w config.Workspace) (func(), error) {
 	b := limit.Quota{RequestsPerSecond: w.RequestsPerSecond, ConcurrentRequests: w.Concurrent}
 	s.limitMutex.Lock()
 	defer s.limitMutex.Unlock()
 	if d, ok := s.limiter.Acquire(time.Now(), w.Name, b); !ok {
-		return nil, fault.New(fault.LimitReached, "the workspace is at its limit").After(max(d, time.Millisecond))
+		return nil, fault.New(fault.LimitReached, "the workspace has reached its limit").After(max(d, time.Millisecond))
 	}
 	return func() {
 		s.limitMutex.Lock()
@@ -216,8 +222,8 @@
 	}, nil
 }
 
-// runAdmitted runs a request within its workspace's limits and its deadline, and
-// refuses it with the failure that f gives.
+// runAdmitted runs f within the limits of the request's workspace and the deadline of the
+// request. If the limits are reached or f fails, it answers the request with the fault.
 func (s *Server) runAdmitted(w http.ResponseWriter, r *http.Request, q *request, f func(ctx context.Context) error) {
 	done, err := s.admit(q.workspace)
 	if err != nil {
@@ -232,7 +238,7 @@
 	}
 }
 
-// refuse answers a failed request that has sent nothing to its caller yet.
+// refuse answers a failed request of which the caller has received nothing yet.
 func (s *Server) refuse(w http.ResponseWriter, q *request, err error) {
 	f := fault.From(err)
 	id := api.RequestID("")
@@ -247,24 +253,27 @@
 	wire.Refuse(w, f, id)
 }
 
-// recordDone counts a request that was answered whole.
+// recordDone counts and logs a request that was answered completely.
 func (s *Server) recordDone(q *request) {
 	s.Metrics.Add(metric.RequestsDone, 1)
 	s.explain(q, "done", "answered whole")
 	s.Log.Emit(event.RequestDone, zap.String("request", string(q.id)), zap.String("workspace", string(q.workspace.Name)), zap.Duration("took", time.Since(q.started)))
 }
 
+// recordFailure counts and logs a request that failed.
 func (s *Server) recordFailure(f *fault.Error, id api.RequestID) {
 	e, m := ending.Of(f)
 	s.Metrics.Add(m, 1)
 	s.Log.Emit(e, zap.String("request", string(id)), zap.String("type", f.Code.Kind().Type), zap.Int("code", int(f.Code)), zap.String("ran", string(f.Ran)), zap.Error(f))
 }
 
+// explain adds a step to the explanation of a request.
 func (s *Server) explain(q *request, step, detail string) {
 	s.Explain.Note(q.id, step, detail)
 }
 
-// detached gives a context that outlives the caller for a short call.
+// detached returns a context for a short call that has to complete even if the caller has
+// left.
 func detached(ctx context.Context) (context.Context, context.CancelFunc) {
 	const wait = 5 * time.Second
 	return context.WithTimeout(context.WithoutCancel(ctx), wait)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -24,14 +24,14 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// maxAnswerBytes bounds the answers of plain services, which are held whole so
-// that a caller never gets a part of one.
+// maxAnswerBytes limits the answers of plain services, which are buffered completely so
+// that a caller never receives part of an answer.
 const maxAnswerBytes = 16 << 20
 
-// forwardedHeaders are the request headers that plain services see.
+// forwardedHeaders are the request headers that are sent on to plain services.
 var forwardedHeaders = []string{wire.HeaderType, "Accept", "Accept-Language", "User-Agent", wire.HeaderIdempotency}
 
-// call is one call of a plain service.
+// call is one call to a plain service.
 type call struct {
 	*request
 	service config.Service
@@ -44,7 +44,7 @@
 	tried   []api.ServerName
 }
 
-// service serves a call of a plain service.
+// service handles a call to a plain service.
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
 	q, err := s.readHead(r)
 	if err != nil {
@@ -91,13 +91,14 @@
 	return c, nil
 }
 
-// contentHash names what the call asks for, the same for every attempt of its caller.
+// contentHash identifies the content of the call. All attempts of its caller have the
+// same.
 func (c *call) contentHash() api.ContentHash {
 	return quarantine.Hash(c.workspace.Name, c.method, string(c.service.Name), c.path+"?"+c.query, c.body)
 }
 
-// claimCall claims a call that is not repeatable and has a key; a call without
-// a key is sent at most once by this entry VM, and asking again is a new call.
+// claimCall claims a call that is not repeatable and has an idempotency key. Without a
+// key, this entry VM sends the call at most once, and a retry by the caller is a new call.
 func (s *Server) claimCall(ctx context.Context, c *call) (*claims.Answer, error) {
 	if !c.notRepeatable || c.key == "" {
 		return nil, nil
@@ -107,7 +108,8 @@
 	return a, err
 }
 
-// runCall runs the call, records a claimed one's outcome, and answers.
+// runCall runs the call, records the outcome if the call is claimed, and answers the
+// caller.
 func (s *Server) runCall(ctx context.Context, w http.ResponseWriter, c *call) {
 	a, err := s.callWithRetries(ctx, c)
 	if c.permit != nil {
@@ -121,6 +123,8 @@
 	s.writeAnswer(w, c.request, a)
 }
 
+// recordCallOutcome records the outcome of a claimed call. The claim of a call that may
+// have run without an answer stays as it is.
 func (s *Server) recordCallOutcome(ctx context.Context, c *call, a *claims.Answer, err error) {
 	d, cancel := detached(ctx)
 	defer cancel()
@@ -132,8 +136,8 @@
 	}
 }
 
-// callWithRetries sends the call to one server after the other while it may be repeated
-// or provably was not sent.
+// callWithRetries sends the call to one server after another, as long as the call is
+// repeatable or provably was not sent.
 func (s *Server) callWithRetries(ctx context.Context, c *call) (*claims.Answer, error) {
 	d := decide.New(c.notRepeatable)
 	for {
@@ -170,7 +174,7 @@
 	}
 }
 
-// outcome types an attempt's failure.
+// outcome classifies the error of a failed attempt.
 func outcome(err error) decide.Outcome {
 	switch {
 	case fault.Has(err, fault.NotStarted):
@@ -193,7 +197,7 @@
 	return x
 }
 
-// takeRetry takes one retry out of the budget.
+// takeRetry takes one retry out of the retry budget, and reports false if none is left.
 func (s *Server) takeRetry() bool {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
@@ -206,7 +210,7 @@
 	s.servers.Done(time.Now(), n, err != nil)
 }
 
-// sendAttempt makes one attempt on one server.
+// sendAttempt sends the call to one server.
 func (s *Server) sendAttempt(ctx context.Context, c *call, n api.ServerName) (*claims.Answer, error) {
 	v, ok := s.View().Servers[n]
 	if !ok {
@@ -222,7 +226,7 @@
 	}
 	r, err := http.NewRequestWithContext(ctx, c.method, u, bytes.NewReader(c.body))
 	if err != nil {
-		return nil, fault.Wrap(fault.NotStarted, err, "making the call")
+		return nil, fault.Wrap(fault.NotStarted, err, "creating the request")
 	}
 	for _, h := range forwardedHeaders {
 		if x := c.header.Get(h); x != "" {
@@ -237,8 +241,8 @@
 	return s.roundTrip(r, c, n)
 }
 
-// clientFor picks how a call is sent. The transport itself may repeat a call on a
-// kept connection, so one that is not repeatable has a connection of its own.
+// clientFor returns the client for a call. The transport may repeat a request by itself on
+// a reused connection, so a call that is not repeatable gets a connection of its own.
 func (s *Server) clientFor(c *call) *http.Client {
 	if c.notRepeatable {
 		return s.SingleUseClient
@@ -256,13 +260,13 @@
 	s.noteSignals(began, n, signalHeaders.Signals(a.StatusCode, a.Header))
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err != nil {
-		return nil, fault.Wrap(fault.BadAnswer, err, "the answer was cut short")
+		return nil, fault.Wrap(fault.BadAnswer, err, "the answer ended early")
 	}
 	if len(b) > maxAnswerBytes {
 		return nil, fault.New(fault.BadAnswer, "the answer is too large")
 	}
 	if id := a.Header.Get(wire.HeaderRequest); id != "" && id != string(c.id) {
-		// The rest of this connection can't be trusted either.
+		// Later answers on this connection can't be trusted either.
 		a.Close = true
 		s.Log.Emit(event.RequestFailed, zap.String("request", string(c.id)), zap.String("answered", id))
 		return nil, fault.New(fault.BadAnswer, "the answer belongs to another request")
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -12,10 +12,12 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// signalHeaders are the headers in which the servers of plain services say something of themselves.
+// signalHeaders are the headers in which the servers of plain services announce limits,
+// backoffs and that they are leaving.
 var signalHeaders = port.SignalHeaders{Limit: wire.HeaderLimit, Leaving: wire.HeaderLeaving, Rest: wire.HeaderRetryAfter}
 
-// noteSignals takes what a server says of itself in the answer to a call that was sent at a time.
+// noteSignals applies what a server announces in the answer to a call that was sent at
+// sent.
 func (s *Server) noteSignals(sent time.Time, n api.ServerName, x port.Signals) {
 	if x.Unreadable != "" {
 		s.Log.Emit(event.SignalUnreadable, zap.String("server", string(n)), zap.String("text", x.Unreadable))
@@ -27,7 +29,7 @@
 		s.noteBackoff(n, x.Rest)
 	}
 	if !x.Limited && x.Unreadable != "" {
-		// It may be the limit that can't be read.
+		// The unreadable signal may be the limit, so this answer does not withdraw a limit.
 		return
 	}
 	s.serverMutex.Lock()
@@ -38,19 +40,19 @@
 	}
 }
 
-// logLimit logs a limit that is new here.
+// logLimit logs a limit, or its withdrawal, that is new to this entry VM.
 func (s *Server) logLimit(n api.ServerName, named bool, perSecond float64, ofPeer bool) {
 	s.Log.Emit(event.ServerLimit, zap.String("server", string(n)), zap.Bool("limited", named), zap.Float64("per_second", perSecond), zap.Bool("of_peer", ofPeer))
 }
 
-// Limits lists what servers have named, for peers.
+// Limits lists the limits that servers have announced, for peers.
 func (s *Server) Limits() []api.ServerLimit {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
 	return s.servers.Limits(time.Now())
 }
 
-// MergeLimits takes what servers have named to a peer.
+// MergeLimits applies the limits that servers have announced to a peer.
 func (s *Server) MergeLimits(l []api.ServerLimit) {
 	for _, x := range l {
 		s.serverMutex.Lock()
@@ -62,30 +64,32 @@
 	}
 }
 
-// AnnouncedLeaving lists the servers that said in an answer to this entry VM that they leave.
+// AnnouncedLeaving lists the servers that have announced, in an answer to this entry VM,
+// that they are leaving.
 func (s *Server) AnnouncedLeaving() []api.ServerName {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
 	return s.servers.AnnouncedLeaving(time.Now())
 }
 
-// MergeLeaving takes servers that said in an answer to a peer that they leave.
+// MergeLeaving applies the announcements of servers that they are leaving, made in answers
+// to a peer.
 func (s *Server) MergeLeaving(l []api.ServerName) {
 	for _, n := range l {
 		s.noteLeaving(n, false)
 	}
 }
 
-func (s *Server) noteLeaving(n api.ServerName, here bool) {
+func (s *Server) noteLeaving(n api.ServerName, announcedHere bool) {
 	s.serverMutex.Lock()
-	changed := s.servers.NoteLeaving(time.Now(), n, here)
+	changed := s.servers.NoteLeaving(time.Now(), n, announcedHere)
 	s.serverMutex.Unlock()
 	if changed {
 		s.Log.Emit(event.ServerNotice, zap.String("server", string(n)))
 	}
 }
 
-// noteBackoff takes the rest that a server asked this entry VM for.
+// noteBackoff applies the backoff that a server has requested from this entry VM.
 func (s *Server) noteBackoff(n api.ServerName, d time.Duration) {
 	s.Log.Emit(event.ServerRest, zap.String("server", string(n)), zap.Duration("rest", d))
 	s.serverMutex.Lock()
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Names of objects in the chat completions API.
+// Values of fields in the chat completions API.
 const (
 	objectChunk      = "chat.completion.chunk"
 	objectCompletion = "chat.completion"
@@ -24,32 +24,32 @@
 	roleAssistant    = "assistant"
 )
 
-// sink takes the tokens of one answer.
+// sink sends the tokens of one answer to its caller.
 type sink interface {
-	// Token takes the next token.
+	// Token adds the next token.
 	Token(e api.TokenEvent) error
-	// Flush sends what was taken; it is called before each wait.
+	// Flush sends the tokens added so far. It is called before each wait for more tokens.
 	Flush() error
-	// End takes the end of the generation.
+	// End records the end of the generation.
 	End(e api.TokenEvent)
-	// Finish ends a whole answer.
+	// Finish completes an answer that has all its tokens.
 	Finish() *fault.Error
-	// Started reports whether the caller was sent anything.
+	// Started reports whether anything was sent to the caller.
 	Started() bool
-	// Fail ends an answer that was begun with a fault.
+	// Fail ends a started answer with a fault.
 	Fail(f *fault.Error)
-	// Completion is the answer in one message, for a claim's record.
+	// Completion returns the answer as a single message, to record it with a claim.
 	Completion() []byte
 }
 
-// bufferedSink gathers an answer that is not streamed.
+// bufferedSink collects an answer that is not streamed, and sends it at the end.
 type bufferedSink struct {
-	writer http.ResponseWriter
-	chat   *chat
-	text   strings.Builder
-	count  api.Tokens
-	finish string
-	started  bool
+	writer  http.ResponseWriter
+	chat    *chat
+	text    strings.Builder
+	count   api.Tokens
+	finish  string
+	started bool
 }
 
 func newBufferedSink(w http.ResponseWriter, c *chat) *bufferedSink {
@@ -99,7 +99,7 @@
 	return b
 }
 
-// streamSink passes tokens on as they come.
+// streamSink streams the tokens to the caller as they arrive.
 type streamSink struct {
 	server      *Server
 	writer      http.ResponseWriter
@@ -110,7 +110,7 @@
 	count       api.Tokens
 	flushed     api.Tokens
 	finish      string
-	begun       bool
+	started     bool
 	deadlineSet time.Time
 	slow        bool
 }
@@ -118,7 +118,7 @@
 func newStreamSink(s *Server, w http.ResponseWriter, c *chat) *streamSink {
 	k := &streamSink{server: s, writer: w, controller: http.NewResponseController(w), chat: c}
 	if c.permit != nil {
-		// Only a claimed answer is kept.
+		// The text is needed only to record it with a claim.
 		k.text = &strings.Builder{}
 	}
 	return k
@@ -129,12 +129,12 @@
 	h.Set(wire.HeaderRequest, string(k.chat.id))
 	h.Set(wire.HeaderType, wire.TypeEvents)
 	h.Set("Cache-Control", "no-store")
-	k.begun = true
+	k.started = true
 	k.idPrefix = k.chat.eventIDPrefix(g)
 }
 
 func (k *streamSink) Token(e api.TokenEvent) error {
-	if !k.begun {
+	if !k.started {
 		k.begin(e.Generation)
 	}
 	k.count++
@@ -164,15 +164,15 @@
 	})
 }
 
-// withWriteDeadline does one write under the bound on slow readers. The writer may lose a
-// failure and end the request's context instead, so a write that took long is
-// remembered.
+// withWriteDeadline runs one write within the time limit for slow readers. The writer may
+// lose the error and cancel the context of the request instead, so a write that took long
+// is remembered.
 func (k *streamSink) withWriteDeadline(f func() error) error {
 	limit := k.server.entrySettings.SlowReaderMS.Duration()
 	began := time.Now()
 	if began.Sub(k.deadlineSet) >= limit/deadlineRenewals {
 		k.deadlineSet = began
-		// A writer without deadlines is a test's.
+		// Only the response writers of tests don't support deadlines.
 		_ = k.controller.SetWriteDeadline(began.Add(limit))
 	}
 	err := f()
@@ -188,7 +188,8 @@
 	return nil
 }
 
-// deadlineRenewals is how often within the bound its deadline is set anew.
+// deadlineRenewals is how often, at most, the write deadline is renewed within the time
+// limit.
 const deadlineRenewals = 4
 
 func (k *streamSink) Flush() error {
@@ -201,7 +202,7 @@
 }
 
 func (k *streamSink) End(e api.TokenEvent) {
-	if !k.begun {
+	if !k.started {
 		k.begin(e.Generation)
 	}
 	k.finish = e.Finish
@@ -219,14 +220,14 @@
 	if err := k.Flush(); err != nil {
 		return fault.From(err).WithRan(api.RanYes)
 	}
-	// The last events may hold no token, so they are flushed in any case.
+	// Flush above does nothing without new tokens, but the last events have none.
 	_ = k.controller.Flush()
 	return nil
 }
 
-func (k *streamSink) Started() bool { return k.begun }
+func (k *streamSink) Started() bool { return k.started }
 
-// Fail ends the stream at once with a typed event.
+// Fail ends the stream immediately with an error event.
 func (k *streamSink) Fail(f *fault.Error) {
 	b, err := json.Marshal(f.Body(k.chat.id))
 	if err != nil {
@@ -234,7 +235,7 @@
 	}
 	m := sse.Message{Type: sse.Type(eventError)}
 	m.AppendData(string(b))
-	// A caller that is gone needs no answer.
+	// A failed write needs no handling: the caller has left or does not read.
 	_ = k.writeMessage(&m)
 	_ = k.controller.Flush()
 }
