--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -108,7 +108,7 @@
 		server: s, chat: c, sink: k, engine: c.engine, address: v.Address,
 		answer: answer.NewResumed(s.policy(c), g, next), lastToken: time.Now(),
 	}
-	s.explain(c.request, "resume", "the caller resumes the stream from "+string(c.engine)+" at token "+strconv.Itoa(next))
+	s.explain(c.request, "resume", "the caller resumes at token "+strconv.Itoa(next)+" of the stream from "+string(c.engine))
 	n := t.readStreams(ctx, t.openResumed)
 	f := n.Fault
 	if n.Action == finished {
