--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// keepDefault is how long a connection is kept when the server does not say
+	// defaultIdleTimeout is how long a connection is kept when the server does not say
 	// when it closes idle ones.
-	keepDefault = 2 * time.Second
-	// keepMargin is subtracted from the time that a server names: the answer's
+	defaultIdleTimeout = 2 * time.Second
+	// idleTimeoutMargin is subtracted from the time that a server names: the answer's
 	// way, and the request's.
-	keepMargin = 500 * time.Millisecond
-	// surplusLimit bounds the answers of earlier requests that are skipped.
-	surplusLimit = 4
-	// surplusBytes bounds one such answer.
-	surplusBytes = 1 << 20
+	idleTimeoutMargin = 500 * time.Millisecond
+	// maxStaleAnswers bounds the answers of earlier requests that are skipped.
+	maxStaleAnswers = 4
+	// maxStaleAnswerBytes bounds one such answer.
+	maxStaleAnswerBytes = 1 << 20
 )
 
 // Call is one request for one address.
 type Call struct {
 	Address string
 	Request *http.Request
-	// Fresh asks for a new connection.
-	Fresh bool
-	// Connect bounds the time to make a new connection; zero leaves it to the
+	// NewConnection asks for a new connection.
+	NewConnection bool
+	// ConnectTimeout bounds the time to make a new connection; zero leaves it to the
 	// context and the way to connect.
-	Connect time.Duration
-	// Mine tells the answer of this request from late ones of others; nil takes
+	ConnectTimeout time.Duration
+	// IsAnswer tells the answer of this request from late ones of others; nil takes
 	// the first.
-	Mine func(h http.Header) bool
+	IsAnswer func(h http.Header) bool
 }
 
 // Do sends a call and reads the head of its answer. Failures are faults:
@@ -49,7 +49,7 @@
 	if err := c.Request.Write(&b); err != nil {
 		return nil, fault.Wrap(fault.NotStarted, err, "encoding the request")
 	}
-	n, err := p.get(ctx, c)
+	n, err := p.connect(ctx, c)
 	if err != nil {
 		return nil, fault.Wrap(fault.NotStarted, err, "connecting to "+c.Address)
 	}
@@ -57,52 +57,52 @@
 	if w, err := n.Write(b.Bytes()); err != nil {
 		stop()
 		_ = n.Close()
-		return nil, unsent(w, err)
+		return nil, writeFault(w, err)
 	}
-	r, err := n.answer(c)
+	r, err := n.readAnswer(c)
 	if err != nil {
 		stop()
 		_ = n.Close()
 		if n.reused && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 			// Others that are idle may have gone silent with it.
-			p.drop(c.Address)
+			p.closeIdle(c.Address)
 		}
 		return nil, err
 	}
-	r.Body = &body{ReadCloser: r.Body, pool: p, conn: n, stop: stop, keep: keep(r)}
+	r.Body = &body{ReadCloser: r.Body, pool: p, conn: n, stop: stop, idleTimeout: idleTimeout(r)}
 	return r, nil
 }
 
-func unsent(written int, err error) error {
+func writeFault(written int, err error) error {
 	if written == 0 {
 		return fault.Wrap(fault.NotStarted, err, "sending the request")
 	}
 	return fault.Wrap(fault.OutcomeUnknown, err, "the request was sent in part")
 }
 
-// answer reads heads until one belongs to the call.
-func (n *conn) answer(c Call) (*http.Response, error) {
-	for range surplusLimit {
+// readAnswer reads heads until one belongs to the call.
+func (n *conn) readAnswer(c Call) (*http.Response, error) {
+	for range maxStaleAnswers {
 		r, err := http.ReadResponse(n.reader, c.Request)
 		if err != nil {
-			return nil, broken(err)
+			return nil, readFault(err)
 		}
 		if r.StatusCode >= 100 && r.StatusCode < 200 {
 			continue
 		}
-		if c.Mine == nil || c.Mine(r.Header) {
+		if c.IsAnswer == nil || c.IsAnswer(r.Header) {
 			return r, nil
 		}
 		// It answers an earlier request on this connection; the own one follows.
-		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, surplusBytes)); err != nil {
-			return nil, broken(err)
+		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxStaleAnswerBytes)); err != nil {
+			return nil, readFault(err)
 		}
 	}
 	return nil, fault.New(fault.BadAnswer, "only answers of other requests arrived")
 }
 
-// broken types a failure to read an answer.
-func broken(err error) error {
+// readFault types a failure to read an answer.
+func readFault(err error) error {
 	var e interface{ Timeout() bool }
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
@@ -116,46 +116,46 @@
 	}
 }
 
-// keep is how long the connection of an answer may be kept idle; zero when the
+// idleTimeout is how long the connection of an answer may be kept idle; zero when the
 // server closes it.
-func keep(r *http.Response) time.Duration {
+func idleTimeout(r *http.Response) time.Duration {
 	if r.Close {
 		return 0
 	}
 	for _, f := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		if n, err := strconv.Atoi(v); err == nil && strings.EqualFold(k, "timeout") {
-			return time.Duration(n)*time.Second - keepMargin
+			return time.Duration(n)*time.Second - idleTimeoutMargin
 		}
 	}
-	return keepDefault
+	return defaultIdleTimeout
 }
 
 // body gives its connection back once it was read to its end.
 type body struct {
 	io.ReadCloser
 
-	pool *Pool
-	conn *conn
-	stop func() bool
-	keep time.Duration
-	// whole is set at the proper end of the body.
-	whole  bool
-	closed atomic.Bool
+	pool        *Pool
+	conn        *conn
+	stop        func() bool
+	idleTimeout time.Duration
+	// complete is set at the proper end of the body.
+	complete bool
+	closed   atomic.Bool
 }
 
 // Read reads on and notes the end.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
 
 // Waiting reports whether bytes have arrived that were not read yet.
 func (b *body) Waiting() bool {
-	return arrived(b.conn.Conn)
+	return hasUnread(b.conn.Conn)
 }
 
 // Close keeps the connection of a whole answer and cuts any other, so that the
@@ -164,8 +164,8 @@
 	if b.closed.Swap(true) {
 		return nil
 	}
-	if b.stop() && b.whole {
-		b.pool.put(b.conn, b.keep)
+	if b.stop() && b.complete {
+		b.pool.keepIdle(b.conn, b.idleTimeout)
 		return nil
 	}
 	return b.conn.Close()
--- a/internal/upstream/quiet.go
+++ b/internal/upstream/peek.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet reports whether an idle connection is open and nothing has arrived on
+// isIdle reports whether an idle connection is open and nothing has arrived on
 // it: bytes that nobody asked for belong to no request.
-func quiet(c net.Conn) bool {
+func isIdle(c net.Conn) bool {
 	n, err := peek(c)
 	return n == 0 && errors.Is(err, unix.EAGAIN)
 }
 
-// arrived reports whether bytes wait on a connection that may be read from at
+// hasUnread reports whether bytes wait on a connection that may be read from at
 // the same time.
-func arrived(c net.Conn) bool {
+func hasUnread(c net.Conn) bool {
 	n, _ := peek(c)
 	return n > 0
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,8 +19,8 @@
 	reader  *bufio.Reader
 	address string
 	reused  bool
-	// until is when the server may close the connection for being idle.
-	until time.Time
+	// idleUntil is when the server may close the connection for being idle.
+	idleUntil time.Time
 }
 
 // Pool keeps idle connections by address.
@@ -50,21 +50,21 @@
 	p.idle = nil
 }
 
-// get gives an idle connection that is still whole, or a new one.
-func (p *Pool) get(ctx context.Context, c Call) (*conn, error) {
-	for !c.Fresh {
-		n := p.take(c.Address)
+// connect gives an idle connection that is still whole, or a new one.
+func (p *Pool) connect(ctx context.Context, c Call) (*conn, error) {
+	for !c.NewConnection {
+		n := p.takeIdle(c.Address)
 		if n == nil {
 			break
 		}
-		if time.Now().Before(n.until) && quiet(n.Conn) {
+		if time.Now().Before(n.idleUntil) && isIdle(n.Conn) {
 			n.reused = true
 			return n, nil
 		}
 		_ = n.Close()
 	}
-	if c.Connect > 0 {
-		bounded, cancel := context.WithTimeout(ctx, c.Connect)
+	if c.ConnectTimeout > 0 {
+		bounded, cancel := context.WithTimeout(ctx, c.ConnectTimeout)
 		defer cancel()
 		ctx = bounded
 	}
@@ -75,9 +75,9 @@
 	return &conn{Conn: n, reader: bufio.NewReaderSize(n, readBuffer), address: c.Address}, nil
 }
 
-// take removes the connection that was used last, which the server is least
+// takeIdle removes the connection that was used last, which the server is least
 // likely to have closed.
-func (p *Pool) take(address string) *conn {
+func (p *Pool) takeIdle(address string) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	l := p.idle[address]
@@ -89,8 +89,8 @@
 	return c
 }
 
-// drop closes the idle connections to an address.
-func (p *Pool) drop(address string) {
+// closeIdle closes the idle connections to an address.
+func (p *Pool) closeIdle(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, c := range p.idle[address] {
@@ -99,9 +99,9 @@
 	delete(p.idle, address)
 }
 
-// put keeps a connection for a time.
-func (p *Pool) put(c *conn, keep time.Duration) {
-	c.until = time.Now().Add(keep)
+// keepIdle keeps a connection for a time.
+func (p *Pool) keepIdle(c *conn, keep time.Duration) {
+	c.idleUntil = time.Now().Add(keep)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed || keep <= 0 || c.reader.Buffered() > 0 {
@@ -119,7 +119,7 @@
 	for a, l := range p.idle {
 		kept := l[:0]
 		for _, c := range l {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -18,8 +18,8 @@
 	"github.com/wardridge/wardridge/internal/upstream"
 )
 
-// host answers requests over connections in memory, until those are silent.
-type host struct {
+// fakeServer answers requests over connections in memory, until those are silent.
+type fakeServer struct {
 	group *duty.Group
 
 	mutex  sync.Mutex
@@ -28,20 +28,20 @@
 }
 
 // dial gives a connection; those made before the silence stay silent.
-func (h *host) dial(context.Context, string, string) (net.Conn, error) {
+func (h *fakeServer) dial(context.Context, string, string) (net.Conn, error) {
 	a, b := net.Pipe()
 	h.mutex.Lock()
 	h.dials++
-	late := h.silent
+	dialedWhileSilent := h.silent
 	h.mutex.Unlock()
 	h.group.Go(func(context.Context) error {
-		h.serve(b, late)
+		h.serve(b, dialedWhileSilent)
 		return nil
 	})
 	return a, nil
 }
 
-func (h *host) serve(c net.Conn, late bool) {
+func (h *fakeServer) serve(c net.Conn, late bool) {
 	r := bufio.NewReader(c)
 	for {
 		if _, err := http.ReadRequest(r); err != nil {
@@ -74,11 +74,11 @@
 
 // Connections may go silent for good, all at once: one that is found so must not
 // be followed by the next.
-func TestIdleConnectionsAreDroppedAfterASilentOne(t *testing.T) {
+func TestIdleConnectionsAreClosedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, end := duty.New(t.Context())
 		defer end()
-		h := &host{group: g}
+		h := &fakeServer{group: g}
 		p, closer := upstream.New(h.dial)
 		defer closer()
 		// Several at once leave several idle connections behind.
@@ -109,7 +109,7 @@
 
 // What has arrived is seen, and looking for it does not wait for another
 // goroutine that reads: this test would not end.
-func TestWaitingBytesAreSeen(t *testing.T) {
+func TestUnreadBytesAreReportedWithoutBlocking(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
