--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -303,6 +303,6 @@
 	return port.Event{ID: strconv.Itoa(s.made)}, nil
 }
 
-func (*poolStream) Waiting() bool { return false }
+func (*poolStream) HasUnread() bool { return false }
 
 func (s *poolStream) Close() { s.once.Do(func() { close(s.closed) }) }
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -199,7 +199,7 @@
 	return port.Event{ID: id, Bytes: []byte("id: " + id + "\n\n")}, nil
 }
 
-func (s *fakeStream) Waiting() bool {
+func (s *fakeStream) HasUnread() bool {
 	s.fake.mutex.Lock()
 	defer s.fake.mutex.Unlock()
 	return s.fake.waiting
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -103,7 +103,7 @@
 	if !waiting {
 		return
 	}
-	if silence.ProcessBehind(late, l.stream.Waiting()) {
+	if silence.ProcessBehind(late, l.stream.HasUnread()) {
 		l.again(wait)
 		return
 	}
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-func (s *engineStream) Waiting() bool { return false }
+func (s *engineStream) HasUnread() bool { return false }
 
 func (s *engineStream) Close() {
 	s.once.Do(func() {
--- a/internal/port/answer.go
+++ b/internal/port/answer.go
@@ -24,9 +24,9 @@
 	// Next waits for the next whole event; io.EOF is the proper end, any other
 	// failure means that the stream broke.
 	Next() (Event, error)
-	// Waiting reports whether bytes have arrived that were not read yet: this
+	// HasUnread reports whether bytes have arrived that were not read yet: this
 	// process is behind then, and not the server.
-	Waiting() bool
+	HasUnread() bool
 	// Close ends the stream, so that the server stops its work.
 	Close()
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -153,8 +153,8 @@
 	return n, err
 }
 
-// Waiting reports whether bytes have arrived that were not read yet.
-func (b *body) Waiting() bool {
+// HasUnread reports whether bytes have arrived that were not read yet.
+func (b *body) HasUnread() bool {
 	return hasUnread(b.conn.Conn)
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -142,12 +142,12 @@
 	if _, err := io.ReadFull(r.Body, b); err != nil {
 		t.Fatal(err)
 	}
-	w := r.Body.(interface{ Waiting() bool })
-	if w.Waiting() {
+	w := r.Body.(interface{ HasUnread() bool })
+	if w.HasUnread() {
 		t.Error("all was read: got bytes waiting, want none")
 	}
 	more <- true
-	for !w.Waiting() {
+	for !w.HasUnread() {
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := io.ReadFull(r.Body, b); err != nil || string(b) != "two" {
@@ -162,7 +162,7 @@
 	// The reader waits by then, or soon; with it waiting, a look that waits for
 	// readers would not end.
 	time.Sleep(50 * time.Millisecond)
-	if w.Waiting() {
+	if w.HasUnread() {
 		t.Error("while the end is waited for: got bytes waiting, want none")
 	}
 	more <- true
