--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,3 +1,4 @@
-// Package upstream sends HTTP requests to backend servers over connections
-// that it keeps, never sends one twice, and knows whether a byte has left.
+// Package upstream sends HTTP requests to backend servers over pooled connections. It
+// never sends a request twice, and its faults tell whether any byte of the request was
+// sent.
 package upstream
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// defaultIdleTimeout is how long a connection is kept when the server does not say
-	// when it closes idle ones.
+	// defaultIdleTimeout is how long a connection is kept idle if the server does not announce
+	// when it closes idle connections.
 	defaultIdleTimeout = 2 * time.Second
-	// idleTimeoutMargin is subtracted from the time that a server names: the answer's
-	// way, and the request's.
+	// idleTimeoutMargin is subtracted from the timeout that a server announces, to allow for
+	// the travel times of its answer and of the next request.
 	idleTimeoutMargin = 500 * time.Millisecond
-	// maxStaleAnswers bounds the answers of earlier requests that are skipped.
+	// maxStaleAnswers limits the number of answers read for one request, as answers to earlier
+	// requests are skipped.
 	maxStaleAnswers = 4
-	// maxStaleAnswerBytes bounds one such answer.
+	// maxStaleAnswerBytes limits the size of a skipped answer.
 	maxStaleAnswerBytes = 1 << 20
 )
 
-// Call is one request for one address.
+// Call is one request to one address.
 type Call struct {
 	Address string
 	Request *http.Request
-	// NewConnection asks for a new connection.
+	// NewConnection requires a new connection.
 	NewConnection bool
-	// ConnectTimeout bounds the time to make a new connection; zero leaves it to the
-	// context and the way to connect.
+	// ConnectTimeout limits the time to make a new connection. Zero leaves the limit to the
+	// context and the dial function.
 	ConnectTimeout time.Duration
-	// IsAnswer tells the answer of this request from late ones of others; nil takes
-	// the first.
+	// IsAnswer reports whether the headers belong to the answer to this request, not to a late
+	// answer to an earlier one. Nil accepts the first answer.
 	IsAnswer func(h http.Header) bool
 }
 
-// Do sends a call and reads the head of its answer. Failures are faults:
-// NotStarted says that no byte was sent, BadAnswer that what came is no answer,
-// OutcomeUnknown that the request may have been taken.
+// Do sends a request and reads the head of its answer. Failures are faults: NotStarted
+// means that no byte was sent, BadAnswer that what arrived is not a valid answer, and
+// OutcomeUnknown that the server may have received the request.
 func (p *Pool) Do(ctx context.Context, c Call) (*http.Response, error) {
 	var b bytes.Buffer
 	if err := c.Request.Write(&b); err != nil {
@@ -64,7 +65,7 @@
 		stop()
 		_ = n.Close()
 		if n.reused && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			// Others that are idle may have gone silent with it.
+			// The other idle connections to the server may have gone silent as well.
 			p.closeIdle(c.Address)
 		}
 		return nil, err
@@ -73,14 +74,15 @@
 	return r, nil
 }
 
+// writeFault returns the fault of a request that could not be sent completely.
 func writeFault(written int, err error) error {
 	if written == 0 {
 		return fault.Wrap(fault.NotStarted, err, "sending the request")
 	}
-	return fault.Wrap(fault.OutcomeUnknown, err, "the request was sent in part")
+	return fault.Wrap(fault.OutcomeUnknown, err, "only part of the request was sent")
 }
 
-// readAnswer reads heads until one belongs to the call.
+// readAnswer reads answers until one belongs to the call.
 func (n *conn) readAnswer(c Call) (*http.Response, error) {
 	for range maxStaleAnswers {
 		r, err := http.ReadResponse(n.reader, c.Request)
@@ -93,31 +95,32 @@
 		if c.IsAnswer == nil || c.IsAnswer(r.Header) {
 			return r, nil
 		}
-		// It answers an earlier request on this connection; the own one follows.
+		// This answer belongs to an earlier request on the connection; the one to this request
+		// follows.
 		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxStaleAnswerBytes)); err != nil {
 			return nil, readFault(err)
 		}
 	}
-	return nil, fault.New(fault.BadAnswer, "only answers of other requests arrived")
+	return nil, fault.New(fault.BadAnswer, "only answers to other requests arrived")
 }
 
-// readFault types a failure to read an answer.
+// readFault returns the fault of an answer that could not be read.
 func readFault(err error) error {
 	var e interface{ Timeout() bool }
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return fault.Wrap(fault.OutcomeUnknown, err, "the connection was closed without a whole answer")
+		return fault.Wrap(fault.OutcomeUnknown, err, "the connection was closed before the answer was complete")
 	case errors.As(err, &e) && e.Timeout():
 		return fault.Wrap(fault.OutcomeUnknown, err, "no answer in time")
 	case strings.Contains(err.Error(), "connection reset"):
 		return fault.Wrap(fault.OutcomeUnknown, err, "the connection was reset")
 	default:
-		return fault.Wrap(fault.BadAnswer, err, "what arrived is no answer")
+		return fault.Wrap(fault.BadAnswer, err, "what arrived is not a valid answer")
 	}
 }
 
-// idleTimeout is how long the connection of an answer may be kept idle; zero when the
-// server closes it.
+// idleTimeout returns how long the connection of an answer may be kept idle, which is zero
+// if the server closes it.
 func idleTimeout(r *http.Response) time.Duration {
 	if r.Close {
 		return 0
@@ -131,7 +134,8 @@
 	return defaultIdleTimeout
 }
 
-// body gives its connection back once it was read to its end.
+// body is the body of an answer. Closed after it was read to its end, it returns its
+// connection to the pool.
 type body struct {
 	io.ReadCloser
 
@@ -139,12 +143,12 @@
 	conn        *conn
 	stop        func() bool
 	idleTimeout time.Duration
-	// complete is set at the proper end of the body.
+	// complete is set when the body was read to its proper end.
 	complete bool
 	closed   atomic.Bool
 }
 
-// Read reads on and notes the end.
+// Read reads from the body and records whether it reached the end.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
@@ -158,8 +162,8 @@
 	return hasUnread(b.conn.Conn)
 }
 
-// Close keeps the connection of a whole answer and cuts any other, so that the
-// server stops its work.
+// Close returns the connection of a complete answer to the pool. After an incomplete one
+// it closes the connection, so that the server stops its work.
 func (b *body) Close() error {
 	if b.closed.Swap(true) {
 		return nil
--- a/internal/upstream/peek.go
+++ b/internal/upstream/peek.go
@@ -8,22 +8,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// isIdle reports whether an idle connection is open and nothing has arrived on
-// it: bytes that nobody asked for belong to no request.
+// isIdle reports whether a connection is open and nothing has arrived on it. Bytes that
+// arrive on an idle connection belong to no request, so it can't be used again.
 func isIdle(c net.Conn) bool {
 	n, err := peek(c)
 	return n == 0 && errors.Is(err, unix.EAGAIN)
 }
 
-// hasUnread reports whether bytes wait on a connection that may be read from at
-// the same time.
+// hasUnread reports whether bytes have arrived on a connection. Another goroutine may read
+// from it at the same time.
 func hasUnread(c net.Conn) bool {
 	n, _ := peek(c)
 	return n > 0
 }
 
-// peek looks for a byte that has arrived; the failure is EAGAIN where none has
-// and the connection is open. What is no socket has none.
+// peek looks for a byte that has arrived without consuming it. It fails with EAGAIN if
+// none has arrived and the connection is open. A connection without a socket counts as
+// open, without bytes.
 func peek(c net.Conn) (int, error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -35,7 +36,7 @@
 	}
 	var n int
 	var failed error
-	// Unlike Read, Control does not wait for a reader that waits itself.
+	// Unlike Read, Control does not block while another goroutine waits for bytes to read.
 	err = r.Control(func(f uintptr) {
 		var b [1]byte
 		n, _, failed = unix.Recvfrom(int(f), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,20 +10,20 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// readBuffer holds an answer's head and a few events of a stream.
+// readBuffer is large enough for the head of an answer and a few events of a stream.
 const readBuffer = 4 << 10
 
-// conn is one connection to a backend server.
+// conn is a connection to a backend server.
 type conn struct {
 	net.Conn
 	reader  *bufio.Reader
 	address string
 	reused  bool
-	// idleUntil is when the server may close the connection for being idle.
+	// idleUntil is when the server may close the connection because it is idle.
 	idleUntil time.Time
 }
 
-// Pool keeps idle connections by address.
+// Pool holds idle connections by address.
 type Pool struct {
 	dial wire.Dial
 
@@ -32,7 +32,7 @@
 	closed bool
 }
 
-// New makes a pool over a way to connect; the clean-up closes what is idle.
+// New creates a pool of connections made by d. The returned function closes the idle ones.
 func New(d wire.Dial) (*Pool, func()) {
 	p := &Pool{dial: d, idle: map[string][]*conn{}}
 	return p, p.close
@@ -50,7 +50,7 @@
 	p.idle = nil
 }
 
-// connect gives an idle connection that is still whole, or a new one.
+// connect returns an idle connection that is still usable, or a new one.
 func (p *Pool) connect(ctx context.Context, c Call) (*conn, error) {
 	for !c.NewConnection {
 		n := p.takeIdle(c.Address)
@@ -75,8 +75,8 @@
 	return &conn{Conn: n, reader: bufio.NewReaderSize(n, readBuffer), address: c.Address}, nil
 }
 
-// takeIdle removes the connection that was used last, which the server is least
-// likely to have closed.
+// takeIdle removes the most recently used idle connection, since the server is least
+// likely to have closed that one.
 func (p *Pool) takeIdle(address string) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -99,7 +99,7 @@
 	delete(p.idle, address)
 }
 
-// keepIdle keeps a connection for a time.
+// keepIdle adds a connection to the pool for a limited time.
 func (p *Pool) keepIdle(c *conn, keep time.Duration) {
 	c.idleUntil = time.Now().Add(keep)
 	p.mutex.Lock()
@@ -111,7 +111,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes connections that were idle too long.
+// Sweep closes the connections that have been idle for too long.
 func (p *Pool) Sweep() {
 	now := time.Now()
 	p.mutex.Lock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -18,7 +18,7 @@
 	"github.com/wardridge/wardridge/internal/upstream"
 )
 
-// fakeServer answers requests over connections in memory, until those are silent.
+// fakeServer answers requests over in-memory connections until it is set to silent.
 type fakeServer struct {
 	group *duty.Group
 
@@ -27,7 +27,8 @@
 	silent bool
 }
 
-// dial gives a connection; those made before the silence stay silent.
+// dial makes a connection. Connections made before the server went silent get no more
+// answers, later ones do.
 func (h *fakeServer) dial(context.Context, string, string) (net.Conn, error) {
 	a, b := net.Pipe()
 	h.mutex.Lock()
@@ -72,8 +73,8 @@
 	return r.Body.Close()
 }
 
-// Connections may go silent for good, all at once: one that is found so must not
-// be followed by the next.
+// Idle connections can all go silent at the same time without being closed. After one has
+// timed out, the next call must not use another of them.
 func TestIdleConnectionsAreClosedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, end := duty.New(t.Context())
@@ -81,7 +82,7 @@
 		h := &fakeServer{group: g}
 		p, closer := upstream.New(h.dial)
 		defer closer()
-		// Several at once leave several idle connections behind.
+		// Concurrent calls leave several idle connections in the pool.
 		var wait sync.WaitGroup
 		for range 4 {
 			wait.Go(func() {
@@ -96,10 +97,10 @@
 		h.silent = true
 		h.mutex.Unlock()
 		if err := get(t, p); !fault.Has(err, fault.OutcomeUnknown) {
-			t.Fatalf("over a silent connection: got %v, want no answer in time", err)
+			t.Fatalf("call over a silent connection: got %v, want a timeout", err)
 		}
 		if err := get(t, p); err != nil {
-			t.Errorf("after that: got %v, want an answer over a new connection", err)
+			t.Errorf("call after the timeout: got %v, want an answer over a new connection", err)
 		}
 		if got, want := h.dials, before+1; got != want {
 			t.Errorf("connections: got %d, want %d", got, want)
@@ -107,8 +108,8 @@
 	})
 }
 
-// What has arrived is seen, and looking for it does not wait for another
-// goroutine that reads: this test would not end.
+// Unread bytes are reported, and the check for them does not block while another goroutine
+// reads from the connection. If it did, this test would hang.
 func TestUnreadBytesAreReportedWithoutBlocking(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -144,14 +145,14 @@
 	}
 	w := r.Body.(interface{ HasUnread() bool })
 	if w.HasUnread() {
-		t.Error("all was read: got bytes waiting, want none")
+		t.Error("after all bytes were read: got unread bytes, want none")
 	}
 	more <- true
 	for !w.HasUnread() {
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := io.ReadFull(r.Body, b); err != nil || string(b) != "two" {
-		t.Errorf("got %q, %v, want the rest", b, err)
+		t.Errorf("second part of the body: got %q, %v, want \"two\"", b, err)
 	}
 	read := make(chan error)
 	g.Go(func(context.Context) error {
@@ -159,14 +160,13 @@
 		read <- err
 		return nil
 	})
-	// The reader waits by then, or soon; with it waiting, a look that waits for
-	// readers would not end.
+	// The reader most likely blocks by now. A check that waits for readers would hang.
 	time.Sleep(50 * time.Millisecond)
 	if w.HasUnread() {
-		t.Error("while the end is waited for: got bytes waiting, want none")
+		t.Error("while a goroutine reads: got unread bytes, want none")
 	}
 	more <- true
 	if err := <-read; err == nil {
-		t.Error("got more bytes, want an end")
+		t.Error("read at the end of the connection: got no error, want one")
 	}
 }
