--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -40,7 +40,7 @@
 func call(id, path, body string) *port.Request {
 	return &port.Request{
 		ID: api.RequestID(id), Method: http.MethodPost, Host: "h", Path: path + "x", Target: path + "x", Header: http.Header{}, Body: []byte(body),
-		Wait: 20 * time.Second, Prompt: port.Prompt{Tokens: 3000, Limit: 2000, Expected: 900},
+		MaxWait: 20 * time.Second, Prompt: port.Prompt{Tokens: 3000, MaxTokens: 2000, ExpectedTokens: 900},
 	}
 }
 
@@ -133,7 +133,7 @@
 
 // short makes a request one of a short answer, whose run is not copied as it grows.
 func short(r *port.Request) *port.Request {
-	r.Prompt.Limit, r.Prompt.Expected = 100, 20
+	r.Prompt.MaxTokens, r.Prompt.ExpectedTokens = 100, 20
 	return r
 }
 
--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -156,10 +156,10 @@
 	fault         *fault.Error
 }
 
-func (a *asker) Whole(x port.Answer)       { a.whole = x.Status == http.StatusOK }
-func (*asker) Begin(port.Head)             {}
-func (*asker) Event(port.Event) error      { return nil }
-func (a *asker) End()                      { a.whole = true }
+func (a *asker) WriteAnswer(x port.Answer) { a.whole = x.Status == http.StatusOK }
+func (*asker) BeginStream(port.Head)       {}
+func (*asker) WriteEvent(port.Event) error { return nil }
+func (a *asker) EndStream()                { a.whole = true }
 func (a *asker) Abort()                    { a.broken = true }
 func (a *asker) Refuse(f *fault.Error)     { a.fault = f }
 func (a *asker) served() bool              { return a.whole && !a.broken }
--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -235,7 +235,7 @@
 	if a.Stream {
 		s := &poolStream{end: end, deadly: deadly, closed: make(chan struct{})}
 		if x := a.Resume; x != nil {
-			s.made, _ = strconv.Atoi(x.After)
+			s.made, _ = strconv.Atoi(x.LastEventID)
 		}
 		return port.Answer{Head: port.Head{Status: http.StatusOK}, Stream: s}, nil
 	}
@@ -254,7 +254,7 @@
 }
 
 // Copy has no room for copies on order.
-func (*pool) Copy(context.Context, port.CopyOrder) (port.Copy, error) {
+func (*pool) Copy(context.Context, port.CopyRequest) (port.Copy, error) {
 	return port.Copy{}, fault.New(fault.ServerRefused, "no room")
 }
 
@@ -265,11 +265,11 @@
 	if _, ok := p.live[s.Name]; !ok {
 		return port.Report{}, fault.New(fault.NotStarted, "ended")
 	}
-	return port.Report{Made: map[api.RequestID]int{}}, nil
+	return port.Report{EventCounts: map[api.RequestID]int{}}, nil
 }
 
-// Release frees nothing.
-func (*pool) Release(context.Context, roster.Server, string) (port.Signals, error) {
+// ReleaseCopy frees nothing.
+func (*pool) ReleaseCopy(context.Context, roster.Server, string) (port.Signals, error) {
 	return port.Signals{}, nil
 }
 
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -395,7 +395,7 @@
 				o := b.load(n, 30, restTime, c.path)
 				for _, s := range b.servers[:c.resting] {
 					s.Say(hosted.Word{})
-					for vm, got := range b.sentTo(s.Name, func(x port.Signals) bool { return x.Resting }, restFrom, restTime) {
+					for vm, got := range b.sentTo(s.Name, func(x port.Signals) bool { return x.BackoffRequested }, restFrom, restTime) {
 						if got > restSlack {
 							t.Errorf("requests of entry VM %d to %s in its rest: got %d, want at most %d", vm, s.Name, got, restSlack)
 						}
--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -66,14 +66,14 @@
 // of its end.
 func (g *Guard) Broke(n Name, s api.ServerName, err error) {
 	switch {
-	case port.Refused(err), fault.Has(err, fault.Misdirected):
+	case port.ConnectionRefused(err), fault.Has(err, fault.Misdirected):
 		g.Ended(s)
 		return
 	case fault.Has(err, fault.NotStarted), fault.Has(err, fault.ServerRefused):
 		return
 	}
 	e := quarantine.NoAnswer
-	if port.BrokeOff(err) {
+	if port.ConnectionBroken(err) {
 		e = quarantine.ConnectionLost
 	}
 	c := n()
@@ -129,7 +129,7 @@
 		d.Go(func(ctx context.Context) error {
 			c, cancel := context.WithTimeout(ctx, verifyTime)
 			defer cancel()
-			if err := connect(c, s); port.Refused(err) {
+			if err := connect(c, s); port.ConnectionRefused(err) {
 				g.Ended(s)
 			}
 			return nil
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -14,7 +14,7 @@
 
 // signalHeaders are the headers in which the servers of plain services announce limits,
 // backoffs and that they are leaving.
-var signalHeaders = port.SignalHeaders{Limit: wire.HeaderLimit, Leaving: wire.HeaderLeaving, Rest: wire.HeaderRetryAfter}
+var signalHeaders = port.SignalHeaders{Limit: wire.HeaderLimit, Leaving: wire.HeaderLeaving, Backoff: wire.HeaderRetryAfter}
 
 // noteSignals applies what a server announces in the answer to a call that was sent at
 // sent.
@@ -25,8 +25,8 @@
 	if x.Leaving {
 		s.noteLeaving(n, true)
 	}
-	if x.Resting {
-		s.noteBackoff(n, x.Rest)
+	if x.BackoffRequested {
+		s.noteBackoff(n, x.Backoff)
 	}
 	if !x.Limited && x.Unreadable != "" {
 		// The unreadable signal may be the limit, so this answer does not withdraw a limit.
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -52,7 +52,7 @@
 		g.Log.Emit(event.ServerUnreachable, zap.String("server", string(s.Name)), zap.Error(err))
 		return
 	}
-	if s.SupersededBy(p.Born) {
+	if s.SupersededBy(p.Birth) {
 		g.noteEnded(s.Name)
 		return
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -55,7 +55,7 @@
 		g.Contents.Answered(q.content)
 	}
 	g.done(q, q.lateness())
-	q.sink.Whole(a)
+	q.sink.WriteAnswer(a)
 }
 
 // done logs a request that was answered whole. What went well is shown by a few
@@ -201,7 +201,7 @@
 		return port.Answer{}, fault.New(fault.NotStarted, "the deadline passed before the send")
 	}
 	a := q.attempt(s, b)
-	a.Left, a.Connect = left, call.ConnectTimeout(q.route.LatencyTarget)
+	a.Timeout, a.ConnectTimeout = left, call.ConnectTimeout(q.route.LatencyTarget)
 	return g.Backends.Send(ctx, a)
 }
 
@@ -209,11 +209,11 @@
 // protect, with all the time that is left.
 func (q *request) attempt(s roster.Server, b *backup) port.Attempt {
 	a := port.Attempt{
-		Request: q.Request, Server: s, Workspace: q.workspace.Name, Left: q.deadline.Left(),
+		Request: q.Request, Server: s, Workspace: q.workspace.Name, Timeout: q.deadline.Left(),
 		Stream: q.route.Kind == directory.Stream,
 	}
 	if b != nil {
-		a.Protect = b.at.Address
+		a.BackupAddress = b.at.Address
 	}
 	return a
 }
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -113,7 +113,7 @@
 	defer f.mutex.Unlock()
 	n := string(a.Server.Name)
 	f.sends = append(f.sends, n)
-	f.lefts = append(f.lefts, a.Left)
+	f.lefts = append(f.lefts, a.Timeout)
 	if l := f.answers[n]; len(l) > 0 {
 		f.answers[n] = l[1:]
 		if err, ok := l[0].(error); ok {
@@ -125,7 +125,7 @@
 		return port.Answer{}, fault.New(fault.NotStarted, "dead")
 	}
 	if f.turnsAway[n] {
-		return port.Answer{Signals: port.Signals{Answered: true, Resting: true, Rest: time.Minute}}, fault.New(fault.ServerRefused, "shed")
+		return port.Answer{Signals: port.Signals{Answered: true, BackoffRequested: true, Backoff: time.Minute}}, fault.New(fault.ServerRefused, "shed")
 	}
 	return f.open(ctx, a)
 }
@@ -146,15 +146,15 @@
 		if f.handles[x.Handle] != n && f.stops[x.Handle] != n {
 			return port.Answer{}, fault.New(fault.ServerRefused, "no such copy")
 		}
-		after, _ = strconv.Atoi(x.After)
+		after, _ = strconv.Atoi(x.LastEventID)
 		r.stopped = false
 	} else {
 		r = &fakeRun{total: f.total}
 		f.runs[id] = r
 	}
 	r.server = n
-	if a.Protect != "" {
-		f.handles[id] = a.Protect
+	if a.BackupAddress != "" {
+		f.handles[id] = a.BackupAddress
 	}
 	s := &fakeStream{fake: f, run: r, server: n, next: after + 1, closed: make(chan struct{})}
 	h := http.Header{"Content-Type": {"text/event-stream"}}
@@ -221,7 +221,7 @@
 	})
 }
 
-func (f *fake) Copy(_ context.Context, o port.CopyOrder) (port.Copy, error) {
+func (f *fake) Copy(_ context.Context, o port.CopyRequest) (port.Copy, error) {
 	f.mutex.Lock()
 	first := f.copies == 0
 	if f.missing > 0 {
@@ -253,7 +253,7 @@
 	f.copies++
 	h := "h-" + string(o.Target.Name)
 	f.handles[h] = string(o.Target.Name)
-	if o.Stop {
+	if o.StopSource {
 		r.stopped = true
 		f.stops[h] = string(o.Source.Name)
 	}
@@ -272,16 +272,16 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	p := port.Report{Leaving: f.leaves[n], Born: f.born[n], Made: map[api.RequestID]int{}, Signals: f.signals[n]}
+	p := port.Report{Leaving: f.leaves[n], Birth: f.born[n], EventCounts: map[api.RequestID]int{}, Signals: f.signals[n]}
 	for id, r := range f.runs {
 		if r.server == n {
-			p.Made[api.RequestID(id)] = r.made + f.ahead
+			p.EventCounts[api.RequestID(id)] = r.made + f.ahead
 		}
 	}
 	return p, nil
 }
 
-func (f *fake) Release(_ context.Context, _ roster.Server, handle string) (port.Signals, error) {
+func (f *fake) ReleaseCopy(_ context.Context, _ roster.Server, handle string) (port.Signals, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.released = append(f.released, handle)
@@ -300,10 +300,10 @@
 	gone    bool
 }
 
-func (c *caller) Whole(a port.Answer) { c.status, c.body = a.Status, string(a.Body) }
-func (c *caller) Begin(h port.Head)   { c.status = h.Status }
+func (c *caller) WriteAnswer(a port.Answer) { c.status, c.body = a.Status, string(a.Body) }
+func (c *caller) BeginStream(h port.Head)   { c.status = h.Status }
 
-func (c *caller) End() {
+func (c *caller) EndStream() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.ended = true
@@ -335,7 +335,7 @@
 	return c.fault
 }
 
-func (c *caller) Event(e port.Event) error {
+func (c *caller) WriteEvent(e port.Event) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.gone {
@@ -444,6 +444,6 @@
 func request(path string) *port.Request {
 	return &port.Request{
 		ID: "r", Method: http.MethodPost, Host: "h", Path: path, Target: path, Header: http.Header{}, Arrived: time.Now(),
-		Wait: 20 * time.Second, Prompt: port.Prompt{Tokens: 3000, Limit: 2000, Expected: 900},
+		MaxWait: 20 * time.Second, Prompt: port.Prompt{Tokens: 3000, MaxTokens: 2000, ExpectedTokens: 900},
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -247,7 +247,7 @@
 	}
 	q := &request{
 		Request: r, route: x, workspace: w, service: v, sink: s,
-		hold: holdTime(x.Timeout, r.Wait),
+		hold: holdTime(x.Timeout, r.MaxWait),
 	}
 	return q, g.Contents.Check(q.content)
 }
@@ -282,7 +282,7 @@
 	}
 	takes := s.TakesCall(time.Now())
 	if x.Kind == directory.Stream {
-		takes = s.TakesStream(time.Now(), r.Prompt.Expected, r.Prompt.Limit)
+		takes = s.TakesStream(time.Now(), r.Prompt.ExpectedTokens, r.Prompt.MaxTokens)
 	}
 	if takes {
 		return nil
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -246,7 +246,7 @@
 		b := newBed(t, newFake(), 0)
 		b.fake.answers["p1"], b.fake.answers["p2"] = []any{200}, []any{200}
 		r := request("/timeless/1")
-		r.Wait = 0
+		r.MaxWait = 0
 		var k caller
 		b.Handle(context.Background(), r, &k)
 		if k.status != http.StatusOK {
--- a/internal/gateway/inquiry.go
+++ b/internal/gateway/inquiry.go
@@ -31,11 +31,11 @@
 	began := time.Now()
 	p, err := g.report(ctx, s, bound)
 	now := time.Now()
-	a := silence.QueryResult{At: now, Answered: err == nil, Overrun: now.Sub(began) - bound, Produced: p.Made}
+	a := silence.QueryResult{At: now, Answered: err == nil, Overrun: now.Sub(began) - bound, Produced: p.EventCounts}
 	g.mutex.Lock()
 	g.answers.Put(s.Name, a)
 	g.mutex.Unlock()
-	if port.Refused(err) {
+	if port.ConnectionRefused(err) {
 		g.Contents.Ended(s.Name)
 	}
 	if a.Unresponsive() {
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -129,7 +129,7 @@
 	return port.Answer{Head: port.Head{Status: http.StatusOK}, Stream: &engineStream{engine: x, id: id, events: c, closed: make(chan struct{})}}, nil
 }
 
-func (e *engines) Copy(context.Context, port.CopyOrder) (port.Copy, error) {
+func (e *engines) Copy(context.Context, port.CopyRequest) (port.Copy, error) {
 	return port.Copy{}, fault.New(fault.NotFound, "no copies here")
 }
 
@@ -137,7 +137,7 @@
 	return port.Report{}, nil
 }
 
-func (e *engines) Release(context.Context, roster.Server, string) (port.Signals, error) {
+func (e *engines) ReleaseCopy(context.Context, roster.Server, string) (port.Signals, error) {
 	return port.Signals{}, nil
 }
 
@@ -334,7 +334,7 @@
 	c.caller.Refuse(f)
 }
 
-func (c *timed) Event(e port.Event) error {
+func (c *timed) WriteEvent(e port.Event) error {
 	now := time.Now()
 	if c.first.IsZero() {
 		c.first = now
@@ -342,7 +342,7 @@
 		c.pause = max(c.pause, now.Sub(c.last))
 	}
 	c.last = now
-	return c.caller.Event(e)
+	return c.caller.WriteEvent(e)
 }
 
 func (l *load) try(ctx context.Context, a arrival, wait time.Duration) *timed {
@@ -358,7 +358,7 @@
 	c := &timed{}
 	v.Handle(ctx, &port.Request{
 		ID: id, Method: http.MethodPost, Host: "h", Path: k.path + "1", Target: k.path + "1", Header: http.Header{},
-		Arrived: time.Now(), Wait: wait, Prompt: port.Prompt{Tokens: k.prompt, Limit: answerMost, Expected: a.hint},
+		Arrived: time.Now(), MaxWait: wait, Prompt: port.Prompt{Tokens: k.prompt, MaxTokens: answerMost, ExpectedTokens: a.hint},
 	}, c)
 	return c
 }
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -26,7 +26,7 @@
 	f.answers["p1"], f.answers["p2"] = []any{lost}, []any{lost}
 	b := newBed(t, f, 0)
 	r := request("/unsafe/1")
-	r.Wait = 400 * time.Millisecond
+	r.MaxWait = 400 * time.Millisecond
 	b.Handle(context.Background(), r, &caller{})
 	flush()
 	for _, want := range []string{`"msg":"request_failed"`, `"allowed":0.4`, `"took":`, `"route":"/unsafe/"`} {
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -142,8 +142,8 @@
 	c, cancel := context.WithTimeout(ctx, copyTime)
 	defer cancel()
 	b := time.Now()
-	x, err := m.gateway.Backends.Copy(c, port.CopyOrder{
-		Request: m.run.request.ID, Source: m.source, Target: m.target, Stop: a.Kind == evacuate.Stop,
+	x, err := m.gateway.Backends.Copy(c, port.CopyRequest{
+		Request: m.run.request.ID, Source: m.source, Target: m.target, StopSource: a.Kind == evacuate.Stop,
 	})
 	r := evacuate.Result{Outcome: copied(err), Took: time.Since(b)}
 	if x.Handle != "" {
@@ -261,7 +261,7 @@
 	g.Group.Go(func(ctx context.Context) error {
 		x, cancel := context.WithTimeout(ctx, dropTime)
 		defer cancel()
-		if _, err := g.Backends.Release(x, c.at, c.resume.Handle); err != nil {
+		if _, err := g.Backends.ReleaseCopy(x, c.at, c.resume.Handle); err != nil {
 			g.Log.Emit(event.CopyKept, zap.String("server", string(c.at.Name)), zap.Error(err))
 		}
 		return nil
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -51,7 +51,7 @@
 			Workspace: q.workspace.Name, Rank: backlog.Rank(q.workspace.Priority, q.route.Priority),
 			Cost: float64(n.Tokens), LatencyTarget: q.aim(),
 		},
-		route: q.route.Name, wait: q.Wait,
+		route: q.route.Name, wait: q.MaxWait,
 	}
 	d.brief = placement.Brief(q.expected())
 	if q.protects() {
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -106,10 +106,10 @@
 	}
 	q := r.request
 	x := c.resume
-	x.After, _ = r.progress()
+	x.LastEventID, _ = r.progress()
 	b := g.protect(ctx, q, c.at)
 	t := q.attempt(c.at, b)
-	t.Connect, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
+	t.ConnectTimeout, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
 	g.noteSent(c.at)
 	a, err := g.sendUntilTaken(ctx, t)
 	if err != nil {
@@ -147,7 +147,7 @@
 		if !fault.Has(err, fault.NotStarted) || n == resumeTries || ctx.Err() != nil {
 			return a, err
 		}
-		if port.Refused(err) {
+		if port.ConnectionRefused(err) {
 			g.Contents.Ended(t.Server.Name)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(t.Request.ID)), zap.String("server", string(t.Server.Name)), zap.Error(err))
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -32,7 +32,7 @@
 }
 
 // Copy copies a run's memory.
-func (o observed) Copy(ctx context.Context, c port.CopyOrder) (port.Copy, error) {
+func (o observed) Copy(ctx context.Context, c port.CopyRequest) (port.Copy, error) {
 	began := time.Now()
 	x, err := o.Backends.Copy(ctx, c)
 	o.gateway.noteSignals(began, c.Source, x.Signals)
@@ -47,10 +47,10 @@
 	return x, err
 }
 
-// Release frees a copy that nothing will use.
-func (o observed) Release(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
+// ReleaseCopy frees a copy that nothing will use.
+func (o observed) ReleaseCopy(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
 	began := time.Now()
-	x, err := o.Backends.Release(ctx, s, handle)
+	x, err := o.Backends.ReleaseCopy(ctx, s, handle)
 	o.gateway.noteSignals(began, s, x)
 	return x, err
 }
@@ -89,8 +89,8 @@
 	if x.Unreadable != "" {
 		g.Log.Emit(event.SignalUnreadable, zap.String("server", string(s.Name)), zap.String("text", x.Unreadable))
 	}
-	if x.Resting {
-		g.noteRest(s, x.Rest)
+	if x.BackoffRequested {
+		g.noteRest(s, x.Backoff)
 	}
 	if x.Leaving {
 		g.noteNotice(s)
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -36,7 +36,7 @@
 		l := b.streams(10)
 		time.Sleep(10 * eventGap)
 		f.mutex.Lock()
-		f.signals["e2"] = port.Signals{Answered: true, Resting: true, Rest: time.Minute}
+		f.signals["e2"] = port.Signals{Answered: true, BackoffRequested: true, Backoff: time.Minute}
 		f.mutex.Unlock()
 		b.Ask()
 		time.Sleep(eventGap)
@@ -71,7 +71,7 @@
 // rests lets a server ask this entry VM for rest, in the report that it is asked for.
 func (b *bed) rests(n string, d time.Duration) {
 	b.fake.mutex.Lock()
-	b.fake.signals[n] = port.Signals{Answered: true, Resting: true, Rest: d}
+	b.fake.signals[n] = port.Signals{Answered: true, BackoffRequested: true, Backoff: d}
 	b.fake.mutex.Unlock()
 	_, _ = b.Backends.Report(context.Background(), server(n, "x", false), false)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -31,10 +31,10 @@
 
 // expected is the expected length of the answer.
 func (q *request) expected() api.Tokens {
-	if x := q.Prompt.Expected; x > 0 && x < q.Prompt.Limit {
+	if x := q.Prompt.ExpectedTokens; x > 0 && x < q.Prompt.MaxTokens {
 		return x
 	}
-	return q.Prompt.Limit
+	return q.Prompt.MaxTokens
 }
 
 // stream serves a request that is answered event by event.
@@ -50,7 +50,7 @@
 		r := &run{request: q}
 		g.attach(r, v.server, v.reservation, v.backup)
 		defer g.leave(r)
-		q.sink.Begin(v.answer.Head)
+		q.sink.BeginStream(v.answer.Head)
 		g.pump(ctx, r, v.answer.Stream)
 	}
 }
@@ -76,7 +76,7 @@
 		q := r.request
 		switch {
 		case err == nil:
-			q.sink.End()
+			q.sink.EndStream()
 			g.Contents.Answered(q.content)
 			g.done(q, r.lateness(), r.figures()...)
 			return
@@ -123,7 +123,7 @@
 		if _, n := r.progress(); n == 1 {
 			g.first(r)
 		}
-		if err := r.request.sink.Event(e); err != nil {
+		if err := r.request.sink.WriteEvent(e); err != nil {
 			return fault.Wrap(fault.CallerGone, err, "writing an event")
 		}
 	}
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -29,7 +29,7 @@
 	b.Group.Go(func(ctx context.Context) error {
 		q := request("/stream/1")
 		q.ID = api.RequestID(id)
-		q.Wait = wait
+		q.MaxWait = wait
 		q.Arrived = time.Now()
 		b.Handle(ctx, q, c)
 		return nil
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -170,7 +170,7 @@
 // lost notes an engine that can't be connected to.
 func (c *Context) lost(n api.ServerName, err error) {
 	c.Broker.Lost(n)
-	if port.Refused(err) {
+	if port.ConnectionRefused(err) {
 		c.Contents.Ended(n)
 	}
 }
--- a/internal/port/answer.go
+++ b/internal/port/answer.go
@@ -40,21 +40,21 @@
 	Signals Signals
 }
 
-// SlowReader bounds one write to a caller that does not read; callers give a
+// WriteTimeout bounds one write to a caller that does not read; callers give a
 // stream up after a silence of a few seconds, and the default of the own
 // interface is the same.
-const SlowReader = 10 * time.Second
+const WriteTimeout = 10 * time.Second
 
 // Sink takes the one answer of a request.
 type Sink interface {
-	// Whole writes a complete answer of a backend server.
-	Whole(a Answer)
-	// Begin writes the head of a stream.
-	Begin(h Head)
-	// Event passes one event on; it fails once the caller is gone.
-	Event(e Event) error
-	// End completes the stream.
-	End()
+	// WriteAnswer writes a complete answer of a backend server.
+	WriteAnswer(a Answer)
+	// BeginStream writes the head of a stream.
+	BeginStream(h Head)
+	// WriteEvent passes one event on; it fails once the caller is gone.
+	WriteEvent(e Event) error
+	// EndStream completes the stream.
+	EndStream()
 	// Abort breaks the stream off so that it can't pass for a complete one. It
 	// may end the calling goroutine by a panic that the wire's server expects, so
 	// that nothing but deferred calls may be left to do.
--- a/internal/port/backend.go
+++ b/internal/port/backend.go
@@ -16,16 +16,16 @@
 	Request   *Request
 	Server    roster.Server
 	Workspace api.WorkspaceName
-	// Left is the time the server is given.
-	Left time.Duration
-	// Connect bounds the time to connect; zero leaves it to the connections.
-	Connect time.Duration
+	// Timeout is the time the server is given.
+	Timeout time.Duration
+	// ConnectTimeout bounds the time to connect; zero leaves it to the connections.
+	ConnectTimeout time.Duration
 	// Stream asks for the answer event by event, over a connection that nothing
 	// was sent on before; other answers are read whole.
 	Stream bool
-	// Protect is the address of the server that is to keep a copy of the run
+	// BackupAddress is the address of the server that is to keep a copy of the run
 	// as it grows; empty for none.
-	Protect string
+	BackupAddress string
 	// Resume goes on with a run from a copy of its memory; nil for a new run.
 	Resume *Resume
 }
@@ -35,18 +35,18 @@
 type Resume struct {
 	// Source is the address of the server that the copy was made from, or of
 	// the one that holds it when Handle is the id of a protected request.
-	Source string
-	Handle string
-	After  string
+	Source      string
+	Handle      string
+	LastEventID string
 }
 
-// CopyOrder asks a server to copy the memory of a run to another one.
-type CopyOrder struct {
+// CopyRequest asks a server to copy the memory of a run to another one.
+type CopyRequest struct {
 	Request api.RequestID
 	Source  roster.Server
 	Target  roster.Server
-	// Stop ends the run at the source first; else it goes on meanwhile.
-	Stop bool
+	// StopSource ends the run at the source first; else it goes on meanwhile.
+	StopSource bool
 }
 
 // Copy is a copy of a run's memory.
@@ -59,23 +59,23 @@
 type Report struct {
 	// Leaving is set where it is about to end.
 	Leaving bool
-	// Born is when the life that answers began; zero where it does not tell.
-	Born api.Birth
-	// Made is the number of events that each of its runs had made some hundred
+	// Birth is when the life that answers began; zero where it does not tell.
+	Birth api.Birth
+	// EventCounts is the number of events that each of its runs had made some hundred
 	// ms before.
-	Made    map[api.RequestID]int
-	Signals Signals
+	EventCounts map[api.RequestID]int
+	Signals     Signals
 }
 
-// Refused reports whether an attempt failed since nothing listens at the server's
+// ConnectionRefused reports whether an attempt failed since nothing listens at the server's
 // address any more.
-func Refused(err error) bool {
+func ConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// BrokeOff reports whether a connection was closed or reset before the end of an answer.
+// ConnectionBroken reports whether a connection was closed or reset before the end of an answer.
 // That a server was silent for too long is no such failure.
-func BrokeOff(err error) bool {
+func ConnectionBroken(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
@@ -88,10 +88,10 @@
 	// Copy copies a run's memory. It fails with NotFound when the server has no
 	// such run, VersionConflict when a copy is under way, and ServerRefused when
 	// there is no room or no way; the handle may be known then too.
-	Copy(ctx context.Context, o CopyOrder) (Copy, error)
+	Copy(ctx context.Context, o CopyRequest) (Copy, error)
 	// Report asks a server about itself; fresh asks over a connection that
 	// nothing was sent on before, since one in use may have gone silent.
 	Report(ctx context.Context, s roster.Server, fresh bool) (Report, error)
-	// Release frees a copy that nothing will use.
-	Release(ctx context.Context, s roster.Server, handle string) (Signals, error)
+	// ReleaseCopy frees a copy that nothing will use.
+	ReleaseCopy(ctx context.Context, s roster.Server, handle string) (Signals, error)
 }
--- a/internal/port/request.go
+++ b/internal/port/request.go
@@ -24,17 +24,17 @@
 	Body   []byte
 	// Arrived is when the whole request had been read.
 	Arrived time.Time
-	// Wait is how long the caller waits; zero when it does not say.
-	Wait   time.Duration
-	Prompt Prompt
+	// MaxWait is how long the caller waits; zero when it does not say.
+	MaxWait time.Duration
+	Prompt  Prompt
 }
 
 // Prompt describes what an engine has to read and may write for a request;
 // it is empty for plain services.
 type Prompt struct {
 	Tokens api.Tokens
-	// Limit is the most tokens that the answer may have.
-	Limit api.Tokens
-	// Expected is the caller's guess of the answer's length, zero if none.
-	Expected api.Tokens
+	// MaxTokens is the most tokens that the answer may have.
+	MaxTokens api.Tokens
+	// ExpectedTokens is the caller's guess of the answer's length, zero if none.
+	ExpectedTokens api.Tokens
 }
--- a/internal/port/signals.go
+++ b/internal/port/signals.go
@@ -18,10 +18,10 @@
 	Limit   float64
 	// Leaving is set where it says that it is about to end.
 	Leaving bool
-	// Resting is set where it turned the request away and wants no other one from this entry VM
+	// BackoffRequested is set where it turned the request away and wants no other one from this entry VM
 	// for a time, and Rest is that.
-	Resting bool
-	Rest    time.Duration
+	BackoffRequested bool
+	Backoff          time.Duration
 	// Unreadable is the text of a signal that could not be read; empty for none.
 	Unreadable string
 }
@@ -29,7 +29,7 @@
 // SignalHeaders are a wire's names of the headers in which servers say something of
 // themselves.
 type SignalHeaders struct {
-	Limit, Leaving, Rest string
+	Limit, Leaving, Backoff string
 }
 
 // leavingValue says that a server leaves.
@@ -39,40 +39,40 @@
 func (n SignalHeaders) Signals(status int, h http.Header) Signals {
 	s := Signals{Answered: true, Leaving: h.Get(n.Leaving) == leavingValue}
 	if x := h.Get(n.Limit); x != "" {
-		s.Limit, s.Limited = number(x)
+		s.Limit, s.Limited = parseNumber(x)
 		if !s.Limited {
 			s.Unreadable = x
 		}
 	}
-	if x := h.Get(n.Rest); x != "" && turnsAway(status) {
-		s.Rest, s.Resting = rest(x)
-		if !s.Resting {
+	if x := h.Get(n.Backoff); x != "" && refusesForNow(status) {
+		s.Backoff, s.BackoffRequested = parseBackoff(x)
+		if !s.BackoffRequested {
 			s.Unreadable = x
 		}
 	}
 	return s
 }
 
-// turnsAway reports whether a status says that a request was not run for now.
-func turnsAway(status int) bool {
+// refusesForNow reports whether a status says that a request was not run for now.
+func refusesForNow(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// restMost bounds the rest that a server may ask for: a longer one is asked for again by the
+// maxBackoff bounds the rest that a server may ask for: a longer one is asked for again by the
 // first request after it.
-const restMost = time.Minute
+const maxBackoff = time.Minute
 
-// rest decodes a time in seconds.
-func rest(x string) (time.Duration, bool) {
-	n, ok := number(x)
+// parseBackoff decodes a time in seconds.
+func parseBackoff(x string) (time.Duration, bool) {
+	n, ok := parseNumber(x)
 	if !ok {
 		return 0, false
 	}
-	return time.Duration(min(n, restMost.Seconds()) * float64(time.Second)), true
+	return time.Duration(min(n, maxBackoff.Seconds()) * float64(time.Second)), true
 }
 
-// number decodes a number that is not below zero.
-func number(x string) (float64, bool) {
+// parseNumber decodes a parseNumber that is not below zero.
+func parseNumber(x string) (float64, bool) {
 	n, err := strconv.ParseFloat(strings.TrimSpace(x), 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
 		return 0, false
