--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -129,12 +129,12 @@
 	kept *kind[quarantine.Entry]
 }
 
-func (k keeper) Keep(_ context.Context, e quarantine.Entry) error {
+func (k keeper) Put(_ context.Context, e quarantine.Entry) error {
 	k.kept.put(string(e.Content), e)
 	return nil
 }
 
-func (k keeper) Release(_ context.Context, c api.ContentHash) error {
+func (k keeper) Delete(_ context.Context, c api.ContentHash) error {
 	k.kept.drop(string(c))
 	return nil
 }
--- a/fleet/restored_test.go
+++ b/fleet/restored_test.go
@@ -408,15 +408,15 @@
 		ctx := context.Background()
 		deadly, released := call("x", "/always/", "deadly"), call("y", "/always/", "released")
 		until := time.Now().Add(time.Hour)
-		if err := q.Keep(ctx, quarantine.Entry{Content: content(released), Until: until}); err != nil {
+		if err := q.Put(ctx, quarantine.Entry{Content: content(released), Until: until}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(inForceTime)
 		c := b.store.Copy()
-		if err := q.Keep(ctx, quarantine.Entry{Content: content(deadly), Until: until}); err != nil {
+		if err := q.Put(ctx, quarantine.Entry{Content: content(deadly), Until: until}); err != nil {
 			t.Fatal(err)
 		}
-		if err := q.Release(ctx, content(released)); err != nil {
+		if err := q.Delete(ctx, content(released)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(inForceTime)
@@ -443,7 +443,7 @@
 		if err != nil || len(l.Items) != 1 || l.Items[0].Value.Content != content(deadly) {
 			t.Errorf("the platform's objects: got %+v, %v, want the content that ends servers alone", l.Items, err)
 		}
-		if err := q.Release(ctx, content(deadly)); err != nil {
+		if err := q.Delete(ctx, content(deadly)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(restoredSlow)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -45,12 +45,12 @@
 
 // keepEntry writes a refused content to the platform, however long that is away.
 func (g *Gateway) keepEntry(ctx context.Context, e quarantine.Entry) {
-	g.persist(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Keep(c, e) })
+	g.persist(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Put(c, e) })
 }
 
 // release removes a content from the platform, however long that is away.
 func (g *Gateway) release(ctx context.Context, c api.ContentHash) {
-	g.persist(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Release(x, c) })
+	g.persist(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Delete(x, c) })
 }
 
 // persist makes a write about a content again until it is done or not wanted any more.
@@ -107,7 +107,7 @@
 	for _, c := range g.Contents.Expired() {
 		x, cancel := context.WithTimeout(ctx, keepTime)
 		g.Metrics.Add(metric.PlatformWrites, 1)
-		err := g.Quarantines.Release(x, c)
+		err := g.Quarantines.Delete(x, c)
 		cancel()
 		if err != nil {
 			g.Log.Emit(event.QuarantineUnkept, zap.String("content", string(c)), zap.Error(err))
--- a/internal/port/quarantine.go
+++ b/internal/port/quarantine.go
@@ -10,8 +10,8 @@
 // Quarantines keeps contents that are refused in the platform's store, where every entry
 // VM finds them.
 type Quarantines interface {
-	// Keep writes one; that it is there already is no failure.
-	Keep(ctx context.Context, e quarantine.Entry) error
-	// Release removes one; that it is gone is no failure.
-	Release(ctx context.Context, c api.ContentHash) error
+	// Put writes one; that it is there already is no failure.
+	Put(ctx context.Context, e quarantine.Entry) error
+	// Delete removes one; that it is gone is no failure.
+	Delete(ctx context.Context, c api.ContentHash) error
 }
--- a/internal/port/signals.go
+++ b/internal/port/signals.go
@@ -35,8 +35,8 @@
 // leavingValue says that a server leaves.
 const leavingValue = "1"
 
-// Signals decodes what a server says in the head of an answer.
-func (n SignalHeaders) Signals(status int, h http.Header) Signals {
+// Parse decodes what a server says in the head of an answer.
+func (n SignalHeaders) Parse(status int, h http.Header) Signals {
 	s := Signals{Answered: true, Leaving: h.Get(n.Leaving) == leavingValue}
 	if x := h.Get(n.Limit); x != "" {
 		s.Limit, s.Limited = parseNumber(x)
