--- a/internal/port/answer.go
+++ b/internal/port/answer.go
@@ -7,13 +7,13 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Head is the first part of a backend server's answer.
+// Head is the status and the headers of a backend server's answer.
 type Head struct {
 	Status int
 	Header http.Header
 }
 
-// Event is one event of a stream, whole, in the bytes the server sent.
+// Event is one complete event of a stream, with the bytes as the server sent them.
 type Event struct {
 	ID    string
 	Bytes []byte
@@ -21,18 +21,17 @@
 
 // Stream is an answer that arrives event by event.
 type Stream interface {
-	// Next waits for the next whole event; io.EOF is the proper end, any other
-	// failure means that the stream broke.
+	// Next waits for the next complete event. It returns io.EOF at the proper end of the
+	// stream; any other error means that the stream broke.
 	Next() (Event, error)
-	// HasUnread reports whether bytes have arrived that were not read yet: this
-	// process is behind then, and not the server.
+	// HasUnread reports whether bytes have arrived that were not read yet. If so, a delay is
+	// due to this process, not to the server.
 	HasUnread() bool
 	// Close ends the stream, so that the server stops its work.
 	Close()
 }
 
-// Answer is a backend server's answer: whole, or as a stream when Stream is
-// not nil.
+// Answer is a backend server's answer. It is complete in Body unless Stream is set.
 type Answer struct {
 	Head
 	Body    []byte
@@ -40,25 +39,25 @@
 	Signals Signals
 }
 
-// WriteTimeout bounds one write to a caller that does not read; callers give a
-// stream up after a silence of a few seconds, and the default of the own
-// interface is the same.
+// WriteTimeout limits one write to a caller that does not read. Callers abandon a stream
+// after a few seconds of silence. The default for the chat completions interface is the
+// same.
 const WriteTimeout = 10 * time.Second
 
-// Sink takes the one answer of a request.
+// Sink writes the answer to one request.
 type Sink interface {
 	// WriteAnswer writes a complete answer of a backend server.
 	WriteAnswer(a Answer)
 	// BeginStream writes the head of a stream.
 	BeginStream(h Head)
-	// WriteEvent passes one event on; it fails once the caller is gone.
+	// WriteEvent writes one event. It fails if the caller has left.
 	WriteEvent(e Event) error
 	// EndStream completes the stream.
 	EndStream()
-	// Abort breaks the stream off so that it can't pass for a complete one. It
-	// may end the calling goroutine by a panic that the wire's server expects, so
-	// that nothing but deferred calls may be left to do.
+	// Abort breaks off the stream so that the caller can't mistake it for a complete one. It
+	// may panic to end the calling goroutine, which the server of the wire protocol expects,
+	// so only deferred calls may remain to be run.
 	Abort()
-	// Refuse writes a failure of the system itself.
+	// Refuse writes a fault of the serving system itself.
 	Refuse(f *fault.Error)
 }
--- a/internal/port/doc.go
+++ b/internal/port/doc.go
@@ -1,3 +1,4 @@
-// Package port holds the types between the product and the adapters that
-// speak a wire: one request, one answer, and what an adapter has to offer.
+// Package port defines the interfaces between the serving system and the adapters that
+// implement a wire protocol: requests, answers, signals and the operations that an adapter
+// offers.
 package port
--- a/internal/port/quarantine.go
+++ b/internal/port/quarantine.go
@@ -7,11 +7,11 @@
 	"github.com/wardridge/wardridge/internal/decide/quarantine"
 )
 
-// Quarantines keeps contents that are refused in the platform's store, where every entry
-// VM finds them.
+// Quarantines writes quarantined contents to the platform's store, where all entry VMs
+// read them.
 type Quarantines interface {
-	// Put writes one; that it is there already is no failure.
+	// Put stores an entry. It succeeds if the entry exists already.
 	Put(ctx context.Context, e quarantine.Entry) error
-	// Delete removes one; that it is gone is no failure.
+	// Delete removes an entry. It succeeds if there is none.
 	Delete(ctx context.Context, c api.ContentHash) error
 }
--- a/internal/port/request.go
+++ b/internal/port/request.go
@@ -7,34 +7,35 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Request is one request of a caller, whatever wire it came by.
+// Request is a caller's request, independent of the wire protocol.
 type Request struct {
-	// ID is the caller's own id of this attempt.
+	// ID is the caller's id of this attempt.
 	ID     api.RequestID
 	Method string
 	Host   string
-	// Target is the path and the query exactly as the caller wrote them.
+	// Target is the path and the query exactly as received.
 	Target string
-	// Path is the decoded path, which routes are matched against.
+	// Path is the decoded path, against which routes are matched.
 	Path string
-	// Key is the caller's secret; it never goes to a backend server.
+	// Key is the caller's secret, which is never sent to a backend server.
 	Key string
-	// Header holds what goes to the backend server unchanged.
+	// Header holds the headers that are sent to the backend server unchanged.
 	Header http.Header
 	Body   []byte
-	// Arrived is when the whole request had been read.
+	// Arrived is when the request had been read completely.
 	Arrived time.Time
-	// MaxWait is how long the caller waits; zero when it does not say.
+	// MaxWait is how long the caller waits; zero if it does not say.
 	MaxWait time.Duration
 	Prompt  Prompt
 }
 
-// Prompt describes what an engine has to read and may write for a request;
-// it is empty for plain services.
+// Prompt describes the size of a request to an engine and of its answer. It is empty for
+// plain services.
 type Prompt struct {
 	Tokens api.Tokens
-	// MaxTokens is the most tokens that the answer may have.
+	// MaxTokens is the maximum length of the answer.
 	MaxTokens api.Tokens
-	// ExpectedTokens is the caller's guess of the answer's length, zero if none.
+	// ExpectedTokens is the caller's estimate of the length of the answer, zero if there is
+	// none.
 	ExpectedTokens api.Tokens
 }
--- a/internal/port/signals.go
+++ b/internal/port/signals.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// Signals is what a backend server says of itself in the head of an answer.
+// Signals is what a backend server announces about itself in the head of an answer.
 type Signals struct {
-	// Answered is set where an answer of the server came at all.
+	// Answered is set if the server sent an answer at all.
 	Answered bool
-	// Limited is set where it names a limit, and Limit is that: the requests a second that it
-	// takes from all entry VMs together, for as long as its answers say so.
+	// Limited is set if the server announces a limit, and Limit is the number of requests per
+	// second that it accepts from all entry VMs together. The limit applies for as long as the
+	// answers announce it.
 	Limited bool
 	Limit   float64
 	// Leaving is set where it says that it is about to end.
 	Leaving bool
-	// BackoffRequested is set where it turned the request away and wants no other one from this entry VM
-	// for a time, and Rest is that.
+	// BackoffRequested is set if the server refused the request and asks this entry VM to send
+	// no other request for a time, which is Backoff.
 	BackoffRequested bool
 	Backoff          time.Duration
-	// Unreadable is the text of a signal that could not be read; empty for none.
+	// Unreadable is the text of a signal that could not be parsed; empty if there is none.
 	Unreadable string
 }
 
-// SignalHeaders are a wire's names of the headers in which servers say something of
-// themselves.
+// SignalHeaders are the names of the headers for signals in a wire protocol.
 type SignalHeaders struct {
 	Limit, Leaving, Backoff string
 }
 
-// leavingValue says that a server leaves.
+// leavingValue is the value of the leaving header of a server that is about to end.
 const leavingValue = "1"
 
-// Parse decodes what a server says in the head of an answer.
+// Parse reads the signals from the head of an answer.
 func (n SignalHeaders) Parse(status int, h http.Header) Signals {
 	s := Signals{Answered: true, Leaving: h.Get(n.Leaving) == leavingValue}
 	if x := h.Get(n.Limit); x != "" {
@@ -53,16 +53,17 @@
 	return s
 }
 
-// refusesForNow reports whether a status says that a request was not run for now.
+// refusesForNow reports whether a status means that the request was not run and may be
+// retried later.
 func refusesForNow(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// maxBackoff bounds the rest that a server may ask for: a longer one is asked for again by the
-// first request after it.
+// maxBackoff limits the backoff that a server may request. If the server needs longer, its
+// answer to the first request afterwards requests a backoff again.
 const maxBackoff = time.Minute
 
-// parseBackoff decodes a time in seconds.
+// parseBackoff parses a time in seconds.
 func parseBackoff(x string) (time.Duration, bool) {
 	n, ok := parseNumber(x)
 	if !ok {
@@ -71,7 +72,7 @@
 	return time.Duration(min(n, maxBackoff.Seconds()) * float64(time.Second)), true
 }
 
-// parseNumber decodes a parseNumber that is not below zero.
+// parseNumber parses a number that is not negative.
 func parseNumber(x string) (float64, bool) {
 	n, err := strconv.ParseFloat(strings.TrimSpace(x), 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
