--- a/internal/port/answer.go
+++ b/internal/port/answer.go
@@ -55,8 +55,8 @@
 	// EndStream completes the stream.
 	EndStream()
 	// Abort breaks off the stream so that the caller can't mistake it for a complete one. It
-	// may panic to end the calling goroutine, which the server of the wire protocol expects,
-	// so only deferred calls may remain to be run.
+	// may panic, as the server of the wire protocol expects, to end the calling goroutine.
+	// After it, only deferred calls may remain to be run.
 	Abort()
 	// Refuse writes a fault of the serving system itself.
 	Refuse(f *fault.Error)
--- a/internal/port/backend.go
+++ b/internal/port/backend.go
@@ -33,8 +33,8 @@
 // Resume identifies the copy of a run's KV cache and the last event that the caller has
 // received.
 type Resume struct {
-	// Source is the address of the server that the copy was made from, or of
-	// the one that holds it when Handle is the id of a protected request.
+	// Source is the address of the server from which the copy was made. If Handle is the id of
+	// a request with a backup copy, it is the address of the backup server.
 	Source      string
 	Handle      string
 	LastEventID string
@@ -87,8 +87,9 @@
 	// Send sends a request and returns its answer.
 	Send(ctx context.Context, a Attempt) (Answer, error)
 	// Copy copies the KV cache of a run. It fails with NotFound if the server has no such run,
-	// VersionConflict if a copy is already in progress, and ServerRefused if the target lacks
-	// capacity or can't be reached. The handle may be known even after a failure.
+	// with VersionConflict if a copy is already in progress, and with ServerRefused if the
+	// target lacks capacity or can't be reached. With ServerRefused too, the handle may be
+	// known.
 	Copy(ctx context.Context, o CopyRequest) (Copy, error)
 	// Report requests a report from a server. If fresh is set, it uses a new connection, since
 	// one in use may have gone silent.
--- a/internal/port/signals.go
+++ b/internal/port/signals.go
@@ -17,7 +17,7 @@
 	// answers announce it.
 	Limited bool
 	Limit   float64
-	// Leaving is set where it says that it is about to end.
+	// Leaving is set if the server announces that it is about to end.
 	Leaving bool
 	// BackoffRequested is set if the server refused the request and asks this entry VM to send
 	// no other request for a time, which is Backoff.
