--- a/contract/caller_test.go
+++ b/contract/caller_test.go
@@ -50,7 +50,7 @@
 		{"deadline of 0", with(wire.HeaderDeadline, "0"), fault.InvalidHeader},
 		{"deadline too far", with(wire.HeaderDeadline, "99999999999"), fault.InvalidHeader},
 		{"mark not a bool", with(wire.HeaderNotRepeatable, "yes"), fault.InvalidHeader},
-		{"key too long", with(wire.HeaderIdempotency, strings.Repeat("k", 300)), fault.InvalidHeader},
+		{"key too long", with(wire.HeaderIdempotencyKey, strings.Repeat("k", 300)), fault.InvalidHeader},
 		{"kind too long", with(wire.HeaderKind, strings.Repeat("k", 100)), fault.InvalidHeader},
 		{"unknown path", ask{path: "/v1/none", key: sample.KeyDispatch}, fault.UnknownPath},
 		{"wrong method", ask{method: http.MethodPut, key: sample.KeyDispatch}, fault.UnknownPath},
@@ -58,7 +58,7 @@
 		{"service without a key", ask{path: "/services/orders/x"}, fault.UnknownWorkspace},
 		{"service", ask{path: "/services/orders/x", key: sample.KeyDispatch}, 0},
 		{"resume without an event id", ask{method: http.MethodGet, path: "/v1/chat/completions/r"}, fault.UnknownWorkspace},
-		{"resume with a made-up event id", ask{method: http.MethodGet, path: "/v1/chat/completions/r", key: sample.KeyDispatch, headers: []string{wire.HeaderLastEvent, "YQ.YQ.YQ.YQ.1"}}, fault.UnknownStream},
+		{"resume with a made-up event id", ask{method: http.MethodGet, path: "/v1/chat/completions/r", key: sample.KeyDispatch, headers: []string{wire.HeaderLastEventID, "YQ.YQ.YQ.YQ.1"}}, fault.UnknownStream},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -347,7 +347,7 @@
 
 // order is a call of the plain service that is not repeatable.
 func order(key string, headers ...string) ask {
-	return ask{path: "/services/orders/confirm", key: sample.KeyField, body: "compressor 7", headers: append(headers, wire.HeaderIdempotency, key)}
+	return ask{path: "/services/orders/confirm", key: sample.KeyField, body: "compressor 7", headers: append(headers, wire.HeaderIdempotencyKey, key)}
 }
 
 // texts gives the tokens of a streamed answer and whether it ended whole.
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -165,7 +165,7 @@
 	v := b.entry("entry-1", "")
 	r := v.send(chat(5, true))
 	id := lastID(r.body)
-	back := ask{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequest), headers: []string{wire.HeaderLastEvent, id}}
+	back := ask{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequestID), headers: []string{wire.HeaderLastEventID, id}}
 	back.key = sample.KeyField
 	checkRefusal(t, v.send(back), fault.UnknownStream)
 	back.key = "nobody"
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -16,7 +16,7 @@
 
 // TestServiceContract breaks a service in each way and counts what it ran.
 func TestServiceContract(t *testing.T) {
-	plain := ask{path: "/services/orders/look", key: sample.KeyField, headers: []string{wire.HeaderIdempotency, "k"}}
+	plain := ask{path: "/services/orders/look", key: sample.KeyField, headers: []string{wire.HeaderIdempotencyKey, "k"}}
 	tests := []struct {
 		name   string
 		faults service.Faults
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -53,7 +53,7 @@
 		t.Fatalf("status: got %s, want 200", a.Status)
 	}
 	// The other entry VM is asked, so the answer comes through its peer.
-	out := s.mustCtl("explain", a.Header.Get(wire.HeaderRequest))
+	out := s.mustCtl("explain", a.Header.Get(wire.HeaderRequestID))
 	for _, want := range []string{"entry-2", "dispatch", "answered whole"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("explain: got %q, want it to contain %q", out, want)
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -55,13 +55,13 @@
 // back resumes a stream through another entry VM.
 func (s *system) back(e *process, x *streaming) *streaming {
 	s.t.Helper()
-	u := "http://" + e.listen + entry.PathChat + "/" + x.answer.Header.Get(wire.HeaderRequest)
+	u := "http://" + e.listen + entry.PathChat + "/" + x.answer.Header.Get(wire.HeaderRequestID)
 	r, err := http.NewRequest(http.MethodGet, u, nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+sample.KeyDispatch)
-	r.Header.Set(wire.HeaderLastEvent, x.id)
+	r.Header.Set(wire.HeaderLastEventID, x.id)
 	return s.follow(r)
 }
 
@@ -204,7 +204,7 @@
 		return 0, api.ErrorDetail{}
 	}
 	r.Header.Set("Authorization", "Bearer "+sample.KeyField)
-	r.Header.Set(wire.HeaderIdempotency, key)
+	r.Header.Set(wire.HeaderIdempotencyKey, key)
 	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := c.Do(r)
 	if err != nil {
--- a/fleet/bed_test.go
+++ b/fleet/bed_test.go
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 	}
-	c, closer := wire.NewClientOver(machine{b.net, "operator"}.dial, false)
+	c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 	t.Cleanup(closer)
 	b.peers = peer.Over(c, time.Second)
 	for i := range n {
--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -100,7 +100,7 @@
 
 func TestOperatorsRaceOverTheFleet(t *testing.T) {
 	fleet(t, 6, func(t *testing.T, b *bed) {
-		c, closer := wire.NewClientOver(machine{b.net, "operator"}.dial, false)
+		c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 		defer closer()
 		p := objectapi.Over(c, platformHost+":80", time.Second)
 		for i := range 20 {
--- a/fleet/own_restored_test.go
+++ b/fleet/own_restored_test.go
@@ -106,7 +106,7 @@
 		b.t.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+sample.KeyField)
-	r.Header.Set(wire.HeaderIdempotency, key)
+	r.Header.Set(wire.HeaderIdempotencyKey, key)
 	a, err := t.RoundTrip(r)
 	if err != nil {
 		return 0
--- a/fleet/own_signals_test.go
+++ b/fleet/own_signals_test.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	r.Header.Set("Authorization", "Bearer "+sample.KeyField)
-	r.Header.Set(wire.HeaderRequest, id)
+	r.Header.Set(wire.HeaderRequestID, id)
 	a, err := c.Do(r)
 	if err == nil {
 		_ = a.Body.Close()
@@ -42,7 +42,7 @@
 // order sends so many calls a second over all entry VMs for a time.
 func (b *bed) order(name string, perSecond int, d time.Duration) *calls {
 	b.t.Helper()
-	client, closer := wire.NewClientOver(machine{b.net, "callers"}.dial, false)
+	client, closer := wire.NewClientWithDial(machine{b.net, "callers"}.dial, false)
 	defer closer()
 	var o calls
 	g, end := duty.New(context.Background())
--- a/fleet/restored_test.go
+++ b/fleet/restored_test.go
@@ -389,7 +389,7 @@
 // quarantines writes refused contents to the store as an entry VM does.
 func (b *storeBed) quarantines(t *testing.T) (platform.Quarantines, *platform.Kind[quarantine.Entry]) {
 	t.Helper()
-	c, closer := wire.NewClientOver(machine{b.net, "operator"}.dial, false)
+	c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 	t.Cleanup(closer)
 	o := platform.NewObjects(c, platformHost+":80")
 	return platform.NewQuarantines(o), platform.Quarantined(o, func(_, name string, err error) { t.Errorf("%s: %v", name, err) })
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -96,7 +96,7 @@
 }
 
 func dialled(err error) *StreamError {
-	f := wire.Broken(err)
+	f := wire.RoundTripFault(err)
 	if f.Code == fault.NotStarted {
 		return &StreamError{Cause: answer.NotConnected, Err: f}
 	}
@@ -154,7 +154,7 @@
 	}
 	a, err := c.http.Do(r)
 	if err != nil {
-		return oops.In("engine").Wrapf(wire.Broken(err), "%s", what)
+		return oops.In("engine").Wrapf(wire.RoundTripFault(err), "%s", what)
 	}
 	defer func() { _ = a.Body.Close() }()
 	if a.StatusCode >= http.StatusBadRequest {
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -35,10 +35,10 @@
 // attempt.
 func (s *Server) writeAnswer(w http.ResponseWriter, q *request, a *claims.Answer) {
 	h := w.Header()
-	h.Set(wire.HeaderRequest, string(q.id))
+	h.Set(wire.HeaderRequestID, string(q.id))
 	h.Set(wire.HeaderRan, string(api.RanYes))
 	if a.ContentType != "" {
-		h.Set(wire.HeaderType, a.ContentType)
+		h.Set(wire.HeaderContentType, a.ContentType)
 	}
 	status := a.Status
 	if status < http.StatusOK {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -123,9 +123,9 @@
 }
 
 func readNotRepeatable(q *request, h http.Header) error {
-	q.key = h.Get(wire.HeaderIdempotency)
+	q.key = h.Get(wire.HeaderIdempotencyKey)
 	if len(q.key) > maxKeyBytes {
-		return invalidHeader(wire.HeaderIdempotency, "at most "+strconv.Itoa(maxKeyBytes)+" bytes")
+		return invalidHeader(wire.HeaderIdempotencyKey, "at most "+strconv.Itoa(maxKeyBytes)+" bytes")
 	}
 	switch v := h.Get(wire.HeaderNotRepeatable); v {
 	case "", "false":
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -44,7 +44,7 @@
 // parseEventID decodes and verifies an event id, and sets the model and the engine from
 // it. The returned index is the one after the event.
 func (c *chat) parseEventID(id string) (g api.GenerationID, next int, err error) {
-	unknown := fault.New(fault.UnknownStream, wire.HeaderLastEvent+" is not an event id of this request")
+	unknown := fault.New(fault.UnknownStream, wire.HeaderLastEventID+" is not an event id of this request")
 	l := strings.Split(id, ".")
 	if len(l) != eventIDParts {
 		return "", 0, unknown
@@ -82,7 +82,7 @@
 	s.Explain.Open(q.id, q.workspace.Name)
 	c := &chat{request: q}
 	c.params.Stream = true
-	g, next, err := c.parseEventID(r.Header.Get(wire.HeaderLastEvent))
+	g, next, err := c.parseEventID(r.Header.Get(wire.HeaderLastEventID))
 	if err != nil {
 		s.refuse(w, q, err)
 		return
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -161,7 +161,7 @@
 // readBody reads the body of a request, and then removes the deadline for reading it.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	const kilo = 1024
-	b, err := wire.Body(w, r, int64(s.entrySettings.BodyLimitKB)*kilo)
+	b, err := wire.ReadBody(w, r, int64(s.entrySettings.BodyLimitKB)*kilo)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -29,7 +29,7 @@
 const maxAnswerBytes = 16 << 20
 
 // forwardedHeaders are the request headers that are sent on to plain services.
-var forwardedHeaders = []string{wire.HeaderType, "Accept", "Accept-Language", "User-Agent", wire.HeaderIdempotency}
+var forwardedHeaders = []string{wire.HeaderContentType, "Accept", "Accept-Language", "User-Agent", wire.HeaderIdempotencyKey}
 
 // call is one call to a plain service.
 type call struct {
@@ -233,7 +233,7 @@
 			r.Header.Set(h, x)
 		}
 	}
-	r.Header.Set(wire.HeaderRequest, string(c.id))
+	r.Header.Set(wire.HeaderRequestID, string(c.id))
 	if c.permit != nil && !c.permit.Send() {
 		return nil, fault.New(fault.ClaimHeld, "another attempt with this key took the claim over").WithRan(api.RanNo)
 	}
@@ -254,7 +254,7 @@
 	began := time.Now()
 	a, err := s.clientFor(c).Do(r)
 	if err != nil {
-		return nil, wire.Broken(err)
+		return nil, wire.RoundTripFault(err)
 	}
 	defer func() { _ = a.Body.Close() }()
 	s.noteSignals(began, n, signalHeaders.Parse(a.StatusCode, a.Header))
@@ -265,11 +265,11 @@
 	if len(b) > maxAnswerBytes {
 		return nil, fault.New(fault.BadAnswer, "the answer is too large")
 	}
-	if id := a.Header.Get(wire.HeaderRequest); id != "" && id != string(c.id) {
+	if id := a.Header.Get(wire.HeaderRequestID); id != "" && id != string(c.id) {
 		// Later answers on this connection can't be trusted either.
 		a.Close = true
 		s.Log.Emit(event.RequestFailed, zap.String("request", string(c.id)), zap.String("answered", id))
 		return nil, fault.New(fault.BadAnswer, "the answer belongs to another request")
 	}
-	return &claims.Answer{Status: a.StatusCode, ContentType: a.Header.Get(wire.HeaderType), Body: b}, nil
+	return &claims.Answer{Status: a.StatusCode, ContentType: a.Header.Get(wire.HeaderContentType), Body: b}, nil
 }
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -70,8 +70,8 @@
 func (k *bufferedSink) Finish() *fault.Error {
 	k.started = true
 	h := k.writer.Header()
-	h.Set(wire.HeaderRequest, string(k.chat.id))
-	h.Set(wire.HeaderType, wire.TypeJSON)
+	h.Set(wire.HeaderRequestID, string(k.chat.id))
+	h.Set(wire.HeaderContentType, wire.TypeJSON)
 	k.writer.WriteHeader(http.StatusOK)
 	if _, err := k.writer.Write(k.Completion()); err != nil {
 		return fault.Wrap(fault.CallerGone, err, "the caller closed its connection").WithRan(api.RanYes)
@@ -126,8 +126,8 @@
 
 func (k *streamSink) begin(g api.GenerationID) {
 	h := k.writer.Header()
-	h.Set(wire.HeaderRequest, string(k.chat.id))
-	h.Set(wire.HeaderType, wire.TypeEvents)
+	h.Set(wire.HeaderRequestID, string(k.chat.id))
+	h.Set(wire.HeaderContentType, wire.TypeEventStream)
 	h.Set("Cache-Control", "no-store")
 	k.started = true
 	k.idPrefix = k.chat.eventIDPrefix(g)
--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -23,7 +23,7 @@
 	down    map[string]bool
 }
 
-func newBalancer(entries []string, d wire.Dial) *balancer {
+func newBalancer(entries []string, d wire.DialFunc) *balancer {
 	const wait = time.Second
 	t := &http.Transport{DisableKeepAlives: true, DialContext: d}
 	return &balancer{http: &http.Client{Transport: t, Timeout: wait}, entries: entries, down: map[string]bool{}}
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -103,14 +103,14 @@
 	began := time.Now()
 	resp, err := c.http.Do(r)
 	if err != nil {
-		return result{fault: wire.Broken(err)}
+		return result{fault: wire.RoundTripFault(err)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	out := result{fault: refusal(resp)}
 	if out.fault == nil {
 		out = read(resp.Body, began, int(a.Output))
 	}
-	out.request = api.RequestID(resp.Header.Get(wire.HeaderRequest))
+	out.request = api.RequestID(resp.Header.Get(wire.HeaderRequestID))
 	return out
 }
 
@@ -217,14 +217,14 @@
 		return result{fault: fault.From(err)}
 	}
 	if a.Class.Once {
-		r.Header.Set(wire.HeaderIdempotency, key)
+		r.Header.Set(wire.HeaderIdempotencyKey, key)
 	}
 	resp, err := c.http.Do(r)
 	if err != nil {
-		return result{fault: wire.Broken(err)}
+		return result{fault: wire.RoundTripFault(err)}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	id := api.RequestID(resp.Header.Get(wire.HeaderRequest))
+	id := api.RequestID(resp.Header.Get(wire.HeaderRequestID))
 	if f := refusal(resp); f != nil {
 		return result{fault: f, request: id}
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -23,7 +23,7 @@
 	// Progress is told how far the run has come every few seconds; nil for nobody.
 	Progress func(p Progress)
 	// Dial makes connections; nil for the machine's own.
-	Dial wire.Dial
+	Dial wire.DialFunc
 }
 
 // progressEvery is the pause between words on a run's progress.
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -153,7 +153,7 @@
 	if packed*4 > plain {
 		t.Errorf("compressed: got %d of %d bytes, want at most a quarter", packed, plain)
 	}
-	p, closer := wire.NewCompressedClientOver((&net.Dialer{}).DialContext)
+	p, closer := wire.NewGzipClient((&net.Dialer{}).DialContext)
 	defer closer()
 	for _, v := range []api.Version{7, 8} {
 		var d replica.Delta[directory.Config]
--- a/internal/mesh/pack.go
+++ b/internal/mesh/pack.go
@@ -85,7 +85,7 @@
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	w.Header().Set(wire.HeaderType, wire.TypeJSON)
+	w.Header().Set(wire.HeaderContentType, wire.TypeJSON)
 	w.Header().Set(headerEncoding, encodingGzip)
 	// A peer that is gone asks again.
 	_, _ = w.Write(b)
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -16,7 +16,7 @@
 // Machine is what a process works on: connections, listeners and a clock that
 // goes on while the VM is suspended.
 type Machine struct {
-	Dial   wire.Dial
+	Dial   wire.DialFunc
 	Listen func(ctx context.Context, address string) (net.Listener, error)
 	Now    clock.Now
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -64,9 +64,9 @@
 
 func (clients) Run(c *Context) error {
 	var closer func()
-	c.Reused, closer = wire.NewClientOver(c.Machine.Dial, true)
+	c.Reused, closer = wire.NewClientWithDial(c.Machine.Dial, true)
 	c.cleanup(closer)
-	c.Single, closer = wire.NewClientOver(c.Machine.Dial, false)
+	c.Single, closer = wire.NewClientWithDial(c.Machine.Dial, false)
 	c.cleanup(closer)
 	c.Platform = objectapi.Over(c.Reused, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
 	c.Engines = engine.Over(c.Reused, dialTime)
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -120,7 +120,7 @@
 // stream writes the tokens of a generation from an index to its end.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, next int) {
 	defer e.leave(g)
-	w.Header().Set(wire.HeaderType, wire.TypeEvents)
+	w.Header().Set(wire.HeaderContentType, wire.TypeEventStream)
 	c := http.NewResponseController(w)
 	var b bytes.Buffer
 	for {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -169,8 +169,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	id := r.Header.Get(wire.HeaderRequest)
-	key := r.Header.Get(wire.HeaderIdempotency)
+	id := r.Header.Get(wire.HeaderRequestID)
+	key := r.Header.Get(wire.HeaderIdempotencyKey)
 	if key == "" {
 		key = id
 	}
@@ -182,7 +182,7 @@
 	if s.take(&s.faults.CrossAnswers) {
 		id = "another-" + id
 	}
-	w.Header().Set(wire.HeaderRequest, id)
+	w.Header().Set(wire.HeaderRequestID, id)
 	if s.take(&s.faults.CutAnswers) {
 		w.Header().Set("Content-Length", "100")
 		w.WriteHeader(http.StatusOK)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,7 +25,7 @@
 
 // Pool holds idle connections by address.
 type Pool struct {
-	dial wire.Dial
+	dial wire.DialFunc
 
 	mutex  sync.Mutex
 	idle   map[string][]*conn
@@ -33,7 +33,7 @@
 }
 
 // New creates a pool of connections made by d. The returned function closes the idle ones.
-func New(d wire.Dial) (*Pool, func()) {
+func New(d wire.DialFunc) (*Pool, func()) {
 	p := &Pool{dial: d, idle: map[string][]*conn{}}
 	return p, p.close
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -16,21 +16,21 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// answerLimit bounds the answers that are read whole.
-const answerLimit = 16 << 20
+// maxAnswerBytes bounds the answers that are read whole.
+const maxAnswerBytes = 16 << 20
 
-// Dial connects to an address, as net.Dialer does.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc connects to an address, as net.Dialer does.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewTransport makes a transport whose dials end in time. With reuse false
 // each request has a connection of its own, so that the transport never sends
 // a request a second time and no late answer can meet it.
 func NewTransport(dial time.Duration, reuse bool) *http.Transport {
 	d := &net.Dialer{Timeout: dial, KeepAlive: 15 * time.Second}
-	return transportOver(d.DialContext, reuse)
+	return newTransport(d.DialContext, reuse)
 }
 
-func transportOver(d Dial, reuse bool) *http.Transport {
+func newTransport(d DialFunc, reuse bool) *http.Transport {
 	const perHost = 64
 	return &http.Transport{
 		DialContext:         d,
@@ -46,38 +46,38 @@
 // NewClient makes a client that carries the trace on and follows no redirect;
 // the clean-up closes its idle connections.
 func NewClient(dial time.Duration, reuse bool) (*http.Client, func()) {
-	return clientOver(NewTransport(dial, reuse))
+	return newClient(NewTransport(dial, reuse))
 }
 
-// NewClientOver makes a client as NewClient does, whose connections are made
+// NewClientWithDial makes a client as NewClient does, whose connections are made
 // by a function.
-func NewClientOver(d Dial, reuse bool) (*http.Client, func()) {
-	return clientOver(transportOver(d, reuse))
+func NewClientWithDial(d DialFunc, reuse bool) (*http.Client, func()) {
+	return newClient(newTransport(d, reuse))
 }
 
-// NewCompressedClientOver makes a client as NewClientOver does, which takes answers
+// NewGzipClient makes a client as NewClientOver does, which takes answers
 // that are compressed.
-func NewCompressedClientOver(d Dial) (*http.Client, func()) {
-	t := transportOver(d, true)
+func NewGzipClient(d DialFunc) (*http.Client, func()) {
+	t := newTransport(d, true)
 	t.DisableCompression = false
-	return clientOver(t)
+	return newClient(t)
 }
 
-// NewHostClientOver makes a client as NewClientOver does, for one host: after a
+// NewSingleHostClient makes a client as NewClientOver does, for one host: after a
 // call without an answer its idle connections are closed, since connections may
 // go silent together while new ones work.
-func NewHostClientOver(d Dial) (*http.Client, func()) {
-	t := transportOver(d, true)
-	return clientWith(&hostTransport{t}, t.CloseIdleConnections)
+func NewSingleHostClient(d DialFunc) (*http.Client, func()) {
+	t := newTransport(d, true)
+	return newClientOf(&singleHostTransport{t}, t.CloseIdleConnections)
 }
 
-// hostTransport is the transport of a client of one host.
-type hostTransport struct {
+// singleHostTransport is the transport of a client of one host.
+type singleHostTransport struct {
 	*http.Transport
 }
 
 // RoundTrip makes a call, and closes what is idle where no answer came.
-func (t *hostTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *singleHostTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	a, err := t.Transport.RoundTrip(r)
 	if err != nil {
 		t.CloseIdleConnections()
@@ -85,11 +85,11 @@
 	return a, err
 }
 
-func clientOver(t *http.Transport) (*http.Client, func()) {
-	return clientWith(t, t.CloseIdleConnections)
+func newClient(t *http.Transport) (*http.Client, func()) {
+	return newClientOf(t, t.CloseIdleConnections)
 }
 
-func clientWith(t http.RoundTripper, closer func()) (*http.Client, func()) {
+func newClientOf(t http.RoundTripper, closer func()) (*http.Client, func()) {
 	c := &http.Client{
 		Transport: otelhttp.NewTransport(t),
 		CheckRedirect: func(*http.Request, []*http.Request) error {
@@ -125,7 +125,7 @@
 		return nil, fault.Wrap(fault.Internal, err, "making a request")
 	}
 	if in != nil {
-		r.Header.Set(HeaderType, TypeJSON)
+		r.Header.Set(HeaderContentType, TypeJSON)
 	}
 	return r, nil
 }
@@ -134,15 +134,15 @@
 func Do(c *http.Client, r *http.Request, out any) error {
 	a, err := c.Do(r)
 	if err != nil {
-		return Broken(err)
+		return RoundTripFault(err)
 	}
 	defer func() { _ = a.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(a.Body, answerLimit))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	if err != nil {
 		return fault.Wrap(fault.OutcomeUnknown, err, "the answer broke off")
 	}
 	if a.StatusCode >= http.StatusBadRequest {
-		return refusal(a.StatusCode, b)
+		return answerFault(a.StatusCode, b)
 	}
 	if out == nil {
 		return nil
@@ -153,9 +153,9 @@
 	return nil
 }
 
-// Broken types the failure of a round trip: NotStarted when no connection was
+// RoundTripFault types the failure of a round trip: NotStarted when no connection was
 // made, so that nothing was sent.
-func Broken(err error) *fault.Error {
+func RoundTripFault(err error) *fault.Error {
 	var o *net.OpError
 	if errors.As(err, &o) && o.Op == "dial" {
 		return fault.Wrap(fault.NotStarted, err, "no connection was made")
@@ -163,7 +163,7 @@
 	return fault.Wrap(fault.OutcomeUnknown, err, "the exchange broke off")
 }
 
-func refusal(status int, b []byte) error {
+func answerFault(status int, b []byte) error {
 	var e api.ErrorBody
 	if err := json.Unmarshal(b, &e); err != nil || e.Error.Code == 0 {
 		return fault.New(fault.BadAnswer, "answer "+http.StatusText(status)+" without a typed error")
--- a/internal/wire/serve.go
+++ b/internal/wire/serve.go
@@ -12,7 +12,7 @@
 
 // Serve serves on an address until the context ends, and then lets calls in
 // flight run to their end for at most the limit.
-func Serve(ctx context.Context, address string, h http.Handler, limit time.Duration) error {
+func Serve(ctx context.Context, address string, h http.Handler, drainTimeout time.Duration) error {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
 		return fault.Wrap(fault.ListenFailed, err, "listening on "+address)
@@ -27,7 +27,7 @@
 		return nil
 	})
 	<-ctx.Done()
-	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
+	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
 	defer cancel()
 	if err := s.Shutdown(c); err != nil {
 		_ = s.Close()
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -17,16 +17,16 @@
 
 // Header names of the system.
 const (
-	HeaderRequest       = "X-Request-Id"
-	HeaderPriority      = "X-Wardridge-Priority"
-	HeaderDeadline      = "X-Wardridge-Deadline-Ms"
-	HeaderKind          = "X-Wardridge-Kind"
-	HeaderNotRepeatable = "X-Wardridge-Not-Repeatable"
-	HeaderRan           = "X-Wardridge-Ran"
-	HeaderIdempotency   = "Idempotency-Key"
-	HeaderLastEvent     = "Last-Event-ID"
-	HeaderRetryAfter    = "Retry-After"
-	HeaderType          = "Content-Type"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderPriority       = "X-Wardridge-Priority"
+	HeaderDeadline       = "X-Wardridge-Deadline-Ms"
+	HeaderKind           = "X-Wardridge-Kind"
+	HeaderNotRepeatable  = "X-Wardridge-Not-Repeatable"
+	HeaderRan            = "X-Wardridge-Ran"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderLastEventID    = "Last-Event-ID"
+	HeaderRetryAfter     = "Retry-After"
+	HeaderContentType    = "Content-Type"
 	// HeaderLimit names, in the answers of a plain service's server in need, the requests a
 	// second that it takes from all entry VMs together.
 	HeaderLimit = "X-Wardridge-Limit"
@@ -36,8 +36,8 @@
 
 // Content types in use.
 const (
-	TypeJSON   = "application/json"
-	TypeEvents = "text/event-stream"
+	TypeJSON        = "application/json"
+	TypeEventStream = "text/event-stream"
 )
 
 // Write answers with a JSON message.
@@ -47,7 +47,7 @@
 		status = http.StatusInternalServerError
 		b = nil
 	}
-	w.Header().Set(HeaderType, TypeJSON)
+	w.Header().Set(HeaderContentType, TypeJSON)
 	w.WriteHeader(status)
 	// A caller that is gone needs no answer.
 	_, _ = w.Write(append(b, '\n'))
@@ -63,8 +63,8 @@
 	Write(w, f.Code.Kind().Status, f.Body(r))
 }
 
-// Body reads a request's body of at most limit bytes.
-func Body(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
+// ReadBody reads a request's body of at most limit bytes.
+func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var m *http.MaxBytesError
 	switch {
@@ -92,7 +92,7 @@
 
 // Read decodes a request's JSON body of at most limit bytes.
 func Read(w http.ResponseWriter, r *http.Request, limit int64, out any) error {
-	b, err := Body(w, r, limit)
+	b, err := ReadBody(w, r, limit)
 	if err != nil {
 		return err
 	}
--- a/internal/wire/stale_test.go
+++ b/internal/wire/single_host_test.go
@@ -14,15 +14,15 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// silencing answers requests on its connections until these are made silent,
+// fakeServer answers requests on its connections until these are made silent,
 // without being closed.
-type silencing struct {
+type fakeServer struct {
 	mutex  sync.Mutex
 	silent map[net.Conn]bool
 	conns  []net.Conn
 }
 
-func (s *silencing) serve(_ context.Context, c net.Conn) {
+func (s *fakeServer) serve(_ context.Context, c net.Conn) {
 	s.mutex.Lock()
 	s.conns = append(s.conns, c)
 	s.mutex.Unlock()
@@ -49,12 +49,12 @@
 
 // Connections may go silent for good, all at once: one that is found so must not
 // be followed by the next.
-func TestIdleConnectionsAreDroppedAfterAFailure(t *testing.T) {
+func TestIdleConnectionsAreClosedAfterFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silencing{silent: map[net.Conn]bool{}}
+	s := &fakeServer{silent: map[net.Conn]bool{}}
 	g, end := duty.New(context.Background())
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -64,7 +64,7 @@
 		end()
 	})
 	loopback.Accept(g, l, s.serve)
-	c, closer := wire.NewHostClientOver((&net.Dialer{}).DialContext)
+	c, closer := wire.NewSingleHostClient((&net.Dialer{}).DialContext)
 	t.Cleanup(closer)
 	get := func(path string, wait time.Duration) error {
 		x, cancel := context.WithTimeout(t.Context(), wait)
