--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -68,7 +68,7 @@
 // go silent together while new ones work.
 func NewSingleHostClient(d DialFunc) (*http.Client, func()) {
 	t := newTransport(d, true)
-	return newClientOf(&singleHostTransport{t}, t.CloseIdleConnections)
+	return newTracedClient(&singleHostTransport{t}, t.CloseIdleConnections)
 }
 
 // singleHostTransport is the transport of a client of one host.
@@ -86,10 +86,10 @@
 }
 
 func newClient(t *http.Transport) (*http.Client, func()) {
-	return newClientOf(t, t.CloseIdleConnections)
+	return newTracedClient(t, t.CloseIdleConnections)
 }
 
-func newClientOf(t http.RoundTripper, closer func()) (*http.Client, func()) {
+func newTracedClient(t http.RoundTripper, closer func()) (*http.Client, func()) {
 	c := &http.Client{
 		Transport: otelhttp.NewTransport(t),
 		CheckRedirect: func(*http.Request, []*http.Request) error {
