--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -16,15 +16,15 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// maxAnswerBytes bounds the answers that are read whole.
+// maxAnswerBytes limits the size of an answer, which Do reads completely.
 const maxAnswerBytes = 16 << 20
 
-// DialFunc connects to an address, as net.Dialer does.
+// DialFunc connects to an address like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewTransport makes a transport whose dials end in time. With reuse false
-// each request has a connection of its own, so that the transport never sends
-// a request a second time and no late answer can meet it.
+// NewTransport creates a transport that limits the time to connect. If reuse is false,
+// each request has a connection of its own, so that the transport never sends a request
+// twice and a late answer to another request can't be taken for its answer.
 func NewTransport(dial time.Duration, reuse bool) *http.Transport {
 	d := &net.Dialer{Timeout: dial, KeepAlive: 15 * time.Second}
 	return newTransport(d.DialContext, reuse)
@@ -43,40 +43,39 @@
 	}
 }
 
-// NewClient makes a client that carries the trace on and follows no redirect;
-// the clean-up closes its idle connections.
+// NewClient creates a client that propagates traces and follows no redirects. The returned
+// function closes its idle connections.
 func NewClient(dial time.Duration, reuse bool) (*http.Client, func()) {
 	return newClient(NewTransport(dial, reuse))
 }
 
-// NewClientWithDial makes a client as NewClient does, whose connections are made
-// by a function.
+// NewClientWithDial creates a client like NewClient that connects with a function.
 func NewClientWithDial(d DialFunc, reuse bool) (*http.Client, func()) {
 	return newClient(newTransport(d, reuse))
 }
 
-// NewGzipClient makes a client as NewClientOver does, which takes answers
-// that are compressed.
+// NewGzipClient creates a client like NewClientWithDial that requests and decompresses
+// answers in gzip.
 func NewGzipClient(d DialFunc) (*http.Client, func()) {
 	t := newTransport(d, true)
 	t.DisableCompression = false
 	return newClient(t)
 }
 
-// NewSingleHostClient makes a client as NewClientOver does, for one host: after a
-// call without an answer its idle connections are closed, since connections may
-// go silent together while new ones work.
+// NewSingleHostClient creates a client like NewClientWithDial for a single host. After a
+// request without an answer it closes its idle connections, since all open connections may
+// go silent at the same time while new ones work.
 func NewSingleHostClient(d DialFunc) (*http.Client, func()) {
 	t := newTransport(d, true)
 	return newTracedClient(&singleHostTransport{t}, t.CloseIdleConnections)
 }
 
-// singleHostTransport is the transport of a client of one host.
+// singleHostTransport is the transport of a client for a single host.
 type singleHostTransport struct {
 	*http.Transport
 }
 
-// RoundTrip makes a call, and closes what is idle where no answer came.
+// RoundTrip sends a request, and closes the idle connections if no answer arrives.
 func (t *singleHostTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	a, err := t.Transport.RoundTrip(r)
 	if err != nil {
@@ -99,9 +98,9 @@
 	return c, closer
 }
 
-// Call sends a JSON message and decodes the answer into out. Its faults tell
-// apart what was not sent (NotStarted), what was refused (the server's own
-// fault) and what may have been done (OutcomeUnknown).
+// Call sends a JSON message and decodes the answer into out. Its faults distinguish a
+// request that was not sent (NotStarted), one that the server refused (the fault in its
+// answer) and one that may have been executed (OutcomeUnknown).
 func Call(ctx context.Context, c *http.Client, method, url string, in, out any) error {
 	r, err := NewRequest(ctx, method, url, in)
 	if err != nil {
@@ -110,7 +109,7 @@
 	return Do(c, r, out)
 }
 
-// NewRequest makes a request with a JSON body; nil in means no body.
+// NewRequest creates a request with a JSON body, or without a body if in is nil.
 func NewRequest(ctx context.Context, method, url string, in any) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
@@ -122,7 +121,7 @@
 	}
 	r, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "making a request")
+		return nil, fault.Wrap(fault.Internal, err, "creating a request")
 	}
 	if in != nil {
 		r.Header.Set(HeaderContentType, TypeJSON)
@@ -130,7 +129,7 @@
 	return r, nil
 }
 
-// Do sends a request and decodes the answer into out as Call does.
+// Do sends a request and decodes the answer into out, with the faults of Call.
 func Do(c *http.Client, r *http.Request, out any) error {
 	a, err := c.Do(r)
 	if err != nil {
@@ -139,7 +138,7 @@
 	defer func() { _ = a.Body.Close() }()
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	if err != nil {
-		return fault.Wrap(fault.OutcomeUnknown, err, "the answer broke off")
+		return fault.Wrap(fault.OutcomeUnknown, err, "the answer ended early")
 	}
 	if a.StatusCode >= http.StatusBadRequest {
 		return answerFault(a.StatusCode, b)
@@ -148,21 +147,22 @@
 		return nil
 	}
 	if err := json.Unmarshal(b, out); err != nil {
-		return fault.Wrap(fault.BadAnswer, err, "the answer is not the JSON expected")
+		return fault.Wrap(fault.BadAnswer, err, "the answer is not the expected JSON")
 	}
 	return nil
 }
 
-// RoundTripFault types the failure of a round trip: NotStarted when no connection was
-// made, so that nothing was sent.
+// RoundTripFault returns the fault of a failed round trip. It is NotStarted if no
+// connection was made, so that nothing was sent.
 func RoundTripFault(err error) *fault.Error {
 	var o *net.OpError
 	if errors.As(err, &o) && o.Op == "dial" {
 		return fault.Wrap(fault.NotStarted, err, "no connection was made")
 	}
-	return fault.Wrap(fault.OutcomeUnknown, err, "the exchange broke off")
+	return fault.Wrap(fault.OutcomeUnknown, err, "no answer to the request arrived")
 }
 
+// answerFault returns the fault that an answer with an error status holds.
 func answerFault(status int, b []byte) error {
 	var e api.ErrorBody
 	if err := json.Unmarshal(b, &e); err != nil || e.Error.Code == 0 {
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,2 +1,3 @@
-// Package wire carries typed JSON messages over HTTP and types what went wrong.
+// Package wire exchanges typed JSON messages over HTTP, and turns failures into typed
+// faults.
 package wire
--- a/internal/wire/serve.go
+++ b/internal/wire/serve.go
@@ -10,8 +10,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Serve serves on an address until the context ends, and then lets calls in
-// flight run to their end for at most the limit.
+// Serve serves on an address until the context ends, and then waits for at most
+// drainTimeout until the requests in flight have ended.
 func Serve(ctx context.Context, address string, h http.Handler, drainTimeout time.Duration) error {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -22,7 +22,7 @@
 	g, end := duty.New(context.WithoutCancel(ctx))
 	defer end()
 	g.Go(func(context.Context) error {
-		// The end of the server is part of the stop.
+		// It returns http.ErrServerClosed when the server is shut down.
 		_ = s.Serve(l)
 		return nil
 	})
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Header names of the system.
+// Names of HTTP headers.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderPriority       = "X-Wardridge-Priority"
@@ -27,14 +27,14 @@
 	HeaderLastEventID    = "Last-Event-ID"
 	HeaderRetryAfter     = "Retry-After"
 	HeaderContentType    = "Content-Type"
-	// HeaderLimit names, in the answers of a plain service's server in need, the requests a
-	// second that it takes from all entry VMs together.
+	// HeaderLimit holds the number of requests per second that an overloaded server of a plain
+	// service accepts from all entry VMs together.
 	HeaderLimit = "X-Wardridge-Limit"
-	// HeaderLeaving is set in the answers of a plain service's server that is about to end.
+	// HeaderLeaving is set in the answers of a server of a plain service that is about to end.
 	HeaderLeaving = "X-Wardridge-Leaving"
 )
 
-// Content types in use.
+// Content types.
 const (
 	TypeJSON        = "application/json"
 	TypeEventStream = "text/event-stream"
@@ -49,7 +49,7 @@
 	}
 	w.Header().Set(HeaderContentType, TypeJSON)
 	w.WriteHeader(status)
-	// A caller that is gone needs no answer.
+	// The write fails only if the caller has left, which needs no handling.
 	_, _ = w.Write(append(b, '\n'))
 }
 
@@ -63,7 +63,7 @@
 	Write(w, f.Code.Kind().Status, f.Body(r))
 }
 
-// ReadBody reads a request's body of at most limit bytes.
+// ReadBody reads the body of a request, which may have at most limit bytes.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var m *http.MaxBytesError
@@ -73,24 +73,24 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, fault.Wrap(fault.SlowSender, err, "the body did not arrive in time")
 	case err != nil:
-		return nil, fault.Wrap(fault.CallerGone, err, "the body broke off").WithRan(api.RanNo)
+		return nil, fault.Wrap(fault.CallerGone, err, "the body ended early").WithRan(api.RanNo)
 	}
 	return b, nil
 }
 
-// Parse decodes JSON that has to be one value and nothing else.
+// Parse decodes data that must be a single JSON value.
 func Parse(b []byte, out any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	if err := d.Decode(out); err != nil {
-		return fault.Wrap(fault.MalformedJSON, err, "the body is not the JSON expected: "+err.Error())
+		return fault.Wrap(fault.MalformedJSON, err, "the body is not the expected JSON: "+err.Error())
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return fault.New(fault.MalformedJSON, "the body goes on after its JSON value")
+		return fault.New(fault.MalformedJSON, "the body has data after its JSON value")
 	}
 	return nil
 }
 
-// Read decodes a request's JSON body of at most limit bytes.
+// Read decodes the JSON body of a request, which may have at most limit bytes.
 func Read(w http.ResponseWriter, r *http.Request, limit int64, out any) error {
 	b, err := ReadBody(w, r, limit)
 	if err != nil {
@@ -99,7 +99,8 @@
 	return Parse(b, out)
 }
 
-// NewServer makes an HTTP server that bounds slow senders and large heads.
+// NewServer creates an HTTP server that limits the size of headers and the time to read
+// them.
 func NewServer(h http.Handler, headerWait time.Duration) *http.Server {
 	const headerLimit = 32 << 10
 	const idle = 2 * time.Minute
--- a/internal/wire/single_host_test.go
+++ b/internal/wire/single_host_test.go
@@ -14,8 +14,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// fakeServer answers requests on its connections until these are made silent,
-// without being closed.
+// fakeServer answers requests until its connections are set to silent, without closing
+// them.
 type fakeServer struct {
 	mutex  sync.Mutex
 	silent map[net.Conn]bool
@@ -47,8 +47,8 @@
 	}
 }
 
-// Connections may go silent for good, all at once: one that is found so must not
-// be followed by the next.
+// Idle connections can all go silent at the same time without being closed. After a call
+// over one of them has failed, the next call must not use another of them.
 func TestIdleConnectionsAreClosedAfterFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,7 @@
 		defer cancel()
 		return wire.Call(x, c, http.MethodGet, "http://"+l.Addr().String()+path, nil, nil)
 	}
-	// Several at once leave several idle connections behind.
+	// Concurrent calls leave several idle connections in the pool.
 	var wait sync.WaitGroup
 	for range 4 {
 		wait.Go(func() {
@@ -87,9 +87,9 @@
 	}
 	s.mutex.Unlock()
 	if err := get("/", 100*time.Millisecond); err == nil {
-		t.Fatal("over a silent connection: got an answer, want none")
+		t.Fatal("call over a silent connection: got an answer, want an error")
 	}
 	if err := get("/", 10*time.Second); err != nil {
-		t.Errorf("after that: got %v, want an answer over a new connection", err)
+		t.Errorf("call after the failure: got %v, want an answer over a new connection", err)
 	}
 }
