--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -19,23 +19,23 @@
 // Broker guards one dispatcher.
 type Broker struct {
 	mutex   sync.Mutex
-	decide  *dispatch.Dispatcher
+	dispatcher  *dispatch.Dispatcher
 	waiters map[api.RequestID]chan dispatch.Action
 }
 
 // New makes a broker of a dispatcher that nobody else uses.
 func New(d *dispatch.Dispatcher) *Broker {
-	return &Broker{decide: d, waiters: map[api.RequestID]chan dispatch.Action{}}
+	return &Broker{dispatcher: d, waiters: map[api.RequestID]chan dispatch.Action{}}
 }
 
-// do runs one decision and passes its actions on.
-func (b *Broker) do(f func(d *dispatch.Dispatcher) []dispatch.Action) {
+// apply runs one decision and passes its actions on.
+func (b *Broker) apply(f func(d *dispatch.Dispatcher) []dispatch.Action) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.pass(f(b.decide))
+	b.deliver(f(b.dispatcher))
 }
 
-func (b *Broker) pass(l []dispatch.Action) {
+func (b *Broker) deliver(l []dispatch.Action) {
 	for len(l) > 0 {
 		a := l[0]
 		l = l[1:]
@@ -47,7 +47,7 @@
 		}
 		if a.Refusal == nil {
 			// Its caller is gone; what it was given goes to others.
-			l = append(l, b.decide.Finish(time.Now(), a.Request, 0, false)...)
+			l = append(l, b.dispatcher.Finish(time.Now(), a.Request, 0, false)...)
 		}
 	}
 }
@@ -57,29 +57,29 @@
 	return b.wait(ctx, w, (*dispatch.Dispatcher).Submit)
 }
 
-// Again waits for another engine after a failed attempt.
-func (b *Broker) Again(ctx context.Context, w dispatch.Work) (Grant, error) {
+// Retry waits for another engine after a failed attempt.
+func (b *Broker) Retry(ctx context.Context, w dispatch.Work) (Grant, error) {
 	return b.wait(ctx, w, (*dispatch.Dispatcher).Retry)
 }
 
-type submit func(d *dispatch.Dispatcher, now time.Time, w dispatch.Work) []dispatch.Action
+type submitFunc func(d *dispatch.Dispatcher, now time.Time, w dispatch.Work) []dispatch.Action
 
-func (b *Broker) wait(ctx context.Context, w dispatch.Work, s submit) (Grant, error) {
+func (b *Broker) wait(ctx context.Context, w dispatch.Work, s submitFunc) (Grant, error) {
 	c := make(chan dispatch.Action, 1)
 	b.mutex.Lock()
 	b.waiters[w.Request] = c
-	b.pass(s(b.decide, time.Now(), w))
+	b.deliver(s(b.dispatcher, time.Now(), w))
 	b.mutex.Unlock()
 	select {
 	case a := <-c:
-		return grant(a)
+		return toGrant(a)
 	case <-ctx.Done():
 		b.abandon(w.Request, c)
 		return Grant{}, fault.Wrap(fault.CallerGone, ctx.Err(), "the caller left while it waited").WithRan(api.RanNo)
 	}
 }
 
-func grant(a dispatch.Action) (Grant, error) {
+func toGrant(a dispatch.Action) (Grant, error) {
 	if a.Refusal != nil {
 		return Grant{}, a.Refusal
 	}
@@ -91,11 +91,11 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	delete(b.waiters, r)
-	b.decide.Cancel(r)
+	b.dispatcher.Cancel(r)
 	select {
 	case a := <-c:
 		if a.Refusal == nil {
-			b.pass(b.decide.Finish(time.Now(), r, 0, false))
+			b.deliver(b.dispatcher.Finish(time.Now(), r, 0, false))
 		}
 	default:
 	}
@@ -105,73 +105,73 @@
 func (b *Broker) Progress(r api.RequestID, made api.Tokens) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.decide.Progress(r, made)
+	b.dispatcher.Progress(r, made)
 }
 
 // Finish gives a request's engine back; ended is false when it was cut off.
 func (b *Broker) Finish(r api.RequestID, made api.Tokens, ended bool) {
-	b.do(func(d *dispatch.Dispatcher) []dispatch.Action {
+	b.apply(func(d *dispatch.Dispatcher) []dispatch.Action {
 		return d.Finish(time.Now(), r, made, ended)
 	})
 }
 
 // Declare takes the engines in force.
 func (b *Broker) Declare(l []dispatch.Server) {
-	b.do(func(d *dispatch.Dispatcher) []dispatch.Action {
+	b.apply(func(d *dispatch.Dispatcher) []dispatch.Action {
 		return d.Declare(time.Now(), l)
 	})
 }
 
 // Report takes a load report.
 func (b *Broker) Report(r api.LoadReport) {
-	b.do(func(d *dispatch.Dispatcher) []dispatch.Action {
+	b.apply(func(d *dispatch.Dispatcher) []dispatch.Action {
 		return d.Report(time.Now(), r)
 	})
 }
 
-// Listed notes whether the platform's list says that a server is leaving.
-func (b *Broker) Listed(n api.ServerName, leaving bool) {
+// SetLeaving notes whether the platform's list says that a server is leaving.
+func (b *Broker) SetLeaving(n api.ServerName, leaving bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.decide.SetLeaving(n, leaving)
+	b.dispatcher.SetLeaving(n, leaving)
 }
 
-// Refused notes that an engine refused work.
-func (b *Broker) Refused(n api.ServerName, leaving bool) {
+// ObserveRefusal notes that an engine refused work.
+func (b *Broker) ObserveRefusal(n api.ServerName, leaving bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.decide.ObserveRefusal(time.Now(), n, leaving)
+	b.dispatcher.ObserveRefusal(time.Now(), n, leaving)
 }
 
-// Lost notes that an engine could not be connected to.
-func (b *Broker) Lost(n api.ServerName) {
+// MarkUnreachable notes that an engine could not be connected to.
+func (b *Broker) MarkUnreachable(n api.ServerName) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.decide.MarkUnreachable(n)
+	b.dispatcher.MarkUnreachable(n)
 }
 
 // Tick ends waits that are over and starts what fits.
 func (b *Broker) Tick() {
-	b.do(func(d *dispatch.Dispatcher) []dispatch.Action {
+	b.apply(func(d *dispatch.Dispatcher) []dispatch.Action {
 		return d.Tick(time.Now())
 	})
 }
 
 // Stop answers every request that waits.
 func (b *Broker) Stop() {
-	b.do((*dispatch.Dispatcher).StopWaiting)
+	b.apply((*dispatch.Dispatcher).StopWaiting)
 }
 
 // Waiting counts the requests that wait.
 func (b *Broker) Waiting() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.decide.Waiting()
+	return b.dispatcher.Waiting()
 }
 
 // Status lists the engines as this entry VM sees them.
 func (b *Broker) Status() []api.ServerStatus {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.decide.Status(time.Now())
+	return b.dispatcher.Status(time.Now())
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -173,9 +173,9 @@
 	var r *engine.RefusalError
 	switch {
 	case errors.As(b.Err, &r) && b.Cause == answer.Refused:
-		t.server.Broker.Refused(t.engine, r.Reason == api.EngineRefusalReasonLeaving)
+		t.server.Broker.ObserveRefusal(t.engine, r.Reason == api.EngineRefusalReasonLeaving)
 	case b.Cause == answer.NotConnected:
-		t.server.Broker.Lost(t.engine)
+		t.server.Broker.MarkUnreachable(t.engine)
 	}
 }
 
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -252,7 +252,7 @@
 			s.Log.Emit(event.GenerationRetried, zap.String("request", string(c.id)), zap.String("content", string(c.contentHash())), zap.String("server", string(g.Server)))
 			s.explain(c.request, "retry", "the attempt on "+string(g.Server)+" failed before its first token")
 			c.work.Avoid = g.Server
-			acquire = s.Broker.Again
+			acquire = s.Broker.Retry
 		case answer.Fail:
 			return n.Fault
 		default:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -84,7 +84,7 @@
 	for _, v := range l {
 		if v.Role == api.VMRoleBackend {
 			leaving := v.State == api.VMStateLeaving
-			c.Broker.Listed(api.ServerName(v.Name), leaving)
+			c.Broker.SetLeaving(api.ServerName(v.Name), leaving)
 			c.Entry.SetListedLeaving(api.ServerName(v.Name), leaving)
 		}
 	}
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -169,7 +169,7 @@
 
 // lost notes an engine that can't be connected to.
 func (c *Context) lost(n api.ServerName, err error) {
-	c.Broker.Lost(n)
+	c.Broker.MarkUnreachable(n)
 	if port.ConnectionRefused(err) {
 		c.Contents.Ended(n)
 	}
