--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -10,31 +10,32 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Grant is the engine that a request was given.
+// Grant is the engine that a request may use, and the reason for it.
 type Grant struct {
 	Server api.ServerName
 	Reason string
 }
 
-// Broker guards one dispatcher.
+// Broker shares one dispatcher among the requests of a process.
 type Broker struct {
 	mutex   sync.Mutex
 	dispatcher  *dispatch.Dispatcher
 	waiters map[api.RequestID]chan dispatch.Action
 }
 
-// New makes a broker of a dispatcher that nobody else uses.
+// New creates a broker for a dispatcher, which must not be used otherwise.
 func New(d *dispatch.Dispatcher) *Broker {
 	return &Broker{dispatcher: d, waiters: map[api.RequestID]chan dispatch.Action{}}
 }
 
-// apply runs one decision and passes its actions on.
+// apply updates the dispatcher with f and delivers the actions that result.
 func (b *Broker) apply(f func(d *dispatch.Dispatcher) []dispatch.Action) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.deliver(f(b.dispatcher))
 }
 
+// deliver sends each action to the request that waits for it.
 func (b *Broker) deliver(l []dispatch.Action) {
 	for len(l) > 0 {
 		a := l[0]
@@ -46,13 +47,13 @@
 			continue
 		}
 		if a.Refusal == nil {
-			// Its caller is gone; what it was given goes to others.
+			// The caller has left, so its engine is released for other requests.
 			l = append(l, b.dispatcher.Finish(time.Now(), a.Request, 0, false)...)
 		}
 	}
 }
 
-// Acquire waits for an engine for new work.
+// Acquire waits for an engine for a new request.
 func (b *Broker) Acquire(ctx context.Context, w dispatch.Work) (Grant, error) {
 	return b.wait(ctx, w, (*dispatch.Dispatcher).Submit)
 }
@@ -62,6 +63,7 @@
 	return b.wait(ctx, w, (*dispatch.Dispatcher).Retry)
 }
 
+// submitFunc submits a request to the dispatcher.
 type submitFunc func(d *dispatch.Dispatcher, now time.Time, w dispatch.Work) []dispatch.Action
 
 func (b *Broker) wait(ctx context.Context, w dispatch.Work, s submitFunc) (Grant, error) {
@@ -75,7 +77,7 @@
 		return toGrant(a)
 	case <-ctx.Done():
 		b.abandon(w.Request, c)
-		return Grant{}, fault.Wrap(fault.CallerGone, ctx.Err(), "the caller left while it waited").WithRan(api.RanNo)
+		return Grant{}, fault.Wrap(fault.CallerGone, ctx.Err(), "the caller left while its request waited").WithRan(api.RanNo)
 	}
 }
 
@@ -86,7 +88,8 @@
 	return Grant{Server: a.Server, Reason: a.Reason}, nil
 }
 
-// abandon takes a waiter out, also one that was given an engine just now.
+// abandon removes a waiting request. If it has just been given an engine, abandon releases
+// the engine.
 func (b *Broker) abandon(r api.RequestID, c chan dispatch.Action) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -101,75 +104,76 @@
 	}
 }
 
-// Progress notes the tokens that a request has made.
+// Progress records the number of tokens that a request has generated.
 func (b *Broker) Progress(r api.RequestID, made api.Tokens) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.dispatcher.Progress(r, made)
 }
 
-// Finish gives a request's engine back; ended is false when it was cut off.
+// Finish releases the engine of a request. ended is false if the attempt was cut off.
 func (b *Broker) Finish(r api.RequestID, made api.Tokens, ended bool) {
 	b.apply(func(d *dispatch.Dispatcher) []dispatch.Action {
 		return d.Finish(time.Now(), r, made, ended)
 	})
 }
 
-// Declare takes the engines in force.
+// Declare replaces the set of declared engines.
 func (b *Broker) Declare(l []dispatch.Server) {
 	b.apply(func(d *dispatch.Dispatcher) []dispatch.Action {
 		return d.Declare(time.Now(), l)
 	})
 }
 
-// Report takes a load report.
+// Report records a load report of an engine.
 func (b *Broker) Report(r api.LoadReport) {
 	b.apply(func(d *dispatch.Dispatcher) []dispatch.Action {
 		return d.Report(time.Now(), r)
 	})
 }
 
-// SetLeaving notes whether the platform's list says that a server is leaving.
+// SetLeaving records whether the platform's list of VMs marks a server as leaving.
 func (b *Broker) SetLeaving(n api.ServerName, leaving bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.dispatcher.SetLeaving(n, leaving)
 }
 
-// ObserveRefusal notes that an engine refused work.
+// ObserveRefusal records that an engine refused a request. leaving is set if it refused
+// because it is leaving.
 func (b *Broker) ObserveRefusal(n api.ServerName, leaving bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.dispatcher.ObserveRefusal(time.Now(), n, leaving)
 }
 
-// MarkUnreachable notes that an engine could not be connected to.
+// MarkUnreachable records that a connection to an engine failed.
 func (b *Broker) MarkUnreachable(n api.ServerName) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.dispatcher.MarkUnreachable(n)
 }
 
-// Tick ends waits that are over and starts what fits.
+// Tick refuses the requests whose wait has expired, and starts those that fit.
 func (b *Broker) Tick() {
 	b.apply(func(d *dispatch.Dispatcher) []dispatch.Action {
 		return d.Tick(time.Now())
 	})
 }
 
-// Stop answers every request that waits.
+// Stop refuses all waiting requests, as this entry VM stops.
 func (b *Broker) Stop() {
 	b.apply((*dispatch.Dispatcher).StopWaiting)
 }
 
-// Waiting counts the requests that wait.
+// Waiting returns the number of waiting requests.
 func (b *Broker) Waiting() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.dispatcher.Waiting()
 }
 
-// Status lists the engines as this entry VM sees them.
+// Status lists the states of the engines as known to this entry VM.
 func (b *Broker) Status() []api.ServerStatus {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/broker/doc.go
+++ b/internal/broker/doc.go
@@ -1,3 +1,3 @@
-// Package broker carries the dispatcher's decisions to the requests that wait
-// for them.
+// Package broker makes the dispatcher safe for concurrent use, and delivers its decisions
+// to the requests that wait for them.
 package broker
