--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -18,9 +18,9 @@
 
 // Broker shares one dispatcher among the requests of a process.
 type Broker struct {
-	mutex   sync.Mutex
-	dispatcher  *dispatch.Dispatcher
-	waiters map[api.RequestID]chan dispatch.Action
+	mutex      sync.Mutex
+	dispatcher *dispatch.Dispatcher
+	waiters    map[api.RequestID]chan dispatch.Action
 }
 
 // New creates a broker for a dispatcher, which must not be used otherwise.
