--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -108,8 +108,8 @@
 // prepare estimates the tokens of the completion, and sets the work for the dispatcher and
 // the request for the engine.
 func (c *chat) prepare(model api.ModelName, adapter api.AdapterName, spec api.ModelSpec) error {
-	p := prompt(c.params.Messages)
-	n := tokens(p)
+	p := formatPrompt(c.params.Messages)
+	n := estimateTokens(p)
 	if n >= spec.ContextTokens {
 		return fault.New(fault.TooLarge, fmt.Sprintf("the prompt has about %d tokens, but the context of the model is limited to %d", n, spec.ContextTokens))
 	}
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func prompt(l []api.ChatMessage) string {
+func formatPrompt(l []api.ChatMessage) string {
 	var b strings.Builder
 	for _, m := range l {
 		b.WriteString(m.Role)
@@ -141,7 +141,7 @@
 	return b.String()
 }
 
-func tokens(s string) api.Tokens {
+func estimateTokens(s string) api.Tokens {
 	return api.Tokens(len(s)/bytesPerToken + 1)
 }
 
@@ -152,7 +152,7 @@
 	if m.Role != "system" {
 		return "", 0
 	}
-	return fmt.Sprintf("%s/%016x", c.Model, xxhash.Sum64String(m.Content)), tokens(m.Content)
+	return fmt.Sprintf("%s/%016x", c.Model, xxhash.Sum64String(m.Content)), estimateTokens(m.Content)
 }
 
 // claimChat claims a completion that is not repeatable and has an idempotency key. It
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -100,11 +100,11 @@
 }
 
 // keepIdle adds a connection to the pool for a limited time.
-func (p *Pool) keepIdle(c *conn, keep time.Duration) {
-	c.idleUntil = time.Now().Add(keep)
+func (p *Pool) keepIdle(c *conn, idleTimeout time.Duration) {
+	c.idleUntil = time.Now().Add(idleTimeout)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.closed || keep <= 0 || c.reader.Buffered() > 0 {
+	if p.closed || idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -42,16 +42,16 @@
 	return a, nil
 }
 
-func (h *fakeServer) serve(c net.Conn, late bool) {
+func (h *fakeServer) serve(c net.Conn, dialedWhileSilent bool) {
 	r := bufio.NewReader(c)
 	for {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
 		h.mutex.Lock()
-		quiet := h.silent && !late
+		silent := h.silent && !dialedWhileSilent
 		h.mutex.Unlock()
-		if quiet {
+		if silent {
 			continue
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/wire/single_host_test.go
+++ b/internal/wire/single_host_test.go
@@ -36,9 +36,9 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		s.mutex.Lock()
-		quiet := s.silent[c]
+		silent := s.silent[c]
 		s.mutex.Unlock()
-		if quiet {
+		if silent {
 			continue
 		}
 		if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")); err != nil {
