--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -91,8 +91,8 @@
 		t.server.Metrics.Add(metric.Resumes, 1)
 		t.server.Log.Emit(event.GenerationResumed, zap.String("request", string(t.chat.id)), zap.Int("from", t.answer.NextIndex()))
 		t.server.explain(t.chat.request, "resume", "the stream from "+string(t.engine)+" broke; resuming it at the next token")
-		// If the context ends during the wait, the next stream fails to open, and that is
-		// handled as any other failure.
+		// If the context ends during the wait, opening the next stream fails, which ends the
+		// attempt.
 		duty.Sleep(ctx, n.Wait)
 		o = t.openResumed
 	}
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -23,7 +23,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bytesPerToken estimates the number of tokens in a prompt from its length.
+// bytesPerToken is the assumed length of a token, to estimate the number of tokens in a
+// prompt.
 const bytesPerToken = 4
 
 // chat is one chat completion.
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -18,9 +18,9 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// An event id tells where its stream comes from, so that any entry VM can resume the
-// stream: model.generation.server.mac.index. All parts except the index are encoded in
-// base64.
+// eventIDParts is the number of parts of an event id: model.generation.server.mac.index,
+// all encoded in base64 except the index. The id tells where its stream comes from, so
+// that any entry VM can resume the stream.
 const eventIDParts = 5
 
 // eventIDPrefix returns the part of an event id before the index.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -272,7 +272,7 @@
 	s.Explain.Note(q.id, step, detail)
 }
 
-// detached returns a context for a short call that has to complete even if the caller has
+// detached returns a context for a short call that should complete even if the caller has
 // left.
 func detached(ctx context.Context) (context.Context, context.CancelFunc) {
 	const wait = 5 * time.Second
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -134,8 +134,8 @@
 	return defaultIdleTimeout
 }
 
-// body is the body of an answer. Closed after it was read to its end, it returns its
-// connection to the pool.
+// body is the body of an answer. If it is closed after it was read to the end, its
+// connection returns to the pool.
 type body struct {
 	io.ReadCloser
 
