--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -129,12 +129,12 @@
 	kept *kind[quarantine.Entry]
 }
 
-func (k keeper) Keep(_ context.Context, e quarantine.Entry) error {
+func (k keeper) Put(_ context.Context, e quarantine.Entry) error {
 	k.kept.put(string(e.Content), e)
 	return nil
 }
 
-func (k keeper) Release(_ context.Context, c api.ContentHash) error {
+func (k keeper) Delete(_ context.Context, c api.ContentHash) error {
 	k.kept.drop(string(c))
 	return nil
 }
@@ -156,10 +156,10 @@
 	fault         *fault.Error
 }
 
-func (a *asker) Whole(x port.Answer)       { a.whole = x.Status == http.StatusOK }
-func (*asker) Begin(port.Head)             {}
-func (*asker) Event(port.Event) error      { return nil }
-func (a *asker) End()                      { a.whole = true }
+func (a *asker) WriteAnswer(x port.Answer) { a.whole = x.Status == http.StatusOK }
+func (*asker) BeginStream(port.Head)       {}
+func (*asker) WriteEvent(port.Event) error { return nil }
+func (a *asker) EndStream()                { a.whole = true }
 func (a *asker) Abort()                    { a.broken = true }
 func (a *asker) Refuse(f *fault.Error)     { a.fault = f }
 func (a *asker) served() bool              { return a.whole && !a.broken }
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -23,24 +23,25 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bytesPerToken estimates a prompt's tokens from its length.
+// bytesPerToken is the assumed length of a token, to estimate the number of tokens in a
+// prompt.
 const bytesPerToken = 4
 
 // chat is one chat completion.
 type chat struct {
 	*request
-	body     []byte
-	ask      api.ChatRequest
-	work     dispatch.Work
-	generate api.GenerateRequest
-	permit   *claims.Permit
-	// engine is the engine of the present attempt.
+	body          []byte
+	params        api.ChatRequest
+	work          dispatch.Work
+	engineRequest api.GenerateRequest
+	permit        *claims.Permit
+	// engine is the engine of the current attempt.
 	engine api.ServerName
 }
 
-// chat serves a chat completion.
+// chat handles a chat completion.
 func (s *Server) chat(w http.ResponseWriter, r *http.Request) {
-	q, err := s.head(r)
+	q, err := s.readHead(r)
 	if err != nil {
 		s.refuse(w, q, err)
 		return
@@ -50,45 +51,47 @@
 		s.refuse(w, q, err)
 		return
 	}
-	s.admitted(w, r, q, func(ctx context.Context) error {
-		if f := s.Contents.Check(c.content); f != nil {
+	s.runAdmitted(w, r, q, func(ctx context.Context) error {
+		if f := s.Contents.Check(c.contentHash); f != nil {
 			return f
 		}
 		if served, err := s.claimChat(ctx, w, c); err != nil || served {
 			return err
 		}
-		s.answer(ctx, w, c)
+		s.complete(ctx, w, c)
 		return nil
 	})
 }
 
-// readChat reads and checks the body.
+// readChat reads and validates the body.
 func (s *Server) readChat(w http.ResponseWriter, r *http.Request, c *chat) error {
-	b, err := s.body(w, r)
+	b, err := s.readBody(w, r)
 	if err != nil {
 		return err
 	}
 	c.body = b
-	if err := wire.Parse(b, &c.ask); err != nil {
+	if err := wire.Parse(b, &c.params); err != nil {
 		return err
 	}
-	return c.check()
+	return c.validate()
 }
 
-// content names what the completion asks for, the same for every attempt of its caller.
-func (c *chat) content() api.ContentHash {
+// contentHash identifies the content of the completion. All attempts of its caller have
+// the same.
+func (c *chat) contentHash() api.ContentHash {
 	return quarantine.Hash(c.workspace.Name, http.MethodPost, "", PathChat, c.body)
 }
 
-// check finds the model and sizes the request.
-func (c *chat) check() error {
-	if len(c.ask.Messages) == 0 {
-		return fault.New(fault.InvalidRequest, "messages has to hold at least one message")
+// validate checks the parameters, and prepares the completion for the model and the
+// adapter that they name.
+func (c *chat) validate() error {
+	if len(c.params.Messages) == 0 {
+		return fault.New(fault.InvalidRequest, "messages must hold at least one message")
 	}
-	if c.ask.MaxTokens < 0 {
-		return fault.New(fault.InvalidRequest, "max_tokens has to be 0 or more")
+	if c.params.MaxTokens < 0 {
+		return fault.New(fault.InvalidRequest, "max_tokens must be 0 or more")
 	}
-	m, a, _ := strings.Cut(string(c.ask.Model), ":")
+	m, a, _ := strings.Cut(string(c.params.Model), ":")
 	model, adapter := api.ModelName(m), api.AdapterName(a)
 	spec, ok := c.view.Models[model]
 	if !ok {
@@ -98,35 +101,37 @@
 		return fault.New(fault.UnknownModel, "no adapter "+a+" of model "+m+" is declared")
 	}
 	if !c.workspace.MayUse(model, adapter) {
-		return fault.New(fault.NotAllowed, "the workspace may not use "+string(c.ask.Model))
+		return fault.New(fault.NotAllowed, "the workspace may not use "+string(c.params.Model))
 	}
-	return c.size(model, adapter, spec)
+	return c.prepare(model, adapter, spec)
 }
 
-func (c *chat) size(model api.ModelName, adapter api.AdapterName, spec api.ModelSpec) error {
-	p := prompt(c.ask.Messages)
-	n := tokens(p)
+// prepare estimates the tokens of the completion, and sets the work for the dispatcher and
+// the request for the engine.
+func (c *chat) prepare(model api.ModelName, adapter api.AdapterName, spec api.ModelSpec) error {
+	p := formatPrompt(c.params.Messages)
+	n := estimateTokens(p)
 	if n >= spec.ContextTokens {
-		return fault.New(fault.TooLarge, fmt.Sprintf("the prompt has about %d tokens, the model takes %d in all", n, spec.ContextTokens))
+		return fault.New(fault.TooLarge, fmt.Sprintf("the prompt has about %d tokens, but the context of the model is limited to %d", n, spec.ContextTokens))
 	}
-	most := spec.ContextTokens - n
-	if c.ask.MaxTokens > 0 {
-		most = min(most, c.ask.MaxTokens)
+	maxTokens := spec.ContextTokens - n
+	if c.params.MaxTokens > 0 {
+		maxTokens = min(maxTokens, c.params.MaxTokens)
 	}
-	prefix, length := sharedPrefix(c.ask)
+	prefix, length := sharedPrefix(c.params)
 	c.work = dispatch.Work{
 		Request: c.id, Workspace: c.workspace.Name, Weight: c.workspace.Weight,
 		Kind: c.kind, Priority: c.priority, Model: model, Adapter: adapter,
-		PromptTokens: n, MaxTokens: most, Prefix: prefix, Deadline: c.deadline,
+		PromptTokens: n, MaxTokens: maxTokens, Prefix: prefix, Deadline: c.deadline,
 	}
-	c.generate = api.GenerateRequest{
-		Model: model, Adapter: adapter, Prompt: p, PromptTokens: n, MaxTokens: most,
-		Priority: c.priority, Prefix: prefix, PrefixTokens: length, Metadata: c.ask.Metadata,
+	c.engineRequest = api.GenerateRequest{
+		Model: model, Adapter: adapter, Prompt: p, PromptTokens: n, MaxTokens: maxTokens,
+		Priority: c.priority, Prefix: prefix, PrefixTokens: length, Metadata: c.params.Metadata,
 	}
 	return nil
 }
 
-func prompt(l []api.ChatMessage) string {
+func formatPrompt(l []api.ChatMessage) string {
 	var b strings.Builder
 	for _, m := range l {
 		b.WriteString(m.Role)
@@ -137,23 +142,24 @@
 	return b.String()
 }
 
-func tokens(s string) api.Tokens {
+func estimateTokens(s string) api.Tokens {
 	return api.Tokens(len(s)/bytesPerToken + 1)
 }
 
-// sharedPrefix is the system message, which many requests begin with.
+// sharedPrefix returns the routing key and the length of the system message, with which
+// many requests begin.
 func sharedPrefix(c api.ChatRequest) (string, api.Tokens) {
 	m := c.Messages[0]
 	if m.Role != "system" {
 		return "", 0
 	}
-	return fmt.Sprintf("%s/%016x", c.Model, xxhash.Sum64String(m.Content)), tokens(m.Content)
+	return fmt.Sprintf("%s/%016x", c.Model, xxhash.Sum64String(m.Content)), estimateTokens(m.Content)
 }
 
-// claimChat claims a completion that is not repeatable and has a key; it
-// reports true when the caller was served with a kept answer.
+// claimChat claims a completion that is not repeatable and has an idempotency key. It
+// returns true if it has sent the caller the recorded answer of an earlier attempt.
 func (s *Server) claimChat(ctx context.Context, w http.ResponseWriter, c *chat) (bool, error) {
-	if !c.once || c.key == "" {
+	if !c.notRepeatable || c.key == "" {
 		return false, nil
 	}
 	p, a, err := s.claim(ctx, c.request, claims.Hash(http.MethodPost, PathChat, c.body))
@@ -161,37 +167,38 @@
 		return false, err
 	}
 	if a != nil {
-		s.replay(w, c.request, a)
+		s.writeAnswer(w, c.request, a)
 		return true, nil
 	}
 	c.permit = p
 	return false, nil
 }
 
-// answer runs a completion and gives the caller its outcome.
-func (s *Server) answer(ctx context.Context, w http.ResponseWriter, c *chat) {
-	k := s.sink(w, c)
+// complete runs a completion and sends the caller its outcome.
+func (s *Server) complete(ctx context.Context, w http.ResponseWriter, c *chat) {
+	k := s.newSink(w, c)
 	f := s.run(ctx, c, k)
 	if f == nil {
 		f = k.Finish()
 	}
-	s.settle(ctx, c, k, f)
+	s.recordChatOutcome(ctx, c, k, f)
 	if f == nil {
-		s.Contents.Answered(c.content)
-		s.done(c.request)
+		s.Contents.Answered(c.contentHash)
+		s.recordDone(c.request)
 		return
 	}
 	if k.Started() {
-		s.count(f, c.id)
-		s.note(c.request, "failed", f.Error())
+		s.recordFailure(f, c.id)
+		s.explain(c.request, "failed", f.Error())
 		k.Fail(f)
 		return
 	}
 	s.refuse(w, c.request, f)
 }
 
-// settle records the outcome of a claimed completion.
-func (s *Server) settle(ctx context.Context, c *chat, k sink, f *fault.Error) {
+// recordChatOutcome records the outcome of a claimed completion. The claim of a completion
+// that may have run without an answer stays as it is.
+func (s *Server) recordChatOutcome(ctx context.Context, c *chat, k sink, f *fault.Error) {
 	if c.permit == nil {
 		return
 	}
@@ -199,25 +206,26 @@
 	defer cancel()
 	switch {
 	case f == nil:
-		c.permit.Done(d, claims.Answer{Status: http.StatusOK, ContentType: wire.TypeJSON, Body: k.Whole()})
+		c.permit.Done(d, claims.Answer{Status: http.StatusOK, ContentType: wire.TypeJSON, Body: k.Completion()})
 	case f.Ran == api.RanNo:
 		c.permit.Abandon(d)
 	}
 }
 
-func (s *Server) sink(w http.ResponseWriter, c *chat) sink {
-	if c.ask.Stream {
+func (s *Server) newSink(w http.ResponseWriter, c *chat) sink {
+	if c.params.Stream {
 		return newStreamSink(s, w, c)
 	}
-	return newWholeSink(w, c)
+	return newBufferedSink(w, c)
 }
 
-// policy bounds what an answer may try.
+// policy returns the limits on the attempts of an answer.
 func (s *Server) policy(c *chat) answer.Policy {
-	return answer.Policy{Repeatable: !c.once, MaxResumeTime: s.engine.ResumeMS.Duration(), Deadline: c.deadline}
+	return answer.Policy{Repeatable: !c.notRepeatable, MaxResumeTime: s.engineSettings.ResumeMS.Duration(), Deadline: c.deadline}
 }
 
-// run finds an engine, generates, and tries again or resumes as decided.
+// run finds an engine, generates the answer there, and retries on other engines as
+// decided.
 func (s *Server) run(ctx context.Context, c *chat, k sink) *fault.Error {
 	a := answer.New(s.policy(c))
 	acquire := s.Broker.Acquire
@@ -226,26 +234,26 @@
 		g, err := acquire(x, c.work)
 		span.End()
 		if err != nil {
-			return s.unplaced(ctx, a, err)
+			return s.dispatchFault(ctx, a, err)
 		}
-		if f := s.Contents.Check(c.content); f != nil {
+		if f := s.Contents.Check(c.contentHash); f != nil {
 			s.Broker.Finish(c.id, 0, false)
 			return f.WithRan(a.Ran())
 		}
-		s.note(c.request, "dispatch", string(g.Server)+": "+g.Reason)
+		s.explain(c.request, "dispatch", string(g.Server)+": "+g.Reason)
 		c.engine = g.Server
 		t := &attempt{server: s, chat: c, answer: a, sink: k, engine: g.Server}
 		n := t.run(ctx)
 		switch n.Action {
 		case answer.Retry:
-			if !s.Contents.MayGoOn(c.content) {
-				return fault.New(fault.OutcomeUnknown, "servers ended while they ran requests of this content").WithRan(a.Ran())
+			if !s.Contents.MayGoOn(c.contentHash) {
+				return fault.New(fault.OutcomeUnknown, "servers crashed while they ran requests with this content").WithRan(a.Ran())
 			}
 			s.Metrics.Add(metric.Retries, 1)
-			s.Log.Emit(event.GenerationRetried, zap.String("request", string(c.id)), zap.String("content", string(c.content())), zap.String("server", string(g.Server)))
-			s.note(c.request, "retry", "the attempt on "+string(g.Server)+" broke before its first token")
+			s.Log.Emit(event.GenerationRetried, zap.String("request", string(c.id)), zap.String("content", string(c.contentHash())), zap.String("server", string(g.Server)))
+			s.explain(c.request, "retry", "the attempt on "+string(g.Server)+" failed before its first token")
 			c.work.Avoid = g.Server
-			acquire = s.Broker.Again
+			acquire = s.Broker.Retry
 		case answer.Fail:
 			return n.Fault
 		default:
@@ -254,9 +262,9 @@
 	}
 }
 
-// unplaced types a request that got no engine; an earlier attempt of it may
-// have run all the same.
-func (s *Server) unplaced(ctx context.Context, a *answer.Answer, err error) *fault.Error {
+// dispatchFault returns the fault of a request that got no engine. An earlier attempt of
+// the request may have run.
+func (s *Server) dispatchFault(ctx context.Context, a *answer.Answer, err error) *fault.Error {
 	f := fault.From(err)
 	if f.Code == fault.CallerGone && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		f = fault.New(fault.DeadlinePassed, "the deadline passed while the request waited").After(time.Second)
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -10,7 +10,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// claim makes the claim of a request that is not repeatable.
+// claim claims a request that is not repeatable. It returns a permit to send the request,
+// or the recorded answer of an earlier attempt.
 func (s *Server) claim(ctx context.Context, q *request, hash string) (*claims.Permit, *claims.Answer, error) {
 	ctx, span := trace.Start(ctx, "claim")
 	defer span.End()
@@ -21,28 +22,29 @@
 	})
 	switch {
 	case err != nil:
-		s.note(q, "claim", err.Error())
+		s.explain(q, "claim", err.Error())
 	case a != nil:
-		s.note(q, "claim", "an earlier attempt was answered; its answer is given again")
+		s.explain(q, "claim", "an earlier attempt was answered; its recorded answer is sent again")
 	default:
-		s.note(q, "claim", "recorded before the send")
+		s.explain(q, "claim", "recorded before the request is sent")
 	}
 	return p, a, err
 }
 
-// replay answers with the kept answer of an earlier attempt.
-func (s *Server) replay(w http.ResponseWriter, q *request, a *claims.Answer) {
+// writeAnswer sends a complete answer, which may be the recorded answer of an earlier
+// attempt.
+func (s *Server) writeAnswer(w http.ResponseWriter, q *request, a *claims.Answer) {
 	h := w.Header()
-	h.Set(wire.HeaderRequest, string(q.id))
+	h.Set(wire.HeaderRequestID, string(q.id))
 	h.Set(wire.HeaderRan, string(api.RanYes))
 	if a.ContentType != "" {
-		h.Set(wire.HeaderType, a.ContentType)
+		h.Set(wire.HeaderContentType, a.ContentType)
 	}
 	status := a.Status
 	if status < http.StatusOK {
 		status = http.StatusOK
 	}
 	w.WriteHeader(status)
-	// A caller that is gone needs no answer.
+	// The write fails only if the caller has left, which needs no handling.
 	_, _ = w.Write(a.Body)
 }
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -15,13 +15,13 @@
 
 const fuzzKey = "key"
 
-// fuzzServer knows one workspace and one model, and no engine.
+// fuzzServer creates a server with one workspace, one model and no engine.
 func fuzzServer() *Server {
 	s := relayServer()
-	s.settings = api.EntrySettings{BodyLimitKB: 16, DeadlineMS: 1000, HeaderWaitMS: 1000}
+	s.entrySettings = api.EntrySettings{BodyLimitKB: 16, DeadlineMS: 1000, HeaderWaitMS: 1000}
 	began := time.Now()
-	s.Life = lifecycle.New(func() time.Time { return began })
-	s.Life.Serve()
+	s.Lifecycle = lifecycle.New(func() time.Time { return began })
+	s.Lifecycle.Serve()
 	v := &config.View{
 		Models:         map[api.ModelName]api.ModelSpec{"desk": {ContextTokens: 1000}},
 		WorkspaceByKey: map[string]api.WorkspaceName{"2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683": "w"},
@@ -33,8 +33,8 @@
 	return s
 }
 
-// FuzzChat sends any body, key and headers: nobody gets in without the key,
-// and every answer is a typed refusal, as there is no engine.
+// FuzzChat sends arbitrary bodies, keys and headers. No request is accepted without the
+// key, and each answer is a typed refusal, since there is no engine.
 func FuzzChat(f *testing.F) {
 	f.Add(`{"model":"desk","messages":[{"role":"user","content":"x"}]}`, fuzzKey, "interactive", "100")
 	f.Add(`{"model":"desk:","messages":[{}]}`, fuzzKey, "", "-1")
--- a/internal/entry/relay_test.go
+++ b/internal/entry/relay_test.go
@@ -22,14 +22,15 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// discard is a response writer that keeps nothing.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that discards what is written.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) WriteHeader(int)             {}
-func (d discard) Flush()                      {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) WriteHeader(int)             {}
+func (d discardWriter) Flush()                      {}
 
+// stream encodes an engine's stream of a number of tokens.
 func stream(tokens int) []byte {
 	var b bytes.Buffer
 	for i := range tokens + 1 {
@@ -43,17 +44,17 @@
 	return b.Bytes()
 }
 
-// relay passes one stream on, from the engine's bytes to the caller's.
+// relay reads one encoded stream of an engine and sends it to the caller.
 func relay(b *testing.B, s *Server, body []byte, w http.ResponseWriter) {
 	b.Helper()
-	c := &chat{request: &request{id: "r", workspace: config.Workspace{Name: "w"}, began: time.Now()}, engine: "e"}
-	c.ask.Model = "desk"
+	c := &chat{request: &request{id: "r", workspace: config.Workspace{Name: "w"}, started: time.Now()}, engine: "e"}
+	c.params.Model = "desk"
 	k := newStreamSink(s, w, c)
-	t := &attempt{server: s, chat: c, sink: k, answer: answer.New(answer.Policy{Repeatable: true, Deadline: time.Now().Add(time.Hour)}), last: time.Now()}
+	t := &attempt{server: s, chat: c, sink: k, answer: answer.New(answer.Policy{Repeatable: true, Deadline: time.Now().Add(time.Hour)}), lastToken: time.Now()}
 	t.answer.Begin("0123456789abcdef")
-	t.watch = time.NewTimer(time.Hour)
+	t.silenceTimer = time.NewTimer(time.Hour)
 	x := engine.NewStream(io.NopCloser(bytes.NewReader(body)))
-	if err := x.Each(k.Flush, t.take); err != nil {
+	if err := x.Each(k.Flush, t.handleEvent); err != nil {
 		b.Fatal(err)
 	}
 	if f := k.Finish(); f != nil {
@@ -64,21 +65,21 @@
 func relayServer() *Server {
 	set := api.Settings{Entry: api.EntrySettings{SlowReaderMS: 1000}, Engine: api.EngineSettings{StallMS: 1000}}
 	d := dispatch.New(dispatch.Options{Admission: admit.Slots{N: 1}, Routing: route.TwoChoices{}, QueueLimit: 1})
-	return New(Parts{Settings: set, Log: event.Discard(), Metrics: metric.New(), Broker: broker.New(d), Explain: explain.New("a", 1)})
+	return New(Options{Settings: set, Log: event.Discard(), Metrics: metric.New(), Broker: broker.New(d), Explain: explain.New("a", 1)})
 }
 
-// BenchmarkRelayToken is the work on one token without the sockets.
+// BenchmarkRelayToken measures the work for one token without the network.
 func BenchmarkRelayToken(b *testing.B) {
 	s := relayServer()
 	const tokens = 1000
 	body := stream(tokens)
 	b.ReportAllocs()
 	for n := 0; n < b.N; n += tokens {
-		relay(b, s, body, discard{http.Header{}})
+		relay(b, s, body, discardWriter{http.Header{}})
 	}
 }
 
-func TestRelayIsWhole(t *testing.T) {
+func TestRelayDeliversEveryEvent(t *testing.T) {
 	w := httptest.NewRecorder()
 	b := &testing.B{}
 	relay(b, relayServer(), stream(50), w)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -16,33 +16,34 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Bounds of what callers may put into headers.
+// Limits of the header values that callers may send.
 const (
-	keyLimit      = 256
-	kindLimit     = 64
-	deadlineLimit = 2 * time.Hour
+	maxKeyBytes  = 256
+	maxKindBytes = 64
+	maxTimeout   = 2 * time.Hour
 )
 
-// defaultKind is the kind of requests that name none.
+// defaultKind is the kind of a request that does not name one.
 const defaultKind = "default"
 
-// request is what is known of a request from its head.
+// request is what the headers of a request tell, and the workspace that it belongs to.
 type request struct {
-	id        api.RequestID
-	workspace config.Workspace
-	view      *config.View
-	priority  api.Priority
-	kind      api.RequestKind
-	began     time.Time
-	deadline  time.Time
-	key       string
-	once      bool
-	// resumed tells that its generation runs whatever becomes of this call.
+	id            api.RequestID
+	workspace     config.Workspace
+	view          *config.View
+	priority      api.Priority
+	kind          api.RequestKind
+	started       time.Time
+	deadline      time.Time
+	key           string
+	notRepeatable bool
+	// resumed is set if the request resumes a generation, which runs regardless of what
+	// happens to this request.
 	resumed bool
 }
 
-// head reads a request's head and finds its workspace by its key.
-func (s *Server) head(r *http.Request) (*request, error) {
+// readHead reads the headers of a request and finds its workspace by the caller's key.
+func (s *Server) readHead(r *http.Request) (*request, error) {
 	v := s.View()
 	w, err := authenticate(v, r)
 	if err != nil {
@@ -53,10 +54,10 @@
 		workspace: w,
 		view:      v,
 		kind:      defaultKind,
-		began:     time.Now(),
+		started:   time.Now(),
 	}
 	s.Explain.Open(q.id, w.Name)
-	for _, f := range []func(*request, http.Header) error{s.readDeadline, readPriority, readKind, readOnce} {
+	for _, f := range []func(*request, http.Header) error{s.readDeadline, readPriority, readKind, readNotRepeatable} {
 		if err := f(q, r.Header); err != nil {
 			return q, err
 		}
@@ -77,24 +78,24 @@
 	return v.Workspaces[n], nil
 }
 
-func invalid(header, allowed string) error {
-	return fault.New(fault.InvalidHeader, header+" has to be "+allowed)
+func invalidHeader(header, allowed string) error {
+	return fault.New(fault.InvalidHeader, header+" must be "+allowed)
 }
 
 func (s *Server) readDeadline(q *request, h http.Header) error {
-	d := s.settings.DeadlineMS.Duration()
+	d := s.entrySettings.DeadlineMS.Duration()
 	if v := h.Get(wire.HeaderDeadline); v != "" {
 		n, err := strconv.Atoi(v)
 		d = time.Duration(n) * time.Millisecond
-		if err != nil || n <= 0 || d > deadlineLimit {
-			return invalid(wire.HeaderDeadline, "a number of ms from 1 to "+strconv.Itoa(int(deadlineLimit.Milliseconds())))
+		if err != nil || n <= 0 || d > maxTimeout {
+			return invalidHeader(wire.HeaderDeadline, "a number of ms from 1 to "+strconv.Itoa(int(maxTimeout.Milliseconds())))
 		}
 	}
-	q.deadline = q.began.Add(d)
+	q.deadline = q.started.Add(d)
 	return nil
 }
 
-// readPriority takes the workspace's own priority unless a lower one is named.
+// readPriority sets the priority of the workspace, or a lower one if the request names it.
 func readPriority(q *request, h http.Header) error {
 	q.priority = q.workspace.Priority
 	v := api.Priority(h.Get(wire.HeaderPriority))
@@ -105,15 +106,15 @@
 			q.priority = v
 		}
 	default:
-		return invalid(wire.HeaderPriority, "interactive, standard or background")
+		return invalidHeader(wire.HeaderPriority, "interactive, standard or background")
 	}
 	return nil
 }
 
 func readKind(q *request, h http.Header) error {
 	v := h.Get(wire.HeaderKind)
-	if len(v) > kindLimit {
-		return invalid(wire.HeaderKind, "at most "+strconv.Itoa(kindLimit)+" bytes")
+	if len(v) > maxKindBytes {
+		return invalidHeader(wire.HeaderKind, "at most "+strconv.Itoa(maxKindBytes)+" bytes")
 	}
 	if v != "" {
 		q.kind = api.RequestKind(v)
@@ -121,17 +122,17 @@
 	return nil
 }
 
-func readOnce(q *request, h http.Header) error {
-	q.key = h.Get(wire.HeaderIdempotency)
-	if len(q.key) > keyLimit {
-		return invalid(wire.HeaderIdempotency, "at most "+strconv.Itoa(keyLimit)+" bytes")
+func readNotRepeatable(q *request, h http.Header) error {
+	q.key = h.Get(wire.HeaderIdempotencyKey)
+	if len(q.key) > maxKeyBytes {
+		return invalidHeader(wire.HeaderIdempotencyKey, "at most "+strconv.Itoa(maxKeyBytes)+" bytes")
 	}
 	switch v := h.Get(wire.HeaderNotRepeatable); v {
 	case "", "false":
 	case "true":
-		q.once = true
+		q.notRepeatable = true
 	default:
-		return invalid(wire.HeaderNotRepeatable, "true or false")
+		return invalidHeader(wire.HeaderNotRepeatable, "true or false")
 	}
 	return nil
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -33,51 +33,53 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Paths of the callers' interface.
+// Paths of the HTTP interface for callers.
 const (
 	PathChat     = "/v1/chat/completions"
 	PathServices = "/services"
 	PathHealth   = "/healthz"
 )
 
-// Parts are what the callers' side works with.
-type Parts struct {
-	Settings api.Settings
-	Log      *event.Log
-	Metrics  *metric.Set
-	Life     *lifecycle.Life
-	View     func() *config.View
-	Broker   *broker.Broker
-	Engines  *engine.Client
-	Claims   *claims.Keeper
-	Explain  *explain.Recorder
-	Group    *duty.Group
-	// Deadlines end requests at their callers' times; nil makes some by the boot clock.
+// Options are the settings, the clients and the shared state that a Server works with.
+type Options struct {
+	Settings  api.Settings
+	Log       *event.Log
+	Metrics   *metric.Set
+	Lifecycle *lifecycle.Life
+	View      func() *config.View
+	Broker    *broker.Broker
+	Engines   *engine.Client
+	Claims    *claims.Keeper
+	Explain   *explain.Recorder
+	Group     *duty.Group
+	// Deadlines cancels requests at their deadlines. If it is nil, New creates one that uses
+	// the boot clock.
 	Deadlines *clock.Deadlines
-	// Contents knows the contents that end servers; nil makes a guard of its own.
+	// Contents detects contents that crash servers. If it is nil, New creates a separate
+	// guard.
 	Contents *contents.Guard
-	// Reused sends calls over connections that are kept.
-	Reused *http.Client
-	// Single sends each call over a connection of its own.
-	Single *http.Client
+	// KeepAliveClient sends calls over reused connections.
+	KeepAliveClient *http.Client
+	// SingleUseClient sends each call over a connection of its own.
+	SingleUseClient *http.Client
 }
 
-// Server serves callers.
+// Server serves the requests of callers.
 type Server struct {
-	Parts
-	settings api.EntrySettings
-	engine   api.EngineSettings
+	Options
+	entrySettings  api.EntrySettings
+	engineSettings api.EngineSettings
 
 	limitMutex sync.Mutex
 	limiter    *limit.Limiter
 
-	serviceMutex sync.Mutex
-	services     *backend.Servers
-	budget       *retry.Budget
+	serverMutex sync.Mutex
+	servers     *backend.Servers
+	retryBudget *retry.Budget
 }
 
-// New makes the callers' side.
-func New(p Parts) *Server {
+// New creates a server for callers.
+func New(p Options) *Server {
 	if p.Deadlines == nil {
 		p.Deadlines = clock.NewDeadlines(clock.Boot)
 	}
@@ -85,18 +87,18 @@
 		p.Contents = contents.New(p.Log, p.Metrics)
 	}
 	return &Server{
-		Parts: p, settings: p.Settings.Entry, engine: p.Settings.Engine,
-		limiter: limit.New(), services: backend.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)),
-		budget: retry.New(p.Settings.Engine.RetryPermille),
+		Options: p, entrySettings: p.Settings.Entry, engineSettings: p.Settings.Engine,
+		limiter: limit.New(), servers: backend.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)),
+		retryBudget: retry.New(p.Settings.Engine.RetryPermille),
 	}
 }
 
-// Handler routes the callers' interface.
+// Handler routes the requests of callers.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get(PathHealth, s.health)
 	r.Group(func(r chi.Router) {
-		r.Use(s.guard)
+		r.Use(s.middleware)
 		r.Post(PathChat, s.chat)
 		r.Get(PathChat+"/{request}", s.resume)
 		r.HandleFunc(PathServices+"/{service}", s.service)
@@ -111,9 +113,10 @@
 	return trace.Handler("caller", r, otelhttp.WithFilter(func(r *http.Request) bool { return r.URL.Path != PathHealth }))
 }
 
-// health answers the balancer.
+// health answers the health checks of the load balancer, which succeed while this entry VM
+// is serving.
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	if st := s.Life.State(); st != api.PeerStateServing {
+	if st := s.Lifecycle.State(); st != api.PeerStateServing {
 		f := fault.New(fault.Stopping, "this entry VM is "+string(st))
 		wire.Refuse(w, f, "")
 		return
@@ -121,28 +124,29 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// guard lets a request in, bounds the time its body may take, and keeps a
-// panic to the one request.
-func (s *Server) guard(next http.Handler) http.Handler {
+// middleware admits a request, limits the time to read its body, and recovers from panics
+// of its handler.
+func (s *Server) middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		leave, f := s.Life.Enter()
+		leave, f := s.Lifecycle.Enter()
 		if f != nil {
 			s.Metrics.Add(metric.RequestsRefused, 1)
 			wire.Refuse(w, f, "")
 			return
 		}
 		defer leave()
-		defer s.recover(w)
+		defer s.recoverPanic(w)
 		s.Metrics.Add(metric.RequestsTotal, 1)
 		c := http.NewResponseController(w)
-		// A writer without deadlines is a test's.
-		_ = c.SetReadDeadline(time.Now().Add(s.settings.HeaderWaitMS.Duration()))
+		// Only the response writers of tests don't support deadlines.
+		_ = c.SetReadDeadline(time.Now().Add(s.entrySettings.HeaderWaitMS.Duration()))
 		next.ServeHTTP(w, r)
 	})
 }
 
-// recover answers a request whose handler panicked.
-func (s *Server) recover(w http.ResponseWriter) {
+// recoverPanic answers a request whose handler panicked. It passes http.ErrAbortHandler
+// on.
+func (s *Server) recoverPanic(w http.ResponseWriter) {
 	v := recover()
 	if v == nil {
 		return
@@ -151,13 +155,13 @@
 		panic(v)
 	}
 	s.Log.Emit(event.HandlerPanicked, zap.Any("panic", v), zap.ByteString("stack", debug.Stack()))
-	wire.Refuse(w, fault.New(fault.Internal, "a defect of the system"), "")
+	wire.Refuse(w, fault.New(fault.Internal, "internal error"), "")
 }
 
-// body reads a request's body and lifts the bound on the time it may take.
-func (s *Server) body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+// readBody reads the body of a request, and then removes the deadline for reading it.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	const kilo = 1024
-	b, err := wire.Body(w, r, int64(s.settings.BodyLimitKB)*kilo)
+	b, err := wire.ReadBody(w, r, int64(s.entrySettings.BodyLimitKB)*kilo)
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +169,7 @@
 	return b, nil
 }
 
-// Declare takes a view: the servers of plain services and the workspaces.
+// Declare applies a configuration: the servers of plain services and the workspaces.
 func (s *Server) Declare(v *config.View) {
 	var l []backend.Server
 	for n, x := range v.Servers {
@@ -173,9 +177,9 @@
 			l = append(l, backend.Server{Name: n, Draining: v.Draining(x)})
 		}
 	}
-	s.serviceMutex.Lock()
-	s.services.Declare(l)
-	s.serviceMutex.Unlock()
+	s.serverMutex.Lock()
+	s.servers.Declare(l)
+	s.serverMutex.Unlock()
 	s.limitMutex.Lock()
 	defer s.limitMutex.Unlock()
 	s.limiter.RetainWorkspaces(func(w api.WorkspaceName) bool {
@@ -184,30 +188,32 @@
 	})
 }
 
-// Listed notes whether the platform's list says that a server is leaving.
-func (s *Server) Listed(n api.ServerName, leaving bool) {
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	s.services.SetListedLeaving(n, leaving)
+// SetListedLeaving sets whether a server is leaving by the platform's list.
+func (s *Server) SetListedLeaving(n api.ServerName, leaving bool) {
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	s.servers.SetListedLeaving(n, leaving)
 }
 
-// Members sets the number of entry VMs that share the limits of workspaces and servers.
-func (s *Server) Members(n int) {
+// SetMembers sets the number of entry VMs, which share the limits of workspaces and
+// servers.
+func (s *Server) SetMembers(n int) {
 	s.limitMutex.Lock()
 	s.limiter.SetMembers(n)
 	s.limitMutex.Unlock()
-	s.serviceMutex.Lock()
-	defer s.serviceMutex.Unlock()
-	s.services.SetMembers(time.Now(), n)
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	s.servers.SetMembers(time.Now(), n)
 }
 
-// admit holds a workspace to its limits; the clean-up ends the request.
+// admit applies the limits of a workspace to a request. The returned function ends the
+// request.
 func (s *Server) admit(w config.Workspace) (func(), error) {
 	b := limit.Quota{RequestsPerSecond: w.RequestsPerSecond, ConcurrentRequests: w.Concurrent}
 	s.limitMutex.Lock()
 	defer s.limitMutex.Unlock()
 	if d, ok := s.limiter.Acquire(time.Now(), w.Name, b); !ok {
-		return nil, fault.New(fault.LimitReached, "the workspace is at its limit").After(max(d, time.Millisecond))
+		return nil, fault.New(fault.LimitReached, "the workspace has reached its limit").After(max(d, time.Millisecond))
 	}
 	return func() {
 		s.limitMutex.Lock()
@@ -216,9 +222,9 @@
 	}, nil
 }
 
-// admitted runs a request within its workspace's limits and its deadline, and
-// refuses it with the failure that f gives.
-func (s *Server) admitted(w http.ResponseWriter, r *http.Request, q *request, f func(ctx context.Context) error) {
+// runAdmitted runs f within the limits of the request's workspace and the deadline of the
+// request. If the limits are reached or f fails, it answers the request with the fault.
+func (s *Server) runAdmitted(w http.ResponseWriter, r *http.Request, q *request, f func(ctx context.Context) error) {
 	done, err := s.admit(q.workspace)
 	if err != nil {
 		s.refuse(w, q, err)
@@ -232,7 +238,7 @@
 	}
 }
 
-// refuse answers a failed request that has sent nothing to its caller yet.
+// refuse answers a failed request of which the caller has received nothing yet.
 func (s *Server) refuse(w http.ResponseWriter, q *request, err error) {
 	f := fault.From(err)
 	id := api.RequestID("")
@@ -241,30 +247,33 @@
 		if q.resumed && f.Ran == api.RanNo {
 			f = f.WithRan(api.RanYes)
 		}
-		s.note(q, "refused", f.Error())
+		s.explain(q, "refused", f.Error())
 	}
-	s.count(f, id)
+	s.recordFailure(f, id)
 	wire.Refuse(w, f, id)
 }
 
-// done counts a request that was answered whole.
-func (s *Server) done(q *request) {
+// recordDone counts and logs a request that was answered completely.
+func (s *Server) recordDone(q *request) {
 	s.Metrics.Add(metric.RequestsDone, 1)
-	s.note(q, "done", "answered whole")
-	s.Log.Emit(event.RequestDone, zap.String("request", string(q.id)), zap.String("workspace", string(q.workspace.Name)), zap.Duration("took", time.Since(q.began)))
+	s.explain(q, "done", "answered whole")
+	s.Log.Emit(event.RequestDone, zap.String("request", string(q.id)), zap.String("workspace", string(q.workspace.Name)), zap.Duration("took", time.Since(q.started)))
 }
 
-func (s *Server) count(f *fault.Error, id api.RequestID) {
+// recordFailure counts and logs a request that failed.
+func (s *Server) recordFailure(f *fault.Error, id api.RequestID) {
 	e, m := ending.Of(f)
 	s.Metrics.Add(m, 1)
 	s.Log.Emit(e, zap.String("request", string(id)), zap.String("type", f.Code.Kind().Type), zap.Int("code", int(f.Code)), zap.String("ran", string(f.Ran)), zap.Error(f))
 }
 
-func (s *Server) note(q *request, step, detail string) {
+// explain adds a step to the explanation of a request.
+func (s *Server) explain(q *request, step, detail string) {
 	s.Explain.Note(q.id, step, detail)
 }
 
-// detached gives a context that outlives the caller for a short call.
+// detached returns a context for a short call that should complete even if the caller has
+// left.
 func detached(ctx context.Context) (context.Context, context.CancelFunc) {
 	const wait = 5 * time.Second
 	return context.WithTimeout(context.WithoutCancel(ctx), wait)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -48,13 +48,13 @@
 // storeQuarantine writes a quarantined content to the platform, and retries while the platform
 // is not available.
 func (g *Gateway) storeQuarantine(ctx context.Context, e quarantine.Entry) {
-	g.retryWrite(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Keep(c, e) })
+	g.retryWrite(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Put(c, e) })
 }
 
 // deleteQuarantine removes a content from the platform, and retries while the platform is not
 // available.
 func (g *Gateway) deleteQuarantine(ctx context.Context, c api.ContentHash) {
-	g.retryWrite(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Release(x, c) })
+	g.retryWrite(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Delete(x, c) })
 }
 
 // retryWrite retries a write for a content until it succeeds or is no longer wanted.
@@ -112,7 +112,7 @@
 	for _, c := range g.Contents.Expired() {
 		x, cancel := context.WithTimeout(ctx, writeTimeout)
 		g.Metrics.Add(metric.PlatformWrites, 1)
-		err := g.Quarantines.Release(x, c)
+		err := g.Quarantines.Delete(x, c)
 		cancel()
 		if err != nil {
 			g.Log.Emit(event.QuarantineUnkept, zap.String("content", string(c)), zap.Error(err))
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -110,10 +110,10 @@
 	}
 	q := r.request
 	x := c.resume
-	x.After, _ = r.progress()
+	x.LastEventID, _ = r.progress()
 	b := g.protect(ctx, q, c.server)
 	t := q.attempt(c.server, b)
-	t.Connect, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
+	t.ConnectTimeout, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
 	g.countSent(c.server)
 	a, err := g.sendUntilConnected(ctx, t)
 	if err != nil {
@@ -153,7 +153,7 @@
 		if !fault.Has(err, fault.NotStarted) || n == maxResumeAttempts || ctx.Err() != nil {
 			return a, err
 		}
-		if port.Refused(err) {
+		if port.ConnectionRefused(err) {
 			g.Contents.Ended(t.Server.Name)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(t.Request.ID)), zap.String("server", string(t.Server.Name)), zap.Error(err))
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -32,7 +32,7 @@
 }
 
 // Copy copies a run's memory.
-func (o signalRecorder) Copy(ctx context.Context, c port.CopyOrder) (port.Copy, error) {
+func (o signalRecorder) Copy(ctx context.Context, c port.CopyRequest) (port.Copy, error) {
 	began := time.Now()
 	x, err := o.Backends.Copy(ctx, c)
 	o.gateway.recordSignals(began, c.Source, x.Signals)
@@ -47,10 +47,10 @@
 	return x, err
 }
 
-// Release frees a copy of a run's memory.
-func (o signalRecorder) Release(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
+// ReleaseCopy frees a copy of a run's memory.
+func (o signalRecorder) ReleaseCopy(ctx context.Context, s roster.Server, handle string) (port.Signals, error) {
 	began := time.Now()
-	x, err := o.Backends.Release(ctx, s, handle)
+	x, err := o.Backends.ReleaseCopy(ctx, s, handle)
 	o.gateway.recordSignals(began, s, x)
 	return x, err
 }
@@ -89,8 +89,8 @@
 	if x.Unreadable != "" {
 		g.Log.Emit(event.SignalUnreadable, zap.String("server", string(s.Name)), zap.String("text", x.Unreadable))
 	}
-	if x.Resting {
-		g.recordBackoff(s, x.Rest)
+	if x.BackoffRequested {
+		g.recordBackoff(s, x.Backoff)
 	}
 	if x.Leaving {
 		g.recordLeaving(s)
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -38,7 +38,7 @@
 		l := b.startStreams(10)
 		time.Sleep(10 * eventGap)
 		f.mutex.Lock()
-		f.signals["e2"] = port.Signals{Answered: true, Resting: true, Rest: time.Minute}
+		f.signals["e2"] = port.Signals{Answered: true, BackoffRequested: true, Backoff: time.Minute}
 		f.mutex.Unlock()
 		b.Ask()
 		time.Sleep(eventGap)
@@ -74,7 +74,7 @@
 // the report.
 func (b *bed) reportBackoff(n string, d time.Duration) {
 	b.fake.mutex.Lock()
-	b.fake.signals[n] = port.Signals{Answered: true, Resting: true, Rest: d}
+	b.fake.signals[n] = port.Signals{Answered: true, BackoffRequested: true, Backoff: d}
 	b.fake.mutex.Unlock()
 	_, _ = b.Backends.Report(context.Background(), server(n, "x", false), false)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -32,10 +32,10 @@
 // expectedTokens returns the expected length of the answer: the caller's limit if no shorter
 // length is expected.
 func (q *request) expectedTokens() api.Tokens {
-	if x := q.Prompt.Expected; x > 0 && x < q.Prompt.Limit {
+	if x := q.Prompt.ExpectedTokens; x > 0 && x < q.Prompt.MaxTokens {
 		return x
 	}
-	return q.Prompt.Limit
+	return q.Prompt.MaxTokens
 }
 
 // stream serves a request on a stream route. A server may still give a whole answer.
@@ -51,7 +51,7 @@
 		r := &run{request: q}
 		g.attach(r, v.server, v.reservation, v.backup)
 		defer g.endRun(r)
-		q.sink.Begin(v.answer.Head)
+		q.sink.BeginStream(v.answer.Head)
 		g.pump(ctx, r, v.answer.Stream)
 	}
 }
@@ -78,7 +78,7 @@
 		q := r.request
 		switch {
 		case err == nil:
-			q.sink.End()
+			q.sink.EndStream()
 			g.Contents.Answered(q.content)
 			g.done(q, r.lateness(), r.logFields()...)
 			return
@@ -126,7 +126,7 @@
 		if _, n := r.progress(); n == 1 {
 			g.recordFirstEvent(r)
 		}
-		if err := r.request.sink.Event(e); err != nil {
+		if err := r.request.sink.WriteEvent(e); err != nil {
 			return fault.Wrap(fault.CallerGone, err, "writing an event")
 		}
 	}
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -64,9 +64,9 @@
 
 func (clients) Run(c *Context) error {
 	var closer func()
-	c.Reused, closer = wire.NewClientOver(c.Machine.Dial, true)
+	c.Reused, closer = wire.NewClientWithDial(c.Machine.Dial, true)
 	c.cleanup(closer)
-	c.Single, closer = wire.NewClientOver(c.Machine.Dial, false)
+	c.Single, closer = wire.NewClientWithDial(c.Machine.Dial, false)
 	c.cleanup(closer)
 	c.Platform = objectapi.Over(c.Reused, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
 	c.Engines = engine.Over(c.Reused, dialTime)
@@ -154,11 +154,11 @@
 	c.Group, closer = duty.New(context.WithoutCancel(c.Context))
 	c.cleanup(closer)
 	c.Poll = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.lost)
-	c.Entry = entry.New(entry.Parts{
-		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Life: c.Life,
+	c.Entry = entry.New(entry.Options{
+		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Lifecycle: c.Life,
 		View: func() *config.View { return c.Follow.View() }, Broker: c.Broker,
 		Engines: c.Engines, Claims: c.Claims, Explain: c.Explain, Group: c.Group, Contents: c.Contents, Deadlines: c.Deadlines,
-		Reused: c.Reused, Single: c.Single,
+		KeepAliveClient: c.Reused, SingleUseClient: c.Single,
 	})
 	c.Follow = follow.New(c.Platform, c.Life, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poll.Declare, c.Entry.Declare)
 	c.Beat = heartbeat.New(c.heartbeat, c.catchUp, c.merge, c.Peers, c.Log, c.Metrics)
@@ -169,8 +169,8 @@
 
 // lost notes an engine that can't be connected to.
 func (c *Context) lost(n api.ServerName, err error) {
-	c.Broker.Lost(n)
-	if port.Refused(err) {
+	c.Broker.MarkUnreachable(n)
+	if port.ConnectionRefused(err) {
 		c.Contents.Ended(n)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,30 +10,30 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// readBuffer holds an answer's head and a few events of a stream.
+// readBuffer is large enough for the head of an answer and a few events of a stream.
 const readBuffer = 4 << 10
 
-// conn is one connection to a backend server.
+// conn is a connection to a backend server.
 type conn struct {
 	net.Conn
 	reader  *bufio.Reader
 	address string
 	reused  bool
-	// until is when the server may close the connection for being idle.
-	until time.Time
+	// idleUntil is when the server may close the connection because it is idle.
+	idleUntil time.Time
 }
 
-// Pool keeps idle connections by address.
+// Pool holds idle connections by address.
 type Pool struct {
-	dial wire.Dial
+	dial wire.DialFunc
 
 	mutex  sync.Mutex
 	idle   map[string][]*conn
 	closed bool
 }
 
-// New makes a pool over a way to connect; the clean-up closes what is idle.
-func New(d wire.Dial) (*Pool, func()) {
+// New creates a pool of connections made by d. The returned function closes the idle ones.
+func New(d wire.DialFunc) (*Pool, func()) {
 	p := &Pool{dial: d, idle: map[string][]*conn{}}
 	return p, p.close
 }
@@ -50,21 +50,21 @@
 	p.idle = nil
 }
 
-// get gives an idle connection that is still whole, or a new one.
-func (p *Pool) get(ctx context.Context, c Call) (*conn, error) {
-	for !c.Fresh {
-		n := p.take(c.Address)
+// connect returns an idle connection that is still usable, or a new one.
+func (p *Pool) connect(ctx context.Context, c Call) (*conn, error) {
+	for !c.NewConnection {
+		n := p.takeIdle(c.Address)
 		if n == nil {
 			break
 		}
-		if time.Now().Before(n.until) && quiet(n.Conn) {
+		if time.Now().Before(n.idleUntil) && isIdle(n.Conn) {
 			n.reused = true
 			return n, nil
 		}
 		_ = n.Close()
 	}
-	if c.Connect > 0 {
-		bounded, cancel := context.WithTimeout(ctx, c.Connect)
+	if c.ConnectTimeout > 0 {
+		bounded, cancel := context.WithTimeout(ctx, c.ConnectTimeout)
 		defer cancel()
 		ctx = bounded
 	}
@@ -75,9 +75,9 @@
 	return &conn{Conn: n, reader: bufio.NewReaderSize(n, readBuffer), address: c.Address}, nil
 }
 
-// take removes the connection that was used last, which the server is least
-// likely to have closed.
-func (p *Pool) take(address string) *conn {
+// takeIdle removes the most recently used idle connection, since the server is least
+// likely to have closed that one.
+func (p *Pool) takeIdle(address string) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	l := p.idle[address]
@@ -89,8 +89,8 @@
 	return c
 }
 
-// drop closes the idle connections to an address.
-func (p *Pool) drop(address string) {
+// closeIdle closes the idle connections to an address.
+func (p *Pool) closeIdle(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, c := range p.idle[address] {
@@ -99,19 +99,19 @@
 	delete(p.idle, address)
 }
 
-// put keeps a connection for a time.
-func (p *Pool) put(c *conn, keep time.Duration) {
-	c.until = time.Now().Add(keep)
+// keepIdle adds a connection to the pool for a limited time.
+func (p *Pool) keepIdle(c *conn, idleTimeout time.Duration) {
+	c.idleUntil = time.Now().Add(idleTimeout)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.closed || keep <= 0 || c.reader.Buffered() > 0 {
+	if p.closed || idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes connections that were idle too long.
+// Sweep closes the connections that have been idle for too long.
 func (p *Pool) Sweep() {
 	now := time.Now()
 	p.mutex.Lock()
@@ -119,7 +119,7 @@
 	for a, l := range p.idle {
 		kept := l[:0]
 		for _, c := range l {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
--- a/internal/wire/stale_test.go
+++ b/internal/wire/single_host_test.go
@@ -14,15 +14,15 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// silencing answers requests on its connections until these are made silent,
-// without being closed.
-type silencing struct {
+// fakeServer answers requests until its connections are set to silent, without closing
+// them.
+type fakeServer struct {
 	mutex  sync.Mutex
 	silent map[net.Conn]bool
 	conns  []net.Conn
 }
 
-func (s *silencing) serve(_ context.Context, c net.Conn) {
+func (s *fakeServer) serve(_ context.Context, c net.Conn) {
 	s.mutex.Lock()
 	s.conns = append(s.conns, c)
 	s.mutex.Unlock()
@@ -36,9 +36,9 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		s.mutex.Lock()
-		quiet := s.silent[c]
+		silent := s.silent[c]
 		s.mutex.Unlock()
-		if quiet {
+		if silent {
 			continue
 		}
 		if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")); err != nil {
@@ -47,14 +47,14 @@
 	}
 }
 
-// Connections may go silent for good, all at once: one that is found so must not
-// be followed by the next.
-func TestIdleConnectionsAreDroppedAfterAFailure(t *testing.T) {
+// Idle connections can all go silent at the same time without being closed. After a call
+// over one of them has failed, the next call must not use another of them.
+func TestIdleConnectionsAreClosedAfterFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silencing{silent: map[net.Conn]bool{}}
+	s := &fakeServer{silent: map[net.Conn]bool{}}
 	g, end := duty.New(context.Background())
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -64,14 +64,14 @@
 		end()
 	})
 	loopback.Accept(g, l, s.serve)
-	c, closer := wire.NewHostClientOver((&net.Dialer{}).DialContext)
+	c, closer := wire.NewSingleHostClient((&net.Dialer{}).DialContext)
 	t.Cleanup(closer)
 	get := func(path string, wait time.Duration) error {
 		x, cancel := context.WithTimeout(t.Context(), wait)
 		defer cancel()
 		return wire.Call(x, c, http.MethodGet, "http://"+l.Addr().String()+path, nil, nil)
 	}
-	// Several at once leave several idle connections behind.
+	// Concurrent calls leave several idle connections in the pool.
 	var wait sync.WaitGroup
 	for range 4 {
 		wait.Go(func() {
@@ -87,9 +87,9 @@
 	}
 	s.mutex.Unlock()
 	if err := get("/", 100*time.Millisecond); err == nil {
-		t.Fatal("over a silent connection: got an answer, want none")
+		t.Fatal("call over a silent connection: got an answer, want an error")
 	}
 	if err := get("/", 10*time.Second); err != nil {
-		t.Errorf("after that: got %v, want an answer over a new connection", err)
+		t.Errorf("call after the failure: got %v, want an answer over a new connection", err)
 	}
 }
