--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -44,7 +44,7 @@
 // place answers an ask of a peer.
 func (m *Mesh) place(w http.ResponseWriter, q *http.Request) {
 	var a api.PlaceAsk
-	if err := wire.Read(w, q, messageLimit, &a); err != nil {
+	if err := wire.Read(w, q, maxMessageBytes, &a); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
@@ -63,7 +63,7 @@
 // permit answers an ask of a peer.
 func (m *Mesh) permit(w http.ResponseWriter, q *http.Request) {
 	var a api.PermitAsk
-	if err := wire.Read(w, q, messageLimit, &a); err != nil {
+	if err := wire.Read(w, q, maxMessageBytes, &a); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
@@ -90,7 +90,7 @@
 // hold takes the report of a peer.
 func (m *Mesh) hold(w http.ResponseWriter, q *http.Request) {
 	var h api.Holding
-	if err := wire.Read(w, q, messageLimit, &h); err != nil {
+	if err := wire.Read(w, q, maxMessageBytes, &h); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -21,8 +21,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// callTime bounds one call to a peer.
-const callTime = 600 * time.Millisecond
+// callTimeout bounds one call to a peer.
+const callTimeout = 600 * time.Millisecond
 
 // Notices is where it is known what servers said of themselves, and which contents end them.
 type Notices interface {
@@ -202,7 +202,7 @@
 }
 
 func (m *Mesh) exchange(ctx context.Context, address string) {
-	c, cancel := context.WithTimeout(ctx, callTime)
+	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m.mutex.Lock()
 	vm := m.peers.VM(address)
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -31,8 +31,8 @@
 	PathPermit      = "/mesh/v1/permit"
 )
 
-// messageLimit bounds one message: 2,500 servers' loads at 60 bytes.
-const messageLimit = 256 << 10
+// maxMessageBytes bounds one message: 2,500 servers' loads at 60 bytes.
+const maxMessageBytes = 256 << 10
 
 // Routes adds the exchange to a control interface.
 func (m *Mesh) Routes(r chi.Router) {
@@ -68,7 +68,7 @@
 
 func (m *Mesh) answer(w http.ResponseWriter, q *http.Request) {
 	var e api.Exchange
-	if err := wire.Read(w, q, messageLimit, &e); err != nil {
+	if err := wire.Read(w, q, maxMessageBytes, &e); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
@@ -97,7 +97,7 @@
 // fetchApplied takes the configuration that a peer has in force.
 func (m *Mesh) fetchApplied(address string) {
 	m.Group.Go(func(ctx context.Context) error {
-		c, cancel := context.WithTimeout(ctx, callTime)
+		c, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var d directory.Config
 		if err := wire.Call(c, m.Client, http.MethodGet, "http://"+address+PathApplied, nil, &d); err != nil {
@@ -112,7 +112,7 @@
 // fetch takes what a peer knows of a kind.
 func fetch[T any](m *Mesh, address, path string, k *mirror.Mirror[T]) {
 	m.Group.Go(func(ctx context.Context) error {
-		c, cancel := context.WithTimeout(ctx, callTime)
+		c, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var d replica.Delta[T]
 		u := "http://" + address + path + "?" + since + "=" + strconv.Itoa(int(k.At()))
