--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -22,22 +22,22 @@
 	return m.peers.Allocators(time.Now(), d)
 }
 
-// Ask asks the entry VM at an address for a place at an engine.
-func (m *Mesh) Ask(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
+// RequestPlace asks the entry VM at an address for a place at an engine.
+func (m *Mesh) RequestPlace(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	var p api.PlaceAnswer
 	err := wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathPlace, a, &p)
 	return p, err
 }
 
-// Permit asks the entry VM at an address for the turn of a request at a server with a limit.
-func (m *Mesh) Permit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
+// RequestPermit asks the entry VM at an address for the turn of a request at a server with a limit.
+func (m *Mesh) RequestPermit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
 	var p api.PermitAnswer
 	err := wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathPermit, a, &p)
 	return p, err
 }
 
-// Report tells the entry VM at an address what this one holds there.
-func (m *Mesh) Report(ctx context.Context, address string, h api.Holding) error {
+// SendHolding tells the entry VM at an address what this one holds there.
+func (m *Mesh) SendHolding(ctx context.Context, address string, h api.Holding) error {
 	return wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathHolding, h, nil)
 }
 
--- a/internal/mesh/allocate_test.go
+++ b/internal/mesh/allocate_test.go
@@ -46,7 +46,7 @@
 		t.Helper()
 		x := placeAsk(6000)
 		x.Ask, x.Holding.Asked, x.Holding.Open, x.Holding.Sequence, x.Holding.Loads = n, n, []int{n}, sequence, loads
-		p, err := b.Ask(t.Context(), a.address, x)
+		p, err := b.RequestPlace(t.Context(), a.address, x)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 	if got := ask(2, 2, held); got.Refused == nil || got.Refused.Code != int(fault.NoServer) {
 		t.Errorf("without room: got %+v, want a refusal", got)
 	}
-	if err := b.Report(t.Context(), a.address, api.Holding{Protocol: gossip.Protocol, VM: "b", Incarnation: 5, Sequence: 3, Asked: 2}); err != nil {
+	if err := b.SendHolding(t.Context(), a.address, api.Holding{Protocol: gossip.Protocol, VM: "b", Incarnation: 5, Sequence: 3, Asked: 2}); err != nil {
 		t.Fatal(err)
 	}
 	if got := ask(3, 4, nil); got.Server != "e" {
@@ -88,10 +88,10 @@
 			a, b := newAllocator(t), newVM(t, "b")
 			x := placeAsk(6000)
 			c.change(&x)
-			if _, err := b.Ask(t.Context(), a.address, x); !fault.Has(err, c.want) {
+			if _, err := b.RequestPlace(t.Context(), a.address, x); !fault.Has(err, c.want) {
 				t.Errorf("got %v, want code %d", err, c.want)
 			}
-			if got, err := b.Ask(t.Context(), a.address, placeAsk(9000)); err != nil || got.Server != "e" {
+			if got, err := b.RequestPlace(t.Context(), a.address, placeAsk(9000)); err != nil || got.Server != "e" {
 				t.Errorf("an ask for all the room after it: got %+v and %v, want the engine", got, err)
 			}
 		})
@@ -103,7 +103,7 @@
 	a, b := newVM(t, "a"), newVM(t, "b")
 	c, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	if _, err := b.Ask(c, a.address, placeAsk(1)); !fault.Has(err, fault.Starting) {
+	if _, err := b.RequestPlace(c, a.address, placeAsk(1)); !fault.Has(err, fault.Starting) {
 		t.Errorf("got %v, want that it is starting", err)
 	}
 }
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -145,15 +145,15 @@
 }
 
 func (a allocators) Ask(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
-	return a.hosted.mesh.Ask(ctx, address, x)
+	return a.hosted.mesh.RequestPlace(ctx, address, x)
 }
 
 func (a allocators) Permit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
-	return a.hosted.mesh.Permit(ctx, address, x)
+	return a.hosted.mesh.RequestPermit(ctx, address, x)
 }
 
 func (a allocators) Report(ctx context.Context, address string, x api.Holding) error {
-	return a.hosted.mesh.Report(ctx, address, x)
+	return a.hosted.mesh.SendHolding(ctx, address, x)
 }
 
 // guided reports whether a hub brings what changes.
