--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -131,9 +131,9 @@
 	m.begin(l)
 }
 
-// Tell begins an exchange at once with peers that hear of changes from here
+// Relay begins an exchange at once with peers that hear of changes from here
 // alone.
-func (m *Mesh) Tell() {
+func (m *Mesh) Relay() {
 	m.mutex.Lock()
 	l := m.free(m.peers.RelayTargets(time.Now(), m.direct()))
 	m.mutex.Unlock()
@@ -180,22 +180,22 @@
 	m.Metrics.Put(metric.MembersServing, int64(1+len(live)))
 }
 
-// Alone reports whether no peer is heard that has word from the platform.
-func (m *Mesh) Alone() bool {
+// NoPeerInformed reports whether no peer is heard that has word from the platform.
+func (m *Mesh) NoPeerInformed() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.NoneInformed(time.Now())
 }
 
-// Guided reports whether a hub brings what changes.
-func (m *Mesh) Guided() bool {
+// HasRelay reports whether a hub brings what changes.
+func (m *Mesh) HasRelay() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.HasRelay(time.Now())
 }
 
-// Patient reports whether a hub asks the platform for this entry VM.
-func (m *Mesh) Patient(failures int) bool {
+// BacksOff reports whether a hub asks the platform for this entry VM.
+func (m *Mesh) BacksOff(failures int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.BacksOff(time.Now(), failures)
@@ -338,7 +338,7 @@
 
 // catchUp asks a peer for a kind that it knows more of.
 func catchUp[T any](m *Mesh, address, path string, theirs api.Version, k *mirror.Mirror[T]) {
-	own, away := k.At(), k.Lost() || m.Guided()
+	own, away := k.At(), k.Lost() || m.HasRelay()
 	m.mutex.Lock()
 	ask := m.lag[path].ShouldFetch(time.Now(), own, theirs, away)
 	m.mutex.Unlock()
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -107,7 +107,7 @@
 	if err := wire.Call(t.Context(), c, http.MethodPost, "http://"+a.address+mesh.PathExchange, e, &own); err != nil {
 		t.Fatal(err)
 	}
-	if !a.Alone() {
+	if !a.NoPeerInformed() {
 		t.Error("peer of another protocol: got it as a member, want it refused")
 	}
 	if l := a.table.ReportLoads("y", placement.Attached).Loads; len(l) != 0 {
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -158,12 +158,12 @@
 
 // guided reports whether a hub brings what changes.
 func (h *Hosted) guided() bool {
-	return h.mesh.Guided()
+	return h.mesh.HasRelay()
 }
 
 // patient reports whether a hub asks the platform as well.
 func (h *Hosted) patient(failures int) bool {
-	return h.mesh.Patient(failures)
+	return h.mesh.BacksOff(failures)
 }
 
 // configure takes a configuration, and tells peers that hear of it from here.
@@ -213,7 +213,7 @@
 	h.group.Go(func(ctx context.Context) error {
 		duty.Sleep(ctx, tellTime)
 		h.telling.Store(false)
-		h.mesh.Tell()
+		h.mesh.Relay()
 		return nil
 	})
 }
@@ -302,7 +302,7 @@
 // dark reports whether nobody heard of has word from the platform, so that only
 // the servers themselves tell that they are leaving.
 func (h *Hosted) dark() bool {
-	return !h.servers.Direct() && h.mesh.Alone()
+	return !h.servers.Direct() && h.mesh.NoPeerInformed()
 }
 
 // tick lets requests in and tells allocators what changed.
