--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -28,15 +28,15 @@
 	g.noteClosed(closed, opened, zap.Stringer("version", s.At))
 }
 
-// KeptClosures gives the domains that stay closed though the platform has lost it.
-func (g *Gateway) KeptClosures() []api.KeptClosure {
+// RetainedClosures gives the domains that stay closed though the platform has lost it.
+func (g *Gateway) RetainedClosures() []api.KeptClosure {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.roster.RetainedClosures(time.Now())
 }
 
-// KeepClosures takes those of a peer.
-func (g *Gateway) KeepClosures(l []api.KeptClosure) {
+// RetainClosures takes those of a peer.
+func (g *Gateway) RetainClosures(l []api.KeptClosure) {
 	if len(l) == 0 {
 		return
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -30,10 +30,10 @@
 	Leaving() []api.ServerName
 	// NoteLeaving takes those that a peer knows.
 	NoteLeaving(l []api.ServerName)
-	// KeptClosures lists the failure domains that stay closed though the platform lost it.
-	KeptClosures() []api.KeptClosure
-	// KeepClosures takes those of a peer.
-	KeepClosures(l []api.KeptClosure)
+	// RetainedClosures lists the failure domains that stay closed though the platform lost it.
+	RetainedClosures() []api.KeptClosure
+	// RetainClosures takes those of a peer.
+	RetainClosures(l []api.KeptClosure)
 	// ContentReports gives what was lately learned of contents that end servers.
 	ContentReports() []api.ContentReport
 	// MergeContents takes what a peer learned of them.
@@ -230,7 +230,7 @@
 		Leaving: m.Notices.Leaving(), Contents: m.Notices.ContentReports(), Limits: m.Notices.Limits(), ConfigNumber: m.Applied.AppliedNumber(),
 	}
 	if m.Closures != nil {
-		e.ClosuresAt, e.KeptClosures = m.Closures.Changed(), m.Notices.KeptClosures()
+		e.ClosuresAt, e.KeptClosures = m.Closures.Changed(), m.Notices.RetainedClosures()
 	}
 	if m.Quarantines != nil {
 		e.QuarantinesAt = m.Quarantines.Changed()
@@ -316,7 +316,7 @@
 	m.apply(e)
 	catchUp(m, e.Self.Address, PathServers, e.ServersAt, m.Servers)
 	if m.Closures != nil {
-		m.Notices.KeepClosures(e.KeptClosures)
+		m.Notices.RetainClosures(e.KeptClosures)
 		catchUp(m, e.Self.Address, PathClosures, e.ClosuresAt, m.Closures)
 	}
 	if m.Quarantines != nil {
