--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -52,7 +52,7 @@
 		wire.Refuse(w, f, "")
 		return
 	}
-	p, err := m.Engines.Place(q.Context(), a)
+	p, err := m.Allocator.Place(q.Context(), a)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
@@ -75,7 +75,7 @@
 		wire.Refuse(w, f, "")
 		return
 	}
-	wire.Write(w, http.StatusOK, m.Engines.Permit(a))
+	wire.Write(w, http.StatusOK, m.Allocator.Permit(a))
 }
 
 // checkProtocol refuses a peer of another protocol.
@@ -98,7 +98,7 @@
 		wire.Refuse(w, f, "")
 		return
 	}
-	m.Engines.Hold(h)
+	m.Allocator.Hold(h)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -44,9 +44,9 @@
 	MergeLimits(l []api.ServerLimit)
 }
 
-// Applied is the configuration in force. It may be newer than the platform's: one that came
+// AppliedConfig is the configuration in force. It may be newer than the platform's: one that came
 // back from a copy holds an older one until operators write again.
-type Applied interface {
+type AppliedConfig interface {
 	// AppliedNumber is its number, zero for none.
 	AppliedNumber() api.ConfigNumber
 	// Applied gives it.
@@ -94,9 +94,9 @@
 	// Quarantines is nil where the platform keeps no refused contents.
 	Quarantines *mirror.Mirror[quarantine.Entry]
 	Loads       Loads
-	Engines     Allocator
+	Allocator   Allocator
 	Notices     Notices
-	Applied     Applied
+	Applied     AppliedConfig
 }
 
 // Mesh is one entry VM's side of the exchange.
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -55,7 +55,7 @@
 	v.servers = mirror.New(mirror.Parts[roster.Server]{Take: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
 	v.Mesh = mesh.New(mesh.Parts{
 		VM: api.VMName(name), Self: gossip.Member{Address: v.address, Domain: "d"}, Seeds: seeds, Hubs: 2,
-		Client: c, Group: g, Log: event.Discard(), Metrics: metric.New(), Config: v.config, Servers: v.servers, Loads: v.table, Engines: v.table, Notices: v.table, Applied: v.table,
+		Client: c, Group: g, Log: event.Discard(), Metrics: metric.New(), Config: v.config, Servers: v.servers, Loads: v.table, Allocator: v.table, Notices: v.table, Applied: v.table,
 	})
 	v.Routes(r)
 	return v
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -114,7 +114,7 @@
 			Address: h.Settings.Node.Control, Domain: h.Settings.Node.Domain, Capacity: gossip.Capacity(s.CpuShare, s.LinkMbps),
 		},
 		Client: h.peers, Group: h.group, Log: h.Log, Metrics: h.Metrics,
-		Config: h.config, Servers: h.servers, Closures: h.closures, Quarantines: h.quarantines, Loads: h.gateway, Engines: h.gateway, Notices: h.gateway, Applied: h.gateway,
+		Config: h.config, Servers: h.servers, Closures: h.closures, Quarantines: h.quarantines, Loads: h.gateway, Allocator: h.gateway, Notices: h.gateway, Applied: h.gateway,
 	})
 	return nil
 }
