--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -41,14 +41,14 @@
 	return wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathHolding, h, nil)
 }
 
-// place answers an ask of a peer.
-func (m *Mesh) place(w http.ResponseWriter, q *http.Request) {
+// handlePlace answers an ask of a peer.
+func (m *Mesh) handlePlace(w http.ResponseWriter, q *http.Request) {
 	var a api.PlaceAsk
 	if err := wire.Read(w, q, maxMessageBytes, &a); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	if f := m.checkAsk(a); f != nil {
+	if f := m.checkPlaceAsk(a); f != nil {
 		wire.Refuse(w, f, "")
 		return
 	}
@@ -60,8 +60,8 @@
 	wire.Write(w, http.StatusOK, p)
 }
 
-// permit answers an ask of a peer.
-func (m *Mesh) permit(w http.ResponseWriter, q *http.Request) {
+// handlePermit answers an ask of a peer.
+func (m *Mesh) handlePermit(w http.ResponseWriter, q *http.Request) {
 	var a api.PermitAsk
 	if err := wire.Read(w, q, maxMessageBytes, &a); err != nil {
 		wire.Refuse(w, fault.From(err), "")
@@ -87,8 +87,8 @@
 	return fault.New(fault.PeerProtocol, "the peer speaks another version of the protocol")
 }
 
-// hold takes the report of a peer.
-func (m *Mesh) hold(w http.ResponseWriter, q *http.Request) {
+// handleHolding takes the report of a peer.
+func (m *Mesh) handleHolding(w http.ResponseWriter, q *http.Request) {
 	var h api.Holding
 	if err := wire.Read(w, q, maxMessageBytes, &h); err != nil {
 		wire.Refuse(w, fault.From(err), "")
@@ -102,8 +102,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// checkAsk refuses an ask that nothing can be given for.
-func (m *Mesh) checkAsk(a api.PlaceAsk) *fault.Error {
+// checkPlaceAsk refuses an ask that nothing can be given for.
+func (m *Mesh) checkPlaceAsk(a api.PlaceAsk) *fault.Error {
 	if f := m.checkHolding(a.Holding); f != nil {
 		return f
 	}
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -36,29 +36,29 @@
 
 // Routes adds the exchange to a control interface.
 func (m *Mesh) Routes(r chi.Router) {
-	r.Post(PathExchange, m.answer)
-	r.Post(PathPlace, m.place)
-	r.Post(PathHolding, m.hold)
-	r.Post(PathPermit, m.permit)
-	r.Get(PathApplied, m.applied)
-	r.Get(PathConfig, pass(newPacker(m.Config)))
-	r.Get(PathServers, pass(newPacker(m.Servers)))
+	r.Post(PathExchange, m.handleExchange)
+	r.Post(PathPlace, m.handlePlace)
+	r.Post(PathHolding, m.handleHolding)
+	r.Post(PathPermit, m.handlePermit)
+	r.Get(PathApplied, m.handleApplied)
+	r.Get(PathConfig, handleDelta(newPacker(m.Config)))
+	r.Get(PathServers, handleDelta(newPacker(m.Servers)))
 	if m.Closures != nil {
-		r.Get(PathClosures, pass(newPacker(m.Closures)))
+		r.Get(PathClosures, handleDelta(newPacker(m.Closures)))
 	}
 	if m.Quarantines != nil {
-		r.Get(PathQuarantines, pass(newPacker(m.Quarantines)))
+		r.Get(PathQuarantines, handleDelta(newPacker(m.Quarantines)))
 	}
 }
 
-// since names the version that the asking peer knows a kind up to.
-const since = "since"
+// sinceParam names the version that the asking peer knows a kind up to.
+const sinceParam = "since"
 
-// pass answers a peer with what it has missed of a kind; a version that is no
+// handleDelta answers a peer with what it has missed of a kind; a version that is no
 // number counts as nothing known.
-func pass[T any](p *packer[T]) http.HandlerFunc {
+func handleDelta[T any](p *packer[T]) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		n, err := strconv.Atoi(r.URL.Query().Get(since))
+		n, err := strconv.Atoi(r.URL.Query().Get(sinceParam))
 		if err != nil {
 			n = 0
 		}
@@ -66,19 +66,19 @@
 	}
 }
 
-func (m *Mesh) answer(w http.ResponseWriter, q *http.Request) {
+func (m *Mesh) handleExchange(w http.ResponseWriter, q *http.Request) {
 	var e api.Exchange
 	if err := wire.Read(w, q, maxMessageBytes, &e); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	r := relation(e)
+	r := inverseRelation(e)
 	wire.Write(w, http.StatusOK, m.own(e.Self.Address, e.VM, r))
 	m.heard(e, r)
 }
 
-// relation is what a peer is to this entry VM, by what this one is to it.
-func relation(e api.Exchange) placement.Relation {
+// inverseRelation is what a peer is to this entry VM, by what this one is to it.
+func inverseRelation(e api.Exchange) placement.Relation {
 	switch e.Relation {
 	case api.ExchangeRelationPrimary:
 		return placement.Attached
@@ -89,8 +89,8 @@
 	}
 }
 
-// applied answers a peer with the configuration in force.
-func (m *Mesh) applied(w http.ResponseWriter, _ *http.Request) {
+// handleApplied answers a peer with the configuration in force.
+func (m *Mesh) handleApplied(w http.ResponseWriter, _ *http.Request) {
 	wire.Write(w, http.StatusOK, m.Applied.Applied())
 }
 
@@ -115,7 +115,7 @@
 		c, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var d replica.Delta[T]
-		u := "http://" + address + path + "?" + since + "=" + strconv.Itoa(int(k.At()))
+		u := "http://" + address + path + "?" + sinceParam + "=" + strconv.Itoa(int(k.At()))
 		if err := wire.Call(c, m.Client, http.MethodGet, u, nil, &d); err != nil {
 			m.Log.Emit(event.PeerSilent, zap.String("address", address), zap.Error(err))
 			k.Refresh()
