--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -103,21 +103,21 @@
 type Mesh struct {
 	Parts
 
-	mutex sync.Mutex
-	peers *gossip.Peers
-	busy  map[string]bool
+	mutex      sync.Mutex
+	peers      *gossip.Peers
+	inProgress map[string]bool
 	// lag notices kinds that stand still behind a peer, and behind that the configuration
 	// in force does.
-	lag    map[string]*gossip.Lag[api.Version]
-	behind gossip.Lag[api.ConfigNumber]
-	live   map[string]bool
+	lag        map[string]*gossip.Lag[api.Version]
+	appliedLag gossip.Lag[api.ConfigNumber]
+	live       map[string]bool
 }
 
 // New makes a mesh that knows the addresses in the settings.
 func New(p Parts) *Mesh {
 	return &Mesh{
 		Parts: p, peers: gossip.New(time.Now(), p.Self, p.Seeds, p.Hubs),
-		busy: map[string]bool{}, lag: map[string]*gossip.Lag[api.Version]{PathConfig: {}, PathServers: {}, PathClosures: {}, PathQuarantines: {}}, live: map[string]bool{},
+		inProgress: map[string]bool{}, lag: map[string]*gossip.Lag[api.Version]{PathConfig: {}, PathServers: {}, PathClosures: {}, PathQuarantines: {}}, live: map[string]bool{},
 	}
 }
 
@@ -125,35 +125,35 @@
 func (m *Mesh) Round() {
 	m.mutex.Lock()
 	now := time.Now()
-	m.noteLive(now)
-	l := m.free(m.peers.Due(now))
+	m.updateLive(now)
+	l := m.claimIdle(m.peers.Due(now))
 	m.mutex.Unlock()
-	m.begin(l)
+	m.startExchanges(l)
 }
 
 // Relay begins an exchange at once with peers that hear of changes from here
 // alone.
 func (m *Mesh) Relay() {
 	m.mutex.Lock()
-	l := m.free(m.peers.RelayTargets(time.Now(), m.direct()))
+	l := m.claimIdle(m.peers.RelayTargets(time.Now(), m.direct()))
 	m.mutex.Unlock()
-	m.begin(l)
+	m.startExchanges(l)
 }
 
-// free leaves out the peers that still owe an answer; the mutex is held.
-func (m *Mesh) free(l []string) []string {
+// claimIdle leaves out the peers that still owe an answer; the mutex is held.
+func (m *Mesh) claimIdle(l []string) []string {
 	var free []string
 	for _, a := range l {
-		if !m.busy[a] {
-			m.busy[a] = true
+		if !m.inProgress[a] {
+			m.inProgress[a] = true
 			free = append(free, a)
 		}
 	}
 	return free
 }
 
-// begin makes exchanges side by side.
-func (m *Mesh) begin(l []string) {
+// startExchanges makes exchanges side by side.
+func (m *Mesh) startExchanges(l []string) {
 	for _, a := range l {
 		m.Group.Go(func(ctx context.Context) error {
 			m.exchange(ctx, a)
@@ -162,8 +162,8 @@
 	}
 }
 
-// noteLive logs peers that came and went; the mutex is held.
-func (m *Mesh) noteLive(now time.Time) {
+// updateLive logs peers that came and went; the mutex is held.
+func (m *Mesh) updateLive(now time.Time) {
 	live := map[string]bool{}
 	for _, x := range m.peers.Live(now) {
 		live[x.Address] = true
@@ -209,24 +209,24 @@
 	r := m.peers.Relation(time.Now(), address)
 	m.mutex.Unlock()
 	var e api.Exchange
-	err := wire.Call(c, m.Client, http.MethodPost, "http://"+address+PathExchange, m.own(address, vm, r), &e)
+	err := wire.Call(c, m.Client, http.MethodPost, "http://"+address+PathExchange, m.newExchange(address, vm, r), &e)
 	m.mutex.Lock()
-	delete(m.busy, address)
+	delete(m.inProgress, address)
 	m.mutex.Unlock()
 	m.Metrics.Add(metric.HeartbeatsSent, 1)
 	if err != nil {
 		m.Metrics.Add(metric.HeartbeatsFailed, 1)
 		return
 	}
-	m.heard(e, r)
+	m.receive(e, r)
 }
 
-// own is what this entry VM tells the peer at an address that has a relation to it.
-func (m *Mesh) own(address string, vm api.VMName, r placement.Relation) api.Exchange {
+// newExchange is what this entry VM tells the peer at an address that has a relation to it.
+func (m *Mesh) newExchange(address string, vm api.VMName, r placement.Relation) api.Exchange {
 	x := m.Loads.ReportLoads(vm, r)
 	e := api.Exchange{
 		Protocol: gossip.Protocol, VM: m.VM, ConfigAt: m.Config.Changed(), ServersAt: m.Servers.Changed(),
-		Direct: m.direct(), Relation: relations[r], Members: x.Members,
+		Direct: m.direct(), Relation: relationNames[r], Members: x.Members,
 		Leaving: m.Notices.Leaving(), Contents: m.Notices.ContentReports(), Limits: m.Notices.Limits(), ConfigNumber: m.Applied.AppliedNumber(),
 	}
 	if m.Closures != nil {
@@ -245,14 +245,14 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	e.Self = message(m.Self)
+	e.Self = toMessage(m.Self)
 	e.Self.Hub = m.peers.IsHub(now)
 	e.Informed = e.Direct || m.peers.Informed(now)
 	if r == placement.Hub && m.peers.IsFirstHub(now) {
 		e.Pools = pools
 	}
 	for _, x := range m.peers.MembersFor(now, address) {
-		e.Peers = append(e.Peers, message(x))
+		e.Peers = append(e.Peers, toMessage(x))
 	}
 	return e
 }
@@ -274,15 +274,15 @@
 	return l
 }
 
-// relations translates relations to their names in messages.
-var relations = map[placement.Relation]api.ExchangeRelation{
+// relationNames translates relationNames to their names in messages.
+var relationNames = map[placement.Relation]api.ExchangeRelation{
 	placement.Unrelated: api.ExchangeRelationStranger,
 	placement.Hub:       api.ExchangeRelationHub,
 	placement.Attached:  api.ExchangeRelationCarried,
 	placement.Primary:   api.ExchangeRelationPrimary,
 }
 
-func message(m gossip.Member) api.MeshMember {
+func toMessage(m gossip.Member) api.MeshMember {
 	return api.MeshMember{Address: m.Address, Domain: m.Domain, Hub: m.Hub, Capacity: m.Capacity}
 }
 
@@ -290,8 +290,8 @@
 	return gossip.Member{Address: m.Address, Domain: m.Domain, Hub: m.Hub, Capacity: m.Capacity}
 }
 
-// heard takes the message of a peer that has a relation to this entry VM.
-func (m *Mesh) heard(e api.Exchange, r placement.Relation) {
+// receive takes the message of a peer that has a relation to this entry VM.
+func (m *Mesh) receive(e api.Exchange, r placement.Relation) {
 	if e.Protocol != gossip.Protocol {
 		m.Log.Emit(event.PeerRefused, zap.String("vm", string(e.VM)), zap.Int("protocol", e.Protocol))
 		return
@@ -308,12 +308,12 @@
 		x.Loads[api.ServerName(n)] = l
 	}
 	m.Loads.UpdateLoads(e.VM, r, x)
-	m.notePools(e, r)
+	m.updatePools(e, r)
 	m.Notices.NoteLeaving(e.Leaving)
 	m.Notices.MergeContents(e.Contents)
 	m.Notices.MergeLimits(e.Limits)
 	catchUp(m, e.Self.Address, PathConfig, e.ConfigAt, m.Config)
-	m.apply(e)
+	m.catchUpApplied(e)
 	catchUp(m, e.Self.Address, PathServers, e.ServersAt, m.Servers)
 	if m.Closures != nil {
 		m.Notices.RetainClosures(e.KeptClosures)
@@ -324,8 +324,8 @@
 	}
 }
 
-// notePools takes what the allocator of another failure domain tells.
-func (m *Mesh) notePools(e api.Exchange, r placement.Relation) {
+// updatePools takes what the allocator of another failure domain tells.
+func (m *Mesh) updatePools(e api.Exchange, r placement.Relation) {
 	if r != placement.Hub || len(e.Pools) == 0 || e.Self.Domain == m.Self.Domain {
 		return
 	}
@@ -347,12 +347,12 @@
 	}
 }
 
-// apply asks a peer for the configuration that it has in force, where that is newer than the
+// catchUpApplied asks a peer for the configuration that it has in force, where that is newer than the
 // own one though the platform's copy tells nothing of it.
-func (m *Mesh) apply(e api.Exchange) {
+func (m *Mesh) catchUpApplied(e api.Exchange) {
 	own, at := m.Applied.AppliedNumber(), m.Config.At()
 	m.mutex.Lock()
-	ask := at >= e.ConfigAt && m.behind.ShouldFetch(time.Now(), own, e.ConfigNumber, false)
+	ask := at >= e.ConfigAt && m.appliedLag.ShouldFetch(time.Now(), own, e.ConfigNumber, false)
 	m.mutex.Unlock()
 	if ask {
 		m.fetchApplied(e.Self.Address)
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -73,8 +73,8 @@
 		return
 	}
 	r := inverseRelation(e)
-	wire.Write(w, http.StatusOK, m.own(e.Self.Address, e.VM, r))
-	m.heard(e, r)
+	wire.Write(w, http.StatusOK, m.newExchange(e.Self.Address, e.VM, r))
+	m.receive(e, r)
 }
 
 // inverseRelation is what a peer is to this entry VM, by what this one is to it.
