--- a/internal/mesh/pack.go
+++ b/internal/mesh/delta.go
@@ -14,45 +14,45 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// edition tells apart what peers are given of a kind.
-type edition struct {
+// deltaKey tells apart what peers are given of a kind.
+type deltaKey struct {
 	from, changed api.Version
 	settled       bool
 }
 
-// packer gives what peers have missed of a kind, compressed. A change is asked
+// deltaCache gives what peers have missed of a kind, compressed. A change is asked
 // for by all members of a domain at once, so that the newest one is kept.
-type packer[T any] struct {
-	kind *mirror.Mirror[T]
+type deltaCache[T any] struct {
+	source *mirror.Mirror[T]
 
-	mutex  sync.Mutex
-	newest edition
-	packed []byte
+	mutex sync.Mutex
+	key   deltaKey
+	body  []byte
 }
 
-func newPacker[T any](k *mirror.Mirror[T]) *packer[T] {
-	return &packer[T]{kind: k}
+func newDeltaCache[T any](k *mirror.Mirror[T]) *deltaCache[T] {
+	return &deltaCache[T]{source: k}
 }
 
 // since gives what has changed after a version, as compressed JSON.
-func (p *packer[T]) since(from api.Version) ([]byte, error) {
+func (p *deltaCache[T]) since(from api.Version) ([]byte, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	e := edition{from: from, changed: p.kind.Changed(), settled: p.kind.Settled()}
-	if p.packed != nil && e == p.newest {
-		return p.packed, nil
+	e := deltaKey{from: from, changed: p.source.Changed(), settled: p.source.Settled()}
+	if p.body != nil && e == p.key {
+		return p.body, nil
 	}
-	b, err := pack(p.kind.Since(from))
+	b, err := encodeGzip(p.source.Since(from))
 	if err != nil {
 		return nil, err
 	}
-	p.newest, p.packed = e, b
+	p.key, p.body = e, b
 	return b, nil
 }
 
-// pack encodes and compresses a message, fast rather than small: names that are
+// encodeGzip encodes and compresses a message, fast rather than small: names that are
 // drawn at random make up most of a configuration.
-func pack(v any) ([]byte, error) {
+func encodeGzip(v any) ([]byte, error) {
 	j, err := json.Marshal(v)
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, err, "encoding what a peer has missed")
@@ -69,15 +69,15 @@
 }
 
 const (
-	headerEncoding = "Content-Encoding"
-	headerAccepts  = "Accept-Encoding"
-	encodingGzip   = "gzip"
+	headerContentEncoding = "Content-Encoding"
+	headerAcceptEncoding  = "Accept-Encoding"
+	encodingGzip          = "gzip"
 )
 
 // write answers a peer, which a peer of an earlier version reads uncompressed.
-func (p *packer[T]) write(w http.ResponseWriter, r *http.Request, from api.Version) {
-	if !strings.Contains(r.Header.Get(headerAccepts), encodingGzip) {
-		wire.Write(w, http.StatusOK, p.kind.Since(from))
+func (p *deltaCache[T]) write(w http.ResponseWriter, r *http.Request, from api.Version) {
+	if !strings.Contains(r.Header.Get(headerAcceptEncoding), encodingGzip) {
+		wire.Write(w, http.StatusOK, p.source.Since(from))
 		return
 	}
 	b, err := p.since(from)
@@ -86,7 +86,7 @@
 		return
 	}
 	w.Header().Set(wire.HeaderType, wire.TypeJSON)
-	w.Header().Set(headerEncoding, encodingGzip)
+	w.Header().Set(headerContentEncoding, encodingGzip)
 	// A peer that is gone asks again.
 	_, _ = w.Write(b)
 }
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -41,13 +41,13 @@
 	r.Post(PathHolding, m.handleHolding)
 	r.Post(PathPermit, m.handlePermit)
 	r.Get(PathApplied, m.handleApplied)
-	r.Get(PathConfig, handleDelta(newPacker(m.Config)))
-	r.Get(PathServers, handleDelta(newPacker(m.Servers)))
+	r.Get(PathConfig, handleDelta(newDeltaCache(m.Config)))
+	r.Get(PathServers, handleDelta(newDeltaCache(m.Servers)))
 	if m.Closures != nil {
-		r.Get(PathClosures, handleDelta(newPacker(m.Closures)))
+		r.Get(PathClosures, handleDelta(newDeltaCache(m.Closures)))
 	}
 	if m.Quarantines != nil {
-		r.Get(PathQuarantines, handleDelta(newPacker(m.Quarantines)))
+		r.Get(PathQuarantines, handleDelta(newDeltaCache(m.Quarantines)))
 	}
 }
 
@@ -56,7 +56,7 @@
 
 // handleDelta answers a peer with what it has missed of a kind; a version that is no
 // number counts as nothing known.
-func handleDelta[T any](p *packer[T]) http.HandlerFunc {
+func handleDelta[T any](p *deltaCache[T]) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.Atoi(r.URL.Query().Get(sinceParam))
 		if err != nil {
