--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -98,7 +98,7 @@
 		wire.Refuse(w, f, "")
 		return
 	}
-	m.Allocator.Hold(h)
+	m.Allocator.RecordHolding(h)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -72,7 +72,7 @@
 	// Place answers an ask for a place.
 	Place(ctx context.Context, a api.PlaceAsk) (api.PlaceAnswer, error)
 	// Hold takes what a peer holds.
-	Hold(h api.Holding)
+	RecordHolding(h api.Holding)
 	// Permit answers an ask for the turn of a request at a server with a limit.
 	Permit(a api.PermitAsk) api.PermitAnswer
 }
