--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -15,33 +15,34 @@
 )
 
 // Allocators lists the addresses of the entry VMs that may allocate the engines
-// of a failure domain, the first choice first; the own one is empty.
+// of a failure domain, in order of preference. The address of this entry VM is
+// given as the empty string.
 func (m *Mesh) Allocators(d api.DomainName) []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.Allocators(time.Now(), d)
 }
 
-// RequestPlace asks the entry VM at an address for a place at an engine.
+// RequestPlace requests a place at an engine from the allocator at an address.
 func (m *Mesh) RequestPlace(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	var p api.PlaceAnswer
 	err := wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathPlace, a, &p)
 	return p, err
 }
 
-// RequestPermit asks the entry VM at an address for the turn of a request at a server with a limit.
+// RequestPermit requests a send slot at a rate-limited server from the entry VM at an address.
 func (m *Mesh) RequestPermit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
 	var p api.PermitAnswer
 	err := wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathPermit, a, &p)
 	return p, err
 }
 
-// SendHolding tells the entry VM at an address what this one holds there.
+// SendHolding reports to the allocator at an address what this entry VM holds at its engines.
 func (m *Mesh) SendHolding(ctx context.Context, address string, h api.Holding) error {
 	return wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathHolding, h, nil)
 }
 
-// handlePlace answers an ask of a peer.
+// handlePlace answers a peer's request for a place at an engine.
 func (m *Mesh) handlePlace(w http.ResponseWriter, q *http.Request) {
 	var a api.PlaceAsk
 	if err := wire.Read(w, q, maxMessageBytes, &a); err != nil {
@@ -60,7 +61,7 @@
 	wire.Write(w, http.StatusOK, p)
 }
 
-// handlePermit answers an ask of a peer.
+// handlePermit answers a peer's request for a send slot at a rate-limited server.
 func (m *Mesh) handlePermit(w http.ResponseWriter, q *http.Request) {
 	var a api.PermitAsk
 	if err := wire.Read(w, q, maxMessageBytes, &a); err != nil {
@@ -69,7 +70,7 @@
 	}
 	f := m.checkProtocol(a.VM, a.Protocol)
 	if f == nil && (a.PerSecond < 0 || a.PatienceMS < 0) {
-		f = fault.New(fault.InvalidRequest, "the ask has a figure that can't be")
+		f = fault.New(fault.InvalidRequest, "the rate or the maximum wait of the permit request is negative")
 	}
 	if f != nil {
 		wire.Refuse(w, f, "")
@@ -78,16 +79,16 @@
 	wire.Write(w, http.StatusOK, m.Allocator.Permit(a))
 }
 
-// checkProtocol refuses a peer of another protocol.
+// checkProtocol refuses a peer that uses another version of the protocol.
 func (m *Mesh) checkProtocol(vm api.VMName, protocol int) *fault.Error {
 	if protocol == gossip.Protocol {
 		return nil
 	}
 	m.Log.Emit(event.PeerRefused, zap.String("vm", string(vm)), zap.Int("protocol", protocol))
-	return fault.New(fault.PeerProtocol, "the peer speaks another version of the protocol")
+	return fault.New(fault.PeerProtocol, "the peer uses another version of the protocol")
 }
 
-// handleHolding takes the report of a peer.
+// handleHolding records a peer's report on what it holds at the local engines.
 func (m *Mesh) handleHolding(w http.ResponseWriter, q *http.Request) {
 	var h api.Holding
 	if err := wire.Read(w, q, maxMessageBytes, &h); err != nil {
@@ -102,40 +103,40 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// checkPlaceAsk refuses an ask that nothing can be given for.
+// checkPlaceAsk refuses a request for a place whose values are invalid.
 func (m *Mesh) checkPlaceAsk(a api.PlaceAsk) *fault.Error {
 	if f := m.checkHolding(a.Holding); f != nil {
 		return f
 	}
 	switch {
 	case a.Tokens < 0 || a.Unread < 0 || a.Ask <= 0 || a.Ask > a.Holding.Asked:
-		return fault.New(fault.InvalidRequest, "the ask has a figure that can't be")
+		return fault.New(fault.InvalidRequest, "a token count or the sequence number of the place request is out of range")
 	case a.Purpose != api.PlaceAskPurposeRun && a.Purpose != api.PlaceAskPurposeMove && a.Purpose != api.PlaceAskPurposeCopy:
-		return fault.New(fault.InvalidRequest, "the ask has no purpose")
+		return fault.New(fault.InvalidRequest, "the place request has no known purpose")
 	default:
 		return nil
 	}
 }
 
-// checkHolding refuses a peer of another protocol, and loads that can't be: one
-// below zero would draw all requests to its engine.
+// checkHolding refuses a peer that uses another version of the protocol, and
+// negative values: a negative load would attract all requests to its engine.
 func (m *Mesh) checkHolding(h api.Holding) *fault.Error {
 	if f := m.checkProtocol(h.VM, h.Protocol); f != nil {
 		return f
 	}
 	for _, l := range h.Loads {
 		if l.Requests < 0 || l.Tokens < 0 || l.Unread < 0 {
-			return fault.New(fault.InvalidRequest, "a load is below zero")
+			return fault.New(fault.InvalidRequest, "a load is negative")
 		}
 	}
 	for _, r := range h.Read {
 		if r.Tokens < 0 || r.MS < 0 {
-			return fault.New(fault.InvalidRequest, "a time to read is below zero")
+			return fault.New(fault.InvalidRequest, "a read time or its token count is negative")
 		}
 	}
 	for _, x := range h.Met {
 		if x.Served < 0 || x.Full < 0 || x.Failed < 0 || x.Lost < 0 {
-			return fault.New(fault.InvalidRequest, "a count of outcomes is below zero")
+			return fault.New(fault.InvalidRequest, "a count of outcomes is negative")
 		}
 	}
 	return nil
--- a/internal/mesh/allocate_test.go
+++ b/internal/mesh/allocate_test.go
@@ -20,7 +20,7 @@
 	"github.com/wardridge/wardridge/internal/mesh"
 )
 
-// newAllocator makes a VM that allocates one engine, "e", with memory for 10,000
+// newAllocator creates a VM that allocates one engine, "e", with memory for 10,000
 // tokens.
 func newAllocator(t *testing.T) *vm {
 	t.Helper()
@@ -32,7 +32,7 @@
 	return v
 }
 
-// placeAsk asks for a place of so many tokens.
+// placeAsk returns a request for a place with memory for the given number of tokens.
 func placeAsk(tokens api.Tokens) api.PlaceAsk {
 	return api.PlaceAsk{
 		Holding: api.Holding{Protocol: gossip.Protocol, VM: "b", Incarnation: 5, Sequence: 1, Asked: 1, Open: []int{1}},
@@ -40,6 +40,8 @@
 	}
 }
 
+// A place is granted while the engine has free memory, refused while a place that is
+// held takes it up, and granted again after the holder has reported that the run ended.
 func TestPlaceOverTheWire(t *testing.T) {
 	a, b := newAllocator(t), newVM(t, "b")
 	ask := func(n, sequence int, loads map[string]api.ServerLoad) api.PlaceAnswer {
@@ -54,10 +56,10 @@
 	}
 	held := map[string]api.ServerLoad{"e": {Requests: 1, Tokens: 6000}}
 	if got := ask(1, 1, nil); got.Server != "e" {
-		t.Errorf("with room: got %+v, want the engine", got)
+		t.Errorf("with free memory: got %+v, want the engine", got)
 	}
 	if got := ask(2, 2, held); got.Refused == nil || got.Refused.Code != int(fault.NoServer) {
-		t.Errorf("without room: got %+v, want a refusal", got)
+		t.Errorf("without free memory: got %+v, want a refusal", got)
 	}
 	if err := b.SendHolding(t.Context(), a.address, api.Holding{Protocol: gossip.Protocol, VM: "b", Incarnation: 5, Sequence: 3, Asked: 2}); err != nil {
 		t.Fatal(err)
@@ -67,18 +69,19 @@
 	}
 }
 
-// What can't be is refused, and changes nothing.
-func TestAsksThatCannotBe(t *testing.T) {
+// A request for a place with invalid values is refused and leaves all memory of the engine
+// free.
+func TestInvalidPlaceRequestIsRefused(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(a *api.PlaceAsk)
 		want   fault.Code
 	}{
-		{"another protocol", func(a *api.PlaceAsk) { a.Holding.Protocol = 1 }, fault.PeerProtocol},
-		{"a load below zero", func(a *api.PlaceAsk) { a.Holding.Loads = map[string]api.ServerLoad{"e": {Tokens: -9000}} }, fault.InvalidRequest},
-		{"a time below zero", func(a *api.PlaceAsk) { a.Holding.Read = map[string]api.ReadTime{"s": {Tokens: 1, MS: -1}} }, fault.InvalidRequest},
-		{"a need below zero", func(a *api.PlaceAsk) { a.Tokens = -1 }, fault.InvalidRequest},
-		{"an ask that was not begun", func(a *api.PlaceAsk) { a.Ask = 2 }, fault.InvalidRequest},
+		{"another version of the protocol", func(a *api.PlaceAsk) { a.Holding.Protocol = 1 }, fault.PeerProtocol},
+		{"negative load", func(a *api.PlaceAsk) { a.Holding.Loads = map[string]api.ServerLoad{"e": {Tokens: -9000}} }, fault.InvalidRequest},
+		{"negative read time", func(a *api.PlaceAsk) { a.Holding.Read = map[string]api.ReadTime{"s": {Tokens: 1, MS: -1}} }, fault.InvalidRequest},
+		{"negative token count", func(a *api.PlaceAsk) { a.Tokens = -1 }, fault.InvalidRequest},
+		{"number above the requests begun", func(a *api.PlaceAsk) { a.Ask = 2 }, fault.InvalidRequest},
 		{"no purpose", func(a *api.PlaceAsk) { a.Purpose = "" }, fault.InvalidRequest},
 		{"engines of another failure domain", func(a *api.PlaceAsk) { a.Domain = "elsewhere" }, fault.NotFound},
 		{"an unknown service", func(a *api.PlaceAsk) { a.Service = "t" }, fault.NotFound},
@@ -92,24 +95,25 @@
 				t.Errorf("got %v, want code %d", err, c.want)
 			}
 			if got, err := b.RequestPlace(t.Context(), a.address, placeAsk(9000)); err != nil || got.Server != "e" {
-				t.Errorf("an ask for all the room after it: got %+v and %v, want the engine", got, err)
+				t.Errorf("a request for most of the memory after it: got %+v and %v, want the engine", got, err)
 			}
 		})
 	}
 }
 
-// A VM that knows no configuration yet says so, so that another one is asked.
+// An allocator without a configuration refuses as starting, so that the requesting entry VM
+// turns to another allocator.
 func TestAllocatorWithoutConfiguration(t *testing.T) {
 	a, b := newVM(t, "a"), newVM(t, "b")
 	c, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	if _, err := b.RequestPlace(c, a.address, placeAsk(1)); !fault.Has(err, fault.Starting) {
-		t.Errorf("got %v, want that it is starting", err)
+		t.Errorf("got %v, want the code for a VM that is starting", err)
 	}
 }
 
-// Whatever bytes a peer sends, an allocator answers, and the next proper ask is
-// given the engine.
+// For any bytes that a peer sends, the allocator answers without an internal error, and the
+// next valid request for a place is answered with the engine or a refusal.
 func FuzzAllocatorMessages(f *testing.F) {
 	add := func(path string, v any) {
 		b, err := json.Marshal(v)
@@ -137,13 +141,14 @@
 		}
 		p, err := a.table.Place(t.Context(), placeAsk(100))
 		if err != nil || p.Server != "e" && p.Refused == nil {
-			t.Errorf("the next ask: got %+v and %v, want the engine or a refusal", p, err)
+			t.Errorf("the next request: got %+v and %v, want the engine or a refusal", p, err)
 		}
 	})
 }
 
-// Whatever bytes a peer sends as its word, the next proper exchange is answered, and what it
-// said of contents makes nobody refused who was not before.
+// For any bytes that a peer sends as an exchange, the next valid exchange is answered. Invalid
+// reports on contents or loads in them refuse no request that was not refused before: the next
+// request for a place is answered with the engine or a refusal.
 func FuzzExchange(f *testing.F) {
 	add := func(e api.Exchange) {
 		b, err := json.Marshal(e)
@@ -152,9 +157,9 @@
 		}
 		f.Add(b)
 	}
-	proper := api.Exchange{Protocol: gossip.Protocol, VM: "b", Self: api.MeshMember{Address: "127.0.0.1:1", Domain: "d"}}
-	add(proper)
-	x := proper
+	valid := api.Exchange{Protocol: gossip.Protocol, VM: "b", Self: api.MeshMember{Address: "127.0.0.1:1", Domain: "d"}}
+	add(valid)
+	x := valid
 	x.Contents = []api.ContentReport{{Content: "c", Server: "e", Ended: true, AgeMS: 1 << 62}, {Content: "c", AgeMS: -1}, {}}
 	x.Loads, x.Members = map[string]api.ServerLoad{"e": {Requests: -5, Tokens: -1 << 62}}, -7
 	x.Limits = []api.ServerLimit{{Server: "e", Named: true, PerSecond: -1}, {Server: "e", Named: true, PerSecond: 1e300, AgeMS: -1 << 62}, {}}
@@ -173,20 +178,21 @@
 		if c := post(body); c >= http.StatusInternalServerError {
 			t.Errorf("got status %d, want an answer or a refusal", c)
 		}
-		b, err := json.Marshal(proper)
+		b, err := json.Marshal(valid)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c := post(b); c != http.StatusOK {
-			t.Errorf("a proper exchange after it: got status %d, want 200", c)
+			t.Errorf("a valid exchange after it: got status %d, want 200", c)
 		}
 		if p, err := a.table.Place(t.Context(), placeAsk(100)); err != nil || p.Server != "e" && p.Refused == nil {
-			t.Errorf("an ask after it: got %+v and %v, want the engine or a refusal", p, err)
+			t.Errorf("a request for a place after it: got %+v and %v, want the engine or a refusal", p, err)
 		}
 	})
 }
 
-// Whatever bytes a peer sends as an ask for a turn, the next proper one is given it in time.
+// For any bytes that a peer sends as a request for a send slot, the next valid request is
+// granted one in time.
 func FuzzPermit(f *testing.F) {
 	ask := func(perSecond float64, patience api.Milliseconds) []byte {
 		b, err := json.Marshal(api.PermitAsk{Protocol: gossip.Protocol, VM: "b", Server: "e", PerSecond: perSecond, PatienceMS: patience})
@@ -213,10 +219,10 @@
 		if c, _ := post(body); c >= http.StatusInternalServerError {
 			t.Errorf("got status %d, want an answer or a refusal", c)
 		}
-		// The one before may have been given a turn two seconds ahead.
+		// The request before may have been granted a slot two seconds ahead.
 		c, p := post(ask(1000, 2100))
 		if c != http.StatusOK || !p.Granted || p.WaitMS > 2100 {
-			t.Errorf("a proper ask after it: got status %d and %+v, want a turn within 2.1 s", c, p)
+			t.Errorf("a valid request after it: got status %d and %+v, want a slot within 2.1 s", c, p)
 		}
 	})
 }
--- a/internal/mesh/delta.go
+++ b/internal/mesh/delta.go
@@ -14,14 +14,14 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// deltaKey tells apart what peers are given of a kind.
+// deltaKey identifies the contents of a delta.
 type deltaKey struct {
 	from, changed api.Version
 	settled       bool
 }
 
-// deltaCache gives what peers have missed of a kind, compressed. A change is asked
-// for by all members of a domain at once, so that the newest one is kept.
+// deltaCache builds compressed deltas of a kind for peers. After a change all members
+// of a domain request the same delta at once, so the newest one is cached.
 type deltaCache[T any] struct {
 	source *mirror.Mirror[T]
 
@@ -34,7 +34,7 @@
 	return &deltaCache[T]{source: k}
 }
 
-// since gives what has changed after a version, as compressed JSON.
+// since returns the changes after a version as compressed JSON.
 func (p *deltaCache[T]) since(from api.Version) ([]byte, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -50,19 +50,19 @@
 	return b, nil
 }
 
-// encodeGzip encodes and compresses a message, fast rather than small: names that are
-// drawn at random make up most of a configuration.
+// encodeGzip encodes a message as compressed JSON. It compresses for speed: random
+// names, which hardly compress, make up most of a configuration.
 func encodeGzip(v any) ([]byte, error) {
 	j, err := json.Marshal(v)
 	if err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "encoding what a peer has missed")
+		return nil, fault.Wrap(fault.Internal, err, "encoding a delta for a peer")
 	}
 	var b bytes.Buffer
 	z, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
 	if err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "compressing what a peer has missed")
+		return nil, fault.Wrap(fault.Internal, err, "compressing a delta for a peer")
 	}
-	// Writes to memory don't fail.
+	// Writes to a bytes.Buffer do not fail.
 	_, _ = z.Write(j)
 	_ = z.Close()
 	return b.Bytes(), nil
@@ -74,7 +74,8 @@
 	encodingGzip          = "gzip"
 )
 
-// write answers a peer, which a peer of an earlier version reads uncompressed.
+// write sends the changes after a version to a peer. The answer is not compressed for
+// a peer of an earlier build, which does not accept gzip.
 func (p *deltaCache[T]) write(w http.ResponseWriter, r *http.Request, from api.Version) {
 	if !strings.Contains(r.Header.Get(headerAcceptEncoding), encodingGzip) {
 		wire.Write(w, http.StatusOK, p.source.Since(from))
@@ -87,6 +88,6 @@
 	}
 	w.Header().Set(wire.HeaderType, wire.TypeJSON)
 	w.Header().Set(headerContentEncoding, encodingGzip)
-	// A peer that is gone asks again.
+	// A peer whose connection breaks requests the delta again.
 	_, _ = w.Write(b)
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -21,63 +21,67 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// callTimeout bounds one call to a peer.
+// callTimeout bounds one exchange or fetch.
 const callTimeout = 600 * time.Millisecond
 
-// Notices is where it is known what servers said of themselves, and which contents end them.
+// Notices holds what entry VMs learn about backend servers outside the platform: which are
+// leaving, which limits they announce, which failure domains remain closed, and which contents
+// crash them.
 type Notices interface {
-	// Leaving lists them.
+	// Leaving lists the servers that have announced that they are leaving.
 	Leaving() []api.ServerName
-	// NoteLeaving takes those that a peer knows.
+	// NoteLeaving adds the leaving servers that a peer knows of.
 	NoteLeaving(l []api.ServerName)
-	// RetainedClosures lists the failure domains that stay closed though the platform lost it.
+	// RetainedClosures lists the failure domains that stay closed although the platform has
+	// lost their closures.
 	RetainedClosures() []api.KeptClosure
-	// RetainClosures takes those of a peer.
+	// RetainClosures adds the closures that a peer retains.
 	RetainClosures(l []api.KeptClosure)
-	// ContentReports gives what was lately learned of contents that end servers.
+	// ContentReports lists the recent reports on contents that crash servers.
 	ContentReports() []api.ContentReport
-	// MergeContents takes what a peer learned of them.
+	// MergeContents adds the reports of a peer.
 	MergeContents(l []api.ContentReport)
-	// Limits lists what servers have said that they take.
+	// Limits lists the rate limits that servers have announced.
 	Limits() []api.ServerLimit
-	// MergeLimits takes what they have said to a peer.
+	// MergeLimits adds the limits that servers have announced to a peer.
 	MergeLimits(l []api.ServerLimit)
 }
 
-// AppliedConfig is the configuration in force. It may be newer than the platform's: one that came
-// back from a copy holds an older one until operators write again.
+// AppliedConfig holds the configuration in force. It may be newer than that of the platform:
+// after a restore from a backup the platform has an older one until operators write again.
 type AppliedConfig interface {
-	// AppliedNumber is its number, zero for none.
+	// AppliedNumber returns the number of the configuration in force, zero for none.
 	AppliedNumber() api.ConfigNumber
-	// Applied gives it.
+	// Applied returns the configuration in force.
 	Applied() directory.Config
-	// Apply takes a peer's, unless a newer one is in force.
+	// Apply brings a peer's configuration into force unless a newer one is in force.
 	Apply(c directory.Config)
 }
 
-// Loads is where reports on loads come from and go to.
+// Loads builds the load reports for peers and records the reports of peers.
 type Loads interface {
-	// ReportLoads gives the report on plain servers for a peer.
+	// ReportLoads returns the report on the loads of plain servers for a peer.
 	ReportLoads(vm api.VMName, r placement.Relation) placement.Report
-	// UpdateLoads takes a peer's report.
+	// UpdateLoads records a peer's report on plain servers.
 	UpdateLoads(vm api.VMName, r placement.Relation, x placement.Report)
 	// Pools sums up the engines that this entry VM allocates, by service.
 	Pools() map[api.ServiceName]api.PoolLoad
-	// UpdatePools takes what another failure domain's allocator tells.
+	// UpdatePools records the report of another failure domain's allocator on its engines.
 	UpdatePools(d api.DomainName, l map[api.ServiceName]api.PoolLoad)
 }
 
-// Allocator gives other entry VMs places at the engines of the failure domain.
+// Allocator grants other entry VMs places at the engines of the failure domain, and send slots
+// at rate-limited servers.
 type Allocator interface {
-	// Place answers an ask for a place.
+	// Place answers a request for a place.
 	Place(ctx context.Context, a api.PlaceAsk) (api.PlaceAnswer, error)
-	// Hold takes what a peer holds.
+	// RecordHolding records what a peer reports to hold.
 	RecordHolding(h api.Holding)
-	// Permit answers an ask for the turn of a request at a server with a limit.
+	// Permit answers a request for a send slot at a rate-limited server.
 	Permit(a api.PermitAsk) api.PermitAnswer
 }
 
-// Parts are what the mesh works with.
+// Parts are the dependencies and settings of a Mesh.
 type Parts struct {
 	VM      api.VMName
 	Self    gossip.Member
@@ -91,7 +95,7 @@
 	Servers *mirror.Mirror[roster.Server]
 	// Closures is nil where no failure domain can be closed.
 	Closures *mirror.Mirror[roster.Closure]
-	// Quarantines is nil where the platform keeps no refused contents.
+	// Quarantines is nil where the platform does not store quarantined contents.
 	Quarantines *mirror.Mirror[quarantine.Entry]
 	Loads       Loads
 	Allocator   Allocator
@@ -99,21 +103,24 @@
 	Applied     AppliedConfig
 }
 
-// Mesh is one entry VM's side of the exchange.
+// Mesh exchanges state with the peers of one entry VM.
 type Mesh struct {
 	Parts
 
-	mutex      sync.Mutex
-	peers      *gossip.Peers
+	mutex sync.Mutex
+	peers *gossip.Peers
+	// inProgress holds the addresses with an exchange that this entry VM has started and that
+	// has not ended yet.
 	inProgress map[string]bool
-	// lag notices kinds that stand still behind a peer, and behind that the configuration
-	// in force does.
+	// lag detects kinds that stay behind those of a peer, by the path that they are fetched
+	// from; appliedLag does so for the configuration in force.
 	lag        map[string]*gossip.Lag[api.Version]
 	appliedLag gossip.Lag[api.ConfigNumber]
-	live       map[string]bool
+	// live holds the addresses of the live peers at the last round.
+	live map[string]bool
 }
 
-// New makes a mesh that knows the addresses in the settings.
+// New creates a mesh that knows only the seed addresses.
 func New(p Parts) *Mesh {
 	return &Mesh{
 		Parts: p, peers: gossip.New(time.Now(), p.Self, p.Seeds, p.Hubs),
@@ -121,7 +128,7 @@
 	}
 }
 
-// Round begins the exchanges that are due.
+// Round starts the exchanges that are due.
 func (m *Mesh) Round() {
 	m.mutex.Lock()
 	now := time.Now()
@@ -131,8 +138,7 @@
 	m.startExchanges(l)
 }
 
-// Relay begins an exchange at once with peers that hear of changes from here
-// alone.
+// Relay starts an exchange at once with the peers that this entry VM relays changes to.
 func (m *Mesh) Relay() {
 	m.mutex.Lock()
 	l := m.claimIdle(m.peers.RelayTargets(time.Now(), m.direct()))
@@ -140,7 +146,8 @@
 	m.startExchanges(l)
 }
 
-// claimIdle leaves out the peers that still owe an answer; the mutex is held.
+// claimIdle returns the addresses without an exchange in progress and marks them as in
+// progress. The caller holds the mutex.
 func (m *Mesh) claimIdle(l []string) []string {
 	var free []string
 	for _, a := range l {
@@ -152,7 +159,7 @@
 	return free
 }
 
-// startExchanges makes exchanges side by side.
+// startExchanges starts concurrent exchanges with the given addresses.
 func (m *Mesh) startExchanges(l []string) {
 	for _, a := range l {
 		m.Group.Go(func(ctx context.Context) error {
@@ -162,7 +169,8 @@
 	}
 }
 
-// updateLive logs peers that came and went; the mutex is held.
+// updateLive logs the peers that have joined or were lost since the last call. The caller
+// holds the mutex.
 func (m *Mesh) updateLive(now time.Time) {
 	live := map[string]bool{}
 	for _, x := range m.peers.Live(now) {
@@ -180,27 +188,29 @@
 	m.Metrics.Put(metric.MembersServing, int64(1+len(live)))
 }
 
-// NoPeerInformed reports whether no peer is heard that has word from the platform.
+// NoPeerInformed reports whether no live peer gets the changes on the platform.
 func (m *Mesh) NoPeerInformed() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.NoneInformed(time.Now())
 }
 
-// HasRelay reports whether a hub brings what changes.
+// HasRelay reports whether a hub relays the changes on the platform to this entry VM.
 func (m *Mesh) HasRelay() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.HasRelay(time.Now())
 }
 
-// BacksOff reports whether a hub asks the platform for this entry VM.
+// BacksOff reports whether this entry VM waits longer before it calls the platform again, after
+// the given number of failed calls in a row, since a peer calls the platform as well.
 func (m *Mesh) BacksOff(failures int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.BacksOff(time.Now(), failures)
 }
 
+// exchange sends a message to the peer at an address and applies its answer.
 func (m *Mesh) exchange(ctx context.Context, address string) {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -221,7 +231,8 @@
 	m.receive(e, r)
 }
 
-// newExchange is what this entry VM tells the peer at an address that has a relation to it.
+// newExchange builds the message to the peer at an address with the given relation to this
+// entry VM.
 func (m *Mesh) newExchange(address string, vm api.VMName, r placement.Relation) api.Exchange {
 	x := m.Loads.ReportLoads(vm, r)
 	e := api.Exchange{
@@ -257,12 +268,13 @@
 	return e
 }
 
-// direct reports whether the platform itself answers this entry VM.
+// direct reports whether the platform answers this entry VM, rather than a peer relaying its
+// changes.
 func (m *Mesh) direct() bool {
 	return m.Servers.Direct() && m.Config.Direct() && (m.Closures == nil || m.Closures.Direct())
 }
 
-// pools is what a hub tells the others of the engines that it allocates.
+// pools returns the loads of the engines that this entry VM allocates, for messages to hubs.
 func (m *Mesh) pools(r placement.Relation) map[string]api.PoolLoad {
 	if r != placement.Hub {
 		return nil
@@ -274,7 +286,7 @@
 	return l
 }
 
-// relationNames translates relationNames to their names in messages.
+// relationNames maps relations to their names in messages.
 var relationNames = map[placement.Relation]api.ExchangeRelation{
 	placement.Unrelated: api.ExchangeRelationStranger,
 	placement.Hub:       api.ExchangeRelationHub,
@@ -290,7 +302,7 @@
 	return gossip.Member{Address: m.Address, Domain: m.Domain, Hub: m.Hub, Capacity: m.Capacity}
 }
 
-// receive takes the message of a peer that has a relation to this entry VM.
+// receive applies the message of a peer with the given relation to this entry VM.
 func (m *Mesh) receive(e api.Exchange, r placement.Relation) {
 	if e.Protocol != gossip.Protocol {
 		m.Log.Emit(event.PeerRefused, zap.String("vm", string(e.VM)), zap.Int("protocol", e.Protocol))
@@ -324,7 +336,7 @@
 	}
 }
 
-// updatePools takes what the allocator of another failure domain tells.
+// updatePools records the load of another failure domain's engines as its allocator reports it.
 func (m *Mesh) updatePools(e api.Exchange, r placement.Relation) {
 	if r != placement.Hub || len(e.Pools) == 0 || e.Self.Domain == m.Self.Domain {
 		return
@@ -336,7 +348,7 @@
 	m.Loads.UpdatePools(e.Self.Domain, l)
 }
 
-// catchUp asks a peer for a kind that it knows more of.
+// catchUp fetches a kind from a peer that has had a newer version of it for long enough.
 func catchUp[T any](m *Mesh, address, path string, theirs api.Version, k *mirror.Mirror[T]) {
 	own, away := k.At(), k.Lost() || m.HasRelay()
 	m.mutex.Lock()
@@ -347,8 +359,8 @@
 	}
 }
 
-// catchUpApplied asks a peer for the configuration that it has in force, where that is newer than the
-// own one though the platform's copy tells nothing of it.
+// catchUpApplied fetches the configuration that a peer has in force if it is newer than the local
+// one although the local replica of the platform's configuration is as new as the peer's.
 func (m *Mesh) catchUpApplied(e api.Exchange) {
 	own, at := m.Applied.AppliedNumber(), m.Config.At()
 	m.mutex.Lock()
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -28,7 +28,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// vm is one entry VM's exchange over real connections, without a platform.
+// vm is the mesh of one entry VM over real connections, without a platform.
 type vm struct {
 	*mesh.Mesh
 	config  *mirror.Mirror[directory.Config]
@@ -61,7 +61,7 @@
 	return v
 }
 
-// until makes rounds until something holds.
+// until runs rounds on all VMs until a condition holds.
 func until(t *testing.T, what string, l []*vm, f func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -73,11 +73,12 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%s: got it never", what)
+	t.Fatalf("%s: got none within 2000 rounds", what)
 }
 
-// A VM that knows one address learns of the others, and gets configuration and servers from them.
-func TestPeersPassOnWhatTheyKnow(t *testing.T) {
+// An entry VM that knows one seed address learns of the other members and gets the
+// configuration, the servers and their removal from its peers.
+func TestPeersRelayConfigAndServers(t *testing.T) {
 	a := newVM(t, "a")
 	b := newVM(t, "b", a.address)
 	c := newVM(t, "c", a.address)
@@ -85,19 +86,20 @@
 	server := replica.Object[roster.Server]{Name: "i-1", Version: 8, Value: roster.Server{Name: "i-1", Service: "s"}}
 	a.servers.Offer(replica.Delta[roster.Server]{At: 8, Items: []replica.Change[roster.Server]{{Object: server}}})
 	l := []*vm{a, b, c}
-	until(t, "configuration and servers everywhere", l, func() bool {
+	until(t, "configuration and servers at all VMs", l, func() bool {
 		return b.config.At() == 7 && c.config.At() == 7 && b.servers.At() == 8 && c.servers.At() == 8
 	})
 	a.servers.Offer(replica.Delta[roster.Server]{From: 8, At: 9, Items: []replica.Change[roster.Server]{{Object: replica.Object[roster.Server]{Name: "i-1", Version: 9}, Removed: true}}})
-	until(t, "the removal everywhere", l, func() bool {
+	until(t, "the removal at all VMs", l, func() bool {
 		return len(b.servers.Since(0).Items) == 0 && len(c.servers.Since(0).Items) == 0
 	})
 	until(t, "members of the fleet", l, func() bool {
-		// Whichever VM is the hub that carries another one, by its port.
+		// The ports decide which VM is the hub that another one is attached to.
 		return c.table.ReportLoads("nobody", placement.Attached).Members >= 2
 	})
 }
 
+// A peer that uses another version of the protocol is not a member, and its loads are ignored.
 func TestPeerOfAnotherProtocolIsRefused(t *testing.T) {
 	a := newVM(t, "a")
 	e := api.Exchange{Protocol: 999, VM: "x", Self: api.MeshMember{Address: "127.0.0.1:1", Domain: "d"}, ConfigAt: 50, Relation: api.ExchangeRelationHub, Loads: map[string]api.ServerLoad{"s": {Requests: 5}}}
@@ -115,7 +117,7 @@
 	}
 }
 
-// size counts the bytes of an answer as they come over the link.
+// size returns the size of an answer in bytes as sent over the network.
 func size(t *testing.T, url, accept string) int {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -135,8 +137,9 @@
 	return len(b)
 }
 
-// A large configuration must not fill the links of narrow VMs.
-func TestLargeConfigurationIsPassedOnCompressed(t *testing.T) {
+// A large configuration is compressed, so that relaying it does not saturate the links of VMs
+// with little bandwidth.
+func TestLargeConfigurationIsCompressed(t *testing.T) {
 	a := newVM(t, "a")
 	c := directory.Config{Version: 3}
 	for i := range 1400 {
@@ -167,8 +170,9 @@
 	}
 }
 
-// A configuration that a peer has in force and the platform's copy lost is passed on.
-func TestPeersPassOnTheConfigurationInForce(t *testing.T) {
+// A configuration that a peer has in force reaches the other entry VMs even if the platform no
+// longer has it, and an older or empty one does not replace it.
+func TestPeersRelayTheConfigurationInForce(t *testing.T) {
 	a := newVM(t, "a")
 	b := newVM(t, "b", a.address)
 	a.table.Apply(directory.Config{Version: 9})
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -18,7 +18,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Paths of the exchange on the control address.
+// Paths of the mesh endpoints on the control address.
 const (
 	PathExchange    = "/mesh/v1/exchange"
 	PathConfig      = "/mesh/v1/config"
@@ -31,10 +31,11 @@
 	PathPermit      = "/mesh/v1/permit"
 )
 
-// maxMessageBytes bounds one message: 2,500 servers' loads at 60 bytes.
+// maxMessageBytes bounds one message. The loads of 2,500 servers, at 60 bytes
+// each, take 150,000 bytes.
 const maxMessageBytes = 256 << 10
 
-// Routes adds the exchange to a control interface.
+// Routes adds the mesh endpoints to the router of a control interface.
 func (m *Mesh) Routes(r chi.Router) {
 	r.Post(PathExchange, m.handleExchange)
 	r.Post(PathPlace, m.handlePlace)
@@ -51,11 +52,12 @@
 	}
 }
 
-// sinceParam names the version that the asking peer knows a kind up to.
+// sinceParam is the query parameter with the version up to which the requesting
+// peer knows all changes of a kind.
 const sinceParam = "since"
 
-// handleDelta answers a peer with what it has missed of a kind; a version that is no
-// number counts as nothing known.
+// handleDelta answers a peer with the changes of a kind after the version that it
+// knows. A version that is not a number is read as zero, which requests all objects.
 func handleDelta[T any](p *deltaCache[T]) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.Atoi(r.URL.Query().Get(sinceParam))
@@ -66,6 +68,8 @@
 	}
 }
 
+// handleExchange answers the exchange that a peer has started, then applies the
+// peer's message.
 func (m *Mesh) handleExchange(w http.ResponseWriter, q *http.Request) {
 	var e api.Exchange
 	if err := wire.Read(w, q, maxMessageBytes, &e); err != nil {
@@ -77,7 +81,8 @@
 	m.receive(e, r)
 }
 
-// inverseRelation is what a peer is to this entry VM, by what this one is to it.
+// inverseRelation returns the relation of a peer to this entry VM. The message of
+// the peer states the opposite one, of this entry VM to the peer.
 func inverseRelation(e api.Exchange) placement.Relation {
 	switch e.Relation {
 	case api.ExchangeRelationPrimary:
@@ -89,12 +94,12 @@
 	}
 }
 
-// handleApplied answers a peer with the configuration in force.
+// handleApplied answers a peer with the configuration in force here.
 func (m *Mesh) handleApplied(w http.ResponseWriter, _ *http.Request) {
 	wire.Write(w, http.StatusOK, m.Applied.Applied())
 }
 
-// fetchApplied takes the configuration that a peer has in force.
+// fetchApplied fetches the configuration that a peer has in force and applies it.
 func (m *Mesh) fetchApplied(address string) {
 	m.Group.Go(func(ctx context.Context) error {
 		c, cancel := context.WithTimeout(ctx, callTimeout)
@@ -109,7 +114,8 @@
 	})
 }
 
-// fetch takes what a peer knows of a kind.
+// fetch requests the changes of a kind from a peer and merges them into the mirror.
+// If the call fails, the mirror refreshes from the platform.
 func fetch[T any](m *Mesh, address, path string, k *mirror.Mirror[T]) {
 	m.Group.Go(func(ctx context.Context) error {
 		c, cancel := context.WithTimeout(ctx, callTimeout)
