--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -51,8 +51,8 @@
 	v := &vm{address: s.Listener.Addr().String(), table: gateway.New(gateway.Parts{
 		Domain: "d", Group: g, Log: event.Discard(), Metrics: metric.New(), Retries: retry.NewWindows(time.Second, 0, 0),
 	})}
-	v.config = mirror.New(mirror.Parts[directory.Config]{Take: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
-	v.servers = mirror.New(mirror.Parts[roster.Server]{Take: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
+	v.config = mirror.New(mirror.Parts[directory.Config]{OnSnapshot: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
+	v.servers = mirror.New(mirror.Parts[roster.Server]{OnSnapshot: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
 	v.Mesh = mesh.New(mesh.Parts{
 		VM: api.VMName(name), Self: gossip.Member{Address: v.address, Domain: "d"}, Seeds: seeds, Hubs: 2,
 		Client: c, Group: g, Log: event.Discard(), Metrics: metric.New(), Config: v.config, Servers: v.servers, Loads: v.table, Allocator: v.table, Notices: v.table, Applied: v.table,
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -53,20 +53,20 @@
 	Log     *event.Log
 	Metrics *metric.Set
 	Timing  Timing
-	// Defer is how long the first list is left to peers, which may bring what it
+	// ListDelay is how long the first list is left to peers, which may bring what it
 	// would.
-	Defer time.Duration
-	// Take is told of every snapshot that differs from the one before; Settled
+	ListDelay time.Duration
+	// OnSnapshot is told of every snapshot that differs from the one before; Settled
 	// is set on those of peers alone. Calls don't overlap.
-	Take func(s replica.Snapshot[T])
-	// Guided reports whether a peer that follows the platform brings what
+	OnSnapshot func(s replica.Snapshot[T])
+	// HasRelay reports whether a peer that follows the platform brings what
 	// changes, so that it need not be asked.
-	Guided func() bool
-	// Patient reports whether others ask the platform as well, and would tell, so
+	HasRelay func() bool
+	// BacksOff reports whether others ask the platform as well, and would tell, so
 	// that after so many failed calls in a row a long pause does.
-	Patient func(failures int) bool
-	// Away is told when the platform is lost and when it is back.
-	Away func(away bool)
+	BacksOff func(failures int) bool
+	// LostChanged is told when the platform is lost and when it is back.
+	LostChanged func(away bool)
 }
 
 // Mirror follows one kind.
@@ -139,7 +139,7 @@
 // guided reports whether a peer brings what changes; who knows nothing yet asks the
 // platform whatever others do.
 func (m *Mirror[T]) guided() bool {
-	return m.At() > 0 && m.Guided()
+	return m.At() > 0 && m.HasRelay()
 }
 
 // rest waits, but no longer than until a peer guides: what it brings is taken
@@ -153,7 +153,7 @@
 
 // awaitPeers waits for what peers bring before the first list.
 func (m *Mirror[T]) awaitPeers(ctx context.Context) {
-	until(ctx, m.Defer, awaitPoll, func() bool { return m.At() > 0 })
+	until(ctx, m.ListDelay, awaitPoll, func() bool { return m.At() > 0 })
 }
 
 // until looks whether something is so at each poll, for so long at most.
@@ -167,7 +167,7 @@
 
 // pause is the wait after failed calls.
 func (m *Mirror[T]) pause(failures int) time.Duration {
-	if m.Patient(failures) {
+	if m.BacksOff(failures) {
 		return patientTime/2 + rand.N(patientTime/2)
 	}
 	return backoff(failures)
@@ -199,7 +199,7 @@
 	m.store.Replace(s)
 	m.enter(known)
 	if m.store.ChangedAt() != before {
-		m.Take(m.store.Snapshot())
+		m.OnSnapshot(m.store.Snapshot())
 	}
 	return nil
 }
@@ -225,7 +225,7 @@
 	if m.store.Apply(x) == 0 {
 		return false
 	}
-	m.Take(m.store.Snapshot())
+	m.OnSnapshot(m.store.Snapshot())
 	return true
 }
 
@@ -254,7 +254,7 @@
 	m.Metrics.Add(metric.ConfigFromPeers, 1)
 	v := m.store.Snapshot()
 	v.Settled = d.Settled
-	m.Take(v)
+	m.OnSnapshot(v)
 }
 
 // Refresh asks the platform once although a peer guides: what the peer has did
@@ -342,6 +342,6 @@
 	}
 	m.away = away
 	m.since = time.Now()
-	m.Away(away)
+	m.LostChanged(away)
 	return true
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -102,23 +102,23 @@
 	b := &bed{store: &store{at: 1, value: "v1"}}
 	b.Mirror = mirror.New(mirror.Parts[string]{
 		Name: "kind", Source: b.store, Log: event.Discard(), Metrics: metric.New(),
-		Timing: mirror.Timing{Wait: time.Second, Slack: 400 * time.Millisecond}, Defer: d,
-		Guided: func() bool {
+		Timing: mirror.Timing{Wait: time.Second, Slack: 400 * time.Millisecond}, ListDelay: d,
+		HasRelay: func() bool {
 			b.mutex.Lock()
 			defer b.mutex.Unlock()
 			return b.guided
 		},
-		Take: func(s replica.Snapshot[string]) {
+		OnSnapshot: func(s replica.Snapshot[string]) {
 			b.mutex.Lock()
 			defer b.mutex.Unlock()
 			b.taken = append(b.taken, s.Items[0].Value)
 		},
-		Patient: func(int) bool {
+		BacksOff: func(int) bool {
 			b.mutex.Lock()
 			defer b.mutex.Unlock()
 			return b.patient
 		},
-		Away: func(bool) {},
+		LostChanged: func(bool) {},
 	})
 	g, end := duty.New(context.Background())
 	t.Cleanup(end)
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -87,25 +87,25 @@
 	}
 	d := h.deferList()
 	h.config = mirror.New(mirror.Parts[directory.Config]{
-		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configShare), Defer: d,
-		Take: h.configure, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configShare), ListDelay: d,
+		OnSnapshot: h.configure, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
 	})
 	h.servers = mirror.New(mirror.Parts[roster.Server]{
-		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverShare), Defer: d,
-		Take: h.serve, Guided: h.guided, Patient: h.patient, Away: h.away,
+		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverShare), ListDelay: d,
+		OnSnapshot: h.serve, HasRelay: h.guided, BacksOff: h.patient, LostChanged: h.away,
 	})
 	if c := s.CloseMS.Duration(); c > 0 {
 		h.closures = mirror.New(mirror.Parts[roster.Closure]{
-			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, Defer: d,
-			Timing: mirror.Timing{Wait: time.Duration(configShare * float64(c)), Slack: time.Duration(mirrorSlack * float64(c))},
-			Take:   h.close, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, ListDelay: d,
+			Timing:     mirror.Timing{Wait: time.Duration(configShare * float64(c)), Slack: time.Duration(mirrorSlack * float64(c))},
+			OnSnapshot: h.close, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
 		})
 	}
 	if h.adapter.Quarantined != nil {
 		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
-			Name: "quarantines", Source: h.adapter.Quarantined, Log: h.Log, Metrics: h.Metrics, Defer: firstDefer,
-			Timing: mirror.Timing{Wait: quarantineWait, Slack: time.Duration(mirrorSlack * float64(quarantineWait))},
-			Take:   h.quarantine, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+			Name: "quarantines", Source: h.adapter.Quarantined, Log: h.Log, Metrics: h.Metrics, ListDelay: firstDefer,
+			Timing:     mirror.Timing{Wait: quarantineWait, Slack: time.Duration(mirrorSlack * float64(quarantineWait))},
+			OnSnapshot: h.quarantine, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
 		})
 	}
 	h.mesh = mesh.New(mesh.Parts{
