--- a/internal/mesh/delta.go
+++ b/internal/mesh/delta.go
@@ -38,7 +38,7 @@
 func (p *deltaCache[T]) since(from api.Version) ([]byte, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	e := deltaKey{from: from, changed: p.source.Changed(), settled: p.source.Settled()}
+	e := deltaKey{from: from, changed: p.source.ChangedAt(), settled: p.source.Settled()}
 	if p.body != nil && e == p.key {
 		return p.body, nil
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -236,15 +236,15 @@
 func (m *Mesh) newExchange(address string, vm api.VMName, r placement.Relation) api.Exchange {
 	x := m.Loads.ReportLoads(vm, r)
 	e := api.Exchange{
-		Protocol: gossip.Protocol, VM: m.VM, ConfigAt: m.Config.Changed(), ServersAt: m.Servers.Changed(),
+		Protocol: gossip.Protocol, VM: m.VM, ConfigAt: m.Config.ChangedAt(), ServersAt: m.Servers.ChangedAt(),
 		Direct: m.direct(), Relation: relationNames[r], Members: x.Members,
 		Leaving: m.Notices.Leaving(), Contents: m.Notices.ContentReports(), Limits: m.Notices.Limits(), ConfigNumber: m.Applied.AppliedNumber(),
 	}
 	if m.Closures != nil {
-		e.ClosuresAt, e.KeptClosures = m.Closures.Changed(), m.Notices.RetainedClosures()
+		e.ClosuresAt, e.KeptClosures = m.Closures.ChangedAt(), m.Notices.RetainedClosures()
 	}
 	if m.Quarantines != nil {
-		e.QuarantinesAt = m.Quarantines.Changed()
+		e.QuarantinesAt = m.Quarantines.ChangedAt()
 	}
 	if len(x.Loads) > 0 {
 		e.Loads = make(map[string]api.ServerLoad, len(x.Loads))
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -82,14 +82,14 @@
 	a := newVM(t, "a")
 	b := newVM(t, "b", a.address)
 	c := newVM(t, "c", a.address)
-	a.config.Offer(replica.Delta[directory.Config]{At: 7, Items: []replica.Change[directory.Config]{{Object: replica.Object[directory.Config]{Name: "main", Version: 7, Value: directory.Config{Version: 3}}}}})
+	a.config.Merge(replica.Delta[directory.Config]{At: 7, Items: []replica.Change[directory.Config]{{Object: replica.Object[directory.Config]{Name: "main", Version: 7, Value: directory.Config{Version: 3}}}}})
 	server := replica.Object[roster.Server]{Name: "i-1", Version: 8, Value: roster.Server{Name: "i-1", Service: "s"}}
-	a.servers.Offer(replica.Delta[roster.Server]{At: 8, Items: []replica.Change[roster.Server]{{Object: server}}})
+	a.servers.Merge(replica.Delta[roster.Server]{At: 8, Items: []replica.Change[roster.Server]{{Object: server}}})
 	l := []*vm{a, b, c}
 	until(t, "configuration and servers at all VMs", l, func() bool {
 		return b.config.At() == 7 && c.config.At() == 7 && b.servers.At() == 8 && c.servers.At() == 8
 	})
-	a.servers.Offer(replica.Delta[roster.Server]{From: 8, At: 9, Items: []replica.Change[roster.Server]{{Object: replica.Object[roster.Server]{Name: "i-1", Version: 9}, Removed: true}}})
+	a.servers.Merge(replica.Delta[roster.Server]{From: 8, At: 9, Items: []replica.Change[roster.Server]{{Object: replica.Object[roster.Server]{Name: "i-1", Version: 9}, Removed: true}}})
 	until(t, "the removal at all VMs", l, func() bool {
 		return len(b.servers.Since(0).Items) == 0 && len(c.servers.Since(0).Items) == 0
 	})
@@ -148,7 +148,7 @@
 	}
 	offer := func(v api.Version) {
 		c.Version++
-		a.config.Offer(replica.Delta[directory.Config]{At: v, Items: []replica.Change[directory.Config]{{Object: replica.Object[directory.Config]{Name: "main", Version: v, Value: c}}}})
+		a.config.Merge(replica.Delta[directory.Config]{At: v, Items: []replica.Change[directory.Config]{{Object: replica.Object[directory.Config]{Name: "main", Version: v, Value: c}}}})
 	}
 	offer(7)
 	u := "http://" + a.address + mesh.PathConfig + "?since=0"
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -127,7 +127,7 @@
 			k.Refresh()
 			return nil
 		}
-		k.Offer(d)
+		k.Merge(d)
 		return nil
 	})
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -242,8 +242,8 @@
 	m.Log.Emit(event.EraChanged, zap.String("kind", m.Name), zap.Stringer("from", known), zap.Stringer("version", now))
 }
 
-// Offer takes what a peer has passed on.
-func (m *Mirror[T]) Offer(d replica.Delta[T]) {
+// Merge takes what a peer has passed on.
+func (m *Mirror[T]) Merge(d replica.Delta[T]) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	known := m.store.At()
@@ -310,8 +310,8 @@
 	return !m.away && time.Since(m.since) >= settleTime
 }
 
-// Changed is the version at which an object last changed, as far as known.
-func (m *Mirror[T]) Changed() api.Version {
+// ChangedAt is the version at which an object last changed, as far as known.
+func (m *Mirror[T]) ChangedAt() api.Version {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.store.ChangedAt()
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -183,7 +183,7 @@
 		if !b.Lost() {
 			t.Error("lost in an outage: got false, want true")
 		}
-		b.Offer(replica.Delta[string]{At: 9, Items: []replica.Change[string]{{Object: replica.Object[string]{Name: "a", Version: 9, Value: "v9"}}}})
+		b.Merge(replica.Delta[string]{At: 9, Items: []replica.Change[string]{{Object: replica.Object[string]{Name: "a", Version: 9, Value: "v9"}}}})
 		if got := b.last(); got != "v9" {
 			t.Errorf("after a peer's word: got %q, want v9", got)
 		}
@@ -262,7 +262,7 @@
 			b.guide(true)
 			time.Sleep(time.Second)
 			if brought {
-				b.Offer(replica.Delta[string]{At: 1, Items: []replica.Change[string]{{Object: b.store.object()}}})
+				b.Merge(replica.Delta[string]{At: 1, Items: []replica.Change[string]{{Object: b.store.object()}}})
 			}
 			time.Sleep(2500 * time.Millisecond)
 			b.store.mutex.Lock()
