--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -80,14 +80,14 @@
 
 	mutex sync.Mutex
 	store *replica.Store[T]
-	// away is set while the platform does not answer; it has since a time.
-	away  bool
-	since time.Time
+	// lost is set while the platform does not answer; it has since a time.
+	lost          bool
+	settlingSince time.Time
 }
 
 // New makes a mirror that knows nothing.
 func New[T any](p Parts[T]) *Mirror[T] {
-	return &Mirror[T]{Parts: p, store: replica.New[T](), away: true}
+	return &Mirror[T]{Parts: p, store: replica.New[T](), lost: true}
 }
 
 // Run is the duty that asks the platform.
@@ -95,10 +95,10 @@
 	m.awaitPeers(ctx)
 	list, failures, forgotten := true, 0, 0
 	for ctx.Err() == nil {
-		if m.guided() && !m.refresh.Swap(false) {
+		if m.hasRelay() && !m.refresh.Swap(false) {
 			list = true
 			m.direct.Store(false)
-			m.reached()
+			m.recordSuccess()
 			duty.Sleep(ctx, guidedTime)
 			continue
 		}
@@ -114,7 +114,7 @@
 			}
 			list, failures = false, 0
 			m.direct.Store(true)
-			m.reached()
+			m.recordSuccess()
 			continue
 		}
 		m.direct.Store(false)
@@ -130,22 +130,22 @@
 			continue
 		}
 		failures++
-		m.failed(ctx, err)
-		m.rest(ctx, m.pause(failures))
+		m.recordFailure(ctx, err)
+		m.wait(ctx, m.retryDelay(failures))
 	}
 	return nil
 }
 
-// guided reports whether a peer brings what changes; who knows nothing yet asks the
+// hasRelay reports whether a peer brings what changes; who knows nothing yet asks the
 // platform whatever others do.
-func (m *Mirror[T]) guided() bool {
+func (m *Mirror[T]) hasRelay() bool {
 	return m.At() > 0 && m.HasRelay()
 }
 
-// rest waits, but no longer than until a peer guides: what it brings is taken
+// wait waits, but no longer than until a peer guides: what it brings is taken
 // as that of a platform that is back.
-func (m *Mirror[T]) rest(ctx context.Context, d time.Duration) {
-	until(ctx, d, guidedTime, m.guided)
+func (m *Mirror[T]) wait(ctx context.Context, d time.Duration) {
+	waitUntil(ctx, d, guidedTime, m.hasRelay)
 }
 
 // awaitPoll is the pause between looks whether a peer brought what is awaited.
@@ -153,20 +153,20 @@
 
 // awaitPeers waits for what peers bring before the first list.
 func (m *Mirror[T]) awaitPeers(ctx context.Context) {
-	until(ctx, m.ListDelay, awaitPoll, func() bool { return m.At() > 0 })
+	waitUntil(ctx, m.ListDelay, awaitPoll, func() bool { return m.At() > 0 })
 }
 
-// until looks whether something is so at each poll, for so long at most.
-func until(ctx context.Context, d, poll time.Duration, so func() bool) {
-	for end := time.Now().Add(d); time.Now().Before(end) && !so(); {
+// waitUntil looks whether something is so at each poll, for so long at most.
+func waitUntil(ctx context.Context, d, poll time.Duration, done func() bool) {
+	for end := time.Now().Add(d); time.Now().Before(end) && !done(); {
 		if !duty.Sleep(ctx, min(poll, time.Until(end))) {
 			return
 		}
 	}
 }
 
-// pause is the wait after failed calls.
-func (m *Mirror[T]) pause(failures int) time.Duration {
+// retryDelay is the wait after failed calls.
+func (m *Mirror[T]) retryDelay(failures int) time.Duration {
 	if m.BacksOff(failures) {
 		return patientTime/2 + rand.N(patientTime/2)
 	}
@@ -197,7 +197,7 @@
 	before := m.store.ChangedAt()
 	known := m.store.At()
 	m.store.Replace(s)
-	m.enter(known)
+	m.checkEra(known)
 	if m.store.ChangedAt() != before {
 		m.OnSnapshot(m.store.Snapshot())
 	}
@@ -229,15 +229,15 @@
 	return true
 }
 
-// enter notes that the platform came back from a copy, where what is known now is of a later
+// checkEra notes that the platform came back from a copy, where what is known now is of a later
 // era than what was known before; the mutex is held.
-func (m *Mirror[T]) enter(known api.Version) {
+func (m *Mirror[T]) checkEra(known api.Version) {
 	now := m.store.At()
 	if known == 0 || now.Era() == known.Era() {
 		return
 	}
 	// What is missing now may be what was written since the copy.
-	m.since = time.Now()
+	m.settlingSince = time.Now()
 	m.Metrics.Add(metric.PlatformRestores, 1)
 	m.Log.Emit(event.EraChanged, zap.String("kind", m.Name), zap.Stringer("from", known), zap.Stringer("version", now))
 }
@@ -250,7 +250,7 @@
 	if !m.store.Merge(d) {
 		return
 	}
-	m.enter(known)
+	m.checkEra(known)
 	m.Metrics.Add(metric.ConfigFromPeers, 1)
 	v := m.store.Snapshot()
 	v.Settled = d.Settled
@@ -274,7 +274,7 @@
 func (m *Mirror[T]) Lost() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.away
+	return m.lost
 }
 
 // Direct reports whether the platform itself has answered last: neither is it
@@ -307,7 +307,7 @@
 
 // settled is Settled under the mutex.
 func (m *Mirror[T]) settled() bool {
-	return !m.away && time.Since(m.since) >= settleTime
+	return !m.lost && time.Since(m.settlingSince) >= settleTime
 }
 
 // ChangedAt is the version at which an object last changed, as far as known.
@@ -317,31 +317,31 @@
 	return m.store.ChangedAt()
 }
 
-func (m *Mirror[T]) reached() {
-	if m.change(false) {
+func (m *Mirror[T]) recordSuccess() {
+	if m.setLost(false) {
 		m.Log.Emit(event.PlatformBack, zap.String("kind", m.Name))
 	}
 }
 
-func (m *Mirror[T]) failed(ctx context.Context, err error) {
+func (m *Mirror[T]) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	m.Metrics.Add(metric.PlatformFailures, 1)
-	if m.change(true) {
+	if m.setLost(true) {
 		m.Log.Emit(event.PlatformLost, zap.String("kind", m.Name), zap.Error(err))
 	}
 }
 
-// change reports whether the word on the platform is new.
-func (m *Mirror[T]) change(away bool) bool {
+// setLost reports whether the word on the platform is new.
+func (m *Mirror[T]) setLost(lost bool) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.away == away {
+	if m.lost == lost {
 		return false
 	}
-	m.away = away
-	m.since = time.Now()
-	m.LostChanged(away)
+	m.lost = lost
+	m.settlingSince = time.Now()
+	m.LostChanged(lost)
 	return true
 }
