--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -21,20 +21,20 @@
 // Bounds of the wait after a failed call; the last is below the time in which
 // a change has to be in force.
 const (
-	backoffFirst = 100 * time.Millisecond
-	backoffLast  = 800 * time.Millisecond
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
-// gatherTime is the pause after a change: servers that leave together say so
+// batchDelay is the pause after a change: servers that leave together say so
 // within some ms, and each answer to a watch is a call.
-const gatherTime = 40 * time.Millisecond
+const batchDelay = 40 * time.Millisecond
 
-// patientTime is the pause after a failed call while others ask as well: they
+// longBackoff is the pause after a failed call while others ask as well: they
 // tell of the platform's return, and long outages are what calls add up in.
-const patientTime = 5 * time.Second
+const longBackoff = 5 * time.Second
 
-// guidedTime is the pause between looks whether peers still bring changes.
-const guidedTime = 250 * time.Millisecond
+// relayPollInterval is the pause between looks whether peers still bring changes.
+const relayPollInterval = 250 * time.Millisecond
 
 // Timing bounds the calls of a mirror.
 type Timing struct {
@@ -93,13 +93,13 @@
 // Run is the duty that asks the platform.
 func (m *Mirror[T]) Run(ctx context.Context) error {
 	m.awaitPeers(ctx)
-	list, failures, forgotten := true, 0, 0
+	list, failures, tooOld := true, 0, 0
 	for ctx.Err() == nil {
 		if m.hasRelay() && !m.refresh.Swap(false) {
 			list = true
 			m.direct.Store(false)
 			m.recordSuccess()
-			duty.Sleep(ctx, guidedTime)
+			duty.Sleep(ctx, relayPollInterval)
 			continue
 		}
 		var err error
@@ -110,7 +110,7 @@
 		}
 		if err == nil {
 			if !list {
-				forgotten = 0
+				tooOld = 0
 			}
 			list, failures = false, 0
 			m.direct.Store(true)
@@ -122,10 +122,10 @@
 		list = true
 		if fault.Has(err, fault.WatchTooOld) {
 			m.Log.Emit(event.WatchRestarted, zap.String("kind", m.Name), zap.Stringer("version", m.At()))
-			forgotten++
-			if forgotten > 1 {
+			tooOld++
+			if tooOld > 1 {
 				// A store that forgets at once is not asked at once again.
-				duty.Sleep(ctx, backoff(forgotten))
+				duty.Sleep(ctx, backoff(tooOld))
 			}
 			continue
 		}
@@ -145,15 +145,15 @@
 // wait waits, but no longer than until a peer guides: what it brings is taken
 // as that of a platform that is back.
 func (m *Mirror[T]) wait(ctx context.Context, d time.Duration) {
-	waitUntil(ctx, d, guidedTime, m.hasRelay)
+	waitUntil(ctx, d, relayPollInterval, m.hasRelay)
 }
 
-// awaitPoll is the pause between looks whether a peer brought what is awaited.
-const awaitPoll = 20 * time.Millisecond
+// peerPollInterval is the pause between looks whether a peer brought what is awaited.
+const peerPollInterval = 20 * time.Millisecond
 
 // awaitPeers waits for what peers bring before the first list.
 func (m *Mirror[T]) awaitPeers(ctx context.Context) {
-	waitUntil(ctx, m.ListDelay, awaitPoll, func() bool { return m.At() > 0 })
+	waitUntil(ctx, m.ListDelay, peerPollInterval, func() bool { return m.At() > 0 })
 }
 
 // waitUntil looks whether something is so at each poll, for so long at most.
@@ -168,7 +168,7 @@
 // retryDelay is the wait after failed calls.
 func (m *Mirror[T]) retryDelay(failures int) time.Duration {
 	if m.BacksOff(failures) {
-		return patientTime/2 + rand.N(patientTime/2)
+		return longBackoff/2 + rand.N(longBackoff/2)
 	}
 	return backoff(failures)
 }
@@ -176,7 +176,7 @@
 // backoff doubles with each failure and is spread, so that entry VMs don't
 // come back together.
 func backoff(failures int) time.Duration {
-	d := min(backoffFirst<<min(failures-1, 6), backoffLast)
+	d := min(minBackoff<<min(failures-1, 6), maxBackoff)
 	return d/2 + rand.N(d/2)
 }
 
@@ -213,7 +213,7 @@
 		return err
 	}
 	if m.apply(x) {
-		duty.Sleep(ctx, gatherTime)
+		duty.Sleep(ctx, batchDelay)
 	}
 	return nil
 }
