--- a/internal/mirror/doc.go
+++ b/internal/mirror/doc.go
@@ -1,4 +1,4 @@
-// Package mirror is the duty that keeps a copy of one kind of the platform's
-// objects: it lists, watches, notices a watch that fell silent, and takes what
-// peers have when the platform does not answer.
+// Package mirror keeps a replica of one kind of the platform's objects up to date: it
+// lists and watches the objects, detects a watch that has stopped sending events, and
+// merges what peers have while the platform does not answer.
 package mirror
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -18,79 +18,84 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// Bounds of the wait after a failed call; the last is below the time in which
-// a change has to be in force.
+// Bounds of the wait after a failed call. The maximum is shorter than the time in
+// which a change has to be in force.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
 )
 
-// batchDelay is the pause after a change: servers that leave together say so
-// within some ms, and each answer to a watch is a call.
+// batchDelay is the pause between a change and the next watch. Servers that leave
+// together announce it within a few ms, and without the pause each of these changes
+// would cost a call.
 const batchDelay = 40 * time.Millisecond
 
-// longBackoff is the pause after a failed call while others ask as well: they
-// tell of the platform's return, and long outages are what calls add up in.
+// longBackoff is the longest wait after a failed call while peers call the platform
+// as well. They report when it answers again, and in a long outage the calls of all
+// entry VMs add up.
 const longBackoff = 5 * time.Second
 
-// relayPollInterval is the pause between looks whether peers still bring changes.
+// relayPollInterval is the time between checks whether a peer relays changes.
 const relayPollInterval = 250 * time.Millisecond
 
 // Timing bounds the calls of a mirror.
 type Timing struct {
-	// Wait is the longest time of one watch: a watch that is silent for longer
-	// has lost its events.
+	// Wait is how long the platform may hold one watch without a change. A watch that
+	// is silent for longer has lost its events.
 	Wait time.Duration
-	// Slack is what an answer may take beyond that.
+	// Slack is the extra time that the answer to a watch may take.
 	Slack time.Duration
 }
 
-// Parts are what a mirror works with.
+// Parts are the dependencies and settings of a Mirror.
 type Parts[T any] struct {
-	// Name is the kind, for logs.
+	// Name is the name of the kind in logs.
 	Name    string
 	Source  port.Source[T]
 	Log     *event.Log
 	Metrics *metric.Set
 	Timing  Timing
-	// ListDelay is how long the first list is left to peers, which may bring what it
-	// would.
+	// ListDelay is how long the first list waits for peers, whose delta may make it
+	// unnecessary.
 	ListDelay time.Duration
-	// OnSnapshot is told of every snapshot that differs from the one before; Settled
-	// is set on those of peers alone. Calls don't overlap.
+	// OnSnapshot is called with every snapshot that differs from the one before. Only
+	// snapshots from peers may have Settled set. Calls do not overlap.
 	OnSnapshot func(s replica.Snapshot[T])
-	// HasRelay reports whether a peer that follows the platform brings what
-	// changes, so that it need not be asked.
+	// HasRelay reports whether a peer that follows the platform relays its changes,
+	// so that the mirror need not call the platform.
 	HasRelay func() bool
-	// BacksOff reports whether others ask the platform as well, and would tell, so
-	// that after so many failed calls in a row a long pause does.
+	// BacksOff reports whether, after the given number of failed calls in a row, the
+	// mirror waits for up to longBackoff, since peers call the platform as well and
+	// report when it answers.
 	BacksOff func(failures int) bool
-	// LostChanged is told when the platform is lost and when it is back.
-	LostChanged func(away bool)
+	// LostChanged is called when the platform is lost and when it answers again.
+	LostChanged func(lost bool)
 }
 
-// Mirror follows one kind.
+// Mirror replicates one kind of the platform's objects.
 type Mirror[T any] struct {
 	Parts[T]
 
-	// direct is set while the platform itself answers, unset while a peer guides.
+	// direct is set while the platform answers, and unset while a peer relays changes.
 	direct atomic.Bool
-	// refresh asks for a list of the platform although a peer guides.
+	// refresh requests one list from the platform even though a peer relays changes.
 	refresh atomic.Bool
 
 	mutex sync.Mutex
 	store *replica.Store[T]
-	// lost is set while the platform does not answer; it has since a time.
-	lost          bool
+	// lost is set while the platform does not answer.
+	lost bool
+	// settlingSince is when lost last changed or an era last began, from which
+	// settleTime counts.
 	settlingSince time.Time
 }
 
-// New makes a mirror that knows nothing.
+// New creates a mirror without objects, at version zero, that counts as lost.
 func New[T any](p Parts[T]) *Mirror[T] {
 	return &Mirror[T]{Parts: p, store: replica.New[T](), lost: true}
 }
 
-// Run is the duty that asks the platform.
+// Run lists and watches the platform until the context ends.
 func (m *Mirror[T]) Run(ctx context.Context) error {
 	m.awaitPeers(ctx)
 	list, failures, tooOld := true, 0, 0
@@ -118,13 +123,14 @@
 			continue
 		}
 		m.direct.Store(false)
-		// After any failure the history may be lost without a word.
+		// After any failure the platform may have dropped changes without reporting it.
 		list = true
 		if fault.Has(err, fault.WatchTooOld) {
 			m.Log.Emit(event.WatchRestarted, zap.String("kind", m.Name), zap.Stringer("version", m.At()))
 			tooOld++
 			if tooOld > 1 {
-				// A store that forgets at once is not asked at once again.
+				// A platform that drops its history at once must not be listed in a
+				// tight loop.
 				duty.Sleep(ctx, backoff(tooOld))
 			}
 			continue
@@ -136,27 +142,27 @@
 	return nil
 }
 
-// hasRelay reports whether a peer brings what changes; who knows nothing yet asks the
-// platform whatever others do.
+// hasRelay reports whether a peer relays changes. It is false for a mirror without
+// objects, which calls the platform regardless of its peers.
 func (m *Mirror[T]) hasRelay() bool {
 	return m.At() > 0 && m.HasRelay()
 }
 
-// wait waits, but no longer than until a peer guides: what it brings is taken
-// as that of a platform that is back.
+// wait waits for a time that ends early once a peer relays changes: the platform then
+// counts as answering again.
 func (m *Mirror[T]) wait(ctx context.Context, d time.Duration) {
 	waitUntil(ctx, d, relayPollInterval, m.hasRelay)
 }
 
-// peerPollInterval is the pause between looks whether a peer brought what is awaited.
+// peerPollInterval is the time between checks whether a peer has sent the first objects.
 const peerPollInterval = 20 * time.Millisecond
 
-// awaitPeers waits for what peers bring before the first list.
+// awaitPeers waits up to ListDelay for objects from peers before the first list.
 func (m *Mirror[T]) awaitPeers(ctx context.Context) {
 	waitUntil(ctx, m.ListDelay, peerPollInterval, func() bool { return m.At() > 0 })
 }
 
-// waitUntil looks whether something is so at each poll, for so long at most.
+// waitUntil polls a condition until it holds, for at most d.
 func waitUntil(ctx context.Context, d, poll time.Duration, done func() bool) {
 	for end := time.Now().Add(d); time.Now().Before(end) && !done(); {
 		if !duty.Sleep(ctx, min(poll, time.Until(end))) {
@@ -165,7 +171,7 @@
 	}
 }
 
-// retryDelay is the wait after failed calls.
+// retryDelay returns the wait after a number of failed calls in a row.
 func (m *Mirror[T]) retryDelay(failures int) time.Duration {
 	if m.BacksOff(failures) {
 		return longBackoff/2 + rand.N(longBackoff/2)
@@ -173,13 +179,15 @@
 	return backoff(failures)
 }
 
-// backoff doubles with each failure and is spread, so that entry VMs don't
-// come back together.
+// backoff returns a wait that doubles with each failure up to maxBackoff. It is
+// randomized, so that entry VMs do not all retry at the same time.
 func backoff(failures int) time.Duration {
 	d := min(minBackoff<<min(failures-1, 6), maxBackoff)
 	return d/2 + rand.N(d/2)
 }
 
+// list replaces the objects by those of the platform. It ignores a list that is older
+// than the known version.
 func (m *Mirror[T]) list(ctx context.Context) error {
 	c, cancel := context.WithTimeout(ctx, m.Timing.Wait)
 	defer cancel()
@@ -204,6 +212,7 @@
 	return nil
 }
 
+// watch waits for the changes after the known version and applies them.
 func (m *Mirror[T]) watch(ctx context.Context) error {
 	c, cancel := context.WithTimeout(ctx, m.Timing.Wait+m.Timing.Slack)
 	defer cancel()
@@ -218,7 +227,7 @@
 	return nil
 }
 
-// apply reports whether a watch brought anything new.
+// apply applies the changes of a watch and reports whether any was new.
 func (m *Mirror[T]) apply(x replica.Changes[T]) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -229,20 +238,20 @@
 	return true
 }
 
-// checkEra notes that the platform came back from a copy, where what is known now is of a later
-// era than what was known before; the mutex is held.
+// checkEra records that the platform was restored from a backup if the store is now in another
+// era than the version that was known before. The caller holds the mutex.
 func (m *Mirror[T]) checkEra(known api.Version) {
 	now := m.store.At()
 	if known == 0 || now.Era() == known.Era() {
 		return
 	}
-	// What is missing now may be what was written since the copy.
+	// Objects that are missing now may have been written after the backup.
 	m.settlingSince = time.Now()
 	m.Metrics.Add(metric.PlatformRestores, 1)
 	m.Log.Emit(event.EraChanged, zap.String("kind", m.Name), zap.Stringer("from", known), zap.Stringer("version", now))
 }
 
-// Merge takes what a peer has passed on.
+// Merge applies a delta from a peer.
 func (m *Mirror[T]) Merge(d replica.Delta[T]) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -257,38 +266,38 @@
 	m.OnSnapshot(v)
 }
 
-// Refresh asks the platform once although a peer guides: what the peer has did
-// not come through, as a large configuration to many over a narrow link.
+// Refresh makes the mirror list the platform once even though a peer relays changes. It is
+// for a fetch from the peer that failed, such as that of a large configuration which many
+// entry VMs fetch over a link with little bandwidth.
 func (m *Mirror[T]) Refresh() {
 	m.refresh.Store(true)
 }
 
-// At is the version up to which every change is known; zero knows nothing.
+// At returns the version up to which every change is known, zero without any objects.
 func (m *Mirror[T]) At() api.Version {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.store.At()
 }
 
-// Lost reports whether the platform did not answer last.
+// Lost reports whether the platform does not answer; it is false while a peer relays its
+// changes.
 func (m *Mirror[T]) Lost() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.lost
 }
 
-// Direct reports whether the platform itself has answered last: neither is it
-// lost, nor is it left to a peer.
+// Direct reports whether the platform answered the last call and no peer relays its changes.
 func (m *Mirror[T]) Direct() bool {
 	return m.direct.Load()
 }
 
-// settleTime is how long the platform has to have answered before what is
-// missing counts as gone: entries that lapsed in an outage are back within two
-// seconds.
+// settleTime is how long the platform must have answered before missing objects count as
+// removed. Entries that expired in an outage are registered again within two seconds.
 const settleTime = 2500 * time.Millisecond
 
-// Since gives a peer what it has missed after a version.
+// Since returns the delta for a peer that knows all changes up to a version.
 func (m *Mirror[T]) Since(from api.Version) replica.Delta[T] {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -297,32 +306,35 @@
 	return d
 }
 
-// Settled reports whether the platform has answered for so long that nothing
-// is missing for an outage.
+// Settled reports whether the platform has answered for settleTime, so that no object is
+// missing because of an outage or a restore.
 func (m *Mirror[T]) Settled() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.settled()
 }
 
-// settled is Settled under the mutex.
+// settled implements Settled; the caller holds the mutex.
 func (m *Mirror[T]) settled() bool {
 	return !m.lost && time.Since(m.settlingSince) >= settleTime
 }
 
-// ChangedAt is the version at which an object last changed, as far as known.
+// ChangedAt returns the version at which an object last changed, as far as known.
 func (m *Mirror[T]) ChangedAt() api.Version {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.store.ChangedAt()
 }
 
+// recordSuccess notes that the platform answers, itself or through a peer.
 func (m *Mirror[T]) recordSuccess() {
 	if m.setLost(false) {
 		m.Log.Emit(event.PlatformBack, zap.String("kind", m.Name))
 	}
 }
 
+// recordFailure counts a failed call, unless the context has ended, and notes that the
+// platform is lost.
 func (m *Mirror[T]) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -333,7 +345,7 @@
 	}
 }
 
-// setLost reports whether the word on the platform is new.
+// setLost records whether the platform is lost and reports whether that has changed.
 func (m *Mirror[T]) setLost(lost bool) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -16,15 +16,16 @@
 	"github.com/wardridge/wardridge/internal/mirror"
 )
 
-// store is a platform with one object, and the troubles that it may have.
+// store is a platform with one object and injectable faults.
 type store struct {
 	mutex   sync.Mutex
 	at      api.Version
 	value   string
 	lists   int
 	watches int
-	// mute watches never answer, lost ones have no history, down ones fail.
-	mute, lost, down bool
+	// silent watches never answer, tooOld ones report that the history is gone, and with
+	// down every call fails.
+	silent, tooOld, down bool
 }
 
 func (s *store) write(v string) {
@@ -34,7 +35,7 @@
 	s.value = v
 }
 
-// fail makes every call fail, or answers again.
+// fail sets whether every call fails.
 func (s *store) fail(on bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -58,14 +59,14 @@
 func (s *store) Watch(ctx context.Context, from api.Version, wait time.Duration) (replica.Changes[string], error) {
 	s.mutex.Lock()
 	s.watches++
-	mute, lost, down := s.mute, s.lost, s.down
+	silent, tooOld, down := s.silent, s.tooOld, s.down
 	s.mutex.Unlock()
 	switch {
 	case down:
 		return replica.Changes[string]{}, fault.New(fault.PlatformDown, "down")
-	case lost:
-		return replica.Changes[string]{}, fault.New(fault.WatchTooOld, "forgotten")
-	case mute:
+	case tooOld:
+		return replica.Changes[string]{}, fault.New(fault.WatchTooOld, "history dropped")
+	case silent:
 		<-ctx.Done()
 		return replica.Changes[string]{}, ctx.Err()
 	}
@@ -80,24 +81,25 @@
 	return replica.Changes[string]{At: from}, ctx.Err()
 }
 
-// bed is a mirror of a store.
+// bed is a mirror of a store with controllable peers.
 type bed struct {
 	*mirror.Mirror[string]
-	store  *store
-	mutex  sync.Mutex
-	taken  []string
-	guided bool
-	// patient makes it wait long after a failed call.
-	patient bool
+	store *store
+	mutex sync.Mutex
+	taken []string
+	// relayed makes a peer relay changes.
+	relayed bool
+	// backsOff makes the mirror wait longer after a failed call.
+	backsOff bool
 }
 
 func newBed(t *testing.T) *bed {
 	t.Helper()
-	return newDeferredBed(t, 0)
+	return newDelayedBed(t, 0)
 }
 
-// newDeferredBed makes a bed whose mirror leaves the first list to peers for a while.
-func newDeferredBed(t *testing.T, d time.Duration) *bed {
+// newDelayedBed creates a bed whose mirror delays the first list.
+func newDelayedBed(t *testing.T, d time.Duration) *bed {
 	t.Helper()
 	b := &bed{store: &store{at: 1, value: "v1"}}
 	b.Mirror = mirror.New(mirror.Parts[string]{
@@ -106,7 +108,7 @@
 		HasRelay: func() bool {
 			b.mutex.Lock()
 			defer b.mutex.Unlock()
-			return b.guided
+			return b.relayed
 		},
 		OnSnapshot: func(s replica.Snapshot[string]) {
 			b.mutex.Lock()
@@ -116,7 +118,7 @@
 		BacksOff: func(int) bool {
 			b.mutex.Lock()
 			defer b.mutex.Unlock()
-			return b.patient
+			return b.backsOff
 		},
 		LostChanged: func(bool) {},
 	})
@@ -126,13 +128,14 @@
 	return b
 }
 
-// guide makes a peer guide, or no longer.
-func (b *bed) guide(on bool) {
+// setRelay sets whether a peer relays changes.
+func (b *bed) setRelay(on bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.guided = on
+	b.relayed = on
 }
 
+// last returns the value in the last snapshot that the mirror passed on.
 func (b *bed) last() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -142,15 +145,15 @@
 	return b.taken[len(b.taken)-1]
 }
 
-// In each trouble a change is in force within the 2 s that operators give.
+// With each fault of the platform a change is in force within the 2 s that operators allow.
 func TestChangeIsInForceInTime(t *testing.T) {
 	tests := []struct {
-		name    string
-		trouble func(s *store)
+		name  string
+		fault func(s *store)
 	}{
-		{"all well", func(*store) {}},
-		{"watch falls silent", func(s *store) { s.mute = true }},
-		{"history forgotten at once, again and again", func(s *store) { s.lost = true }},
+		{"no fault", func(*store) {}},
+		{"watch falls silent", func(s *store) { s.silent = true }},
+		{"history always dropped at once", func(s *store) { s.tooOld = true }},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -158,7 +161,7 @@
 				b := newBed(t)
 				time.Sleep(100 * time.Millisecond)
 				b.store.mutex.Lock()
-				c.trouble(b.store)
+				c.fault(b.store)
 				b.store.mutex.Unlock()
 				time.Sleep(1100 * time.Millisecond)
 				b.store.write("v2")
@@ -171,12 +174,14 @@
 	}
 }
 
-func TestOutageIsToldAndPeersBridgeIt(t *testing.T) {
+// In an outage the mirror reports the platform as lost and applies what peers send. An older
+// list after the outage does not undo that.
+func TestOutageIsReportedAndPeersBridgeIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
 		time.Sleep(100 * time.Millisecond)
 		if b.Lost() {
-			t.Error("lost while all is well: got true, want false")
+			t.Error("lost before the outage: got true, want false")
 		}
 		b.store.fail(true)
 		time.Sleep(2 * time.Second)
@@ -185,7 +190,7 @@
 		}
 		b.Merge(replica.Delta[string]{At: 9, Items: []replica.Change[string]{{Object: replica.Object[string]{Name: "a", Version: 9, Value: "v9"}}}})
 		if got := b.last(); got != "v9" {
-			t.Errorf("after a peer's word: got %q, want v9", got)
+			t.Errorf("after a peer's delta: got %q, want v9", got)
 		}
 		b.store.fail(false)
 		time.Sleep(2 * time.Second)
@@ -198,11 +203,13 @@
 	})
 }
 
-func TestGuidedMirrorLeavesThePlatformAlone(t *testing.T) {
+// A mirror with a relaying peer does not call the platform, and does so again soon after the
+// peer stops relaying.
+func TestRelayedMirrorDoesNotCallThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
 		time.Sleep(100 * time.Millisecond)
-		b.guide(true)
+		b.setRelay(true)
 		time.Sleep(2 * time.Second)
 		b.store.mutex.Lock()
 		before := b.store.lists + b.store.watches
@@ -213,21 +220,21 @@
 		got := b.store.lists + b.store.watches
 		b.store.mutex.Unlock()
 		if got != before {
-			t.Errorf("calls while guided: got %d, want none", got-before)
+			t.Errorf("calls while a peer relays: got %d, want none", got-before)
 		}
-		b.guide(false)
+		b.setRelay(false)
 		time.Sleep(400 * time.Millisecond)
 		if got := b.last(); got != "v2" {
-			t.Errorf("0.4 s after the guide was lost: got %q, want v2", got)
+			t.Errorf("0.4 s after the relaying peer was lost: got %q, want v2", got)
 		}
 	})
 }
 
-// What the guide has but can't pass on is taken from the platform.
-func TestGuidedMirrorRefreshes(t *testing.T) {
+// What could not be fetched from the relaying peer is read from the platform.
+func TestRelayedMirrorRefreshes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
-		b.guide(true)
+		b.setRelay(true)
 		time.Sleep(3 * time.Second)
 		b.store.write("v2")
 		b.Refresh()
@@ -238,63 +245,63 @@
 	})
 }
 
-// A mirror that knows nothing asks the platform, whoever may guide it later.
-func TestGuidedMirrorThatKnowsNothingAsks(t *testing.T) {
+// A mirror without objects calls the platform even though a peer may relay changes.
+func TestEmptyRelayedMirrorCallsThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
-		b.guide(true)
+		b.setRelay(true)
 		b.store.fail(true)
 		time.Sleep(time.Second)
 		b.store.fail(false)
 		time.Sleep(time.Second)
 		if got := b.last(); got != "v1" {
-			t.Errorf("a second after the platform is back: got %q, want v1", got)
+			t.Errorf("a second after the platform answers again: got %q, want v1", got)
 		}
 	})
 }
 
-// Where the first list is left to peers, the platform is not asked for what they
-// bring, and asked in the end where they bring nothing.
-func TestFirstListIsLeftToPeers(t *testing.T) {
-	for _, brought := range []bool{true, false} {
+// A delayed first list is left out if a peer sends the objects in the meantime, and made after
+// the delay if none does.
+func TestFirstListWaitsForPeers(t *testing.T) {
+	for _, sent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newDeferredBed(t, 3*time.Second)
-			b.guide(true)
+			b := newDelayedBed(t, 3*time.Second)
+			b.setRelay(true)
 			time.Sleep(time.Second)
-			if brought {
+			if sent {
 				b.Merge(replica.Delta[string]{At: 1, Items: []replica.Change[string]{{Object: b.store.object()}}})
 			}
 			time.Sleep(2500 * time.Millisecond)
 			b.store.mutex.Lock()
 			got, want := b.store.lists, 1
 			b.store.mutex.Unlock()
-			if brought {
+			if sent {
 				want = 0
 			}
 			if got != want || b.last() != "v1" {
-				t.Errorf("brought by a peer %v: got %d lists and %q, want %d and v1", brought, got, b.last(), want)
+				t.Errorf("sent by a peer %v: got %d lists and %q, want %d and v1", sent, got, b.last(), want)
 			}
 		})
 	}
 }
 
-// A mirror that waits long notices at once that a peer has the platform again.
-func TestPatienceEndsWithAGuide(t *testing.T) {
+// A mirror in a long wait after failed calls notices at once that a peer relays changes again.
+func TestLongBackoffEndsWithARelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
 		time.Sleep(100 * time.Millisecond)
 		b.mutex.Lock()
-		b.patient = true
+		b.backsOff = true
 		b.mutex.Unlock()
 		b.store.fail(true)
 		time.Sleep(1500 * time.Millisecond)
 		if !b.Lost() {
-			t.Fatal("in an outage: got the platform, want it lost")
+			t.Fatal("lost in an outage: got false, want true")
 		}
-		b.guide(true)
+		b.setRelay(true)
 		time.Sleep(600 * time.Millisecond)
 		if b.Lost() {
-			t.Error("0.6 s after a peer guides: got the platform lost, want it back")
+			t.Error("lost 0.6 s after a peer relays: got true, want false")
 		}
 	})
 }
