--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -16,12 +16,12 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// Name names a request's content; it reads the whole request.
-type Name func() api.ContentHash
+// HashFunc names a request's content; it reads the whole request.
+type HashFunc func() api.ContentHash
 
-// verifyTime bounds the time to connect to a server that may have ended, as long as a connection
+// probeTimeout bounds the time to connect to a server that may have ended, as long as a connection
 // takes that waits for a lost packet.
-const verifyTime = time.Second
+const probeTimeout = time.Second
 
 // Guard guards one table of contents.
 type Guard struct {
@@ -37,8 +37,8 @@
 	return &Guard{log: l, metrics: m, table: quarantine.New()}
 }
 
-// idle reports whether nothing is held against any content.
-func (g *Guard) idle() bool {
+// empty reports whether nothing is held against any content.
+func (g *Guard) empty() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.Empty()
@@ -47,8 +47,8 @@
 // Check refuses a content that ends the servers which run it, as not run, with the time
 // to come back. It is asked at the last moment before each send: another entry VM may
 // have learned of it while the request waited.
-func (g *Guard) Check(n Name) *fault.Error {
-	if g.idle() {
+func (g *Guard) Check(n HashFunc) *fault.Error {
+	if g.empty() {
 		return nil
 	}
 	c := n()
@@ -62,12 +62,12 @@
 	return fault.New(fault.Quarantined, "servers ended while they ran requests of this content").After(u.Sub(now))
 }
 
-// Broke takes the failure of a run in its beginning, at a server that had given no notice
+// RecordFailure takes the failure of a run in its beginning, at a server that had given no notice
 // of its end.
-func (g *Guard) Broke(n Name, s api.ServerName, err error) {
+func (g *Guard) RecordFailure(n HashFunc, s api.ServerName, err error) {
 	switch {
 	case port.Refused(err), fault.Has(err, fault.Misdirected):
-		g.Ended(s)
+		g.RecordServerEnd(s)
 		return
 	case fault.Has(err, fault.NotStarted), fault.Has(err, fault.ServerRefused):
 		return
@@ -82,23 +82,23 @@
 	g.table.RecordFailure(time.Now(), c, s, e)
 }
 
-// Ended notes that a server has ended without notice.
-func (g *Guard) Ended(s api.ServerName) {
+// RecordServerEnd notes that a server has ended without notice.
+func (g *Guard) RecordServerEnd(s api.ServerName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.table.RecordServerEnd(time.Now(), s)
 }
 
-// Answered notes that a server has survived a request.
-func (g *Guard) Answered(n Name) {
+// RecordAnswer notes that a server has survived a request.
+func (g *Guard) RecordAnswer(n HashFunc) {
 	c := n()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.table.RecordAnswer(time.Now(), c)
 }
 
-// MayGoOn reports whether a run that broke off may be taken to a further server.
-func (g *Guard) MayGoOn(n Name) bool {
+// MayResume reports whether a run that broke off may be taken to a further server.
+func (g *Guard) MayResume(n HashFunc) bool {
 	c := n()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -117,43 +117,43 @@
 	return l
 }
 
-// Connect tries to connect to a server, and fails with that of the connection.
-type Connect func(ctx context.Context, s api.ServerName) error
+// ConnectFunc tries to connect to a server, and fails with that of the connection.
+type ConnectFunc func(ctx context.Context, s api.ServerName) error
 
-// Verify asks the servers that may have ended whether they still listen, side by side.
-func (g *Guard) Verify(d *duty.Group, connect Connect) {
+// ProbeServers asks the servers that may have ended whether they still listen, side by side.
+func (g *Guard) ProbeServers(d *duty.Group, connect ConnectFunc) {
 	g.mutex.Lock()
 	l := g.table.NextProbes(time.Now())
 	g.mutex.Unlock()
 	for _, s := range l {
 		d.Go(func(ctx context.Context) error {
-			c, cancel := context.WithTimeout(ctx, verifyTime)
+			c, cancel := context.WithTimeout(ctx, probeTimeout)
 			defer cancel()
 			if err := connect(c, s); port.Refused(err) {
-				g.Ended(s)
+				g.RecordServerEnd(s)
 			}
 			return nil
 		})
 	}
 }
 
-// Refused reports whether a content is sent to no server.
-func (g *Guard) Refused(c api.ContentHash) bool {
+// Quarantined reports whether a content is sent to no server.
+func (g *Guard) Quarantined(c api.ContentHash) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	_, ok := g.table.Quarantined(time.Now(), c)
 	return ok
 }
 
-// Declare takes the contents that the platform keeps as refused, in an era.
-func (g *Guard) Declare(e api.Era, l []quarantine.Entry) {
+// ApplySnapshot takes the contents that the platform keeps as refused, in an era.
+func (g *Guard) ApplySnapshot(e api.Era, l []quarantine.Entry) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.table.ApplySnapshot(time.Now(), e, l)
 }
 
-// Correct gives what has to be put right on the platform after it came back from a copy.
-func (g *Guard) Correct() quarantine.Correction {
+// TakeCorrection gives what has to be put right on the platform after it came back from a copy.
+func (g *Guard) TakeCorrection() quarantine.Correction {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.TakeCorrection(time.Now())
@@ -166,16 +166,16 @@
 	return g.table.Expired(time.Now())
 }
 
-// Recent gives the reports that peers may not know yet.
-func (g *Guard) Recent() []api.ContentReport {
+// RecentReports gives the reports that peers may not know yet.
+func (g *Guard) RecentReports() []api.ContentReport {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.RecentReports(time.Now())
 }
 
-// All gives these reports and, for peers without a platform that keeps them, those of contents that
+// AllReports gives these reports and, for peers without a platform that keeps them, those of contents that
 // are refused.
-func (g *Guard) All() []api.ContentReport {
+func (g *Guard) AllReports() []api.ContentReport {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.AllReports(time.Now())
--- a/internal/contents/guard_test.go
+++ b/internal/contents/guard_test.go
@@ -42,8 +42,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := contents.New(event.Discard(), metric.New())
 				for _, s := range []api.ServerName{"a", "b"} {
-					g.Broke(name, s, c.err)
-					g.Ended(s)
+					g.RecordFailure(name, s, c.err)
+					g.RecordServerEnd(s)
 				}
 				time.Sleep(2 * time.Second)
 				g.Step()
@@ -72,10 +72,10 @@
 				defer end()
 				g := contents.New(event.Discard(), metric.New())
 				for _, s := range []api.ServerName{"a", "b"} {
-					g.Broke(name, s, fault.Wrap(fault.OutcomeUnknown, io.EOF, "closed"))
+					g.RecordFailure(name, s, fault.Wrap(fault.OutcomeUnknown, io.EOF, "closed"))
 				}
 				for range 10 {
-					g.Verify(d, func(context.Context, api.ServerName) error { return c.err })
+					g.ProbeServers(d, func(context.Context, api.ServerName) error { return c.err })
 					time.Sleep(300 * time.Millisecond)
 					g.Step()
 				}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -125,7 +125,7 @@
 		return answer.Decision{Action: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
 	}
 	if time.Since(t.begun) < quarantine.SuspectWindow {
-		t.server.Contents.Broke(t.chat.content, t.engine, err)
+		t.server.Contents.RecordFailure(t.chat.content, t.engine, err)
 	}
 	return t.broke(answer.Broken)
 }
@@ -152,7 +152,7 @@
 	if ctx.Err() != nil && b.Cause != answer.Refused {
 		return t.ended(ctx), true
 	}
-	t.server.Contents.Broke(t.chat.content, t.engine, b)
+	t.server.Contents.RecordFailure(t.chat.content, t.engine, b)
 	t.refused(b)
 	n, done := t.broke(b.Cause)
 	if t.answer.Unsent() && t.chat.permit != nil {
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -177,7 +177,7 @@
 	}
 	s.settle(ctx, c, k, f)
 	if f == nil {
-		s.Contents.Answered(c.content)
+		s.Contents.RecordAnswer(c.content)
 		s.done(c.request)
 		return
 	}
@@ -238,7 +238,7 @@
 		n := t.run(ctx)
 		switch n.Action {
 		case answer.Retry:
-			if !s.Contents.MayGoOn(c.content) {
+			if !s.Contents.MayResume(c.content) {
 				return fault.New(fault.OutcomeUnknown, "servers ended while they ran requests of this content").WithRan(a.Ran())
 			}
 			s.Metrics.Add(metric.Retries, 1)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -153,11 +153,11 @@
 		s.release(n, err)
 		if err == nil {
 			if a.Status/100 == 2 {
-				s.Contents.Answered(c.content)
+				s.Contents.RecordAnswer(c.content)
 			}
 			return a, nil
 		}
-		s.Contents.Broke(c.content, n, err)
+		s.Contents.RecordFailure(c.content, n, err)
 		s.note(c.request, "failed", string(n)+": "+err.Error())
 		o := outcome(err)
 		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.again); m == decide.Fail {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -52,7 +52,7 @@
 func (g *Gateway) whole(q *request, a port.Answer) {
 	if a.Status/100 == 2 {
 		// A failure may have come before the server began to run the request.
-		g.Contents.Answered(q.content)
+		g.Contents.RecordAnswer(q.content)
 	}
 	g.done(q, q.lateness())
 	q.sink.Whole(a)
--- a/internal/gateway/inquiry.go
+++ b/internal/gateway/inquiry.go
@@ -36,7 +36,7 @@
 	g.answers.Put(s.Name, a)
 	g.mutex.Unlock()
 	if port.Refused(err) {
-		g.Contents.Ended(s.Name)
+		g.Contents.RecordServerEnd(s.Name)
 	}
 	if a.Unresponsive() {
 		g.note(s, placement.Lost)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -26,7 +26,7 @@
 // noteBreak takes what the failure of an attempt tells of its content and its server.
 func (g *Gateway) noteBreak(q *request, s roster.Server, err error) {
 	if !g.leaving(s.Name) {
-		g.Contents.Broke(q.content, s.Name, err)
+		g.Contents.RecordFailure(q.content, s.Name, err)
 	}
 }
 
@@ -45,12 +45,12 @@
 
 // keepEntry writes a refused content to the platform, however long that is away.
 func (g *Gateway) keepEntry(ctx context.Context, e quarantine.Entry) {
-	g.persist(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Keep(c, e) })
+	g.persist(ctx, e.Content, func() bool { return g.Contents.Quarantined(e.Content) }, func(c context.Context) error { return g.Quarantines.Keep(c, e) })
 }
 
 // release removes a content from the platform, however long that is away.
 func (g *Gateway) release(ctx context.Context, c api.ContentHash) {
-	g.persist(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Release(x, c) })
+	g.persist(ctx, c, func() bool { return !g.Contents.Quarantined(c) }, func(x context.Context) error { return g.Quarantines.Release(x, c) })
 }
 
 // persist makes a write about a content again until it is done or not wanted any more.
@@ -73,7 +73,7 @@
 // Correct puts the platform's objects right after it came back from a copy; it is for the
 // entry VM that follows the platform, so that one writes and not all.
 func (g *Gateway) Correct() {
-	x := g.Contents.Correct()
+	x := g.Contents.TakeCorrection()
 	for _, e := range x.Write {
 		g.Group.Go(func(ctx context.Context) error {
 			g.keepEntry(ctx, e)
@@ -97,7 +97,7 @@
 	for _, o := range s.Items {
 		l = append(l, o.Value)
 	}
-	g.Contents.Declare(s.At.Era(), l)
+	g.Contents.ApplySnapshot(s.At.Era(), l)
 	g.Log.Emit(event.ContentDeclared, zap.Int("contents", len(l)), zap.Stringer("version", s.At))
 }
 
@@ -117,7 +117,7 @@
 
 // ContentReports gives what peers may not know of contents that end servers.
 func (g *Gateway) ContentReports() []api.ContentReport {
-	return g.Contents.Recent()
+	return g.Contents.RecentReports()
 }
 
 // MergeContents takes what a peer knows of contents that end servers.
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -48,7 +48,7 @@
 		g.lost(r, from, broke)
 		return nil, false
 	}
-	if !stopped && !g.Contents.MayGoOn(r.request.content) {
+	if !stopped && !g.Contents.MayResume(r.request.content) {
 		// Each server that it was taken to has ended: one with copies ended three of
 		// them for each time that its caller asked.
 		g.drop(c)
@@ -148,7 +148,7 @@
 			return a, err
 		}
 		if port.Refused(err) {
-			g.Contents.Ended(t.Server.Name)
+			g.Contents.RecordServerEnd(t.Server.Name)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(t.Request.ID)), zap.String("server", string(t.Server.Name)), zap.Error(err))
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -67,7 +67,7 @@
 	g.noteLeaving(l)
 	for _, m := range l {
 		if m.Unannounced() {
-			g.Contents.Ended(m.Name)
+			g.Contents.RecordServerEnd(m.Name)
 		}
 		g.Log.Emit(event.ServerState, zap.String("server", string(m.Name)), zap.String("address", m.Address), zap.String("state", m.State.String()))
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -77,7 +77,7 @@
 		switch {
 		case err == nil:
 			q.sink.End()
-			g.Contents.Answered(q.content)
+			g.Contents.RecordAnswer(q.content)
 			g.done(q, r.lateness(), r.figures()...)
 			return
 		case ctx.Err() != nil || fault.Has(err, fault.CallerGone):
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -320,7 +320,7 @@
 	h.rounds++
 	h.awake()
 	h.gateway.Step()
-	h.gateway.Contents.Verify(h.group, connects(h.Machine.Dial, h.gateway.Address))
+	h.gateway.Contents.ProbeServers(h.group, connects(h.Machine.Dial, h.gateway.Address))
 	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
 	if h.dark() {
 		h.gateway.Ask()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,7 +43,7 @@
 		ConfigKept:    c.Follow.Kept(),
 		ClaimsEra:     c.Claims.Rewritten(),
 		InFlight:      c.Life.InFlight(),
-		Contents:      c.Contents.All(),
+		Contents:      c.Contents.AllReports(),
 		Limits:        c.Entry.Limits(),
 		Leaving:       c.Entry.Leaving(),
 	}
@@ -112,7 +112,7 @@
 	}
 	c.Deadlines.Check()
 	c.Contents.Step()
-	c.Contents.Verify(c.Group, connects(c.Machine.Dial, c.address))
+	c.Contents.ProbeServers(c.Group, connects(c.Machine.Dial, c.address))
 	c.Entry.Members(c.Beat.Serving())
 	for _, l := range c.Leaders {
 		l.Want(c.Life.State() == api.PeerStateServing && c.Beat.Candidate(l.Duty()))
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -171,7 +171,7 @@
 func (c *Context) lost(n api.ServerName, err error) {
 	c.Broker.Lost(n)
 	if port.Refused(err) {
-		c.Contents.Ended(n)
+		c.Contents.RecordServerEnd(n)
 	}
 }
 
--- a/internal/node/verify.go
+++ b/internal/node/verify.go
@@ -9,7 +9,7 @@
 )
 
 // connects makes the question whether a server still listens at its address.
-func connects(dial wire.Dial, address func(n api.ServerName) (string, bool)) contents.Connect {
+func connects(dial wire.Dial, address func(n api.ServerName) (string, bool)) contents.ConnectFunc {
 	return func(ctx context.Context, n api.ServerName) error {
 		a, ok := address(n)
 		if !ok {
