--- a/internal/contents/doc.go
+++ b/internal/contents/doc.go
@@ -1,3 +1,3 @@
-// Package contents shares what is known of contents that end servers among the requests
-// of a process.
+// Package contents shares the quarantine table among the requests of a process. The table
+// identifies request contents that crash the servers which run them.
 package contents
--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -16,14 +16,15 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// HashFunc names a request's content; it reads the whole request.
+// HashFunc computes the hash of a request's content. It reads the whole request.
 type HashFunc func() api.ContentHash
 
-// probeTimeout bounds the time to connect to a server that may have ended, as long as a connection
-// takes that waits for a lost packet.
+// probeTimeout bounds a connection attempt to a server that may have crashed. A connection with a
+// lost packet takes about as long.
 const probeTimeout = time.Second
 
-// Guard guards one table of contents.
+// Guard protects servers from contents that crash them. It guards a quarantine table with a mutex
+// and is safe for concurrent use.
 type Guard struct {
 	log     *event.Log
 	metrics *metric.Set
@@ -32,21 +33,21 @@
 	table *quarantine.Table
 }
 
-// New makes a guard that knows of no content.
+// New creates a guard with an empty table.
 func New(l *event.Log, m *metric.Set) *Guard {
 	return &Guard{log: l, metrics: m, table: quarantine.New()}
 }
 
-// empty reports whether nothing is held against any content.
+// empty reports whether no content is known, so that none needs to be hashed.
 func (g *Guard) empty() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.Empty()
 }
 
-// Check refuses a content that ends the servers which run it, as not run, with the time
-// to come back. It is asked at the last moment before each send: another entry VM may
-// have learned of it while the request waited.
+// Check refuses a request with a quarantined content as not run and with the time after which to
+// retry. It must be called right before each send: another entry VM may have found the content to
+// crash servers while the request waited.
 func (g *Guard) Check(n HashFunc) *fault.Error {
 	if g.empty() {
 		return nil
@@ -59,11 +60,12 @@
 	if !ok {
 		return nil
 	}
-	return fault.New(fault.Quarantined, "servers ended while they ran requests of this content").After(u.Sub(now))
+	return fault.New(fault.Quarantined, "servers crashed while they ran requests with this content").After(u.Sub(now))
 }
 
-// RecordFailure takes the failure of a run in its beginning, at a server that had given no notice
-// of its end.
+// RecordFailure records that a run failed within quarantine.SuspectWindow, at a server that had
+// not announced its end. An error which shows that nothing listens for the server at its address
+// records the end of the server instead, and one of a request that did not run records nothing.
 func (g *Guard) RecordFailure(n HashFunc, s api.ServerName, err error) {
 	switch {
 	case port.Refused(err), fault.Has(err, fault.Misdirected):
@@ -82,14 +84,14 @@
 	g.table.RecordFailure(time.Now(), c, s, e)
 }
 
-// RecordServerEnd notes that a server has ended without notice.
+// RecordServerEnd records that a server has ended without notice.
 func (g *Guard) RecordServerEnd(s api.ServerName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.table.RecordServerEnd(time.Now(), s)
 }
 
-// RecordAnswer notes that a server has survived a request.
+// RecordAnswer records that a server has answered a request completely.
 func (g *Guard) RecordAnswer(n HashFunc) {
 	c := n()
 	g.mutex.Lock()
@@ -97,7 +99,7 @@
 	g.table.RecordAnswer(time.Now(), c)
 }
 
-// MayResume reports whether a run that broke off may be taken to a further server.
+// MayResume reports whether a failed run may be resumed on another server.
 func (g *Guard) MayResume(n HashFunc) bool {
 	c := n()
 	g.mutex.Lock()
@@ -105,7 +107,7 @@
 	return g.table.MayResume(c)
 }
 
-// Step refuses the contents that have come to be confirmed, and gives them.
+// Step quarantines the contents with enough confirmed crashes and returns them.
 func (g *Guard) Step() []quarantine.Verdict {
 	g.mutex.Lock()
 	l := g.table.Step(time.Now())
@@ -117,10 +119,11 @@
 	return l
 }
 
-// ConnectFunc tries to connect to a server, and fails with that of the connection.
+// ConnectFunc tries to connect to a server and returns the error of the connection.
 type ConnectFunc func(ctx context.Context, s api.ServerName) error
 
-// ProbeServers asks the servers that may have ended whether they still listen, side by side.
+// ProbeServers connects concurrently to the servers that may have crashed, and records the end
+// of those that refuse the connection.
 func (g *Guard) ProbeServers(d *duty.Group, connect ConnectFunc) {
 	g.mutex.Lock()
 	l := g.table.NextProbes(time.Now())
@@ -137,7 +140,7 @@
 	}
 }
 
-// Quarantined reports whether a content is sent to no server.
+// Quarantined reports whether a content is quarantined.
 func (g *Guard) Quarantined(c api.ContentHash) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -145,43 +148,44 @@
 	return ok
 }
 
-// ApplySnapshot takes the contents that the platform keeps as refused, in an era.
+// ApplySnapshot applies the quarantined contents that the platform stores in an era.
 func (g *Guard) ApplySnapshot(e api.Era, l []quarantine.Entry) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.table.ApplySnapshot(time.Now(), e, l)
 }
 
-// TakeCorrection gives what has to be put right on the platform after it came back from a copy.
+// TakeCorrection returns the corrections to make on the platform after it was restored from a
+// backup.
 func (g *Guard) TakeCorrection() quarantine.Correction {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.TakeCorrection(time.Now())
 }
 
-// Expired lists the contents that the platform keeps beyond their time.
+// Expired lists the contents that the platform still stores although their quarantine has ended.
 func (g *Guard) Expired() []api.ContentHash {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.Expired(time.Now())
 }
 
-// RecentReports gives the reports that peers may not know yet.
+// RecentReports returns the reports that peers may not have received yet.
 func (g *Guard) RecentReports() []api.ContentReport {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.RecentReports(time.Now())
 }
 
-// AllReports gives these reports and, for peers without a platform that keeps them, those of contents that
-// are refused.
+// AllReports returns the recent reports and those of all quarantined contents, for peers without a
+// platform that stores them.
 func (g *Guard) AllReports() []api.ContentReport {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.AllReports(time.Now())
 }
 
-// Merge takes the reports of a peer.
+// Merge applies the reports of a peer.
 func (g *Guard) Merge(l []api.ContentReport) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/contents/guard_test.go
+++ b/internal/contents/guard_test.go
@@ -18,13 +18,14 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// refused is the failure of a connection to a server that listens no more.
+// refused is the error of a connection to an address at which nothing listens.
 var refused = &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 
-func name() api.ContentHash { return "c" }
+func hash() api.ContentHash { return "c" }
 
-// What the failures of two attempts, each at another server that ends, say of a content.
-func TestFailuresOfAttempts(t *testing.T) {
+// A content is quarantined if two attempts at two servers that end fail in a way that a crash
+// explains, and not if the errors show that the request did not run.
+func TestFailuresThatQuarantineAContent(t *testing.T) {
 	tests := []struct {
 		name string
 		err  error
@@ -35,32 +36,32 @@
 		{"no answer in time", fault.Wrap(fault.OutcomeUnknown, context.DeadlineExceeded, "late"), true},
 		{"cut inside the answer", fault.Wrap(fault.BadAnswer, io.ErrUnexpectedEOF, "cut"), true},
 		{"no connection was made", fault.Wrap(fault.NotStarted, refused, "refused"), false},
-		{"the server said that it did not run it", fault.New(fault.ServerRefused, "full"), false},
+		{"the server reported that it did not run it", fault.New(fault.ServerRefused, "full"), false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := contents.New(event.Discard(), metric.New())
 				for _, s := range []api.ServerName{"a", "b"} {
-					g.RecordFailure(name, s, c.err)
+					g.RecordFailure(hash, s, c.err)
 					g.RecordServerEnd(s)
 				}
 				time.Sleep(2 * time.Second)
 				g.Step()
-				f := g.Check(name)
+				f := g.Check(hash)
 				if got := f != nil; got != c.want {
-					t.Fatalf("got refused %v, want %v", got, c.want)
+					t.Fatalf("got quarantined %v, want %v", got, c.want)
 				}
 				if f != nil && (f.Code != fault.Quarantined || f.Ran != api.RanNo || f.RetryAfter <= 0) {
-					t.Errorf("got %+v, want it refused as not run, with a time to come back", f)
+					t.Errorf("got %+v, want it refused as not run, with a time to retry after", f)
 				}
 			})
 		})
 	}
 }
 
-// Servers that may have ended are connected to; only a refused connection confirms it.
-func TestVerify(t *testing.T) {
+// Servers that may have crashed are probed, and only a refused connection confirms that they did.
+func TestProbeServers(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
@@ -72,15 +73,15 @@
 				defer end()
 				g := contents.New(event.Discard(), metric.New())
 				for _, s := range []api.ServerName{"a", "b"} {
-					g.RecordFailure(name, s, fault.Wrap(fault.OutcomeUnknown, io.EOF, "closed"))
+					g.RecordFailure(hash, s, fault.Wrap(fault.OutcomeUnknown, io.EOF, "closed"))
 				}
 				for range 10 {
 					g.ProbeServers(d, func(context.Context, api.ServerName) error { return c.err })
 					time.Sleep(300 * time.Millisecond)
 					g.Step()
 				}
-				if got := g.Check(name) != nil; got != c.want {
-					t.Errorf("got refused %v, want %v", got, c.want)
+				if got := g.Check(hash) != nil; got != c.want {
+					t.Errorf("got quarantined %v, want %v", got, c.want)
 				}
 			})
 		})
