--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -31,8 +31,8 @@
 // Peers asks other entry VMs.
 type Peers interface {
 	Release(ctx context.Context, vm api.VMName, q api.AttemptQuery) (bool, error)
-	// Rewritten reports whether all of them have written their claims again in an era.
-	Rewritten(e api.Era) bool
+	// ClaimsRewritten reports whether all of them have written their claims again in an era.
+	ClaimsRewritten(e api.Era) bool
 }
 
 // Answer is the answer of a claimed request.
@@ -42,8 +42,8 @@
 	Body        []byte
 }
 
-// Keeper makes claims for one life of an entry VM.
-type Keeper struct {
+// Claimer makes claims for one life of an entry VM.
+type Claimer struct {
 	owner   lease.Owner
 	store   Store
 	peers   Peers
@@ -64,8 +64,8 @@
 
 // New makes a keeper that keeps answers of at most limit bytes; now has to be a clock that
 // goes on while the VM is suspended.
-func New(o lease.Owner, s Store, p Peers, limit int, now clock.Now, l *event.Log, m *metric.Set) *Keeper {
-	return &Keeper{owner: o, store: s, peers: p, limit: limit, now: now, log: l, metrics: m, attempts: claim.NewAttempts(o.Incarnation)}
+func New(o lease.Owner, s Store, p Peers, limit int, now clock.Now, l *event.Log, m *metric.Set) *Claimer {
+	return &Claimer{owner: o, store: s, peers: p, limit: limit, now: now, log: l, metrics: m, attempts: claim.NewAttempts(o.Incarnation)}
 }
 
 // Name names the claim of a workspace's idempotency key.
@@ -74,8 +74,8 @@
 	return hex.EncodeToString(h[:])
 }
 
-// Hash tells requests with the same key apart.
-func Hash(method, path string, body []byte) string {
+// RequestHash tells requests with the same key apart.
+func RequestHash(method, path string, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(method + "\x00" + path + "\x00"))
 	h.Write(body)
@@ -84,7 +84,7 @@
 
 // Permit is the right to send one request.
 type Permit struct {
-	keeper  *Keeper
+	keeper  *Claimer
 	name    string
 	spec    api.ClaimSpec
 	version api.Version
@@ -92,9 +92,9 @@
 	until time.Time
 }
 
-// Make claims a request. It gives a permit, or the kept answer of an earlier
+// Claim claims a request. It gives a permit, or the kept answer of an earlier
 // attempt, or a fault.
-func (k *Keeper) Make(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
+func (k *Claimer) Claim(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
 	s.Owner = k.owner.VM
 	s.Incarnation = k.owner.Incarnation
 	s.CreatedMS = api.UnixMilliseconds(time.Now())
@@ -110,7 +110,7 @@
 }
 
 // course carries out the moves that the claim's decisions ask for.
-func (k *Keeper) course(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
+func (k *Claimer) course(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
 	c := claim.New(s)
 	m := c.Begin()
 	p := &Permit{keeper: k, name: name, spec: s}
@@ -142,20 +142,20 @@
 }
 
 // refused counts and logs a refusal.
-func (k *Keeper) refused(s api.ClaimSpec, name string, f *fault.Error) error {
+func (k *Claimer) refused(s api.ClaimSpec, name string, f *fault.Error) error {
 	k.metrics.Add(metric.ClaimsRefused, 1)
 	k.log.Emit(event.ClaimRefused, zap.String("request", string(s.Request)), zap.String("claim", name), zap.Error(f))
 	return f
 }
 
 // claimed remembers a claim that was written.
-func (k *Keeper) claimed(p *Permit) {
+func (k *Claimer) claimed(p *Permit) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.SetClaim(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
 }
 
-func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
+func (k *Claimer) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
 	k.metrics.Add(metric.PlatformWrites, 1)
 	p.until = k.now().Add(claim.PermitDuration)
 	o, err := k.put(ctx, p.name, m.Spec, m.Version, k.store.Put)
@@ -178,7 +178,7 @@
 
 type put func(ctx context.Context, o api.Object) (api.Object, error)
 
-func (k *Keeper) put(ctx context.Context, name string, s api.ClaimSpec, v api.Version, f put) (api.Object, error) {
+func (k *Claimer) put(ctx context.Context, name string, s api.ClaimSpec, v api.Version, f put) (api.Object, error) {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return api.Object{}, fault.Wrap(fault.Internal, err, "encoding a claim")
@@ -186,7 +186,7 @@
 	return f(ctx, api.Object{Kind: api.ResourceKindClaim, Name: name, Version: v, Spec: b})
 }
 
-func (k *Keeper) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Action {
+func (k *Claimer) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Action {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, p.name)
 	if fault.Has(err, fault.NotFound) {
@@ -204,7 +204,7 @@
 }
 
 // ask asks the owner of a claim to give its attempt up unsent.
-func (k *Keeper) ask(ctx context.Context, name string, s api.ClaimSpec) bool {
+func (k *Claimer) ask(ctx context.Context, name string, s api.ClaimSpec) bool {
 	q := api.AttemptQuery{Protocol: member.Protocol, Claim: name, Request: s.Request, Incarnation: s.Incarnation}
 	if s.Owner == k.owner.VM {
 		return k.Release(q)
@@ -215,7 +215,7 @@
 
 // Release gives an own unsent attempt up for another entry VM; it reports
 // whether the attempt was not sent and never will be.
-func (k *Keeper) Release(q api.AttemptQuery) bool {
+func (k *Claimer) Release(q api.AttemptQuery) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.attempts.Release(q.Request, q.Incarnation)
@@ -230,31 +230,31 @@
 	return &Answer{Status: s.Status, ContentType: s.ContentType, Body: b}, nil
 }
 
-func (k *Keeper) add(r api.RequestID) {
+func (k *Claimer) add(r api.RequestID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Add(r)
 	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
 }
 
-func (k *Keeper) remove(r api.RequestID) {
+func (k *Claimer) remove(r api.RequestID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Remove(r)
 	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
 }
 
-// Send reports whether the request may be sent; it has to be asked at the
+// TrySend reports whether the request may be sent; it has to be asked at the
 // last moment before the send, and says yes once.
-func (p *Permit) Send() bool {
+func (p *Permit) TrySend() bool {
 	p.keeper.mutex.Lock()
 	defer p.keeper.mutex.Unlock()
 	return p.keeper.now().Before(p.until) && p.keeper.attempts.TrySend(p.spec.Request)
 }
 
-// Unsent takes a send back that provably reached nobody, so that the request
+// MarkUnsent takes a send back that provably reached nobody, so that the request
 // may be sent elsewhere under the same claim.
-func (p *Permit) Unsent() {
+func (p *Permit) MarkUnsent() {
 	p.keeper.add(p.spec.Request)
 }
 
@@ -266,8 +266,8 @@
 	p.record(ctx, s)
 }
 
-// Done records the answer of the request.
-func (p *Permit) Done(ctx context.Context, a Answer) {
+// RecordAnswer records the answer of the request.
+func (p *Permit) RecordAnswer(ctx context.Context, a Answer) {
 	s := p.spec
 	s.State = api.ClaimStateDone
 	if len(a.Body) <= p.keeper.limit {
--- a/internal/claims/restore.go
+++ b/internal/claims/restore.go
@@ -15,35 +15,35 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Enter notes the platform's era. A later one than was known has the claims of this entry
+// EnterEra notes the platform's era. A later one than was known has the claims of this entry
 // VM written again: nobody else knows of those that the platform has lost, and a request
 // whose claim is gone would be sent a second time.
-func (k *Keeper) Enter(e api.Era) {
+func (k *Claimer) EnterEra(e api.Era) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.enter(e)
 }
 
 // enter is Enter under the mutex.
-func (k *Keeper) enter(e api.Era) {
+func (k *Claimer) enter(e api.Era) {
 	if k.eras.Enter(k.now(), e) {
 		k.lost = true
 	}
 }
 
 // seen notes the era of a version and reports whether claims of it can be relied on.
-func (k *Keeper) seen(v api.Version) bool {
+func (k *Claimer) seen(v api.Version) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.enter(v.Era())
-	return k.eras.Settled(k.now(), k.peers.Rewritten)
+	return k.eras.Settled(k.now(), k.peers.ClaimsRewritten)
 }
 
 // settled reports whether requests may be claimed.
-func (k *Keeper) settled() bool {
+func (k *Claimer) settled() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.eras.Settled(k.now(), k.peers.Rewritten)
+	return k.eras.Settled(k.now(), k.peers.ClaimsRewritten)
 }
 
 const (
@@ -56,7 +56,7 @@
 
 // Run is the duty that writes claims again which the platform has lost, and forgets those that
 // no copy of it can lack; answered is for how long it has answered.
-func (k *Keeper) Run(answered func() time.Duration) func(ctx context.Context) error {
+func (k *Claimer) Run(answered func() time.Duration) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		return duty.Loop(ctx, func() time.Duration { return lookEvery }, func(ctx context.Context) {
 			e, l := k.due(answered())
@@ -70,7 +70,7 @@
 
 // due gives the claims to write again, once after each time that the platform came back, and
 // its era.
-func (k *Keeper) due(answered time.Duration) (api.Era, []claim.Record) {
+func (k *Claimer) due(answered time.Duration) (api.Era, []claim.Record) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if !k.lost {
@@ -82,7 +82,7 @@
 }
 
 // done notes that all claims have been looked through in an era, unless one has to be again.
-func (k *Keeper) done(e api.Era) {
+func (k *Claimer) done(e api.Era) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if !k.lost {
@@ -90,15 +90,15 @@
 	}
 }
 
-// Rewritten is the era in which this entry VM has written its claims again.
-func (k *Keeper) Rewritten() api.Era {
+// RewrittenEra is the era in which this entry VM has written its claims again.
+func (k *Claimer) RewrittenEra() api.Era {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.rewritten
 }
 
 // rewrite writes one claim again, where the platform lacks it or has it in an earlier form.
-func (k *Keeper) rewrite(ctx context.Context, r claim.Record) {
+func (k *Claimer) rewrite(ctx context.Context, r claim.Record) {
 	c, cancel := context.WithTimeout(ctx, rewriteTime)
 	defer cancel()
 	m, err := k.compare(c, r)
@@ -120,14 +120,14 @@
 }
 
 // again has the claims looked through once more.
-func (k *Keeper) again() {
+func (k *Claimer) again() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.lost = true
 }
 
 // compare decides what to do about one claim by what the platform has.
-func (k *Keeper) compare(ctx context.Context, r claim.Record) (claim.Action, error) {
+func (k *Claimer) compare(ctx context.Context, r claim.Record) (claim.Action, error) {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, r.Name)
 	if fault.Has(err, fault.NotFound) {
@@ -144,7 +144,7 @@
 }
 
 // displace asks the owner of a claim that came after this one to give its attempt up unsent.
-func (k *Keeper) displace(ctx context.Context, r claim.Record, m claim.Action) claim.Action {
+func (k *Claimer) displace(ctx context.Context, r claim.Record, m claim.Action) claim.Action {
 	if k.ask(ctx, r.Name, m.Spec) {
 		return claim.Action{Kind: claim.TakeOver, Spec: r.Spec, Version: m.Version}
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -26,7 +26,7 @@
 type Parts struct {
 	Beat    *heartbeat.Keeper
 	Peers   *peer.Client
-	Claims  *claims.Keeper
+	Claims  *claims.Claimer
 	Explain *explain.Recorder
 	Metrics *metric.Set
 	Config  func() api.ObjectList
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -59,7 +59,7 @@
 		f := fault.New(fault.OutcomeUnknown, "the request was sent and may not be sent again")
 		return answer.Decision{Action: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
 	}
-	if p := t.chat.permit; p != nil && !p.Send() {
+	if p := t.chat.permit; p != nil && !p.TrySend() {
 		f := fault.New(fault.ClaimHeld, "another attempt with this key took the claim over").WithRan(api.RanNo)
 		return answer.Decision{Action: answer.Fail, Fault: f}
 	}
@@ -156,7 +156,7 @@
 	t.refused(b)
 	n, done := t.broke(b.Cause)
 	if t.answer.Unsent() && t.chat.permit != nil {
-		t.chat.permit.Unsent()
+		t.chat.permit.MarkUnsent()
 	}
 	return n, done
 }
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -156,7 +156,7 @@
 	if !c.once || c.key == "" {
 		return false, nil
 	}
-	p, a, err := s.claim(ctx, c.request, claims.Hash(http.MethodPost, PathChat, c.body))
+	p, a, err := s.claim(ctx, c.request, claims.RequestHash(http.MethodPost, PathChat, c.body))
 	if err != nil {
 		return false, err
 	}
@@ -199,7 +199,7 @@
 	defer cancel()
 	switch {
 	case f == nil:
-		c.permit.Done(d, claims.Answer{Status: http.StatusOK, ContentType: wire.TypeJSON, Body: k.Whole()})
+		c.permit.RecordAnswer(d, claims.Answer{Status: http.StatusOK, ContentType: wire.TypeJSON, Body: k.Whole()})
 	case f.Ran == api.RanNo:
 		c.permit.Abandon(d)
 	}
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -14,7 +14,7 @@
 func (s *Server) claim(ctx context.Context, q *request, hash string) (*claims.Permit, *claims.Answer, error) {
 	ctx, span := trace.Start(ctx, "claim")
 	defer span.End()
-	p, a, err := s.Claims.Make(ctx, claims.Name(q.workspace.Name, q.key), api.ClaimSpec{
+	p, a, err := s.Claims.Claim(ctx, claims.Name(q.workspace.Name, q.key), api.ClaimSpec{
 		Workspace: q.workspace.Name,
 		Request:   q.id,
 		BodyHash:  hash,
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -49,7 +49,7 @@
 	View     func() *config.View
 	Broker   *broker.Broker
 	Engines  *engine.Client
-	Claims   *claims.Keeper
+	Claims   *claims.Claimer
 	Explain  *explain.Recorder
 	Group    *duty.Group
 	// Deadlines end requests at their callers' times; nil makes some by the boot clock.
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -102,7 +102,7 @@
 	if !c.once || c.key == "" {
 		return nil, nil
 	}
-	p, a, err := s.claim(ctx, c.request, claims.Hash(c.method, c.path+"?"+c.query, c.body))
+	p, a, err := s.claim(ctx, c.request, claims.RequestHash(c.method, c.path+"?"+c.query, c.body))
 	c.permit = p
 	return a, err
 }
@@ -126,7 +126,7 @@
 	defer cancel()
 	switch {
 	case err == nil:
-		c.permit.Done(d, *a)
+		c.permit.RecordAnswer(d, *a)
 	case fault.From(err).Ran == api.RanNo:
 		c.permit.Abandon(d)
 	}
@@ -164,7 +164,7 @@
 			return nil, f
 		}
 		if o == decide.Unsent && c.permit != nil {
-			c.permit.Unsent()
+			c.permit.MarkUnsent()
 		}
 		s.Metrics.Add(metric.Retries, 1)
 	}
@@ -230,7 +230,7 @@
 		}
 	}
 	r.Header.Set(wire.HeaderRequest, string(c.id))
-	if c.permit != nil && !c.permit.Send() {
+	if c.permit != nil && !c.permit.TrySend() {
 		return nil, fault.New(fault.ClaimHeld, "another attempt with this key took the claim over").WithRan(api.RanNo)
 	}
 	s.note(c.request, "send", string(n))
--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -52,7 +52,7 @@
 	Follow    *follow.Follower
 	Poll      *poll.Poller
 	Beat      *heartbeat.Keeper
-	Claims    *claims.Keeper
+	Claims    *claims.Claimer
 	Deadlines *clock.Deadlines
 	Contents  *contents.Guard
 	Leaders   []*leader.Leader
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,7 +41,7 @@
 		State:         c.Life.State(),
 		ConfigVersion: c.Follow.View().Version,
 		ConfigKept:    c.Follow.Kept(),
-		ClaimsEra:     c.Claims.Rewritten(),
+		ClaimsEra:     c.Claims.RewrittenEra(),
 		InFlight:      c.Life.InFlight(),
 		Contents:      c.Contents.AllReports(),
 		Limits:        c.Entry.Limits(),
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -138,8 +138,8 @@
 	return r.node.Peers.Release(ctx, a, q)
 }
 
-// Rewritten reports whether all other entry VMs have written their claims again in an era.
-func (r release) Rewritten(e api.Era) bool {
+// ClaimsRewritten reports whether all other entry VMs have written their claims again in an era.
+func (r release) ClaimsRewritten(e api.Era) bool {
 	return r.node.Beat.Rewritten(e)
 }
 
@@ -213,7 +213,7 @@
 
 // declare tells the dispatcher of the engines in a view, and claims of the platform's era.
 func (c *Context) declare(v *config.View) {
-	c.Claims.Enter(v.Version.Era())
+	c.Claims.EnterEra(v.Version.Era())
 	var l []dispatch.Server
 	for _, s := range v.Engines() {
 		l = append(l, dispatch.Server{Name: s.Name, Draining: v.Draining(s)})
