--- a/internal/claims/keeper.go
+++ b/internal/claims/claimer.go
@@ -44,28 +44,28 @@
 
 // Claimer makes claims for one life of an entry VM.
 type Claimer struct {
-	owner   lease.Owner
-	store   Store
-	peers   Peers
-	log     *event.Log
-	metrics *metric.Set
-	limit   int
-	now     clock.Now
+	owner          lease.Owner
+	store          Store
+	peers          Peers
+	log            *event.Log
+	metrics        *metric.Set
+	maxAnswerBytes int
+	now            clock.Now
 
 	mutex    sync.Mutex
 	attempts *claim.Attempts
 	eras     claim.EraTracker
-	// lost is set while claims are to be written again, since the platform came back from a
+	// rewriteDue is set while claims are to be written again, since the platform came back from a
 	// copy.
-	lost bool
-	// rewritten is the era in which they have been.
-	rewritten api.Era
+	rewriteDue bool
+	// rewrittenEra is the era in which they have been.
+	rewrittenEra api.Era
 }
 
 // New makes a keeper that keeps answers of at most limit bytes; now has to be a clock that
 // goes on while the VM is suspended.
 func New(o lease.Owner, s Store, p Peers, limit int, now clock.Now, l *event.Log, m *metric.Set) *Claimer {
-	return &Claimer{owner: o, store: s, peers: p, limit: limit, now: now, log: l, metrics: m, attempts: claim.NewAttempts(o.Incarnation)}
+	return &Claimer{owner: o, store: s, peers: p, maxAnswerBytes: limit, now: now, log: l, metrics: m, attempts: claim.NewAttempts(o.Incarnation)}
 }
 
 // Name names the claim of a workspace's idempotency key.
@@ -84,12 +84,12 @@
 
 // Permit is the right to send one request.
 type Permit struct {
-	keeper  *Claimer
+	claimer *Claimer
 	name    string
 	spec    api.ClaimSpec
 	version api.Version
-	// until is when the claim no longer allows to send.
-	until time.Time
+	// validUntil is when the claim no longer allows to send.
+	validUntil time.Time
 }
 
 // Claim claims a request. It gives a permit, or the kept answer of an earlier
@@ -99,21 +99,21 @@
 	s.Incarnation = k.owner.Incarnation
 	s.CreatedMS = api.UnixMilliseconds(time.Now())
 	if !k.settled() {
-		return nil, nil, k.refused(s, name, claim.UnsettledError())
+		return nil, nil, k.refuse(s, name, claim.UnsettledError())
 	}
-	k.add(s.Request)
-	p, a, err := k.course(ctx, name, s)
+	k.addAttempt(s.Request)
+	p, a, err := k.execute(ctx, name, s)
 	if p == nil {
-		k.remove(s.Request)
+		k.removeAttempt(s.Request)
 	}
 	return p, a, err
 }
 
-// course carries out the moves that the claim's decisions ask for.
-func (k *Claimer) course(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
+// execute carries out the moves that the claim's decisions ask for.
+func (k *Claimer) execute(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
 	c := claim.New(s)
 	m := c.Begin()
-	p := &Permit{keeper: k, name: name, spec: s}
+	p := &Permit{claimer: k, name: name, spec: s}
 	for {
 		switch m.Kind {
 		case claim.Create, claim.TakeOver:
@@ -121,35 +121,35 @@
 		case claim.Read:
 			m = k.read(ctx, p, c)
 		case claim.RequestRelease:
-			m = c.HandleRelease(k.ask(ctx, name, m.Spec), m.Version)
+			m = c.HandleRelease(k.requestRelease(ctx, name, m.Spec), m.Version)
 		case claim.Abandon:
-			k.claimed(p)
+			k.setClaim(p)
 			p.Abandon(ctx)
-			return nil, nil, k.refused(s, name, m.Fault)
+			return nil, nil, k.refuse(s, name, m.Fault)
 		case claim.Send:
-			k.claimed(p)
+			k.setClaim(p)
 			k.metrics.Add(metric.ClaimsMade, 1)
 			k.log.Emit(event.ClaimMade, zap.String("request", string(s.Request)), zap.String("claim", name))
 			return p, nil, nil
 		case claim.Replay:
-			a, err := kept(m.Spec)
+			a, err := storedAnswer(m.Spec)
 			k.metrics.Add(metric.ClaimsReplayed, 1)
 			return nil, a, err
 		default:
-			return nil, nil, k.refused(s, name, m.Fault)
+			return nil, nil, k.refuse(s, name, m.Fault)
 		}
 	}
 }
 
-// refused counts and logs a refusal.
-func (k *Claimer) refused(s api.ClaimSpec, name string, f *fault.Error) error {
+// refuse counts and logs a refusal.
+func (k *Claimer) refuse(s api.ClaimSpec, name string, f *fault.Error) error {
 	k.metrics.Add(metric.ClaimsRefused, 1)
 	k.log.Emit(event.ClaimRefused, zap.String("request", string(s.Request)), zap.String("claim", name), zap.Error(f))
 	return f
 }
 
-// claimed remembers a claim that was written.
-func (k *Claimer) claimed(p *Permit) {
+// setClaim remembers a claim that was written.
+func (k *Claimer) setClaim(p *Permit) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.SetClaim(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
@@ -157,12 +157,12 @@
 
 func (k *Claimer) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
 	k.metrics.Add(metric.PlatformWrites, 1)
-	p.until = k.now().Add(claim.PermitDuration)
+	p.validUntil = k.now().Add(claim.PermitDuration)
 	o, err := k.put(ctx, p.name, m.Spec, m.Version, k.store.Put)
 	switch {
 	case err == nil:
 		p.spec, p.version = m.Spec, o.Version
-		if !k.seen(o.Version) {
+		if !k.observe(o.Version) {
 			return claim.WriteUnsettled
 		}
 		return claim.WriteDone
@@ -176,9 +176,9 @@
 	}
 }
 
-type put func(ctx context.Context, o api.Object) (api.Object, error)
+type putFunc func(ctx context.Context, o api.Object) (api.Object, error)
 
-func (k *Claimer) put(ctx context.Context, name string, s api.ClaimSpec, v api.Version, f put) (api.Object, error) {
+func (k *Claimer) put(ctx context.Context, name string, s api.ClaimSpec, v api.Version, f putFunc) (api.Object, error) {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return api.Object{}, fault.Wrap(fault.Internal, err, "encoding a claim")
@@ -200,11 +200,11 @@
 		return c.HandleReadError()
 	}
 	p.version = o.Version
-	return c.HandleRead(true, s, o.Version, k.seen(o.Version))
+	return c.HandleRead(true, s, o.Version, k.observe(o.Version))
 }
 
-// ask asks the owner of a claim to give its attempt up unsent.
-func (k *Claimer) ask(ctx context.Context, name string, s api.ClaimSpec) bool {
+// requestRelease asks the owner of a claim to give its attempt up unsent.
+func (k *Claimer) requestRelease(ctx context.Context, name string, s api.ClaimSpec) bool {
 	q := api.AttemptQuery{Protocol: member.Protocol, Claim: name, Request: s.Request, Incarnation: s.Incarnation}
 	if s.Owner == k.owner.VM {
 		return k.Release(q)
@@ -221,7 +221,7 @@
 	return k.attempts.Release(q.Request, q.Incarnation)
 }
 
-func kept(s api.ClaimSpec) (*Answer, error) {
+func storedAnswer(s api.ClaimSpec) (*Answer, error) {
 	b, err := base64.StdEncoding.DecodeString(s.Answer)
 	if err != nil || s.Status == 0 {
 		f := fault.New(fault.ClaimHeld, "an earlier attempt with this key was answered; its answer is not kept")
@@ -230,14 +230,14 @@
 	return &Answer{Status: s.Status, ContentType: s.ContentType, Body: b}, nil
 }
 
-func (k *Claimer) add(r api.RequestID) {
+func (k *Claimer) addAttempt(r api.RequestID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Add(r)
 	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
 }
 
-func (k *Claimer) remove(r api.RequestID) {
+func (k *Claimer) removeAttempt(r api.RequestID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Remove(r)
@@ -247,15 +247,15 @@
 // TrySend reports whether the request may be sent; it has to be asked at the
 // last moment before the send, and says yes once.
 func (p *Permit) TrySend() bool {
-	p.keeper.mutex.Lock()
-	defer p.keeper.mutex.Unlock()
-	return p.keeper.now().Before(p.until) && p.keeper.attempts.TrySend(p.spec.Request)
+	p.claimer.mutex.Lock()
+	defer p.claimer.mutex.Unlock()
+	return p.claimer.now().Before(p.validUntil) && p.claimer.attempts.TrySend(p.spec.Request)
 }
 
 // MarkUnsent takes a send back that provably reached nobody, so that the request
 // may be sent elsewhere under the same claim.
 func (p *Permit) MarkUnsent() {
-	p.keeper.add(p.spec.Request)
+	p.claimer.addAttempt(p.spec.Request)
 }
 
 // Abandon records that the request was not run, so that the caller may ask
@@ -270,7 +270,7 @@
 func (p *Permit) RecordAnswer(ctx context.Context, a Answer) {
 	s := p.spec
 	s.State = api.ClaimStateDone
-	if len(a.Body) <= p.keeper.limit {
+	if len(a.Body) <= p.claimer.maxAnswerBytes {
 		s.Status = a.Status
 		s.ContentType = a.ContentType
 		s.Answer = base64.StdEncoding.EncodeToString(a.Body)
@@ -281,7 +281,7 @@
 // record writes the outcome. One that can't be recorded leaves the claim held,
 // so that the request is never sent again.
 func (p *Permit) record(ctx context.Context, s api.ClaimSpec) {
-	k := p.keeper
+	k := p.claimer
 	k.mutex.Lock()
 	k.attempts.SetOutcome(s.Request, s)
 	k.mutex.Unlock()
@@ -291,7 +291,7 @@
 		k.log.Emit(event.ClaimNotRecorded, zap.String("request", string(s.Request)), zap.Error(err))
 		return
 	}
-	k.seen(o.Version)
+	k.observe(o.Version)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.MarkRecorded(k.now(), s.Request)
--- a/internal/claims/restore.go
+++ b/internal/claims/rewrite.go
@@ -21,21 +21,21 @@
 func (k *Claimer) EnterEra(e api.Era) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.enter(e)
+	k.enterEra(e)
 }
 
-// enter is Enter under the mutex.
-func (k *Claimer) enter(e api.Era) {
+// enterEra is Enter under the mutex.
+func (k *Claimer) enterEra(e api.Era) {
 	if k.eras.Enter(k.now(), e) {
-		k.lost = true
+		k.rewriteDue = true
 	}
 }
 
-// seen notes the era of a version and reports whether claims of it can be relied on.
-func (k *Claimer) seen(v api.Version) bool {
+// observe notes the era of a version and reports whether claims of it can be relied on.
+func (k *Claimer) observe(v api.Version) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.enter(v.Era())
+	k.enterEra(v.Era())
 	return k.eras.Settled(k.now(), k.peers.ClaimsRewritten)
 }
 
@@ -47,46 +47,46 @@
 }
 
 const (
-	// lookEvery is the pause between looks whether claims were lost, a small part of the time
+	// rewriteInterval is the pause between looks whether claims were lost, a small part of the time
 	// in which they have to be written again.
-	lookEvery = 200 * time.Millisecond
-	// rewriteTime bounds the calls for one claim.
-	rewriteTime = 2 * time.Second
+	rewriteInterval = 200 * time.Millisecond
+	// rewriteTimeout bounds the calls for one claim.
+	rewriteTimeout = 2 * time.Second
 )
 
 // Run is the duty that writes claims again which the platform has lost, and forgets those that
 // no copy of it can lack; answered is for how long it has answered.
 func (k *Claimer) Run(answered func() time.Duration) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
-		return duty.Loop(ctx, func() time.Duration { return lookEvery }, func(ctx context.Context) {
-			e, l := k.due(answered())
+		return duty.Loop(ctx, func() time.Duration { return rewriteInterval }, func(ctx context.Context) {
+			e, l := k.takeDue(answered())
 			for _, r := range l {
 				k.rewrite(ctx, r)
 			}
-			k.done(e)
+			k.finishRewrite(e)
 		})
 	}
 }
 
-// due gives the claims to write again, once after each time that the platform came back, and
+// takeDue gives the claims to write again, once after each time that the platform came back, and
 // its era.
-func (k *Claimer) due(answered time.Duration) (api.Era, []claim.Record) {
+func (k *Claimer) takeDue(answered time.Duration) (api.Era, []claim.Record) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if !k.lost {
+	if !k.rewriteDue {
 		k.attempts.Expire(k.now(), answered)
 		return k.eras.Era(), nil
 	}
-	k.lost = false
+	k.rewriteDue = false
 	return k.eras.Era(), k.attempts.Records()
 }
 
-// done notes that all claims have been looked through in an era, unless one has to be again.
-func (k *Claimer) done(e api.Era) {
+// finishRewrite notes that all claims have been looked through in an era, unless one has to be again.
+func (k *Claimer) finishRewrite(e api.Era) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if !k.lost {
-		k.rewritten = e
+	if !k.rewriteDue {
+		k.rewrittenEra = e
 	}
 }
 
@@ -94,12 +94,12 @@
 func (k *Claimer) RewrittenEra() api.Era {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.rewritten
+	return k.rewrittenEra
 }
 
 // rewrite writes one claim again, where the platform lacks it or has it in an earlier form.
 func (k *Claimer) rewrite(ctx context.Context, r claim.Record) {
-	c, cancel := context.WithTimeout(ctx, rewriteTime)
+	c, cancel := context.WithTimeout(ctx, rewriteTimeout)
 	defer cancel()
 	m, err := k.compare(c, r)
 	if err == nil && m.Kind == claim.RequestRelease {
@@ -111,7 +111,7 @@
 	}
 	if err != nil {
 		k.log.Emit(event.ClaimNotRecorded, zap.String("request", string(r.Spec.Request)), zap.Error(err))
-		k.again()
+		k.scheduleRewrite()
 		return
 	}
 	if m.Kind != claim.NoChange {
@@ -119,11 +119,11 @@
 	}
 }
 
-// again has the claims looked through once more.
-func (k *Claimer) again() {
+// scheduleRewrite has the claims looked through once more.
+func (k *Claimer) scheduleRewrite() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.lost = true
+	k.rewriteDue = true
 }
 
 // compare decides what to do about one claim by what the platform has.
@@ -145,7 +145,7 @@
 
 // displace asks the owner of a claim that came after this one to give its attempt up unsent.
 func (k *Claimer) displace(ctx context.Context, r claim.Record, m claim.Action) claim.Action {
-	if k.ask(ctx, r.Name, m.Spec) {
+	if k.requestRelease(ctx, r.Name, m.Spec) {
 		return claim.Action{Kind: claim.TakeOver, Spec: r.Spec, Version: m.Version}
 	}
 	k.log.Emit(event.ClaimHeldTwice, zap.String("request", string(r.Spec.Request)), zap.String("other", string(m.Spec.Request)), zap.String("claim", r.Name))
