--- a/internal/claims/claimer.go
+++ b/internal/claims/claimer.go
@@ -21,28 +21,32 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Store is where claims are kept.
+// Store is the part of the platform that stores claims.
 type Store interface {
 	Get(ctx context.Context, k api.ResourceKind, n string) (api.Object, error)
 	Put(ctx context.Context, o api.Object) (api.Object, error)
+	// PutConfirmed writes like Put and, if the answer is lost, reads the object back to
+	// find out whether the write took effect.
 	PutConfirmed(ctx context.Context, o api.Object) (api.Object, error)
 }
 
-// Peers asks other entry VMs.
+// Peers calls the other entry VMs and knows their state.
 type Peers interface {
+	// Release asks the entry VM that owns a claim to give up its attempt, and reports whether
+	// the attempt was not sent and never will be.
 	Release(ctx context.Context, vm api.VMName, q api.AttemptQuery) (bool, error)
-	// ClaimsRewritten reports whether all of them have written their claims again in an era.
+	// ClaimsRewritten reports whether all other entry VMs have rewritten their claims in an era.
 	ClaimsRewritten(e api.Era) bool
 }
 
-// Answer is the answer of a claimed request.
+// Answer is the answer to a claimed request.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Claimer makes claims for one life of an entry VM.
+// Claimer claims requests for one incarnation of an entry VM.
 type Claimer struct {
 	owner          lease.Owner
 	store          Store
@@ -55,26 +59,26 @@
 	mutex    sync.Mutex
 	attempts *claim.Attempts
 	eras     claim.EraTracker
-	// rewriteDue is set while claims are to be written again, since the platform came back from a
-	// copy.
+	// rewriteDue is set while claims have to be rewritten, since the platform was restored from a
+	// backup.
 	rewriteDue bool
-	// rewrittenEra is the era in which they have been.
+	// rewrittenEra is the last era in which all claims were rewritten.
 	rewrittenEra api.Era
 }
 
-// New makes a keeper that keeps answers of at most limit bytes; now has to be a clock that
-// goes on while the VM is suspended.
+// New creates a claimer that stores answers of at most limit bytes. The clock now has to advance
+// while the VM is suspended.
 func New(o lease.Owner, s Store, p Peers, limit int, now clock.Now, l *event.Log, m *metric.Set) *Claimer {
 	return &Claimer{owner: o, store: s, peers: p, maxAnswerBytes: limit, now: now, log: l, metrics: m, attempts: claim.NewAttempts(o.Incarnation)}
 }
 
-// Name names the claim of a workspace's idempotency key.
+// Name returns the name of the claim for an idempotency key of a workspace.
 func Name(w api.WorkspaceName, key string) string {
 	h := sha256.Sum256([]byte(string(w) + "\x00" + key))
 	return hex.EncodeToString(h[:])
 }
 
-// RequestHash tells requests with the same key apart.
+// RequestHash returns a hash by which different requests with the same key are told apart.
 func RequestHash(method, path string, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(method + "\x00" + path + "\x00"))
@@ -88,12 +92,12 @@
 	name    string
 	spec    api.ClaimSpec
 	version api.Version
-	// validUntil is when the claim no longer allows to send.
+	// validUntil is when the claim stops allowing the request to be sent.
 	validUntil time.Time
 }
 
-// Claim claims a request. It gives a permit, or the kept answer of an earlier
-// attempt, or a fault.
+// Claim claims a request. It returns a permit to send it, or the stored answer of an earlier
+// attempt, or an error.
 func (k *Claimer) Claim(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
 	s.Owner = k.owner.VM
 	s.Incarnation = k.owner.Incarnation
@@ -109,7 +113,8 @@
 	return p, a, err
 }
 
-// execute carries out the moves that the claim's decisions ask for.
+// execute carries out the actions of the claim's state machine until it ends with a permit, a
+// stored answer or an error.
 func (k *Claimer) execute(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
 	c := claim.New(s)
 	m := c.Begin()
@@ -141,20 +146,22 @@
 	}
 }
 
-// refuse counts and logs a refusal.
+// refuse counts and logs a refusal and returns its error.
 func (k *Claimer) refuse(s api.ClaimSpec, name string, f *fault.Error) error {
 	k.metrics.Add(metric.ClaimsRefused, 1)
 	k.log.Emit(event.ClaimRefused, zap.String("request", string(s.Request)), zap.String("claim", name), zap.Error(f))
 	return f
 }
 
-// setClaim remembers a claim that was written.
+// setClaim records the claim that was written for an attempt.
 func (k *Claimer) setClaim(p *Permit) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.SetClaim(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
 }
 
+// write writes the claim that an action asks for and classifies the result. The validity of the
+// permit counts from before the write.
 func (k *Claimer) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
 	k.metrics.Add(metric.PlatformWrites, 1)
 	p.validUntil = k.now().Add(claim.PermitDuration)
@@ -176,8 +183,10 @@
 	}
 }
 
+// putFunc is Store.Put or Store.PutConfirmed.
 type putFunc func(ctx context.Context, o api.Object) (api.Object, error)
 
+// put writes a claim with the given function.
 func (k *Claimer) put(ctx context.Context, name string, s api.ClaimSpec, v api.Version, f putFunc) (api.Object, error) {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -186,6 +195,7 @@
 	return f(ctx, api.Object{Kind: api.ResourceKindClaim, Name: name, Version: v, Spec: b})
 }
 
+// read reads the claim's object from the platform and returns the next action.
 func (k *Claimer) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Action {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, p.name)
@@ -203,7 +213,8 @@
 	return c.HandleRead(true, s, o.Version, k.observe(o.Version))
 }
 
-// requestRelease asks the owner of a claim to give its attempt up unsent.
+// requestRelease asks the owner of a claim to give up its attempt, and reports whether the attempt
+// was not sent and never will be. It does not call the owner if that is this entry VM.
 func (k *Claimer) requestRelease(ctx context.Context, name string, s api.ClaimSpec) bool {
 	q := api.AttemptQuery{Protocol: member.Protocol, Claim: name, Request: s.Request, Incarnation: s.Incarnation}
 	if s.Owner == k.owner.VM {
@@ -213,18 +224,19 @@
 	return err == nil && ok
 }
 
-// Release gives an own unsent attempt up for another entry VM; it reports
-// whether the attempt was not sent and never will be.
+// Release gives up a local attempt at the request of another entry VM. It reports whether the
+// attempt was not sent and never will be.
 func (k *Claimer) Release(q api.AttemptQuery) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.attempts.Release(q.Request, q.Incarnation)
 }
 
+// storedAnswer decodes the answer in a claim. It fails if the answer was too large to be stored.
 func storedAnswer(s api.ClaimSpec) (*Answer, error) {
 	b, err := base64.StdEncoding.DecodeString(s.Answer)
 	if err != nil || s.Status == 0 {
-		f := fault.New(fault.ClaimHeld, "an earlier attempt with this key was answered; its answer is not kept")
+		f := fault.New(fault.ClaimHeld, "an earlier attempt with this key was answered; its answer is not stored")
 		return nil, f.WithRan(api.RanYes)
 	}
 	return &Answer{Status: s.Status, ContentType: s.ContentType, Body: b}, nil
@@ -244,29 +256,28 @@
 	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
 }
 
-// TrySend reports whether the request may be sent; it has to be asked at the
-// last moment before the send, and says yes once.
+// TrySend reports whether the request may be sent, and if so marks it as sent, so that further
+// calls report false. It must be called immediately before the send.
 func (p *Permit) TrySend() bool {
 	p.claimer.mutex.Lock()
 	defer p.claimer.mutex.Unlock()
 	return p.claimer.now().Before(p.validUntil) && p.claimer.attempts.TrySend(p.spec.Request)
 }
 
-// MarkUnsent takes a send back that provably reached nobody, so that the request
-// may be sent elsewhere under the same claim.
+// MarkUnsent revokes a send that certainly reached no server, so that the request may be sent to
+// another server under the same claim.
 func (p *Permit) MarkUnsent() {
 	p.claimer.addAttempt(p.spec.Request)
 }
 
-// Abandon records that the request was not run, so that the caller may ask
-// again.
+// Abandon records that the request was not run, so that the caller may retry it.
 func (p *Permit) Abandon(ctx context.Context) {
 	s := p.spec
 	s.State = api.ClaimStateAbandoned
 	p.record(ctx, s)
 }
 
-// RecordAnswer records the answer of the request.
+// RecordAnswer records that the request is done, with its answer if that is not too large.
 func (p *Permit) RecordAnswer(ctx context.Context, a Answer) {
 	s := p.spec
 	s.State = api.ClaimStateDone
@@ -278,8 +289,8 @@
 	p.record(ctx, s)
 }
 
-// record writes the outcome. One that can't be recorded leaves the claim held,
-// so that the request is never sent again.
+// record writes the outcome to the platform. If that fails, the claim stays held, so that the
+// request is never sent again.
 func (p *Permit) record(ctx context.Context, s api.ClaimSpec) {
 	k := p.claimer
 	k.mutex.Lock()
--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -1,3 +1,3 @@
-// Package claims lets a request that is not repeatable be sent at most once,
-// by a record in the platform that is made before the send.
+// Package claims ensures that a request which is not repeatable is sent at most once. It
+// records a claim of the request on the platform before the send.
 package claims
--- a/internal/claims/rewrite.go
+++ b/internal/claims/rewrite.go
@@ -15,23 +15,24 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// EnterEra notes the platform's era. A later one than was known has the claims of this entry
-// VM written again: nobody else knows of those that the platform has lost, and a request
-// whose claim is gone would be sent a second time.
+// EnterEra notes the platform's era. If it is later than the one known before, the claims of this
+// entry VM are rewritten: no other VM knows the ones that the platform has lost, and a request
+// whose claim is lost could be sent a second time.
 func (k *Claimer) EnterEra(e api.Era) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.enterEra(e)
 }
 
-// enterEra is Enter under the mutex.
+// enterEra implements EnterEra; the caller holds the mutex.
 func (k *Claimer) enterEra(e api.Era) {
 	if k.eras.Enter(k.now(), e) {
 		k.rewriteDue = true
 	}
 }
 
-// observe notes the era of a version and reports whether claims of it can be relied on.
+// observe notes the era of a version and reports whether the claims on the platform are complete
+// in it.
 func (k *Claimer) observe(v api.Version) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -39,7 +40,8 @@
 	return k.eras.Settled(k.now(), k.peers.ClaimsRewritten)
 }
 
-// settled reports whether requests may be claimed.
+// settled reports whether the claims on the platform are complete, so that requests may be
+// claimed.
 func (k *Claimer) settled() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -47,15 +49,16 @@
 }
 
 const (
-	// rewriteInterval is the pause between looks whether claims were lost, a small part of the time
-	// in which they have to be written again.
+	// rewriteInterval is the time between checks whether claims have to be rewritten, a small part
+	// of the time in which that has to be done.
 	rewriteInterval = 200 * time.Millisecond
-	// rewriteTimeout bounds the calls for one claim.
+	// rewriteTimeout bounds the rewrite of one claim with all its calls.
 	rewriteTimeout = 2 * time.Second
 )
 
-// Run is the duty that writes claims again which the platform has lost, and forgets those that
-// no copy of it can lack; answered is for how long it has answered.
+// Run returns the duty that rewrites claims which the platform may have lost, and forgets attempts
+// whose outcomes are in every backup of the platform. The function answered returns for how long
+// the platform has answered without a failure.
 func (k *Claimer) Run(answered func() time.Duration) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		return duty.Loop(ctx, func() time.Duration { return rewriteInterval }, func(ctx context.Context) {
@@ -68,8 +71,8 @@
 	}
 }
 
-// takeDue gives the claims to write again, once after each time that the platform came back, and
-// its era.
+// takeDue returns the platform's era and the claims to rewrite. It returns each claim once after
+// each restore or failed rewrite, and otherwise drops expired attempts.
 func (k *Claimer) takeDue(answered time.Duration) (api.Era, []claim.Record) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -81,7 +84,7 @@
 	return k.eras.Era(), k.attempts.Records()
 }
 
-// finishRewrite notes that all claims have been looked through in an era, unless one has to be again.
+// finishRewrite records that all claims were rewritten in an era, unless a rewrite is due again.
 func (k *Claimer) finishRewrite(e api.Era) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -90,14 +93,14 @@
 	}
 }
 
-// RewrittenEra is the era in which this entry VM has written its claims again.
+// RewrittenEra returns the last era in which this entry VM has rewritten its claims.
 func (k *Claimer) RewrittenEra() api.Era {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.rewrittenEra
 }
 
-// rewrite writes one claim again, where the platform lacks it or has it in an earlier form.
+// rewrite writes one claim if the platform lacks it or has an earlier state of it.
 func (k *Claimer) rewrite(ctx context.Context, r claim.Record) {
 	c, cancel := context.WithTimeout(ctx, rewriteTimeout)
 	defer cancel()
@@ -119,14 +122,14 @@
 	}
 }
 
-// scheduleRewrite has the claims looked through once more.
+// scheduleRewrite makes all claims due for a rewrite.
 func (k *Claimer) scheduleRewrite() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.rewriteDue = true
 }
 
-// compare decides what to do about one claim by what the platform has.
+// compare reads a claim from the platform and decides how to rewrite it.
 func (k *Claimer) compare(ctx context.Context, r claim.Record) (claim.Action, error) {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, r.Name)
@@ -143,7 +146,8 @@
 	return claim.Rewrite(r.Spec, true, s, o.Version), nil
 }
 
-// displace asks the owner of a claim that came after this one to give its attempt up unsent.
+// displace asks the owner of a later claim for the same key to give up its attempt, so that the
+// claim r can replace it. If the owner does not, nothing changes and the conflict is logged.
 func (k *Claimer) displace(ctx context.Context, r claim.Record, m claim.Action) claim.Action {
 	if k.requestRelease(ctx, r.Name, m.Spec) {
 		return claim.Action{Kind: claim.TakeOver, Spec: r.Spec, Version: m.Version}
