--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -160,7 +160,7 @@
 		Engines: c.Engines, Claims: c.Claims, Explain: c.Explain, Group: c.Group, Contents: c.Contents, Deadlines: c.Deadlines,
 		Reused: c.Reused, Single: c.Single,
 	})
-	c.Follow = follow.New(c.Platform, c.Life, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poll.Declare, c.Entry.Declare)
+	c.Follow = follow.New(c.Platform, c.Life, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poll.SetView, c.Entry.Declare)
 	c.Beat = heartbeat.New(c.heartbeat, c.catchUp, c.merge, c.Peers, c.Log, c.Metrics)
 	c.lead()
 	c.startDuties()
@@ -181,8 +181,8 @@
 	o := leader.New(orders.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	u := leader.New(upkeep.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	c.Leaders = []*leader.Leader{o, u}
-	c.Orders = orders.New(o, c.Engines, c.Follow.View, c.Poll.Last, c.Settings.Order.WeightsMBPerSecond, c.Log, c.Metrics)
-	c.Upkeep = upkeep.New(u, c.Platform, c.Follow.View, c.Broker.Status, c.Poll.Last, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
+	c.Orders = orders.New(o, c.Engines, c.Follow.View, c.Poll.LastReports, c.Settings.Order.WeightsMBPerSecond, c.Log, c.Metrics)
+	c.Upkeep = upkeep.New(u, c.Platform, c.Follow.View, c.Broker.Status, c.Poll.LastReports, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
 }
 
 // Times between the rounds of small duties.
--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -34,7 +34,7 @@
 	log     *event.Log
 	metrics *metric.Set
 	every   time.Duration
-	lost    Lost
+	lost    OnUnreachable
 	reports *ring.Ring[api.LoadReport]
 
 	mutex   sync.Mutex
@@ -42,12 +42,12 @@
 	last    map[api.ServerName]api.LoadReport
 }
 
-// Lost is told of an engine that can't be connected to, and how that failed.
-type Lost func(n api.ServerName, err error)
+// OnUnreachable is told of an engine that can't be connected to, and how that failed.
+type OnUnreachable func(n api.ServerName, err error)
 
 // New makes a poller whose duties run in a group; lost is told of an engine
 // that can't be connected to.
-func New(g *duty.Group, c *engine.Client, l *event.Log, m *metric.Set, every time.Duration, lost Lost) *Poller {
+func New(g *duty.Group, c *engine.Client, l *event.Log, m *metric.Set, every time.Duration, lost OnUnreachable) *Poller {
 	return &Poller{
 		group: g, client: c, log: l, metrics: m, every: every, lost: lost,
 		reports: ring.New[api.LoadReport](ringSize),
@@ -56,8 +56,8 @@
 	}
 }
 
-// Declare polls the engines of a view, and no others.
-func (p *Poller) Declare(v *config.View) {
+// SetView polls the engines of a view, and no others.
+func (p *Poller) SetView(v *config.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for n, t := range p.targets {
@@ -169,8 +169,8 @@
 	}
 }
 
-// Last gives each engine's last report.
-func (p *Poller) Last() map[api.ServerName]api.LoadReport {
+// LastReports gives each engine's last report.
+func (p *Poller) LastReports() map[api.ServerName]api.LoadReport {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	m := make(map[api.ServerName]api.LoadReport, len(p.last))
