--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Paths of the control interface between entry VMs and towards operators.
+// Paths of the control interface, which entry VMs and operators call.
 const (
 	PathHeartbeat = "/peer/v1/heartbeat"
 	PathConfig    = "/peer/v1/config"
@@ -31,18 +31,19 @@
 	timeout time.Duration
 }
 
-// New makes a client whose calls end after the timeout; the clean-up closes
-// its connections.
+// New creates a client whose calls end after the timeout. The returned function closes its
+// connections.
 func New(timeout time.Duration) (*Client, func()) {
 	c, closer := wire.NewClient(timeout, true)
 	return Over(c, timeout), closer
 }
 
-// Over makes a client of other entry VMs over an HTTP client.
+// Over creates a client on top of an HTTP client, with a timeout for each call.
 func Over(c *http.Client, timeout time.Duration) *Client {
 	return &Client{http: c, timeout: timeout}
 }
 
+// call makes one call with the client's timeout; what describes it in errors.
 func (c *Client) call(ctx context.Context, what, method, address, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// Heartbeat sends an own heartbeat and gives the peer's.
+// Heartbeat sends the heartbeat of this entry VM and returns that of the peer.
 func (c *Client) Heartbeat(ctx context.Context, address string, b api.Heartbeat) (api.Heartbeat, error) {
 	var out api.Heartbeat
 	err := c.call(ctx, "sending a heartbeat", http.MethodPost, address, PathHeartbeat, b, &out)
@@ -66,19 +67,20 @@
 	return l, err
 }
 
-// Explain asks what was decided for a request; a peer that is asked with
-// alone does not ask its own peers.
+// Explain requests the decisions made for a request. With alone, the peer does not query other
+// entry VMs.
 func (c *Client) Explain(ctx context.Context, address string, r api.RequestID, alone bool) (api.Explanation, error) {
 	var e api.Explanation
 	p := fmt.Sprintf("%s%s?alone=%v", PathExplain, url.PathEscape(string(r)), alone)
-	err := c.call(ctx, "asking for an explanation", http.MethodGet, address, p, nil, &e)
+	err := c.call(ctx, "requesting an explanation", http.MethodGet, address, p, nil, &e)
 	return e, err
 }
 
-// Release asks the owner of a claim to give an unsent attempt up.
+// Release asks the owner of a claim to give up its attempt, and reports whether the attempt was
+// not sent and never will be.
 func (c *Client) Release(ctx context.Context, address string, q api.AttemptQuery) (bool, error) {
 	var a api.AttemptAnswer
-	err := c.call(ctx, "asking for a release", http.MethodPost, address, PathAttempt, q, &a)
+	err := c.call(ctx, "requesting the release of an attempt", http.MethodPost, address, PathAttempt, q, &a)
 	return a.Released, err
 }
 
@@ -89,8 +91,8 @@
 	return s, err
 }
 
-// Metrics reads an entry VM's variables that are whole numbers; histograms are
-// for people.
+// Metrics reads an entry VM's metrics that are whole numbers. It leaves out histograms, which are
+// meant for people.
 func (c *Client) Metrics(ctx context.Context, address string) (map[string]int64, error) {
 	var raw map[string]json.RawMessage
 	if err := c.call(ctx, "reading metrics", http.MethodGet, address, PathMetrics, nil, &raw); err != nil {
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,2 +1,2 @@
-// Package peer is the client of other entry VMs' control interface.
+// Package peer is the client of the control interface of other entry VMs.
 package peer
