--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -29,13 +29,13 @@
 
 // Poller polls every declared engine.
 type Poller struct {
-	group   *duty.Group
-	client  *engine.Client
-	log     *event.Log
-	metrics *metric.Set
-	every   time.Duration
-	lost    OnUnreachable
-	reports *ring.Ring[api.LoadReport]
+	group         *duty.Group
+	client        *engine.Client
+	log           *event.Log
+	metrics       *metric.Set
+	interval      time.Duration
+	onUnreachable OnUnreachable
+	reports       *ring.Ring[api.LoadReport]
 
 	mutex   sync.Mutex
 	targets map[api.ServerName]target
@@ -49,7 +49,7 @@
 // that can't be connected to.
 func New(g *duty.Group, c *engine.Client, l *event.Log, m *metric.Set, every time.Duration, lost OnUnreachable) *Poller {
 	return &Poller{
-		group: g, client: c, log: l, metrics: m, every: every, lost: lost,
+		group: g, client: c, log: l, metrics: m, interval: every, onUnreachable: lost,
 		reports: ring.New[api.LoadReport](ringSize),
 		targets: map[api.ServerName]target{},
 		last:    map[api.ServerName]api.LoadReport{},
@@ -69,13 +69,13 @@
 	}
 	for n, s := range v.Servers {
 		if _, ok := p.targets[n]; s.Type == api.ServerTypeEngine && !ok {
-			p.begin(n, s.Address)
+			p.start(n, s.Address)
 		}
 	}
 }
 
-// begin starts the duty that polls one engine; the mutex is held.
-func (p *Poller) begin(n api.ServerName, address string) {
+// start starts the duty that polls one engine; the mutex is held.
+func (p *Poller) start(n api.ServerName, address string) {
 	// The duty ends with the target or with the group, whichever is first.
 	c, cancel := context.WithCancel(context.Background())
 	p.targets[n] = target{address: address, cancel: cancel}
@@ -83,40 +83,40 @@
 		defer cancel()
 		defer context.AfterFunc(ctx, cancel)()
 		x := &engineState{name: n, address: address}
-		return duty.Loop(c, func() time.Duration { return spread(p.pause(x)) }, func(ctx context.Context) {
+		return duty.Loop(c, func() time.Duration { return jitter(p.nextDelay(x)) }, func(ctx context.Context) {
 			p.poll(ctx, x)
 		})
 	})
 }
 
-// pause is longer for an idle engine, whose report says nothing new.
-func (p *Poller) pause(x *engineState) time.Duration {
+// nextDelay is longer for an idle engine, whose report says nothing new.
+func (p *Poller) nextDelay(x *engineState) time.Duration {
 	if x.idle {
-		return 2 * p.every
+		return 2 * p.interval
 	}
-	return p.every
+	return p.interval
 }
 
-// spread keeps entry VMs from polling in step.
-func spread(d time.Duration) time.Duration {
-	const part = 10
-	return d - d/part + rand.N(2*d/part+1)
+// jitter keeps entry VMs from polling in step.
+func jitter(d time.Duration) time.Duration {
+	const divisor = 10
+	return d - d/divisor + rand.N(2*d/divisor+1)
 }
 
 // engineState is what one polling duty remembers.
 type engineState struct {
-	name    api.ServerName
-	address string
-	failed  bool
-	known   bool
-	leaving bool
-	idle    bool
+	name     api.ServerName
+	address  string
+	failed   bool
+	reported bool
+	leaving  bool
+	idle     bool
 }
 
 func (p *Poller) poll(ctx context.Context, x *engineState) {
 	r, err := p.client.Load(ctx, x.address)
 	if err != nil {
-		p.failed(ctx, x, err)
+		p.recordFailure(ctx, x, err)
 		return
 	}
 	// A report of another server at this address says nothing of this one.
@@ -124,7 +124,7 @@
 		return
 	}
 	p.metrics.Add(metric.ReportsTaken, 1)
-	p.changed(x, r)
+	p.recordReport(x, r)
 	p.mutex.Lock()
 	p.last[x.name] = r
 	p.mutex.Unlock()
@@ -133,13 +133,13 @@
 	}
 }
 
-func (p *Poller) failed(ctx context.Context, x *engineState, err error) {
+func (p *Poller) recordFailure(ctx context.Context, x *engineState, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	p.metrics.Add(metric.ReportsFailed, 1)
 	if fault.Has(err, fault.NotStarted) {
-		p.lost(x.name, err)
+		p.onUnreachable(x.name, err)
 	}
 	if !x.failed {
 		p.log.Emit(event.ServerUnreachable, zap.String("server", string(x.name)), zap.Error(err))
@@ -147,14 +147,14 @@
 	x.failed = true
 }
 
-func (p *Poller) changed(x *engineState, r api.LoadReport) {
+func (p *Poller) recordReport(x *engineState, r api.LoadReport) {
 	if r.Leaving && !x.leaving {
 		p.log.Emit(event.ServerLeaving, zap.String("server", string(x.name)))
 	}
-	if (x.failed || !x.known) && !r.Leaving {
+	if (x.failed || !x.reported) && !r.Leaving {
 		p.log.Emit(event.ServerReady, zap.String("server", string(x.name)))
 	}
-	x.failed, x.known, x.leaving = false, true, r.Leaving
+	x.failed, x.reported, x.leaving = false, true, r.Leaving
 	x.idle = r.Running+r.Waiting == 0
 }
 
