--- a/internal/poll/doc.go
+++ b/internal/poll/doc.go
@@ -1,2 +1,2 @@
-// Package poll reads the engines' load reports.
+// Package poll polls engines for their load reports.
 package poll
--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -18,16 +18,16 @@
 	"github.com/wardridge/wardridge/internal/ring"
 )
 
-// ringSize bounds the reports that wait to be taken.
+// ringSize bounds the reports that wait for delivery.
 const ringSize = 1024
 
-// target is one engine that is polled.
+// target is an engine that is polled.
 type target struct {
 	address string
 	cancel  context.CancelFunc
 }
 
-// Poller polls every declared engine.
+// Poller polls the load reports of all engines in the configuration.
 type Poller struct {
 	group         *duty.Group
 	client        *engine.Client
@@ -42,21 +42,21 @@
 	last    map[api.ServerName]api.LoadReport
 }
 
-// OnUnreachable is told of an engine that can't be connected to, and how that failed.
+// OnUnreachable is called with an engine that can't be connected to and the error.
 type OnUnreachable func(n api.ServerName, err error)
 
-// New makes a poller whose duties run in a group; lost is told of an engine
-// that can't be connected to.
-func New(g *duty.Group, c *engine.Client, l *event.Log, m *metric.Set, every time.Duration, lost OnUnreachable) *Poller {
+// New creates a poller whose duties run in a group. It calls onUnreachable for each failed poll of
+// an engine that can't be connected to.
+func New(g *duty.Group, c *engine.Client, l *event.Log, m *metric.Set, interval time.Duration, onUnreachable OnUnreachable) *Poller {
 	return &Poller{
-		group: g, client: c, log: l, metrics: m, interval: every, onUnreachable: lost,
+		group: g, client: c, log: l, metrics: m, interval: interval, onUnreachable: onUnreachable,
 		reports: ring.New[api.LoadReport](ringSize),
 		targets: map[api.ServerName]target{},
 		last:    map[api.ServerName]api.LoadReport{},
 	}
 }
 
-// SetView polls the engines of a view, and no others.
+// SetView starts polling the engines of a view and stops polling all others.
 func (p *Poller) SetView(v *config.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// start starts the duty that polls one engine; the mutex is held.
+// start starts the duty that polls one engine. The caller holds the mutex.
 func (p *Poller) start(n api.ServerName, address string) {
 	// The duty ends with the target or with the group, whichever is first.
 	c, cancel := context.WithCancel(context.Background())
@@ -89,7 +89,8 @@
 	})
 }
 
-// nextDelay is longer for an idle engine, whose report says nothing new.
+// nextDelay returns the time until the next poll of an engine. It is longer for an idle one,
+// whose reports rarely change.
 func (p *Poller) nextDelay(x *engineState) time.Duration {
 	if x.idle {
 		return 2 * p.interval
@@ -97,13 +98,13 @@
 	return p.interval
 }
 
-// jitter keeps entry VMs from polling in step.
+// jitter varies a delay by up to a tenth, so that entry VMs do not poll in step.
 func jitter(d time.Duration) time.Duration {
 	const divisor = 10
 	return d - d/divisor + rand.N(2*d/divisor+1)
 }
 
-// engineState is what one polling duty remembers.
+// engineState is the state of the duty that polls one engine.
 type engineState struct {
 	name     api.ServerName
 	address  string
@@ -113,13 +114,14 @@
 	idle     bool
 }
 
+// poll reads one load report and queues it for delivery. It drops the report if the queue is full.
 func (p *Poller) poll(ctx context.Context, x *engineState) {
 	r, err := p.client.Load(ctx, x.address)
 	if err != nil {
 		p.recordFailure(ctx, x, err)
 		return
 	}
-	// A report of another server at this address says nothing of this one.
+	// The report of another server at this address does not describe this one.
 	if r.Server != x.name {
 		return
 	}
@@ -133,6 +135,8 @@
 	}
 }
 
+// recordFailure counts a failed poll, unless the context has ended, and logs the first one in a
+// row.
 func (p *Poller) recordFailure(ctx context.Context, x *engineState, err error) {
 	if ctx.Err() != nil {
 		return
@@ -147,6 +151,8 @@
 	x.failed = true
 }
 
+// recordReport updates the state of an engine by its report, and logs when it becomes ready or
+// starts to leave.
 func (p *Poller) recordReport(x *engineState, r api.LoadReport) {
 	if r.Leaving && !x.leaving {
 		p.log.Emit(event.ServerLeaving, zap.String("server", string(x.name)))
@@ -158,7 +164,7 @@
 	x.idle = r.Running+r.Waiting == 0
 }
 
-// Deliver is the duty that passes reports on.
+// Deliver is the duty that passes the queued reports to a function, one at a time.
 func (p *Poller) Deliver(ctx context.Context, take func(api.LoadReport)) error {
 	for {
 		r, ok := p.reports.Take(ctx)
@@ -169,7 +175,7 @@
 	}
 }
 
-// LastReports gives each engine's last report.
+// LastReports returns the last report of each engine that is polled.
 func (p *Poller) LastReports() map[api.ServerName]api.LoadReport {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
