--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -26,8 +26,8 @@
 	Watch(ctx context.Context, from api.Version, wait time.Duration, kinds []api.ResourceKind) (api.ChangeList, error)
 }
 
-// Taker is told of every view before it counts as in force.
-type Taker func(v *config.View)
+// ViewFunc is told of every view before it counts as in force.
+type ViewFunc func(v *config.View)
 
 // update is what one call brought; sent is when it was asked, by the life's
 // clock.
@@ -48,7 +48,7 @@
 	log     *event.Log
 	metrics *metric.Set
 	wait    time.Duration
-	takers  []Taker
+	takers  []ViewFunc
 	updates *ring.Ring[update]
 	view    atomic.Pointer[config.View]
 	heard   atomic.Int64
@@ -65,7 +65,7 @@
 
 // New makes a follower that has no configuration yet; wait is the longest
 // time of one watch.
-func New(s Source, l *lifecycle.Life, e *event.Log, m *metric.Set, wait time.Duration, takers ...Taker) *Follower {
+func New(s Source, l *lifecycle.Life, e *event.Log, m *metric.Set, wait time.Duration, takers ...ViewFunc) *Follower {
 	f := &Follower{
 		source: s, life: l, log: e, metrics: m, wait: wait, takers: takers,
 		updates: ring.New[update](ringSize), store: config.New(), ready: make(chan struct{}),
@@ -92,20 +92,20 @@
 	return f.store.List(f.life.Now())
 }
 
-// Kept counts the objects that stay in force in spite of the platform.
-func (f *Follower) Kept() int {
+// Retained counts the objects that stay in force in spite of the platform.
+func (f *Follower) Retained() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.store.Retained()
 }
 
-// Age is the time since the platform last answered.
-func (f *Follower) Age() time.Duration {
+// TimeSinceAnswer is the time since the platform last answered.
+func (f *Follower) TimeSinceAnswer() time.Duration {
 	return time.Since(time.Unix(0, f.heard.Load()))
 }
 
-// Answered is for how long the platform has answered, zero while it does not.
-func (f *Follower) Answered() time.Duration {
+// AnsweringFor is for how long the platform has answered, zero while it does not.
+func (f *Follower) AnsweringFor() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.lost || f.back.IsZero() {
@@ -223,9 +223,9 @@
 	f.updates.Put(ctx, update{list: &l, sent: sent})
 }
 
-// Offer queues a peer's configuration, which was asked for at a time of the
+// OfferFromPeer queues a peer's configuration, which was asked for at a time of the
 // life's clock.
-func (f *Follower) Offer(l api.ObjectList, sent time.Time) {
+func (f *Follower) OfferFromPeer(l api.ObjectList, sent time.Time) {
 	if !f.updates.Offer(update{list: &l, sent: sent, peer: true}) {
 		f.metrics.Add(metric.EventsDropped, 1)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 		Domain:        c.Settings.Node.Domain,
 		State:         c.Life.State(),
 		ConfigVersion: c.Follow.View().Version,
-		ConfigKept:    c.Follow.Kept(),
+		ConfigKept:    c.Follow.Retained(),
 		ClaimsEra:     c.Claims.RewrittenEra(),
 		InFlight:      c.Life.InFlight(),
 		Contents:      c.Contents.AllReports(),
@@ -68,7 +68,7 @@
 	}
 	sent := c.Life.Now()
 	if l, err := c.Peers.Config(ctx, address); err == nil {
-		c.Follow.Offer(l, sent)
+		c.Follow.OfferFromPeer(l, sent)
 	}
 }
 
@@ -129,7 +129,7 @@
 	for _, a := range c.Beat.Addresses() {
 		sent := c.Life.Now()
 		if l, err := c.Peers.Config(ctx, a); err == nil {
-			c.Follow.Offer(l, sent)
+			c.Follow.OfferFromPeer(l, sent)
 			return
 		}
 	}
@@ -141,7 +141,7 @@
 		VM:            c.Owner.VM,
 		State:         c.Life.State(),
 		ConfigVersion: c.Follow.View().Version,
-		PlatformAgeMS: api.ToMilliseconds(c.Follow.Age()),
+		PlatformAgeMS: api.ToMilliseconds(c.Follow.TimeSinceAnswer()),
 		Leases:        []string{},
 		Members:       c.Beat.Status(),
 		Servers:       c.Broker.Status(),
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -205,7 +205,7 @@
 		g.Go(c.Orders.Work)
 	}
 	g.Go(c.Upkeep.Run)
-	g.Go(c.Claims.Run(c.Follow.Answered))
+	g.Go(c.Claims.Run(c.Follow.AnsweringFor))
 	for _, l := range c.Leaders {
 		g.Go(l.Run)
 	}
