--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -32,10 +32,10 @@
 // update is what one call brought; sent is when it was asked, by the life's
 // clock.
 type update struct {
-	list    *api.ObjectList
-	changes *api.ChangeList
-	sent    time.Time
-	peer    bool
+	list        *api.ObjectList
+	changes     *api.ChangeList
+	requestedAt time.Time
+	fromPeer    bool
 }
 
 // ringSize bounds the updates that wait to come into force.
@@ -43,21 +43,21 @@
 
 // Follower holds the configuration in force.
 type Follower struct {
-	source  Source
-	life    *lifecycle.Life
-	log     *event.Log
-	metrics *metric.Set
-	wait    time.Duration
-	takers  []ViewFunc
-	updates *ring.Ring[update]
-	view    atomic.Pointer[config.View]
-	heard   atomic.Int64
+	source     Source
+	life       *lifecycle.Life
+	log        *event.Log
+	metrics    *metric.Set
+	wait       time.Duration
+	viewFuncs  []ViewFunc
+	updates    *ring.Ring[update]
+	view       atomic.Pointer[config.View]
+	lastAnswer atomic.Int64
 
 	mutex sync.Mutex
 	store *config.Store
 	lost  bool
-	// back is when the platform began to answer, after a failure or the start.
-	back time.Time
+	// answeringSince is when the platform began to answer, after a failure or the start.
+	answeringSince time.Time
 	// ready is closed once a watch has confirmed the first list.
 	ready   chan struct{}
 	watched bool
@@ -67,7 +67,7 @@
 // time of one watch.
 func New(s Source, l *lifecycle.Life, e *event.Log, m *metric.Set, wait time.Duration, takers ...ViewFunc) *Follower {
 	f := &Follower{
-		source: s, life: l, log: e, metrics: m, wait: wait, takers: takers,
+		source: s, life: l, log: e, metrics: m, wait: wait, viewFuncs: takers,
 		updates: ring.New[update](ringSize), store: config.New(), ready: make(chan struct{}),
 	}
 	f.view.Store(&config.View{})
@@ -101,32 +101,32 @@
 
 // TimeSinceAnswer is the time since the platform last answered.
 func (f *Follower) TimeSinceAnswer() time.Duration {
-	return time.Since(time.Unix(0, f.heard.Load()))
+	return time.Since(time.Unix(0, f.lastAnswer.Load()))
 }
 
 // AnsweringFor is for how long the platform has answered, zero while it does not.
 func (f *Follower) AnsweringFor() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.lost || f.back.IsZero() {
+	if f.lost || f.answeringSince.IsZero() {
 		return 0
 	}
-	return f.life.Now().Sub(f.back)
+	return f.life.Now().Sub(f.answeringSince)
 }
 
 // Watch is the duty that asks the platform.
 func (f *Follower) Watch(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
-		u, err := f.ask(ctx)
+		u, err := f.fetch(ctx)
 		if err != nil {
 			failures++
-			f.failed(ctx, err)
+			f.recordFailure(ctx, err)
 			duty.Sleep(ctx, backoff(failures))
 			continue
 		}
 		failures = 0
-		f.answered()
+		f.recordAnswer()
 		if !f.updates.Put(ctx, u) {
 			return nil
 		}
@@ -136,36 +136,36 @@
 
 // Bounds of the wait after a failed call.
 const (
-	backoffFirst = 100 * time.Millisecond
-	backoffLast  = 2 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
 // backoff doubles with each failure and is spread, so that entry VMs don't
 // come back together.
 func backoff(failures int) time.Duration {
-	d := min(backoffFirst<<min(failures, 6), backoffLast)
+	d := min(minBackoff<<min(failures, 6), maxBackoff)
 	return d/2 + rand.N(d/2)
 }
 
-// ask lists when there is nothing to watch from, and else watches.
-func (f *Follower) ask(ctx context.Context) (update, error) {
+// fetch lists when there is nothing to watch from, and else watches.
+func (f *Follower) fetch(ctx context.Context) (update, error) {
 	sent := f.life.Now()
 	from := f.version()
 	if from > 0 {
 		f.metrics.Add(metric.PlatformWatches, 1)
-		l, err := f.source.Watch(ctx, from, f.watchTime(), config.DeclaredKinds)
+		l, err := f.source.Watch(ctx, from, f.watchWait(), config.DeclaredKinds)
 		if !fault.Has(err, fault.WatchTooOld) {
-			return update{changes: &l, sent: sent}, err
+			return update{changes: &l, requestedAt: sent}, err
 		}
 		f.log.Emit(event.WatchRestarted, zap.Stringer("version", from))
 	}
 	f.metrics.Add(metric.PlatformReads, 1)
 	l, err := f.source.List(ctx, config.DeclaredKinds)
-	return update{list: &l, sent: sent}, err
+	return update{list: &l, requestedAt: sent}, err
 }
 
-// watchTime is none for the first watch, which only confirms the list.
-func (f *Follower) watchTime() time.Duration {
+// watchWait is none for the first watch, which only confirms the list.
+func (f *Follower) watchWait() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if !f.watched {
@@ -182,7 +182,7 @@
 	return f.store.Version()
 }
 
-func (f *Follower) failed(ctx context.Context, err error) {
+func (f *Follower) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -196,12 +196,12 @@
 	}
 }
 
-func (f *Follower) answered() {
-	f.heard.Store(time.Now().UnixNano())
+func (f *Follower) recordAnswer() {
+	f.lastAnswer.Store(time.Now().UnixNano())
 	f.mutex.Lock()
 	back := f.lost
-	if back || f.back.IsZero() {
-		f.back = f.life.Now()
+	if back || f.answeringSince.IsZero() {
+		f.answeringSince = f.life.Now()
 	}
 	f.lost = false
 	f.mutex.Unlock()
@@ -216,17 +216,17 @@
 	f.metrics.Add(metric.PlatformReads, 1)
 	l, err := f.source.List(ctx, config.DeclaredKinds)
 	if err != nil {
-		f.failed(ctx, err)
+		f.recordFailure(ctx, err)
 		return
 	}
 	// A full ring is emptied by the duty that applies.
-	f.updates.Put(ctx, update{list: &l, sent: sent})
+	f.updates.Put(ctx, update{list: &l, requestedAt: sent})
 }
 
 // OfferFromPeer queues a peer's configuration, which was asked for at a time of the
 // life's clock.
 func (f *Follower) OfferFromPeer(l api.ObjectList, sent time.Time) {
-	if !f.updates.Offer(update{list: &l, sent: sent, peer: true}) {
+	if !f.updates.Offer(update{list: &l, requestedAt: sent, fromPeer: true}) {
 		f.metrics.Add(metric.EventsDropped, 1)
 	}
 }
@@ -252,17 +252,17 @@
 	}
 	f.mutex.Unlock()
 	if changed {
-		f.enforce(v, bad)
+		f.publish(v, bad)
 	}
 	if !stale {
-		f.life.Confirmed(u.sent)
+		f.life.Confirmed(u.requestedAt)
 	}
 	if u.changes != nil {
-		f.open()
+		f.markReady()
 	}
 }
 
-func (f *Follower) open() {
+func (f *Follower) markReady() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if !f.watched {
@@ -279,7 +279,7 @@
 		n := f.store.Apply(*u.changes)
 		f.metrics.Add(metric.ConfigChanges, int64(n))
 		if n == 0 && !expired {
-			f.advance()
+			f.advanceVersion()
 		}
 		return n > 0 || expired, false
 	}
@@ -288,7 +288,7 @@
 		f.log.Emit(event.ConfigStale, zap.Stringer("offered", u.list.Version), zap.Stringer("version", before))
 		return expired, true
 	}
-	if u.peer {
+	if u.fromPeer {
 		f.metrics.Add(metric.ConfigFromPeers, 1)
 	}
 	now := f.store.Version()
@@ -308,19 +308,19 @@
 	return true
 }
 
-// advance moves the view's version on past changes of other kinds.
-func (f *Follower) advance() {
+// advanceVersion moves the view's version on past changes of other kinds.
+func (f *Follower) advanceVersion() {
 	v := *f.view.Load()
 	v.Version = f.store.Version()
 	f.view.Store(&v)
 	f.metrics.Put(metric.ConfigVersion, int64(v.Version))
 }
 
-func (f *Follower) enforce(v *config.View, bad []config.Problem) {
+func (f *Follower) publish(v *config.View, bad []config.Problem) {
 	for _, p := range bad {
 		f.log.Emit(event.ConfigRefused, zap.String("kind", string(p.Key.Kind)), zap.String("name", p.Key.Name), zap.String("detail", p.Detail))
 	}
-	for _, t := range f.takers {
+	for _, t := range f.viewFuncs {
 		t(v)
 	}
 	f.view.Store(v)
