--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -20,17 +20,17 @@
 	"github.com/wardridge/wardridge/internal/ring"
 )
 
-// Source is where the configuration comes from.
+// Source is the platform as the source of the configuration.
 type Source interface {
 	List(ctx context.Context, kinds []api.ResourceKind) (api.ObjectList, error)
 	Watch(ctx context.Context, from api.Version, wait time.Duration, kinds []api.ResourceKind) (api.ChangeList, error)
 }
 
-// ViewFunc is told of every view before it counts as in force.
+// ViewFunc is called with every view before it is in force.
 type ViewFunc func(v *config.View)
 
-// update is what one call brought; sent is when it was asked, by the life's
-// clock.
+// update is the result of one call, which was made at requestedAt by the clock of
+// lifecycle.Life. Exactly one of list and changes is set; fromPeer marks the list of a peer.
 type update struct {
 	list        *api.ObjectList
 	changes     *api.ChangeList
@@ -38,7 +38,7 @@
 	fromPeer    bool
 }
 
-// ringSize bounds the updates that wait to come into force.
+// ringSize bounds the updates that wait to be applied.
 const ringSize = 64
 
 // Follower holds the configuration in force.
@@ -56,55 +56,57 @@
 	mutex sync.Mutex
 	store *config.Store
 	lost  bool
-	// answeringSince is when the platform began to answer, after a failure or the start.
+	// answeringSince is when the platform first answered after the start or the last failure.
 	answeringSince time.Time
-	// ready is closed once a watch has confirmed the first list.
+	// ready is closed and watched set once a watch has confirmed the first list.
 	ready   chan struct{}
 	watched bool
 }
 
-// New makes a follower that has no configuration yet; wait is the longest
-// time of one watch.
-func New(s Source, l *lifecycle.Life, e *event.Log, m *metric.Set, wait time.Duration, takers ...ViewFunc) *Follower {
+// New creates a follower without a configuration. The platform may hold each watch for up to wait
+// without a change.
+func New(s Source, l *lifecycle.Life, e *event.Log, m *metric.Set, wait time.Duration, viewFuncs ...ViewFunc) *Follower {
 	f := &Follower{
-		source: s, life: l, log: e, metrics: m, wait: wait, viewFuncs: takers,
+		source: s, life: l, log: e, metrics: m, wait: wait, viewFuncs: viewFuncs,
 		updates: ring.New[update](ringSize), store: config.New(), ready: make(chan struct{}),
 	}
 	f.view.Store(&config.View{})
 	return f
 }
 
-// View is the configuration in force; it does not change once read.
+// View returns the configuration in force. A view never changes after it is returned.
 func (f *Follower) View() *config.View {
 	return f.view.Load()
 }
 
-// Ready is closed once a watch from the first list has been answered, so that
-// a stale list alone never opens a VM that has just started.
+// Ready returns a channel that is closed once a watch from the first list has been answered, so
+// that a VM which has just started never admits requests based on a stale list alone.
 func (f *Follower) Ready() <-chan struct{} {
 	return f.ready
 }
 
-// List gives the configuration in force for a peer.
+// List returns the configuration in force as a list for a peer.
 func (f *Follower) List() api.ObjectList {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.store.List(f.life.Now())
 }
 
-// Retained counts the objects that stay in force in spite of the platform.
+// Retained counts the objects and removals that are in force although the restored platform lacks
+// them.
 func (f *Follower) Retained() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.store.Retained()
 }
 
-// TimeSinceAnswer is the time since the platform last answered.
+// TimeSinceAnswer returns the time since the platform last answered the Watch duty.
 func (f *Follower) TimeSinceAnswer() time.Duration {
 	return time.Since(time.Unix(0, f.lastAnswer.Load()))
 }
 
-// AnsweringFor is for how long the platform has answered, zero while it does not.
+// AnsweringFor returns for how long the platform has answered without a failure. It is zero while
+// the platform does not answer.
 func (f *Follower) AnsweringFor() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -114,7 +116,8 @@
 	return f.life.Now().Sub(f.answeringSince)
 }
 
-// Watch is the duty that asks the platform.
+// Watch is the duty that lists and watches the configuration on the platform and queues what
+// comes back.
 func (f *Follower) Watch(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -140,14 +143,15 @@
 	maxBackoff = 2 * time.Second
 )
 
-// backoff doubles with each failure and is spread, so that entry VMs don't
-// come back together.
+// backoff returns a wait that doubles with each failure up to maxBackoff. It is randomized, so that
+// entry VMs do not all retry at the same time.
 func backoff(failures int) time.Duration {
 	d := min(minBackoff<<min(failures, 6), maxBackoff)
 	return d/2 + rand.N(d/2)
 }
 
-// fetch lists when there is nothing to watch from, and else watches.
+// fetch watches for changes after the known version. It lists if there is none, or if the platform
+// no longer has the changes after it.
 func (f *Follower) fetch(ctx context.Context) (update, error) {
 	sent := f.life.Now()
 	from := f.version()
@@ -164,7 +168,8 @@
 	return update{list: &l, requestedAt: sent}, err
 }
 
-// watchWait is none for the first watch, which only confirms the list.
+// watchWait returns how long the next watch may wait. The first watch does not wait, as it only
+// confirms the list.
 func (f *Follower) watchWait() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -174,14 +179,16 @@
 	return f.wait
 }
 
-// version is what the store knows, which a queued update may be ahead of; the
-// watch then gives that update once more, and the store drops it.
+// version returns the version of the store. An update in the queue may be newer; the next watch
+// then returns its changes again, and the store drops them.
 func (f *Follower) version() api.Version {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.store.Version()
 }
 
+// recordFailure counts a failed call, unless the context has ended, and logs the first one in a
+// row.
 func (f *Follower) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -196,6 +203,7 @@
 	}
 }
 
+// recordAnswer records that the platform answers, and logs the first answer after a failure.
 func (f *Follower) recordAnswer() {
 	f.lastAnswer.Store(time.Now().UnixNano())
 	f.mutex.Lock()
@@ -210,7 +218,7 @@
 	}
 }
 
-// Refresh lists once, beside the watch, to confirm what is in force.
+// Refresh lists the configuration once, concurrently with the watch, to confirm the one in force.
 func (f *Follower) Refresh(ctx context.Context) {
 	sent := f.life.Now()
 	f.metrics.Add(metric.PlatformReads, 1)
@@ -219,19 +227,19 @@
 		f.recordFailure(ctx, err)
 		return
 	}
-	// A full ring is emptied by the duty that applies.
+	// If the ring is full, Put waits until Apply has taken an update.
 	f.updates.Put(ctx, update{list: &l, requestedAt: sent})
 }
 
-// OfferFromPeer queues a peer's configuration, which was asked for at a time of the
-// life's clock.
+// OfferFromPeer queues the configuration of a peer, which was requested at sent by the clock of
+// lifecycle.Life. It drops the configuration if the queue is full.
 func (f *Follower) OfferFromPeer(l api.ObjectList, sent time.Time) {
 	if !f.updates.Offer(update{list: &l, requestedAt: sent, fromPeer: true}) {
 		f.metrics.Add(metric.EventsDropped, 1)
 	}
 }
 
-// Apply is the duty that brings updates into force.
+// Apply is the duty that brings queued updates into force.
 func (f *Follower) Apply(ctx context.Context) error {
 	for {
 		u, ok := f.updates.Take(ctx)
@@ -242,6 +250,8 @@
 	}
 }
 
+// apply brings one update into force. An update that is not stale confirms the configuration as of
+// the time of its request.
 func (f *Follower) apply(u update) {
 	f.mutex.Lock()
 	changed, stale := f.merge(u)
@@ -262,6 +272,7 @@
 	}
 }
 
+// markReady closes the ready channel on the first call.
 func (f *Follower) markReady() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -271,8 +282,8 @@
 	}
 }
 
-// merge reports whether the objects in force changed and whether the update was older than
-// them; the follower's mutex is held.
+// merge applies an update to the store. It reports whether the objects in force have changed and
+// whether the update is older than them. The caller holds the mutex.
 func (f *Follower) merge(u update) (changed, stale bool) {
 	expired := f.expire()
 	if u.changes != nil {
@@ -299,7 +310,8 @@
 	return expired || now != before || f.store.Retained() != kept || f.view.Load().Models == nil, false
 }
 
-// expire drops what stayed in force in spite of the platform for its time; the mutex is held.
+// expire drops the retained objects whose retention time is over and reports whether that changes
+// the objects in force. The caller holds the mutex.
 func (f *Follower) expire() bool {
 	if !f.store.Expire(f.life.Now()) {
 		return false
@@ -308,7 +320,7 @@
 	return true
 }
 
-// advanceVersion moves the view's version on past changes of other kinds.
+// advanceVersion sets the version of the view to that of the store after changes of other kinds.
 func (f *Follower) advanceVersion() {
 	v := *f.view.Load()
 	v.Version = f.store.Version()
@@ -316,6 +328,8 @@
 	f.metrics.Put(metric.ConfigVersion, int64(v.Version))
 }
 
+// publish passes a view to the view functions and then brings it into force. It logs the objects
+// that could not be decoded.
 func (f *Follower) publish(v *config.View, bad []config.Problem) {
 	for _, p := range bad {
 		f.log.Emit(event.ConfigRefused, zap.String("kind", string(p.Key.Kind)), zap.String("name", p.Key.Name), zap.String("detail", p.Detail))
