--- a/internal/mesh/delta.go
+++ b/internal/mesh/delta.go
@@ -35,18 +35,18 @@
 }
 
 // since returns the changes after a version as compressed JSON.
-func (p *deltaCache[T]) since(from api.Version) ([]byte, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	e := deltaKey{from: from, changed: p.source.ChangedAt(), settled: p.source.Settled()}
-	if p.body != nil && e == p.key {
-		return p.body, nil
+func (c *deltaCache[T]) since(from api.Version) ([]byte, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	e := deltaKey{from: from, changed: c.source.ChangedAt(), settled: c.source.Settled()}
+	if c.body != nil && e == c.key {
+		return c.body, nil
 	}
-	b, err := encodeGzip(p.source.Since(from))
+	b, err := encodeGzip(c.source.Since(from))
 	if err != nil {
 		return nil, err
 	}
-	p.key, p.body = e, b
+	c.key, c.body = e, b
 	return b, nil
 }
 
@@ -76,12 +76,12 @@
 
 // write sends the changes after a version to a peer. The answer is not compressed for
 // a peer of an earlier build, which does not accept gzip.
-func (p *deltaCache[T]) write(w http.ResponseWriter, r *http.Request, from api.Version) {
+func (c *deltaCache[T]) write(w http.ResponseWriter, r *http.Request, from api.Version) {
 	if !strings.Contains(r.Header.Get(headerAcceptEncoding), encodingGzip) {
-		wire.Write(w, http.StatusOK, p.source.Since(from))
+		wire.Write(w, http.StatusOK, c.source.Since(from))
 		return
 	}
-	b, err := p.since(from)
+	b, err := c.since(from)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -348,7 +348,8 @@
 	m.Loads.UpdatePools(e.Self.Domain, l)
 }
 
-// catchUp fetches a kind from a peer that has had a newer version of it for long enough.
+// catchUp fetches a kind from a peer that has a newer version of it: at once if the mirror does
+// not follow the platform itself, and otherwise after a delay.
 func catchUp[T any](m *Mesh, address, path string, theirs api.Version, k *mirror.Mirror[T]) {
 	own, away := k.At(), k.Lost() || m.HasRelay()
 	m.mutex.Lock()
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -58,13 +58,13 @@
 
 // handleDelta answers a peer with the changes of a kind after the version that it
 // knows. A version that is not a number is read as zero, which requests all objects.
-func handleDelta[T any](p *deltaCache[T]) http.HandlerFunc {
+func handleDelta[T any](c *deltaCache[T]) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.Atoi(r.URL.Query().Get(sinceParam))
 		if err != nil {
 			n = 0
 		}
-		p.write(w, r, api.Version(n))
+		c.write(w, r, api.Version(n))
 	}
 }
 
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -41,7 +41,7 @@
 // Timing bounds the calls of a mirror.
 type Timing struct {
 	// Wait is how long the platform may hold one watch without a change. A watch that
-	// is silent for longer has lost its events.
+	// is silent for longer has lost its events. It also bounds a list.
 	Wait time.Duration
 	// Slack is the extra time that the answer to a watch may take.
 	Slack time.Duration
