--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -24,7 +24,7 @@
 
 // Parts are what the control interface shows.
 type Parts struct {
-	Beat    *heartbeat.Keeper
+	Beat    *heartbeat.Tracker
 	Peers   *peer.Client
 	Claims  *claims.Claimer
 	Explain *explain.Recorder
@@ -66,7 +66,7 @@
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	own, err := s.Beat.Answer(b)
+	own, err := s.Beat.HandleHeartbeat(b)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -16,27 +16,27 @@
 	"github.com/wardridge/wardridge/internal/peer"
 )
 
-// Every is the time between heartbeats to one peer; Suspect is the silence
+// Interval is the time between heartbeats to one peer; SuspectAfter is the silence
 // after which it counts as lost.
 const (
-	Every   = 2 * time.Second
-	Suspect = 3 * Every
+	Interval     = 2 * time.Second
+	SuspectAfter = 3 * Interval
 )
 
-// Self gives this entry VM's own heartbeat.
-type Self func() api.Heartbeat
+// SelfFunc gives this entry VM's own heartbeat.
+type SelfFunc func() api.Heartbeat
 
-// Lag is told of a peer that has a newer configuration in force.
-type Lag func(ctx context.Context, address string)
+// LagFunc is told of a peer that has a newer configuration in force.
+type LagFunc func(ctx context.Context, address string)
 
-// Merge is told what a peer knows of backend servers and of contents that end them.
-type Merge func(b api.Heartbeat)
+// MergeFunc is told what a peer knows of backend servers and of contents that end them.
+type MergeFunc func(b api.Heartbeat)
 
-// Keeper keeps this entry VM's view of the others.
-type Keeper struct {
-	self    Self
-	lag     Lag
-	merge   Merge
+// Tracker keeps this entry VM's view of the others.
+type Tracker struct {
+	self    SelfFunc
+	lag     LagFunc
+	merge   MergeFunc
 	client  *peer.Client
 	log     *event.Log
 	metrics *metric.Set
@@ -46,17 +46,17 @@
 }
 
 // New makes a keeper that knows no peer yet.
-func New(self Self, lag Lag, merge Merge, c *peer.Client, l *event.Log, m *metric.Set) *Keeper {
-	return &Keeper{self: self, lag: lag, merge: merge, client: c, log: l, metrics: m, members: member.New(self().VM, Suspect)}
+func New(self SelfFunc, lag LagFunc, merge MergeFunc, c *peer.Client, l *event.Log, m *metric.Set) *Tracker {
+	return &Tracker{self: self, lag: lag, merge: merge, client: c, log: l, metrics: m, members: member.New(self().VM, SuspectAfter)}
 }
 
 // Run is the duty that sends heartbeats.
-func (k *Keeper) Run(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return Every }, k.Round)
+func (k *Tracker) Run(ctx context.Context) error {
+	return duty.Loop(ctx, func() time.Duration { return Interval }, k.Round)
 }
 
 // Round sends one heartbeat to each peer and waits for their answers.
-func (k *Keeper) Round(ctx context.Context) {
+func (k *Tracker) Round(ctx context.Context) {
 	g, end := duty.New(ctx)
 	for _, p := range k.addresses() {
 		g.Go(func(ctx context.Context) error {
@@ -70,7 +70,7 @@
 	k.step()
 }
 
-func (k *Keeper) addresses() []string {
+func (k *Tracker) addresses() []string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var l []string
@@ -80,7 +80,7 @@
 	return l
 }
 
-func (k *Keeper) send(ctx context.Context, address string) {
+func (k *Tracker) send(ctx context.Context, address string) {
 	own := k.self()
 	k.metrics.Add(metric.HeartbeatsSent, 1)
 	b, err := k.client.Heartbeat(ctx, address, own)
@@ -102,7 +102,7 @@
 	}
 }
 
-func (k *Keeper) heard(b api.Heartbeat) {
+func (k *Tracker) heard(b api.Heartbeat) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if c, ok := k.members.HandleHeartbeat(time.Now(), b); ok {
@@ -111,7 +111,7 @@
 	k.metrics.Put(metric.MembersServing, int64(k.members.ServingCount()))
 }
 
-func (k *Keeper) step() {
+func (k *Tracker) step() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	for _, c := range k.members.DetectLost(time.Now()) {
@@ -120,8 +120,8 @@
 	k.metrics.Put(metric.MembersServing, int64(k.members.ServingCount()))
 }
 
-// Answer takes a peer's heartbeat and gives the own one.
-func (k *Keeper) Answer(b api.Heartbeat) (api.Heartbeat, error) {
+// HandleHeartbeat takes a peer's heartbeat and gives the own one.
+func (k *Tracker) HandleHeartbeat(b api.Heartbeat) (api.Heartbeat, error) {
 	own := k.self()
 	if b.Protocol != member.Protocol {
 		return own, fault.New(fault.PeerProtocol, "this entry VM speaks another protocol version")
@@ -130,55 +130,55 @@
 	return own, nil
 }
 
-// Rewritten reports whether every other entry VM has written its claims again in an era.
-func (k *Keeper) Rewritten(e api.Era) bool {
+// ClaimsRewritten reports whether every other entry VM has written its claims again in an era.
+func (k *Tracker) ClaimsRewritten(e api.Era) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.members.ClaimsRewritten(e)
 }
 
-// Listed takes the platform's list of VMs.
-func (k *Keeper) Listed(l []api.VM) {
+// ApplyList takes the platform's list of VMs.
+func (k *Tracker) ApplyList(l []api.VM) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.members.ApplyList(time.Now(), l)
 }
 
-// Serving counts the entry VMs that serve, this one among them.
-func (k *Keeper) Serving() int {
+// ServingCount counts the entry VMs that serve, this one among them.
+func (k *Tracker) ServingCount() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.members.ServingCount()
 }
 
-// Newest is the highest configuration version that a peer has in force.
-func (k *Keeper) Newest() api.Version {
+// MaxConfigVersion is the highest configuration version that a peer has in force.
+func (k *Tracker) MaxConfigVersion() api.Version {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.members.MaxConfigVersion()
 }
 
-// Candidate reports whether this entry VM is one of those that may hold a duty.
-func (k *Keeper) Candidate(duty string) bool {
+// IsCandidate reports whether this entry VM is one of those that may hold a duty.
+func (k *Tracker) IsCandidate(duty string) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.members.IsCandidate(duty)
 }
 
-// Find gives a peer's address.
-func (k *Keeper) Find(n api.VMName) (string, bool) {
+// Address gives a peer's address.
+func (k *Tracker) Address(n api.VMName) (string, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.members.Address(n)
 }
 
 // Addresses gives every peer's address.
-func (k *Keeper) Addresses() []string {
+func (k *Tracker) Addresses() []string {
 	return k.addresses()
 }
 
 // Status lists the peers as this entry VM sees them.
-func (k *Keeper) Status() []api.MemberStatus {
+func (k *Tracker) Status() []api.MemberStatus {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.members.Status(time.Now())
--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -51,7 +51,7 @@
 	Broker    *broker.Broker
 	Follow    *follow.Follower
 	Poll      *poll.Poller
-	Beat      *heartbeat.Keeper
+	Beat      *heartbeat.Tracker
 	Claims    *claims.Claimer
 	Deadlines *clock.Deadlines
 	Contents  *contents.Guard
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 		c.Metrics.Add(metric.PlatformFailures, 1)
 		return
 	}
-	c.Beat.Listed(l)
+	c.Beat.ApplyList(l)
 	for _, v := range l {
 		if v.Role == api.VMRoleBackend {
 			leaving := v.State == api.VMStateLeaving
@@ -113,9 +113,9 @@
 	c.Deadlines.Check()
 	c.Contents.Step()
 	c.Contents.ProbeServers(c.Group, connects(c.Machine.Dial, c.address))
-	c.Entry.Members(c.Beat.Serving())
+	c.Entry.Members(c.Beat.ServingCount())
 	for _, l := range c.Leaders {
-		l.Want(c.Life.State() == api.PeerStateServing && c.Beat.Candidate(l.Duty()))
+		l.Want(c.Life.State() == api.PeerStateServing && c.Beat.IsCandidate(l.Duty()))
 	}
 }
 
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -131,7 +131,7 @@
 
 // Release asks the entry VM that made a claim.
 func (r release) Release(ctx context.Context, n api.VMName, q api.AttemptQuery) (bool, error) {
-	a, ok := r.node.Beat.Find(n)
+	a, ok := r.node.Beat.Address(n)
 	if !ok {
 		return false, fault.New(fault.PeerUnreachable, "the owner of the claim is not listed")
 	}
@@ -140,7 +140,7 @@
 
 // ClaimsRewritten reports whether all other entry VMs have written their claims again in an era.
 func (r release) ClaimsRewritten(e api.Era) bool {
-	return r.node.Beat.Rewritten(e)
+	return r.node.Beat.ClaimsRewritten(e)
 }
 
 // duties makes and starts the duties.
@@ -268,7 +268,7 @@
 	// A stale replica of the platform must not take the fleet back: what any
 	// peer has in force is waited for.
 	end := time.Now().Add(peersWait)
-	for c.Beat.Newest() > c.Follow.View().Version && time.Now().Before(end) {
+	for c.Beat.MaxConfigVersion() > c.Follow.View().Version && time.Now().Before(end) {
 		if !duty.Sleep(c, tickEvery) {
 			return c.Err()
 		}
