--- a/fleet/bed_test.go
+++ b/fleet/bed_test.go
@@ -66,7 +66,7 @@
 	}
 	c, closer := wire.NewClientOver(machine{b.net, "operator"}.dial, false)
 	t.Cleanup(closer)
-	b.peers = peer.Over(c, time.Second)
+	b.peers = peer.NewWithClient(c, time.Second)
 	for i := range n {
 		b.start(i)
 	}
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -70,7 +70,7 @@
 	c.cleanup(closer)
 	c.Platform = objectapi.Over(c.Reused, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
 	c.Engines = engine.Over(c.Reused, dialTime)
-	c.Peers = peer.Over(c.Reused, peerTime)
+	c.Peers = peer.NewWithClient(c.Reused, peerTime)
 	return nil
 }
 
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -35,11 +35,11 @@
 // connections.
 func New(timeout time.Duration) (*Client, func()) {
 	c, closer := wire.NewClient(timeout, true)
-	return Over(c, timeout), closer
+	return NewWithClient(c, timeout), closer
 }
 
-// Over creates a client on top of an HTTP client, with a timeout for each call.
-func Over(c *http.Client, timeout time.Duration) *Client {
+// NewWithClient creates a client on top of an HTTP client, with a timeout for each call.
+func NewWithClient(c *http.Client, timeout time.Duration) *Client {
 	return &Client{http: c, timeout: timeout}
 }
 
