--- a/internal/heartbeat/doc.go
+++ b/internal/heartbeat/doc.go
@@ -1,2 +1,2 @@
-// Package heartbeat keeps up with the other entry VMs.
+// Package heartbeat tracks the other entry VMs by exchanging heartbeats with them.
 package heartbeat
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -16,23 +16,24 @@
 	"github.com/wardridge/wardridge/internal/peer"
 )
 
-// Interval is the time between heartbeats to one peer; SuspectAfter is the silence
-// after which it counts as lost.
+// Interval is the time between heartbeats to a peer. A peer that has not answered one for
+// SuspectAfter counts as lost.
 const (
 	Interval     = 2 * time.Second
 	SuspectAfter = 3 * Interval
 )
 
-// SelfFunc gives this entry VM's own heartbeat.
+// SelfFunc returns the current heartbeat of this entry VM.
 type SelfFunc func() api.Heartbeat
 
-// LagFunc is told of a peer that has a newer configuration in force.
+// LagFunc is called with the address of a peer that has a newer configuration in force.
 type LagFunc func(ctx context.Context, address string)
 
-// MergeFunc is told what a peer knows of backend servers and of contents that end them.
+// MergeFunc is called with the heartbeat of a peer, which reports on backend servers and on
+// contents that crash them.
 type MergeFunc func(b api.Heartbeat)
 
-// Tracker keeps this entry VM's view of the others.
+// Tracker exchanges heartbeats with the other entry VMs and tracks their state.
 type Tracker struct {
 	self    SelfFunc
 	onLag   LagFunc
@@ -45,9 +46,9 @@
 	members *member.Members
 }
 
-// New makes a keeper that knows no peer yet.
-func New(self SelfFunc, lag LagFunc, merge MergeFunc, c *peer.Client, l *event.Log, m *metric.Set) *Tracker {
-	return &Tracker{self: self, onLag: lag, merge: merge, client: c, log: l, metrics: m, members: member.New(self().VM, SuspectAfter)}
+// New creates a tracker that knows no peers.
+func New(self SelfFunc, onLag LagFunc, merge MergeFunc, c *peer.Client, l *event.Log, m *metric.Set) *Tracker {
+	return &Tracker{self: self, onLag: onLag, merge: merge, client: c, log: l, metrics: m, members: member.New(self().VM, SuspectAfter)}
 }
 
 // Run is the duty that sends heartbeats.
@@ -55,7 +56,7 @@
 	return duty.Loop(ctx, func() time.Duration { return Interval }, t.Round)
 }
 
-// Round sends one heartbeat to each peer and waits for their answers.
+// Round sends one heartbeat to each peer, waits for the answers, and marks silent peers as lost.
 func (t *Tracker) Round(ctx context.Context) {
 	g, end := duty.New(ctx)
 	for _, p := range t.addresses() {
@@ -64,7 +65,7 @@
 			return nil
 		})
 	}
-	// Failures are counted where they happen.
+	// Failures are counted in send.
 	_ = g.Wait()
 	end()
 	t.detectLost()
@@ -80,6 +81,7 @@
 	return l
 }
 
+// send sends a heartbeat to a peer and applies its answer.
 func (t *Tracker) send(ctx context.Context, address string) {
 	own := t.self()
 	t.metrics.Add(metric.HeartbeatsSent, 1)
@@ -102,6 +104,7 @@
 	}
 }
 
+// recordHeartbeat records the heartbeat in a peer's answer, and logs the peer if it has joined.
 func (t *Tracker) recordHeartbeat(b api.Heartbeat) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -111,6 +114,7 @@
 	t.metrics.Put(metric.MembersServing, int64(t.members.ServingCount()))
 }
 
+// detectLost logs the peers whose last heartbeat is too old.
 func (t *Tracker) detectLost() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -120,7 +124,8 @@
 	t.metrics.Put(metric.MembersServing, int64(t.members.ServingCount()))
 }
 
-// HandleHeartbeat takes a peer's heartbeat and gives the own one.
+// HandleHeartbeat answers a peer's heartbeat with that of this entry VM. It refuses a peer that uses
+// another version of the protocol.
 func (t *Tracker) HandleHeartbeat(b api.Heartbeat) (api.Heartbeat, error) {
 	own := t.self()
 	if b.Protocol != member.Protocol {
@@ -130,28 +135,28 @@
 	return own, nil
 }
 
-// ClaimsRewritten reports whether every other entry VM has written its claims again in an era.
+// ClaimsRewritten reports whether every other entry VM has rewritten its claims in an era.
 func (t *Tracker) ClaimsRewritten(e api.Era) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.members.ClaimsRewritten(e)
 }
 
-// ApplyList takes the platform's list of VMs.
+// ApplyList applies the platform's list of VMs.
 func (t *Tracker) ApplyList(l []api.VM) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.members.ApplyList(time.Now(), l)
 }
 
-// ServingCount counts the entry VMs that serve, this one among them.
+// ServingCount counts the entry VMs that serve, this one included.
 func (t *Tracker) ServingCount() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.members.ServingCount()
 }
 
-// MaxConfigVersion is the highest configuration version that a peer has in force.
+// MaxConfigVersion returns the highest configuration version in force at a live peer.
 func (t *Tracker) MaxConfigVersion() api.Version {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -165,19 +170,19 @@
 	return t.members.IsCandidate(duty)
 }
 
-// Address gives a peer's address.
+// Address returns a peer's address, and false for an unknown peer.
 func (t *Tracker) Address(n api.VMName) (string, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.members.Address(n)
 }
 
-// Addresses gives every peer's address.
+// Addresses returns the addresses of all peers.
 func (t *Tracker) Addresses() []string {
 	return t.addresses()
 }
 
-// Status lists the peers as this entry VM sees them.
+// Status lists the peers and their states as this entry VM sees them.
 func (t *Tracker) Status() []api.MemberStatus {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
