--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -116,8 +116,8 @@
 	return f.life.Now().Sub(f.answeringSince)
 }
 
-// Watch is the duty that lists and watches the configuration on the platform and queues what
-// comes back.
+// Watch is the duty that lists and watches the configuration on the platform and queues the
+// results.
 func (f *Follower) Watch(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
