--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -35,8 +35,8 @@
 	return g.roster.RetainedClosures(time.Now())
 }
 
-// RetainClosures takes those of a peer.
-func (g *Gateway) RetainClosures(l []api.KeptClosure) {
+// MergeRetainedClosures takes those of a peer.
+func (g *Gateway) MergeRetainedClosures(l []api.KeptClosure) {
 	if len(l) == 0 {
 		return
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -35,8 +35,8 @@
 	// RetainedClosures lists the failure domains that stay closed although the platform has
 	// lost their closures.
 	RetainedClosures() []api.KeptClosure
-	// RetainClosures adds the closures that a peer retains.
-	RetainClosures(l []api.KeptClosure)
+	// MergeRetainedClosures adds the closures that a peer retains.
+	MergeRetainedClosures(l []api.KeptClosure)
 	// ContentReports lists the recent reports on contents that crash servers.
 	ContentReports() []api.ContentReport
 	// MergeContents adds the reports of a peer.
@@ -328,7 +328,7 @@
 	m.catchUpApplied(e)
 	catchUp(m, e.Self.Address, PathServers, e.ServersAt, m.Servers)
 	if m.Closures != nil {
-		m.Notices.RetainClosures(e.KeptClosures)
+		m.Notices.MergeRetainedClosures(e.KeptClosures)
 		catchUp(m, e.Self.Address, PathClosures, e.ClosuresAt, m.Closures)
 	}
 	if m.Quarantines != nil {
