--- a/internal/claims/keeper.go
+++ b/internal/claims/claimer.go
@@ -21,61 +21,65 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Store is where claims are kept.
+// Store is the part of the platform that stores claims.
 type Store interface {
 	Get(ctx context.Context, k api.ResourceKind, n string) (api.Object, error)
 	Put(ctx context.Context, o api.Object) (api.Object, error)
+	// PutConfirmed writes like Put and, if the answer is lost, reads the object back to
+	// find out whether the write took effect.
 	PutConfirmed(ctx context.Context, o api.Object) (api.Object, error)
 }
 
-// Peers asks other entry VMs.
+// Peers calls the other entry VMs and knows their state.
 type Peers interface {
+	// Release asks the entry VM that owns a claim to give up its attempt, and reports whether
+	// the attempt was not sent and never will be.
 	Release(ctx context.Context, vm api.VMName, q api.AttemptQuery) (bool, error)
-	// Rewritten reports whether all of them have written their claims again in an era.
-	Rewritten(e api.Era) bool
+	// ClaimsRewritten reports whether all other entry VMs have rewritten their claims in an era.
+	ClaimsRewritten(e api.Era) bool
 }
 
-// Answer is the answer of a claimed request.
+// Answer is the answer to a claimed request.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Keeper makes claims for one life of an entry VM.
-type Keeper struct {
-	owner   lease.Owner
-	store   Store
-	peers   Peers
-	log     *event.Log
-	metrics *metric.Set
-	limit   int
-	now     clock.Now
+// Claimer claims requests for one incarnation of an entry VM.
+type Claimer struct {
+	owner          lease.Owner
+	store          Store
+	peers          Peers
+	log            *event.Log
+	metrics        *metric.Set
+	maxAnswerBytes int
+	now            clock.Now
 
 	mutex    sync.Mutex
 	attempts *claim.Attempts
 	eras     claim.EraTracker
-	// lost is set while claims are to be written again, since the platform came back from a
-	// copy.
-	lost bool
-	// rewritten is the era in which they have been.
-	rewritten api.Era
+	// rewriteDue is set while claims have to be rewritten, since the platform was restored from a
+	// backup.
+	rewriteDue bool
+	// rewrittenEra is the last era in which all claims were rewritten.
+	rewrittenEra api.Era
 }
 
-// New makes a keeper that keeps answers of at most limit bytes; now has to be a clock that
-// goes on while the VM is suspended.
-func New(o lease.Owner, s Store, p Peers, limit int, now clock.Now, l *event.Log, m *metric.Set) *Keeper {
-	return &Keeper{owner: o, store: s, peers: p, limit: limit, now: now, log: l, metrics: m, attempts: claim.NewAttempts(o.Incarnation)}
+// New creates a claimer that stores answers of at most limit bytes. The clock now has to advance
+// while the VM is suspended.
+func New(o lease.Owner, s Store, p Peers, limit int, now clock.Now, l *event.Log, m *metric.Set) *Claimer {
+	return &Claimer{owner: o, store: s, peers: p, maxAnswerBytes: limit, now: now, log: l, metrics: m, attempts: claim.NewAttempts(o.Incarnation)}
 }
 
-// Name names the claim of a workspace's idempotency key.
+// Name returns the name of the claim for an idempotency key of a workspace.
 func Name(w api.WorkspaceName, key string) string {
 	h := sha256.Sum256([]byte(string(w) + "\x00" + key))
 	return hex.EncodeToString(h[:])
 }
 
-// Hash tells requests with the same key apart.
-func Hash(method, path string, body []byte) string {
+// RequestHash returns a hash by which different requests with the same key are told apart.
+func RequestHash(method, path string, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(method + "\x00" + path + "\x00"))
 	h.Write(body)
@@ -84,36 +88,37 @@
 
 // Permit is the right to send one request.
 type Permit struct {
-	keeper  *Keeper
+	claimer *Claimer
 	name    string
 	spec    api.ClaimSpec
 	version api.Version
-	// until is when the claim no longer allows to send.
-	until time.Time
+	// validUntil is when the claim stops allowing the request to be sent.
+	validUntil time.Time
 }
 
-// Make claims a request. It gives a permit, or the kept answer of an earlier
-// attempt, or a fault.
-func (k *Keeper) Make(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
+// Claim claims a request. It returns a permit to send it, or the stored answer of an earlier
+// attempt, or an error.
+func (k *Claimer) Claim(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
 	s.Owner = k.owner.VM
 	s.Incarnation = k.owner.Incarnation
 	s.CreatedMS = api.UnixMilliseconds(time.Now())
 	if !k.settled() {
-		return nil, nil, k.refused(s, name, claim.UnsettledError())
+		return nil, nil, k.refuse(s, name, claim.UnsettledError())
 	}
-	k.add(s.Request)
-	p, a, err := k.course(ctx, name, s)
+	k.addAttempt(s.Request)
+	p, a, err := k.execute(ctx, name, s)
 	if p == nil {
-		k.remove(s.Request)
+		k.removeAttempt(s.Request)
 	}
 	return p, a, err
 }
 
-// course carries out the moves that the claim's decisions ask for.
-func (k *Keeper) course(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
+// execute carries out the actions of the claim's state machine until it ends with a permit, a
+// stored answer or an error.
+func (k *Claimer) execute(ctx context.Context, name string, s api.ClaimSpec) (*Permit, *Answer, error) {
 	c := claim.New(s)
 	m := c.Begin()
-	p := &Permit{keeper: k, name: name, spec: s}
+	p := &Permit{claimer: k, name: name, spec: s}
 	for {
 		switch m.Kind {
 		case claim.Create, claim.TakeOver:
@@ -121,48 +126,50 @@
 		case claim.Read:
 			m = k.read(ctx, p, c)
 		case claim.RequestRelease:
-			m = c.HandleRelease(k.ask(ctx, name, m.Spec), m.Version)
+			m = c.HandleRelease(k.requestRelease(ctx, name, m.Spec), m.Version)
 		case claim.Abandon:
-			k.claimed(p)
+			k.setClaim(p)
 			p.Abandon(ctx)
-			return nil, nil, k.refused(s, name, m.Fault)
+			return nil, nil, k.refuse(s, name, m.Fault)
 		case claim.Send:
-			k.claimed(p)
+			k.setClaim(p)
 			k.metrics.Add(metric.ClaimsMade, 1)
 			k.log.Emit(event.ClaimMade, zap.String("request", string(s.Request)), zap.String("claim", name))
 			return p, nil, nil
 		case claim.Replay:
-			a, err := kept(m.Spec)
+			a, err := storedAnswer(m.Spec)
 			k.metrics.Add(metric.ClaimsReplayed, 1)
 			return nil, a, err
 		default:
-			return nil, nil, k.refused(s, name, m.Fault)
+			return nil, nil, k.refuse(s, name, m.Fault)
 		}
 	}
 }
 
-// refused counts and logs a refusal.
-func (k *Keeper) refused(s api.ClaimSpec, name string, f *fault.Error) error {
+// refuse counts and logs a refusal and returns its error.
+func (k *Claimer) refuse(s api.ClaimSpec, name string, f *fault.Error) error {
 	k.metrics.Add(metric.ClaimsRefused, 1)
 	k.log.Emit(event.ClaimRefused, zap.String("request", string(s.Request)), zap.String("claim", name), zap.Error(f))
 	return f
 }
 
-// claimed remembers a claim that was written.
-func (k *Keeper) claimed(p *Permit) {
+// setClaim records the claim that was written for an attempt.
+func (k *Claimer) setClaim(p *Permit) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.SetClaim(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
 }
 
-func (k *Keeper) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
+// write writes the claim that an action asks for and classifies the result. The validity of the
+// permit counts from before the write.
+func (k *Claimer) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
 	k.metrics.Add(metric.PlatformWrites, 1)
-	p.until = k.now().Add(claim.PermitDuration)
+	p.validUntil = k.now().Add(claim.PermitDuration)
 	o, err := k.put(ctx, p.name, m.Spec, m.Version, k.store.Put)
 	switch {
 	case err == nil:
 		p.spec, p.version = m.Spec, o.Version
-		if !k.seen(o.Version) {
+		if !k.observe(o.Version) {
 			return claim.WriteUnsettled
 		}
 		return claim.WriteDone
@@ -176,9 +183,11 @@
 	}
 }
 
-type put func(ctx context.Context, o api.Object) (api.Object, error)
+// putFunc is Store.Put or Store.PutConfirmed.
+type putFunc func(ctx context.Context, o api.Object) (api.Object, error)
 
-func (k *Keeper) put(ctx context.Context, name string, s api.ClaimSpec, v api.Version, f put) (api.Object, error) {
+// put writes a claim with the given function.
+func (k *Claimer) put(ctx context.Context, name string, s api.ClaimSpec, v api.Version, f putFunc) (api.Object, error) {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return api.Object{}, fault.Wrap(fault.Internal, err, "encoding a claim")
@@ -186,7 +195,8 @@
 	return f(ctx, api.Object{Kind: api.ResourceKindClaim, Name: name, Version: v, Spec: b})
 }
 
-func (k *Keeper) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Action {
+// read reads the claim's object from the platform and returns the next action.
+func (k *Claimer) read(ctx context.Context, p *Permit, c *claim.Claim) claim.Action {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindClaim, p.name)
 	if fault.Has(err, fault.NotFound) {
@@ -200,11 +210,12 @@
 		return c.HandleReadError()
 	}
 	p.version = o.Version
-	return c.HandleRead(true, s, o.Version, k.seen(o.Version))
+	return c.HandleRead(true, s, o.Version, k.observe(o.Version))
 }
 
-// ask asks the owner of a claim to give its attempt up unsent.
-func (k *Keeper) ask(ctx context.Context, name string, s api.ClaimSpec) bool {
+// requestRelease asks the owner of a claim to give up its attempt, and reports whether the attempt
+// was not sent and never will be. It does not call the owner if that is this entry VM.
+func (k *Claimer) requestRelease(ctx context.Context, name string, s api.ClaimSpec) bool {
 	q := api.AttemptQuery{Protocol: member.Protocol, Claim: name, Request: s.Request, Incarnation: s.Incarnation}
 	if s.Owner == k.owner.VM {
 		return k.Release(q)
@@ -213,64 +224,64 @@
 	return err == nil && ok
 }
 
-// Release gives an own unsent attempt up for another entry VM; it reports
-// whether the attempt was not sent and never will be.
-func (k *Keeper) Release(q api.AttemptQuery) bool {
+// Release gives up a local attempt at the request of another entry VM. It reports whether the
+// attempt was not sent and never will be.
+func (k *Claimer) Release(q api.AttemptQuery) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.attempts.Release(q.Request, q.Incarnation)
 }
 
-func kept(s api.ClaimSpec) (*Answer, error) {
+// storedAnswer decodes the answer in a claim. It fails if the answer was too large to be stored.
+func storedAnswer(s api.ClaimSpec) (*Answer, error) {
 	b, err := base64.StdEncoding.DecodeString(s.Answer)
 	if err != nil || s.Status == 0 {
-		f := fault.New(fault.ClaimHeld, "an earlier attempt with this key was answered; its answer is not kept")
+		f := fault.New(fault.ClaimHeld, "an earlier attempt with this key was answered; its answer is not stored")
 		return nil, f.WithRan(api.RanYes)
 	}
 	return &Answer{Status: s.Status, ContentType: s.ContentType, Body: b}, nil
 }
 
-func (k *Keeper) add(r api.RequestID) {
+func (k *Claimer) addAttempt(r api.RequestID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Add(r)
 	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
 }
 
-func (k *Keeper) remove(r api.RequestID) {
+func (k *Claimer) removeAttempt(r api.RequestID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Remove(r)
 	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
 }
 
-// Send reports whether the request may be sent; it has to be asked at the
-// last moment before the send, and says yes once.
-func (p *Permit) Send() bool {
-	p.keeper.mutex.Lock()
-	defer p.keeper.mutex.Unlock()
-	return p.keeper.now().Before(p.until) && p.keeper.attempts.TrySend(p.spec.Request)
+// TrySend reports whether the request may be sent, and if so marks it as sent, so that further
+// calls report false. It must be called immediately before the send.
+func (p *Permit) TrySend() bool {
+	p.claimer.mutex.Lock()
+	defer p.claimer.mutex.Unlock()
+	return p.claimer.now().Before(p.validUntil) && p.claimer.attempts.TrySend(p.spec.Request)
 }
 
-// Unsent takes a send back that provably reached nobody, so that the request
-// may be sent elsewhere under the same claim.
-func (p *Permit) Unsent() {
-	p.keeper.add(p.spec.Request)
+// MarkUnsent revokes a send that certainly reached no server, so that the request may be sent to
+// another server under the same claim.
+func (p *Permit) MarkUnsent() {
+	p.claimer.addAttempt(p.spec.Request)
 }
 
-// Abandon records that the request was not run, so that the caller may ask
-// again.
+// Abandon records that the request was not run, so that the caller may retry it.
 func (p *Permit) Abandon(ctx context.Context) {
 	s := p.spec
 	s.State = api.ClaimStateAbandoned
 	p.record(ctx, s)
 }
 
-// Done records the answer of the request.
-func (p *Permit) Done(ctx context.Context, a Answer) {
+// RecordAnswer records that the request is done, with its answer if that is not too large.
+func (p *Permit) RecordAnswer(ctx context.Context, a Answer) {
 	s := p.spec
 	s.State = api.ClaimStateDone
-	if len(a.Body) <= p.keeper.limit {
+	if len(a.Body) <= p.claimer.maxAnswerBytes {
 		s.Status = a.Status
 		s.ContentType = a.ContentType
 		s.Answer = base64.StdEncoding.EncodeToString(a.Body)
@@ -278,10 +289,10 @@
 	p.record(ctx, s)
 }
 
-// record writes the outcome. One that can't be recorded leaves the claim held,
-// so that the request is never sent again.
+// record writes the outcome to the platform. If that fails, the claim stays held, so that the
+// request is never sent again.
 func (p *Permit) record(ctx context.Context, s api.ClaimSpec) {
-	k := p.keeper
+	k := p.claimer
 	k.mutex.Lock()
 	k.attempts.SetOutcome(s.Request, s)
 	k.mutex.Unlock()
@@ -291,7 +302,7 @@
 		k.log.Emit(event.ClaimNotRecorded, zap.String("request", string(s.Request)), zap.Error(err))
 		return
 	}
-	k.seen(o.Version)
+	k.observe(o.Version)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.MarkRecorded(k.now(), s.Request)
--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -16,14 +16,15 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// Name names a request's content; it reads the whole request.
-type Name func() api.ContentHash
+// HashFunc computes the hash of a request's content. It reads the whole request.
+type HashFunc func() api.ContentHash
 
-// verifyTime bounds the time to connect to a server that may have ended, as long as a connection
-// takes that waits for a lost packet.
-const verifyTime = time.Second
+// probeTimeout bounds a connection attempt to a server that may have crashed. A connection with a
+// lost packet takes about as long.
+const probeTimeout = time.Second
 
-// Guard guards one table of contents.
+// Guard protects servers from contents that crash them. It guards a quarantine table with a mutex
+// and is safe for concurrent use.
 type Guard struct {
 	log     *event.Log
 	metrics *metric.Set
@@ -32,23 +33,23 @@
 	table *quarantine.Table
 }
 
-// New makes a guard that knows of no content.
+// New creates a guard with an empty table.
 func New(l *event.Log, m *metric.Set) *Guard {
 	return &Guard{log: l, metrics: m, table: quarantine.New()}
 }
 
-// idle reports whether nothing is held against any content.
-func (g *Guard) idle() bool {
+// empty reports whether no content is known, so that none needs to be hashed.
+func (g *Guard) empty() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.Empty()
 }
 
-// Check refuses a content that ends the servers which run it, as not run, with the time
-// to come back. It is asked at the last moment before each send: another entry VM may
-// have learned of it while the request waited.
-func (g *Guard) Check(n Name) *fault.Error {
-	if g.idle() {
+// Check refuses a request with a quarantined content as not run and with the time after which to
+// retry. It must be called right before each send: another entry VM may have found the content to
+// crash servers while the request waited.
+func (g *Guard) Check(n HashFunc) *fault.Error {
+	if g.empty() {
 		return nil
 	}
 	c := n()
@@ -59,15 +60,16 @@
 	if !ok {
 		return nil
 	}
-	return fault.New(fault.Quarantined, "servers ended while they ran requests of this content").After(u.Sub(now))
+	return fault.New(fault.Quarantined, "servers crashed while they ran requests with this content").After(u.Sub(now))
 }
 
-// Broke takes the failure of a run in its beginning, at a server that had given no notice
-// of its end.
-func (g *Guard) Broke(n Name, s api.ServerName, err error) {
+// RecordFailure records that a run failed within quarantine.SuspectWindow, at a server that had
+// not announced its end. An error which shows that nothing listens for the server at its address
+// records the end of the server instead, and one of a request that did not run records nothing.
+func (g *Guard) RecordFailure(n HashFunc, s api.ServerName, err error) {
 	switch {
 	case port.ConnectionRefused(err), fault.Has(err, fault.Misdirected):
-		g.Ended(s)
+		g.RecordServerEnd(s)
 		return
 	case fault.Has(err, fault.NotStarted), fault.Has(err, fault.ServerRefused):
 		return
@@ -82,30 +84,30 @@
 	g.table.RecordFailure(time.Now(), c, s, e)
 }
 
-// Ended notes that a server has ended without notice.
-func (g *Guard) Ended(s api.ServerName) {
+// RecordServerEnd records that a server has ended without notice.
+func (g *Guard) RecordServerEnd(s api.ServerName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.table.RecordServerEnd(time.Now(), s)
 }
 
-// Answered notes that a server has survived a request.
-func (g *Guard) Answered(n Name) {
+// RecordAnswer records that a server has answered a request completely.
+func (g *Guard) RecordAnswer(n HashFunc) {
 	c := n()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.table.RecordAnswer(time.Now(), c)
 }
 
-// MayGoOn reports whether a run that broke off may be taken to a further server.
-func (g *Guard) MayGoOn(n Name) bool {
+// MayResume reports whether a failed run may be resumed on another server.
+func (g *Guard) MayResume(n HashFunc) bool {
 	c := n()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.MayResume(c)
 }
 
-// Step refuses the contents that have come to be confirmed, and gives them.
+// Step quarantines the contents with enough confirmed crashes and returns them.
 func (g *Guard) Step() []quarantine.Verdict {
 	g.mutex.Lock()
 	l := g.table.Step(time.Now())
@@ -117,71 +119,73 @@
 	return l
 }
 
-// Connect tries to connect to a server, and fails with that of the connection.
-type Connect func(ctx context.Context, s api.ServerName) error
+// ConnectFunc tries to connect to a server and returns the error of the connection.
+type ConnectFunc func(ctx context.Context, s api.ServerName) error
 
-// Verify asks the servers that may have ended whether they still listen, side by side.
-func (g *Guard) Verify(d *duty.Group, connect Connect) {
+// ProbeServers connects concurrently to the servers that may have crashed, and records the end
+// of those that refuse the connection.
+func (g *Guard) ProbeServers(d *duty.Group, connect ConnectFunc) {
 	g.mutex.Lock()
 	l := g.table.NextProbes(time.Now())
 	g.mutex.Unlock()
 	for _, s := range l {
 		d.Go(func(ctx context.Context) error {
-			c, cancel := context.WithTimeout(ctx, verifyTime)
+			c, cancel := context.WithTimeout(ctx, probeTimeout)
 			defer cancel()
 			if err := connect(c, s); port.ConnectionRefused(err) {
-				g.Ended(s)
+				g.RecordServerEnd(s)
 			}
 			return nil
 		})
 	}
 }
 
-// Refused reports whether a content is sent to no server.
-func (g *Guard) Refused(c api.ContentHash) bool {
+// Quarantined reports whether a content is quarantined.
+func (g *Guard) Quarantined(c api.ContentHash) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	_, ok := g.table.Quarantined(time.Now(), c)
 	return ok
 }
 
-// Declare takes the contents that the platform keeps as refused, in an era.
-func (g *Guard) Declare(e api.Era, l []quarantine.Entry) {
+// ApplySnapshot applies the quarantined contents that the platform stores in an era.
+func (g *Guard) ApplySnapshot(e api.Era, l []quarantine.Entry) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.table.ApplySnapshot(time.Now(), e, l)
 }
 
-// Correct gives what has to be put right on the platform after it came back from a copy.
-func (g *Guard) Correct() quarantine.Correction {
+// TakeCorrection returns the corrections to make on the platform after it was restored from a
+// backup.
+func (g *Guard) TakeCorrection() quarantine.Correction {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.TakeCorrection(time.Now())
 }
 
-// Expired lists the contents that the platform keeps beyond their time.
+// Expired lists the contents that the platform still stores although their quarantine has ended.
 func (g *Guard) Expired() []api.ContentHash {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.Expired(time.Now())
 }
 
-// Recent gives the reports that peers may not know yet.
-func (g *Guard) Recent() []api.ContentReport {
+// RecentReports returns the reports that peers may not have received yet.
+func (g *Guard) RecentReports() []api.ContentReport {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.RecentReports(time.Now())
 }
 
-// All gives these reports and, for peers without a platform that keeps them, those of contents that
-// are refused.
-func (g *Guard) All() []api.ContentReport {
+// AllReports returns the recent reports and those of all quarantined contents, for peers without a
+// platform that stores them.
+func (g *Guard) AllReports() []api.ContentReport {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.table.AllReports(time.Now())
 }
 
-// Merge takes the reports of a peer.
+// Merge applies the reports of a peer.
 func (g *Guard) Merge(l []api.ContentReport) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -59,7 +59,7 @@
 		f := fault.New(fault.OutcomeUnknown, "the request was sent and may not be sent again")
 		return answer.Decision{Action: answer.Fail, Fault: f.WithRan(t.answer.Ran())}
 	}
-	if p := t.chat.permit; p != nil && !p.Send() {
+	if p := t.chat.permit; p != nil && !p.TrySend() {
 		f := fault.New(fault.ClaimHeld, "another attempt with this key took the claim over").WithRan(api.RanNo)
 		return answer.Decision{Action: answer.Fail, Fault: f}
 	}
@@ -128,7 +128,7 @@
 		return answer.Decision{Action: answer.Fail, Fault: fault.From(err).WithRan(t.answer.Ran())}, true
 	}
 	if time.Since(t.streamOpened) < quarantine.SuspectWindow {
-		t.server.Contents.Broke(t.chat.contentHash, t.engine, err)
+		t.server.Contents.RecordFailure(t.chat.contentHash, t.engine, err)
 	}
 	return t.handleBreak(answer.Broken)
 }
@@ -158,11 +158,11 @@
 	if ctx.Err() != nil && b.Cause != answer.Refused {
 		return t.contextEnded(ctx), true
 	}
-	t.server.Contents.Broke(t.chat.contentHash, t.engine, b)
+	t.server.Contents.RecordFailure(t.chat.contentHash, t.engine, b)
 	t.reportUnavailable(b)
 	n, done := t.handleBreak(b.Cause)
 	if t.answer.Unsent() && t.chat.permit != nil {
-		t.chat.permit.Unsent()
+		t.chat.permit.MarkUnsent()
 	}
 	return n, done
 }
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -162,7 +162,7 @@
 	if !c.notRepeatable || c.key == "" {
 		return false, nil
 	}
-	p, a, err := s.claim(ctx, c.request, claims.Hash(http.MethodPost, PathChat, c.body))
+	p, a, err := s.claim(ctx, c.request, claims.RequestHash(http.MethodPost, PathChat, c.body))
 	if err != nil {
 		return false, err
 	}
@@ -183,7 +183,7 @@
 	}
 	s.recordChatOutcome(ctx, c, k, f)
 	if f == nil {
-		s.Contents.Answered(c.contentHash)
+		s.Contents.RecordAnswer(c.contentHash)
 		s.recordDone(c.request)
 		return
 	}
@@ -206,7 +206,7 @@
 	defer cancel()
 	switch {
 	case f == nil:
-		c.permit.Done(d, claims.Answer{Status: http.StatusOK, ContentType: wire.TypeJSON, Body: k.Completion()})
+		c.permit.RecordAnswer(d, claims.Answer{Status: http.StatusOK, ContentType: wire.TypeJSON, Body: k.Completion()})
 	case f.Ran == api.RanNo:
 		c.permit.Abandon(d)
 	}
@@ -246,7 +246,7 @@
 		n := t.run(ctx)
 		switch n.Action {
 		case answer.Retry:
-			if !s.Contents.MayGoOn(c.contentHash) {
+			if !s.Contents.MayResume(c.contentHash) {
 				return fault.New(fault.OutcomeUnknown, "servers crashed while they ran requests with this content").WithRan(a.Ran())
 			}
 			s.Metrics.Add(metric.Retries, 1)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -49,7 +49,7 @@
 	View      func() *config.View
 	Broker    *broker.Broker
 	Engines   *engine.Client
-	Claims    *claims.Keeper
+	Claims    *claims.Claimer
 	Explain   *explain.Recorder
 	Group     *duty.Group
 	// Deadlines cancels requests at their deadlines. If it is nil, New creates one that uses
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -103,7 +103,7 @@
 	if !c.notRepeatable || c.key == "" {
 		return nil, nil
 	}
-	p, a, err := s.claim(ctx, c.request, claims.Hash(c.method, c.path+"?"+c.query, c.body))
+	p, a, err := s.claim(ctx, c.request, claims.RequestHash(c.method, c.path+"?"+c.query, c.body))
 	c.permit = p
 	return a, err
 }
@@ -130,7 +130,7 @@
 	defer cancel()
 	switch {
 	case err == nil:
-		c.permit.Done(d, *a)
+		c.permit.RecordAnswer(d, *a)
 	case fault.From(err).Ran == api.RanNo:
 		c.permit.Abandon(d)
 	}
@@ -157,18 +157,18 @@
 		s.releaseServer(n, err)
 		if err == nil {
 			if a.Status/100 == 2 {
-				s.Contents.Answered(c.contentHash)
+				s.Contents.RecordAnswer(c.contentHash)
 			}
 			return a, nil
 		}
-		s.Contents.Broke(c.contentHash, n, err)
+		s.Contents.RecordFailure(c.contentHash, n, err)
 		s.explain(c.request, "failed", string(n)+": "+err.Error())
 		o := outcome(err)
 		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.takeRetry); m == decide.Fail {
 			return nil, f
 		}
 		if o == decide.Unsent && c.permit != nil {
-			c.permit.Unsent()
+			c.permit.MarkUnsent()
 		}
 		s.Metrics.Add(metric.Retries, 1)
 	}
@@ -234,7 +234,7 @@
 		}
 	}
 	r.Header.Set(wire.HeaderRequestID, string(c.id))
-	if c.permit != nil && !c.permit.Send() {
+	if c.permit != nil && !c.permit.TrySend() {
 		return nil, fault.New(fault.ClaimHeld, "another attempt with this key took the claim over").WithRan(api.RanNo)
 	}
 	s.explain(c.request, "send", string(n))
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -27,7 +27,7 @@
 // the server. A server that is leaving has not crashed.
 func (g *Gateway) noteBrokenRun(q *request, s roster.Server, err error) {
 	if !g.leaving(s.Name) {
-		g.Contents.Broke(q.content, s.Name, err)
+		g.Contents.RecordFailure(q.content, s.Name, err)
 	}
 }
 
@@ -48,13 +48,13 @@
 // storeQuarantine writes a quarantined content to the platform, and retries while the platform
 // is not available.
 func (g *Gateway) storeQuarantine(ctx context.Context, e quarantine.Entry) {
-	g.retryWrite(ctx, e.Content, func() bool { return g.Contents.Refused(e.Content) }, func(c context.Context) error { return g.Quarantines.Put(c, e) })
+	g.retryWrite(ctx, e.Content, func() bool { return g.Contents.Quarantined(e.Content) }, func(c context.Context) error { return g.Quarantines.Put(c, e) })
 }
 
 // deleteQuarantine removes a content from the platform, and retries while the platform is not
 // available.
 func (g *Gateway) deleteQuarantine(ctx context.Context, c api.ContentHash) {
-	g.retryWrite(ctx, c, func() bool { return !g.Contents.Refused(c) }, func(x context.Context) error { return g.Quarantines.Delete(x, c) })
+	g.retryWrite(ctx, c, func() bool { return !g.Contents.Quarantined(c) }, func(x context.Context) error { return g.Quarantines.Delete(x, c) })
 }
 
 // retryWrite retries a write for a content until it succeeds or is no longer wanted.
@@ -78,7 +78,7 @@
 // after a restore of its store. Only the entry VM that follows the platform calls it, so that
 // not all entry VMs write.
 func (g *Gateway) CorrectQuarantines() {
-	x := g.Contents.Correct()
+	x := g.Contents.TakeCorrection()
 	for _, e := range x.Write {
 		g.Group.Go(func(ctx context.Context) error {
 			g.storeQuarantine(ctx, e)
@@ -102,7 +102,7 @@
 	for _, o := range s.Items {
 		l = append(l, o.Value)
 	}
-	g.Contents.Declare(s.At.Era(), l)
+	g.Contents.ApplySnapshot(s.At.Era(), l)
 	g.Log.Emit(event.ContentDeclared, zap.Int("contents", len(l)), zap.Stringer("version", s.At))
 }
 
@@ -122,7 +122,7 @@
 
 // ContentReports returns the recent reports on contents that crash servers, for peers.
 func (g *Gateway) ContentReports() []api.ContentReport {
-	return g.Contents.Recent()
+	return g.Contents.RecentReports()
 }
 
 // MergeContentReports adds a peer's reports on contents that crash servers.
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -49,7 +49,7 @@
 		g.recordLost(r, from, cause)
 		return nil, false
 	}
-	if !stopped && !g.Contents.MayGoOn(r.request.content) {
+	if !stopped && !g.Contents.MayResume(r.request.content) {
 		// This content has crashed the servers that ran it. If its run were resumed again from
 		// a backup copy, it could crash three servers each time that its caller sends it.
 		g.releaseCopy(c)
@@ -154,7 +154,7 @@
 			return a, err
 		}
 		if port.ConnectionRefused(err) {
-			g.Contents.Ended(t.Server.Name)
+			g.Contents.RecordServerEnd(t.Server.Name)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(t.Request.ID)), zap.String("server", string(t.Server.Name)), zap.Error(err))
 	}
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -16,27 +16,28 @@
 	"github.com/wardridge/wardridge/internal/peer"
 )
 
-// Every is the time between heartbeats to one peer; Suspect is the silence
-// after which it counts as lost.
+// Interval is the time between heartbeats to a peer. A peer that has not answered one for
+// SuspectAfter counts as lost.
 const (
-	Every   = 2 * time.Second
-	Suspect = 3 * Every
+	Interval     = 2 * time.Second
+	SuspectAfter = 3 * Interval
 )
 
-// Self gives this entry VM's own heartbeat.
-type Self func() api.Heartbeat
+// SelfFunc returns the current heartbeat of this entry VM.
+type SelfFunc func() api.Heartbeat
 
-// Lag is told of a peer that has a newer configuration in force.
-type Lag func(ctx context.Context, address string)
+// LagFunc is called with the address of a peer that has a newer configuration in force.
+type LagFunc func(ctx context.Context, address string)
 
-// Merge is told what a peer knows of backend servers and of contents that end them.
-type Merge func(b api.Heartbeat)
+// MergeFunc is called with the heartbeat of a peer, which reports on backend servers and on
+// contents that crash them.
+type MergeFunc func(b api.Heartbeat)
 
-// Keeper keeps this entry VM's view of the others.
-type Keeper struct {
-	self    Self
-	lag     Lag
-	merge   Merge
+// Tracker exchanges heartbeats with the other entry VMs and tracks their state.
+type Tracker struct {
+	self    SelfFunc
+	onLag   LagFunc
+	merge   MergeFunc
 	client  *peer.Client
 	log     *event.Log
 	metrics *metric.Set
@@ -45,141 +46,145 @@
 	members *member.Members
 }
 
-// New makes a keeper that knows no peer yet.
-func New(self Self, lag Lag, merge Merge, c *peer.Client, l *event.Log, m *metric.Set) *Keeper {
-	return &Keeper{self: self, lag: lag, merge: merge, client: c, log: l, metrics: m, members: member.New(self().VM, Suspect)}
+// New creates a tracker that knows no peers.
+func New(self SelfFunc, onLag LagFunc, merge MergeFunc, c *peer.Client, l *event.Log, m *metric.Set) *Tracker {
+	return &Tracker{self: self, onLag: onLag, merge: merge, client: c, log: l, metrics: m, members: member.New(self().VM, SuspectAfter)}
 }
 
 // Run is the duty that sends heartbeats.
-func (k *Keeper) Run(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return Every }, k.Round)
+func (t *Tracker) Run(ctx context.Context) error {
+	return duty.Loop(ctx, func() time.Duration { return Interval }, t.Round)
 }
 
-// Round sends one heartbeat to each peer and waits for their answers.
-func (k *Keeper) Round(ctx context.Context) {
+// Round sends one heartbeat to each peer, waits for the answers, and marks silent peers as lost.
+func (t *Tracker) Round(ctx context.Context) {
 	g, end := duty.New(ctx)
-	for _, p := range k.addresses() {
+	for _, p := range t.addresses() {
 		g.Go(func(ctx context.Context) error {
-			k.send(ctx, p)
+			t.send(ctx, p)
 			return nil
 		})
 	}
-	// Failures are counted where they happen.
+	// Failures are counted in send.
 	_ = g.Wait()
 	end()
-	k.step()
+	t.detectLost()
 }
 
-func (k *Keeper) addresses() []string {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (t *Tracker) addresses() []string {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	var l []string
-	for _, p := range k.members.Peers() {
+	for _, p := range t.members.Peers() {
 		l = append(l, p.Address)
 	}
 	return l
 }
 
-func (k *Keeper) send(ctx context.Context, address string) {
-	own := k.self()
-	k.metrics.Add(metric.HeartbeatsSent, 1)
-	b, err := k.client.Heartbeat(ctx, address, own)
+// send sends a heartbeat to a peer and applies its answer.
+func (t *Tracker) send(ctx context.Context, address string) {
+	own := t.self()
+	t.metrics.Add(metric.HeartbeatsSent, 1)
+	b, err := t.client.Heartbeat(ctx, address, own)
 	if err != nil {
-		k.metrics.Add(metric.HeartbeatsFailed, 1)
+		t.metrics.Add(metric.HeartbeatsFailed, 1)
 		if fault.Has(err, fault.PeerProtocol) {
-			k.log.Emit(event.PeerRefused, zap.String("address", address), zap.Error(err))
+			t.log.Emit(event.PeerRefused, zap.String("address", address), zap.Error(err))
 		}
 		return
 	}
 	if b.Protocol != member.Protocol {
-		k.log.Emit(event.PeerRefused, zap.String("vm", string(b.VM)), zap.Int("protocol", b.Protocol))
+		t.log.Emit(event.PeerRefused, zap.String("vm", string(b.VM)), zap.Int("protocol", b.Protocol))
 		return
 	}
-	k.heard(b)
-	k.merge(b)
+	t.recordHeartbeat(b)
+	t.merge(b)
 	if b.ConfigVersion > own.ConfigVersion || b.ConfigKept > own.ConfigKept {
-		k.lag(ctx, address)
+		t.onLag(ctx, address)
 	}
 }
 
-func (k *Keeper) heard(b api.Heartbeat) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if c, ok := k.members.HandleHeartbeat(time.Now(), b); ok {
-		k.log.Emit(event.PeerJoined, zap.String("vm", string(c.VM)))
+// recordHeartbeat records the heartbeat in a peer's answer, and logs the peer if it has joined.
+func (t *Tracker) recordHeartbeat(b api.Heartbeat) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if c, ok := t.members.HandleHeartbeat(time.Now(), b); ok {
+		t.log.Emit(event.PeerJoined, zap.String("vm", string(c.VM)))
 	}
-	k.metrics.Put(metric.MembersServing, int64(k.members.ServingCount()))
+	t.metrics.Put(metric.MembersServing, int64(t.members.ServingCount()))
 }
 
-func (k *Keeper) step() {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	for _, c := range k.members.DetectLost(time.Now()) {
-		k.log.Emit(event.PeerLost, zap.String("vm", string(c.VM)))
+// detectLost logs the peers whose last heartbeat is too old.
+func (t *Tracker) detectLost() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	for _, c := range t.members.DetectLost(time.Now()) {
+		t.log.Emit(event.PeerLost, zap.String("vm", string(c.VM)))
 	}
-	k.metrics.Put(metric.MembersServing, int64(k.members.ServingCount()))
+	t.metrics.Put(metric.MembersServing, int64(t.members.ServingCount()))
 }
 
-// Answer takes a peer's heartbeat and gives the own one.
-func (k *Keeper) Answer(b api.Heartbeat) (api.Heartbeat, error) {
-	own := k.self()
+// HandleHeartbeat answers a peer's heartbeat with that of this entry VM. It refuses a peer that uses
+// another version of the protocol.
+func (t *Tracker) HandleHeartbeat(b api.Heartbeat) (api.Heartbeat, error) {
+	own := t.self()
 	if b.Protocol != member.Protocol {
 		return own, fault.New(fault.PeerProtocol, "this entry VM speaks another protocol version")
 	}
-	k.merge(b)
+	t.merge(b)
 	return own, nil
 }
 
-// Rewritten reports whether every other entry VM has written its claims again in an era.
-func (k *Keeper) Rewritten(e api.Era) bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.members.ClaimsRewritten(e)
+// ClaimsRewritten reports whether every other entry VM has rewritten its claims in an era.
+func (t *Tracker) ClaimsRewritten(e api.Era) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.members.ClaimsRewritten(e)
 }
 
-// Listed takes the platform's list of VMs.
-func (k *Keeper) Listed(l []api.VM) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.members.ApplyList(time.Now(), l)
+// ApplyList applies the platform's list of VMs.
+func (t *Tracker) ApplyList(l []api.VM) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.members.ApplyList(time.Now(), l)
 }
 
-// Serving counts the entry VMs that serve, this one among them.
-func (k *Keeper) Serving() int {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.members.ServingCount()
+// ServingCount counts the entry VMs that serve, this one included.
+func (t *Tracker) ServingCount() int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.members.ServingCount()
 }
 
-// Newest is the highest configuration version that a peer has in force.
-func (k *Keeper) Newest() api.Version {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.members.MaxConfigVersion()
+// MaxConfigVersion returns the highest configuration version in force at a live peer.
+func (t *Tracker) MaxConfigVersion() api.Version {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.members.MaxConfigVersion()
 }
 
-// Candidate reports whether this entry VM is one of those that may hold a duty.
-func (k *Keeper) Candidate(duty string) bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.members.IsCandidate(duty)
+// IsCandidate reports whether this entry VM is one of those that may hold a duty.
+func (t *Tracker) IsCandidate(duty string) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.members.IsCandidate(duty)
 }
 
-// Find gives a peer's address.
-func (k *Keeper) Find(n api.VMName) (string, bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.members.Address(n)
+// Address returns a peer's address, and false for an unknown peer.
+func (t *Tracker) Address(n api.VMName) (string, bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.members.Address(n)
 }
 
-// Addresses gives every peer's address.
-func (k *Keeper) Addresses() []string {
-	return k.addresses()
+// Addresses returns the addresses of all peers.
+func (t *Tracker) Addresses() []string {
+	return t.addresses()
 }
 
-// Status lists the peers as this entry VM sees them.
-func (k *Keeper) Status() []api.MemberStatus {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.members.Status(time.Now())
+// Status lists the peers and their states as this entry VM sees them.
+func (t *Tracker) Status() []api.MemberStatus {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.members.Status(time.Now())
 }
--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -15,44 +15,45 @@
 )
 
 // Allocators lists the addresses of the entry VMs that may allocate the engines
-// of a failure domain, the first choice first; the own one is empty.
+// of a failure domain, in order of preference. The address of this entry VM is
+// given as the empty string.
 func (m *Mesh) Allocators(d api.DomainName) []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.Allocators(time.Now(), d)
 }
 
-// Ask asks the entry VM at an address for a place at an engine.
-func (m *Mesh) Ask(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
+// RequestPlace requests a place at an engine from the allocator at an address.
+func (m *Mesh) RequestPlace(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	var p api.PlaceAnswer
 	err := wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathPlace, a, &p)
 	return p, err
 }
 
-// Permit asks the entry VM at an address for the turn of a request at a server with a limit.
-func (m *Mesh) Permit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
+// RequestPermit requests a send slot at a rate-limited server from the entry VM at an address.
+func (m *Mesh) RequestPermit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
 	var p api.PermitAnswer
 	err := wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathPermit, a, &p)
 	return p, err
 }
 
-// Report tells the entry VM at an address what this one holds there.
-func (m *Mesh) Report(ctx context.Context, address string, h api.Holding) error {
+// SendHolding reports to the allocator at an address what this entry VM holds at its engines.
+func (m *Mesh) SendHolding(ctx context.Context, address string, h api.Holding) error {
 	return wire.Call(ctx, m.Client, http.MethodPost, "http://"+address+PathHolding, h, nil)
 }
 
-// place answers an ask of a peer.
-func (m *Mesh) place(w http.ResponseWriter, q *http.Request) {
+// handlePlace answers a peer's request for a place at an engine.
+func (m *Mesh) handlePlace(w http.ResponseWriter, q *http.Request) {
 	var a api.PlaceAsk
-	if err := wire.Read(w, q, messageLimit, &a); err != nil {
+	if err := wire.Read(w, q, maxMessageBytes, &a); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	if f := m.checkAsk(a); f != nil {
+	if f := m.checkPlaceAsk(a); f != nil {
 		wire.Refuse(w, f, "")
 		return
 	}
-	p, err := m.Engines.Place(q.Context(), a)
+	p, err := m.Allocator.Place(q.Context(), a)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
@@ -60,37 +61,37 @@
 	wire.Write(w, http.StatusOK, p)
 }
 
-// permit answers an ask of a peer.
-func (m *Mesh) permit(w http.ResponseWriter, q *http.Request) {
+// handlePermit answers a peer's request for a send slot at a rate-limited server.
+func (m *Mesh) handlePermit(w http.ResponseWriter, q *http.Request) {
 	var a api.PermitAsk
-	if err := wire.Read(w, q, messageLimit, &a); err != nil {
+	if err := wire.Read(w, q, maxMessageBytes, &a); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
 	f := m.checkProtocol(a.VM, a.Protocol)
 	if f == nil && (a.PerSecond < 0 || a.PatienceMS < 0) {
-		f = fault.New(fault.InvalidRequest, "the ask has a figure that can't be")
+		f = fault.New(fault.InvalidRequest, "the rate or the maximum wait of the permit request is negative")
 	}
 	if f != nil {
 		wire.Refuse(w, f, "")
 		return
 	}
-	wire.Write(w, http.StatusOK, m.Engines.Permit(a))
+	wire.Write(w, http.StatusOK, m.Allocator.Permit(a))
 }
 
-// checkProtocol refuses a peer of another protocol.
+// checkProtocol refuses a peer that uses another version of the protocol.
 func (m *Mesh) checkProtocol(vm api.VMName, protocol int) *fault.Error {
 	if protocol == gossip.Protocol {
 		return nil
 	}
 	m.Log.Emit(event.PeerRefused, zap.String("vm", string(vm)), zap.Int("protocol", protocol))
-	return fault.New(fault.PeerProtocol, "the peer speaks another version of the protocol")
+	return fault.New(fault.PeerProtocol, "the peer uses another version of the protocol")
 }
 
-// hold takes the report of a peer.
-func (m *Mesh) hold(w http.ResponseWriter, q *http.Request) {
+// handleHolding records a peer's report on what it holds at the local engines.
+func (m *Mesh) handleHolding(w http.ResponseWriter, q *http.Request) {
 	var h api.Holding
-	if err := wire.Read(w, q, messageLimit, &h); err != nil {
+	if err := wire.Read(w, q, maxMessageBytes, &h); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
@@ -98,44 +99,44 @@
 		wire.Refuse(w, f, "")
 		return
 	}
-	m.Engines.Hold(h)
+	m.Allocator.RecordHolding(h)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// checkAsk refuses an ask that nothing can be given for.
-func (m *Mesh) checkAsk(a api.PlaceAsk) *fault.Error {
+// checkPlaceAsk refuses a request for a place whose values are invalid.
+func (m *Mesh) checkPlaceAsk(a api.PlaceAsk) *fault.Error {
 	if f := m.checkHolding(a.Holding); f != nil {
 		return f
 	}
 	switch {
 	case a.Tokens < 0 || a.Unread < 0 || a.Ask <= 0 || a.Ask > a.Holding.Asked:
-		return fault.New(fault.InvalidRequest, "the ask has a figure that can't be")
+		return fault.New(fault.InvalidRequest, "a token count or the sequence number of the place request is out of range")
 	case a.Purpose != api.PlaceAskPurposeRun && a.Purpose != api.PlaceAskPurposeMove && a.Purpose != api.PlaceAskPurposeCopy:
-		return fault.New(fault.InvalidRequest, "the ask has no purpose")
+		return fault.New(fault.InvalidRequest, "the place request has no known purpose")
 	default:
 		return nil
 	}
 }
 
-// checkHolding refuses a peer of another protocol, and loads that can't be: one
-// below zero would draw all requests to its engine.
+// checkHolding refuses a peer that uses another version of the protocol, and
+// negative values: a negative load would attract all requests to its engine.
 func (m *Mesh) checkHolding(h api.Holding) *fault.Error {
 	if f := m.checkProtocol(h.VM, h.Protocol); f != nil {
 		return f
 	}
 	for _, l := range h.Loads {
 		if l.Requests < 0 || l.Tokens < 0 || l.Unread < 0 {
-			return fault.New(fault.InvalidRequest, "a load is below zero")
+			return fault.New(fault.InvalidRequest, "a load is negative")
 		}
 	}
 	for _, r := range h.Read {
 		if r.Tokens < 0 || r.MS < 0 {
-			return fault.New(fault.InvalidRequest, "a time to read is below zero")
+			return fault.New(fault.InvalidRequest, "a read time or its token count is negative")
 		}
 	}
 	for _, x := range h.Met {
 		if x.Served < 0 || x.Full < 0 || x.Failed < 0 || x.Lost < 0 {
-			return fault.New(fault.InvalidRequest, "a count of outcomes is below zero")
+			return fault.New(fault.InvalidRequest, "a count of outcomes is negative")
 		}
 	}
 	return nil
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -21,63 +21,67 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// callTime bounds one call to a peer.
-const callTime = 600 * time.Millisecond
+// callTimeout bounds one exchange or fetch.
+const callTimeout = 600 * time.Millisecond
 
-// Notices is where it is known what servers said of themselves, and which contents end them.
+// Notices holds what entry VMs learn about backend servers outside the platform: which are
+// leaving, which limits they announce, which failure domains remain closed, and which contents
+// crash them.
 type Notices interface {
-	// Leaving lists them.
+	// Leaving lists the servers that have announced that they are leaving.
 	Leaving() []api.ServerName
-	// NoteLeaving takes those that a peer knows.
+	// NoteLeaving adds the leaving servers that a peer knows of.
 	NoteLeaving(l []api.ServerName)
-	// RetainedClosures lists the failure domains that stay closed though the platform lost it.
+	// RetainedClosures lists the failure domains that stay closed although the platform has
+	// lost their closures.
 	RetainedClosures() []api.KeptClosure
-	// MergeRetainedClosures takes those of a peer.
+	// MergeRetainedClosures adds the closures that a peer retains.
 	MergeRetainedClosures(l []api.KeptClosure)
-	// ContentReports gives what was lately learned of contents that end servers.
+	// ContentReports lists the recent reports on contents that crash servers.
 	ContentReports() []api.ContentReport
-	// MergeContentReports takes what a peer learned of them.
+	// MergeContentReports adds the reports of a peer.
 	MergeContentReports(l []api.ContentReport)
-	// Limits lists what servers have said that they take.
+	// Limits lists the rate limits that servers have announced.
 	Limits() []api.ServerLimit
-	// MergeLimits takes what they have said to a peer.
+	// MergeLimits adds the limits that servers have announced to a peer.
 	MergeLimits(l []api.ServerLimit)
 }
 
-// Applied is the configuration in force. It may be newer than the platform's: one that came
-// back from a copy holds an older one until operators write again.
-type Applied interface {
-	// AppliedNumber is its number, zero for none.
+// AppliedConfig holds the configuration in force. It may be newer than that of the platform:
+// after a restore from a backup the platform has an older one until operators write again.
+type AppliedConfig interface {
+	// AppliedNumber returns the number of the configuration in force, zero for none.
 	AppliedNumber() api.ConfigNumber
-	// Applied gives it.
+	// Applied returns the configuration in force.
 	Applied() directory.Config
-	// Apply takes a peer's, unless a newer one is in force.
+	// Apply brings a peer's configuration into force unless a newer one is in force.
 	Apply(c directory.Config)
 }
 
-// Loads is where reports on loads come from and go to.
+// Loads builds the load reports for peers and records the reports of peers.
 type Loads interface {
-	// ReportLoads gives the report on plain servers for a peer.
+	// ReportLoads returns the report on the loads of plain servers for a peer.
 	ReportLoads(vm api.VMName, r placement.Relation) placement.Report
-	// UpdateLoads takes a peer's report.
+	// UpdateLoads records a peer's report on plain servers.
 	UpdateLoads(vm api.VMName, r placement.Relation, x placement.Report)
 	// Pools sums up the engines that this entry VM allocates, by service.
 	Pools() map[api.ServiceName]api.PoolLoad
-	// UpdatePools takes what another failure domain's allocator tells.
+	// UpdatePools records the report of another failure domain's allocator on its engines.
 	UpdatePools(d api.DomainName, l map[api.ServiceName]api.PoolLoad)
 }
 
-// Allocator gives other entry VMs places at the engines of the failure domain.
+// Allocator grants other entry VMs places at the engines of the failure domain, and send slots
+// at rate-limited servers.
 type Allocator interface {
-	// Place answers an ask for a place.
+	// Place answers a request for a place.
 	Place(ctx context.Context, a api.PlaceAsk) (api.PlaceAnswer, error)
-	// Hold takes what a peer holds.
-	Hold(h api.Holding)
-	// Permit answers an ask for the turn of a request at a server with a limit.
+	// RecordHolding records what a peer reports to hold.
+	RecordHolding(h api.Holding)
+	// Permit answers a request for a send slot at a rate-limited server.
 	Permit(a api.PermitAsk) api.PermitAnswer
 }
 
-// Parts are what the mesh works with.
+// Parts are the dependencies and settings of a Mesh.
 type Parts struct {
 	VM      api.VMName
 	Self    gossip.Member
@@ -91,69 +95,72 @@
 	Servers *mirror.Mirror[roster.Server]
 	// Closures is nil where no failure domain can be closed.
 	Closures *mirror.Mirror[roster.Closure]
-	// Quarantines is nil where the platform keeps no refused contents.
+	// Quarantines is nil where the platform does not store quarantined contents.
 	Quarantines *mirror.Mirror[quarantine.Entry]
 	Loads       Loads
-	Engines     Allocator
+	Allocator   Allocator
 	Notices     Notices
-	Applied     Applied
+	Applied     AppliedConfig
 }
 
-// Mesh is one entry VM's side of the exchange.
+// Mesh exchanges state with the peers of one entry VM.
 type Mesh struct {
 	Parts
 
 	mutex sync.Mutex
 	peers *gossip.Peers
-	busy  map[string]bool
-	// lag notices kinds that stand still behind a peer, and behind that the configuration
-	// in force does.
-	lag    map[string]*gossip.Lag[api.Version]
-	behind gossip.Lag[api.ConfigNumber]
-	live   map[string]bool
+	// inProgress holds the addresses with an exchange that this entry VM has started and that
+	// has not ended yet.
+	inProgress map[string]bool
+	// lag detects kinds that stay behind those of a peer, by the path that they are fetched
+	// from; appliedLag does so for the configuration in force.
+	lag        map[string]*gossip.Lag[api.Version]
+	appliedLag gossip.Lag[api.ConfigNumber]
+	// live holds the addresses of the live peers at the last round.
+	live map[string]bool
 }
 
-// New makes a mesh that knows the addresses in the settings.
+// New creates a mesh that knows only the seed addresses.
 func New(p Parts) *Mesh {
 	return &Mesh{
 		Parts: p, peers: gossip.New(time.Now(), p.Self, p.Seeds, p.Hubs),
-		busy: map[string]bool{}, lag: map[string]*gossip.Lag[api.Version]{PathConfig: {}, PathServers: {}, PathClosures: {}, PathQuarantines: {}}, live: map[string]bool{},
+		inProgress: map[string]bool{}, lag: map[string]*gossip.Lag[api.Version]{PathConfig: {}, PathServers: {}, PathClosures: {}, PathQuarantines: {}}, live: map[string]bool{},
 	}
 }
 
-// Round begins the exchanges that are due.
+// Round starts the exchanges that are due.
 func (m *Mesh) Round() {
 	m.mutex.Lock()
 	now := time.Now()
-	m.noteLive(now)
-	l := m.free(m.peers.Due(now))
+	m.updateLive(now)
+	l := m.claimIdle(m.peers.Due(now))
 	m.mutex.Unlock()
-	m.begin(l)
+	m.startExchanges(l)
 }
 
-// Tell begins an exchange at once with peers that hear of changes from here
-// alone.
-func (m *Mesh) Tell() {
+// Relay starts an exchange at once with the peers that this entry VM relays changes to.
+func (m *Mesh) Relay() {
 	m.mutex.Lock()
-	l := m.free(m.peers.RelayTargets(time.Now(), m.direct()))
+	l := m.claimIdle(m.peers.RelayTargets(time.Now(), m.direct()))
 	m.mutex.Unlock()
-	m.begin(l)
+	m.startExchanges(l)
 }
 
-// free leaves out the peers that still owe an answer; the mutex is held.
-func (m *Mesh) free(l []string) []string {
+// claimIdle returns the addresses without an exchange in progress and marks them as in
+// progress. The caller holds the mutex.
+func (m *Mesh) claimIdle(l []string) []string {
 	var free []string
 	for _, a := range l {
-		if !m.busy[a] {
-			m.busy[a] = true
+		if !m.inProgress[a] {
+			m.inProgress[a] = true
 			free = append(free, a)
 		}
 	}
 	return free
 }
 
-// begin makes exchanges side by side.
-func (m *Mesh) begin(l []string) {
+// startExchanges starts concurrent exchanges with the given addresses.
+func (m *Mesh) startExchanges(l []string) {
 	for _, a := range l {
 		m.Group.Go(func(ctx context.Context) error {
 			m.exchange(ctx, a)
@@ -162,8 +169,9 @@
 	}
 }
 
-// noteLive logs peers that came and went; the mutex is held.
-func (m *Mesh) noteLive(now time.Time) {
+// updateLive logs the peers that have joined or were lost since the last call. The caller
+// holds the mutex.
+func (m *Mesh) updateLive(now time.Time) {
 	live := map[string]bool{}
 	for _, x := range m.peers.Live(now) {
 		live[x.Address] = true
@@ -180,60 +188,63 @@
 	m.Metrics.Put(metric.MembersServing, int64(1+len(live)))
 }
 
-// Alone reports whether no peer is heard that has word from the platform.
-func (m *Mesh) Alone() bool {
+// NoPeerInformed reports whether no live peer gets the changes on the platform.
+func (m *Mesh) NoPeerInformed() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.NoneInformed(time.Now())
 }
 
-// Guided reports whether a hub brings what changes.
-func (m *Mesh) Guided() bool {
+// HasRelay reports whether a hub relays the changes on the platform to this entry VM.
+func (m *Mesh) HasRelay() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.HasRelay(time.Now())
 }
 
-// Patient reports whether a hub asks the platform for this entry VM.
-func (m *Mesh) Patient(failures int) bool {
+// BacksOff reports whether this entry VM waits longer before it calls the platform again, after
+// the given number of failed calls in a row, since a peer calls the platform as well.
+func (m *Mesh) BacksOff(failures int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.peers.BacksOff(time.Now(), failures)
 }
 
+// exchange sends a message to the peer at an address and applies its answer.
 func (m *Mesh) exchange(ctx context.Context, address string) {
-	c, cancel := context.WithTimeout(ctx, callTime)
+	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m.mutex.Lock()
 	vm := m.peers.VM(address)
 	r := m.peers.Relation(time.Now(), address)
 	m.mutex.Unlock()
 	var e api.Exchange
-	err := wire.Call(c, m.Client, http.MethodPost, "http://"+address+PathExchange, m.own(address, vm, r), &e)
+	err := wire.Call(c, m.Client, http.MethodPost, "http://"+address+PathExchange, m.newExchange(address, vm, r), &e)
 	m.mutex.Lock()
-	delete(m.busy, address)
+	delete(m.inProgress, address)
 	m.mutex.Unlock()
 	m.Metrics.Add(metric.HeartbeatsSent, 1)
 	if err != nil {
 		m.Metrics.Add(metric.HeartbeatsFailed, 1)
 		return
 	}
-	m.heard(e, r)
+	m.receive(e, r)
 }
 
-// own is what this entry VM tells the peer at an address that has a relation to it.
-func (m *Mesh) own(address string, vm api.VMName, r placement.Relation) api.Exchange {
+// newExchange builds the message to the peer at an address with the given relation to this
+// entry VM.
+func (m *Mesh) newExchange(address string, vm api.VMName, r placement.Relation) api.Exchange {
 	x := m.Loads.ReportLoads(vm, r)
 	e := api.Exchange{
-		Protocol: gossip.Protocol, VM: m.VM, ConfigAt: m.Config.Changed(), ServersAt: m.Servers.Changed(),
-		Direct: m.direct(), Relation: relations[r], Members: x.Members,
+		Protocol: gossip.Protocol, VM: m.VM, ConfigAt: m.Config.ChangedAt(), ServersAt: m.Servers.ChangedAt(),
+		Direct: m.direct(), Relation: relationNames[r], Members: x.Members,
 		Leaving: m.Notices.Leaving(), Contents: m.Notices.ContentReports(), Limits: m.Notices.Limits(), ConfigNumber: m.Applied.AppliedNumber(),
 	}
 	if m.Closures != nil {
-		e.ClosuresAt, e.KeptClosures = m.Closures.Changed(), m.Notices.RetainedClosures()
+		e.ClosuresAt, e.KeptClosures = m.Closures.ChangedAt(), m.Notices.RetainedClosures()
 	}
 	if m.Quarantines != nil {
-		e.QuarantinesAt = m.Quarantines.Changed()
+		e.QuarantinesAt = m.Quarantines.ChangedAt()
 	}
 	if len(x.Loads) > 0 {
 		e.Loads = make(map[string]api.ServerLoad, len(x.Loads))
@@ -245,24 +256,25 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	e.Self = message(m.Self)
+	e.Self = toMessage(m.Self)
 	e.Self.Hub = m.peers.IsHub(now)
 	e.Informed = e.Direct || m.peers.Informed(now)
 	if r == placement.Hub && m.peers.IsFirstHub(now) {
 		e.Pools = pools
 	}
 	for _, x := range m.peers.MembersFor(now, address) {
-		e.Peers = append(e.Peers, message(x))
+		e.Peers = append(e.Peers, toMessage(x))
 	}
 	return e
 }
 
-// direct reports whether the platform itself answers this entry VM.
+// direct reports whether the platform answers this entry VM, rather than a peer relaying its
+// changes.
 func (m *Mesh) direct() bool {
 	return m.Servers.Direct() && m.Config.Direct() && (m.Closures == nil || m.Closures.Direct())
 }
 
-// pools is what a hub tells the others of the engines that it allocates.
+// pools returns the loads of the engines that this entry VM allocates, for messages to hubs.
 func (m *Mesh) pools(r placement.Relation) map[string]api.PoolLoad {
 	if r != placement.Hub {
 		return nil
@@ -274,15 +286,15 @@
 	return l
 }
 
-// relations translates relations to their names in messages.
-var relations = map[placement.Relation]api.ExchangeRelation{
+// relationNames maps relations to their names in messages.
+var relationNames = map[placement.Relation]api.ExchangeRelation{
 	placement.Unrelated: api.ExchangeRelationStranger,
 	placement.Hub:       api.ExchangeRelationHub,
 	placement.Attached:  api.ExchangeRelationCarried,
 	placement.Primary:   api.ExchangeRelationPrimary,
 }
 
-func message(m gossip.Member) api.MeshMember {
+func toMessage(m gossip.Member) api.MeshMember {
 	return api.MeshMember{Address: m.Address, Domain: m.Domain, Hub: m.Hub, Capacity: m.Capacity}
 }
 
@@ -290,8 +302,8 @@
 	return gossip.Member{Address: m.Address, Domain: m.Domain, Hub: m.Hub, Capacity: m.Capacity}
 }
 
-// heard takes the message of a peer that has a relation to this entry VM.
-func (m *Mesh) heard(e api.Exchange, r placement.Relation) {
+// receive applies the message of a peer with the given relation to this entry VM.
+func (m *Mesh) receive(e api.Exchange, r placement.Relation) {
 	if e.Protocol != gossip.Protocol {
 		m.Log.Emit(event.PeerRefused, zap.String("vm", string(e.VM)), zap.Int("protocol", e.Protocol))
 		return
@@ -308,12 +320,12 @@
 		x.Loads[api.ServerName(n)] = l
 	}
 	m.Loads.UpdateLoads(e.VM, r, x)
-	m.notePools(e, r)
+	m.updatePools(e, r)
 	m.Notices.NoteLeaving(e.Leaving)
 	m.Notices.MergeContentReports(e.Contents)
 	m.Notices.MergeLimits(e.Limits)
 	catchUp(m, e.Self.Address, PathConfig, e.ConfigAt, m.Config)
-	m.apply(e)
+	m.catchUpApplied(e)
 	catchUp(m, e.Self.Address, PathServers, e.ServersAt, m.Servers)
 	if m.Closures != nil {
 		m.Notices.MergeRetainedClosures(e.KeptClosures)
@@ -324,8 +336,8 @@
 	}
 }
 
-// notePools takes what the allocator of another failure domain tells.
-func (m *Mesh) notePools(e api.Exchange, r placement.Relation) {
+// updatePools records the load of another failure domain's engines as its allocator reports it.
+func (m *Mesh) updatePools(e api.Exchange, r placement.Relation) {
 	if r != placement.Hub || len(e.Pools) == 0 || e.Self.Domain == m.Self.Domain {
 		return
 	}
@@ -336,9 +348,10 @@
 	m.Loads.UpdatePools(e.Self.Domain, l)
 }
 
-// catchUp asks a peer for a kind that it knows more of.
+// catchUp fetches a kind from a peer that has a newer version of it: at once if the mirror does
+// not follow the platform itself, and otherwise after a delay.
 func catchUp[T any](m *Mesh, address, path string, theirs api.Version, k *mirror.Mirror[T]) {
-	own, away := k.At(), k.Lost() || m.Guided()
+	own, away := k.At(), k.Lost() || m.HasRelay()
 	m.mutex.Lock()
 	ask := m.lag[path].ShouldFetch(time.Now(), own, theirs, away)
 	m.mutex.Unlock()
@@ -347,12 +360,12 @@
 	}
 }
 
-// apply asks a peer for the configuration that it has in force, where that is newer than the
-// own one though the platform's copy tells nothing of it.
-func (m *Mesh) apply(e api.Exchange) {
+// catchUpApplied fetches the configuration that a peer has in force if it is newer than the local
+// one although the local replica of the platform's configuration is as new as the peer's.
+func (m *Mesh) catchUpApplied(e api.Exchange) {
 	own, at := m.Applied.AppliedNumber(), m.Config.At()
 	m.mutex.Lock()
-	ask := at >= e.ConfigAt && m.behind.ShouldFetch(time.Now(), own, e.ConfigNumber, false)
+	ask := at >= e.ConfigAt && m.appliedLag.ShouldFetch(time.Now(), own, e.ConfigNumber, false)
 	m.mutex.Unlock()
 	if ask {
 		m.fetchApplied(e.Self.Address)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -28,7 +28,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// vm is one entry VM's exchange over real connections, without a platform.
+// vm is the mesh of one entry VM over real connections, without a platform.
 type vm struct {
 	*mesh.Mesh
 	config  *mirror.Mirror[directory.Config]
@@ -51,17 +51,17 @@
 	v := &vm{address: s.Listener.Addr().String(), table: gateway.New(gateway.Parts{
 		Domain: "d", Group: g, Log: event.Discard(), Metrics: metric.New(), Retries: retry.NewWindows(time.Second, 0, 0),
 	})}
-	v.config = mirror.New(mirror.Parts[directory.Config]{Take: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
-	v.servers = mirror.New(mirror.Parts[roster.Server]{Take: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
+	v.config = mirror.New(mirror.Parts[directory.Config]{OnSnapshot: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
+	v.servers = mirror.New(mirror.Parts[roster.Server]{OnSnapshot: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
 	v.Mesh = mesh.New(mesh.Parts{
 		VM: api.VMName(name), Self: gossip.Member{Address: v.address, Domain: "d"}, Seeds: seeds, Hubs: 2,
-		Client: c, Group: g, Log: event.Discard(), Metrics: metric.New(), Config: v.config, Servers: v.servers, Loads: v.table, Engines: v.table, Notices: v.table, Applied: v.table,
+		Client: c, Group: g, Log: event.Discard(), Metrics: metric.New(), Config: v.config, Servers: v.servers, Loads: v.table, Allocator: v.table, Notices: v.table, Applied: v.table,
 	})
 	v.Routes(r)
 	return v
 }
 
-// until makes rounds until something holds.
+// until runs rounds on all VMs until a condition holds.
 func until(t *testing.T, what string, l []*vm, f func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -73,31 +73,33 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%s: got it never", what)
+	t.Fatalf("%s: got none within 2000 rounds", what)
 }
 
-// A VM that knows one address learns of the others, and gets configuration and servers from them.
-func TestPeersPassOnWhatTheyKnow(t *testing.T) {
+// An entry VM that knows one seed address learns of the other members and gets the
+// configuration, the servers and their removal from its peers.
+func TestPeersRelayConfigAndServers(t *testing.T) {
 	a := newVM(t, "a")
 	b := newVM(t, "b", a.address)
 	c := newVM(t, "c", a.address)
-	a.config.Offer(replica.Delta[directory.Config]{At: 7, Items: []replica.Change[directory.Config]{{Object: replica.Object[directory.Config]{Name: "main", Version: 7, Value: directory.Config{Version: 3}}}}})
+	a.config.Merge(replica.Delta[directory.Config]{At: 7, Items: []replica.Change[directory.Config]{{Object: replica.Object[directory.Config]{Name: "main", Version: 7, Value: directory.Config{Version: 3}}}}})
 	server := replica.Object[roster.Server]{Name: "i-1", Version: 8, Value: roster.Server{Name: "i-1", Service: "s"}}
-	a.servers.Offer(replica.Delta[roster.Server]{At: 8, Items: []replica.Change[roster.Server]{{Object: server}}})
+	a.servers.Merge(replica.Delta[roster.Server]{At: 8, Items: []replica.Change[roster.Server]{{Object: server}}})
 	l := []*vm{a, b, c}
-	until(t, "configuration and servers everywhere", l, func() bool {
+	until(t, "configuration and servers at all VMs", l, func() bool {
 		return b.config.At() == 7 && c.config.At() == 7 && b.servers.At() == 8 && c.servers.At() == 8
 	})
-	a.servers.Offer(replica.Delta[roster.Server]{From: 8, At: 9, Items: []replica.Change[roster.Server]{{Object: replica.Object[roster.Server]{Name: "i-1", Version: 9}, Removed: true}}})
-	until(t, "the removal everywhere", l, func() bool {
+	a.servers.Merge(replica.Delta[roster.Server]{From: 8, At: 9, Items: []replica.Change[roster.Server]{{Object: replica.Object[roster.Server]{Name: "i-1", Version: 9}, Removed: true}}})
+	until(t, "the removal at all VMs", l, func() bool {
 		return len(b.servers.Since(0).Items) == 0 && len(c.servers.Since(0).Items) == 0
 	})
 	until(t, "members of the fleet", l, func() bool {
-		// Whichever VM is the hub that carries another one, by its port.
+		// The ports decide which VM is the hub that another one is attached to.
 		return c.table.ReportLoads("nobody", placement.Attached).Members >= 2
 	})
 }
 
+// A peer that uses another version of the protocol is not a member, and its loads are ignored.
 func TestPeerOfAnotherProtocolIsRefused(t *testing.T) {
 	a := newVM(t, "a")
 	e := api.Exchange{Protocol: 999, VM: "x", Self: api.MeshMember{Address: "127.0.0.1:1", Domain: "d"}, ConfigAt: 50, Relation: api.ExchangeRelationHub, Loads: map[string]api.ServerLoad{"s": {Requests: 5}}}
@@ -107,7 +109,7 @@
 	if err := wire.Call(t.Context(), c, http.MethodPost, "http://"+a.address+mesh.PathExchange, e, &own); err != nil {
 		t.Fatal(err)
 	}
-	if !a.Alone() {
+	if !a.NoPeerInformed() {
 		t.Error("peer of another protocol: got it as a member, want it refused")
 	}
 	if l := a.table.ReportLoads("y", placement.Attached).Loads; len(l) != 0 {
@@ -115,7 +117,7 @@
 	}
 }
 
-// size counts the bytes of an answer as they come over the link.
+// size returns the size of an answer in bytes as sent over the network.
 func size(t *testing.T, url, accept string) int {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -135,8 +137,9 @@
 	return len(b)
 }
 
-// A large configuration must not fill the links of narrow VMs.
-func TestLargeConfigurationIsPassedOnCompressed(t *testing.T) {
+// A large configuration is compressed, so that relaying it does not saturate the links of VMs
+// with little bandwidth.
+func TestLargeConfigurationIsCompressed(t *testing.T) {
 	a := newVM(t, "a")
 	c := directory.Config{Version: 3}
 	for i := range 1400 {
@@ -145,7 +148,7 @@
 	}
 	offer := func(v api.Version) {
 		c.Version++
-		a.config.Offer(replica.Delta[directory.Config]{At: v, Items: []replica.Change[directory.Config]{{Object: replica.Object[directory.Config]{Name: "main", Version: v, Value: c}}}})
+		a.config.Merge(replica.Delta[directory.Config]{At: v, Items: []replica.Change[directory.Config]{{Object: replica.Object[directory.Config]{Name: "main", Version: v, Value: c}}}})
 	}
 	offer(7)
 	u := "http://" + a.address + mesh.PathConfig + "?since=0"
@@ -167,8 +170,9 @@
 	}
 }
 
-// A configuration that a peer has in force and the platform's copy lost is passed on.
-func TestPeersPassOnTheConfigurationInForce(t *testing.T) {
+// A configuration that a peer has in force reaches the other entry VMs even if the platform no
+// longer has it, and an older or empty one does not replace it.
+func TestPeersRelayTheConfigurationInForce(t *testing.T) {
 	a := newVM(t, "a")
 	b := newVM(t, "b", a.address)
 	a.table.Apply(directory.Config{Version: 9})
--- a/internal/mesh/serve.go
+++ b/internal/mesh/serve.go
@@ -18,7 +18,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Paths of the exchange on the control address.
+// Paths of the mesh endpoints on the control address.
 const (
 	PathExchange    = "/mesh/v1/exchange"
 	PathConfig      = "/mesh/v1/config"
@@ -31,54 +31,59 @@
 	PathPermit      = "/mesh/v1/permit"
 )
 
-// messageLimit bounds one message: 2,500 servers' loads at 60 bytes.
-const messageLimit = 256 << 10
+// maxMessageBytes bounds one message. The loads of 2,500 servers, at 60 bytes
+// each, take 150,000 bytes.
+const maxMessageBytes = 256 << 10
 
-// Routes adds the exchange to a control interface.
+// Routes adds the mesh endpoints to the router of a control interface.
 func (m *Mesh) Routes(r chi.Router) {
-	r.Post(PathExchange, m.answer)
-	r.Post(PathPlace, m.place)
-	r.Post(PathHolding, m.hold)
-	r.Post(PathPermit, m.permit)
-	r.Get(PathApplied, m.applied)
-	r.Get(PathConfig, pass(newPacker(m.Config)))
-	r.Get(PathServers, pass(newPacker(m.Servers)))
+	r.Post(PathExchange, m.handleExchange)
+	r.Post(PathPlace, m.handlePlace)
+	r.Post(PathHolding, m.handleHolding)
+	r.Post(PathPermit, m.handlePermit)
+	r.Get(PathApplied, m.handleApplied)
+	r.Get(PathConfig, handleDelta(newDeltaCache(m.Config)))
+	r.Get(PathServers, handleDelta(newDeltaCache(m.Servers)))
 	if m.Closures != nil {
-		r.Get(PathClosures, pass(newPacker(m.Closures)))
+		r.Get(PathClosures, handleDelta(newDeltaCache(m.Closures)))
 	}
 	if m.Quarantines != nil {
-		r.Get(PathQuarantines, pass(newPacker(m.Quarantines)))
+		r.Get(PathQuarantines, handleDelta(newDeltaCache(m.Quarantines)))
 	}
 }
 
-// since names the version that the asking peer knows a kind up to.
-const since = "since"
+// sinceParam is the query parameter with the version up to which the requesting
+// peer knows all changes of a kind.
+const sinceParam = "since"
 
-// pass answers a peer with what it has missed of a kind; a version that is no
-// number counts as nothing known.
-func pass[T any](p *packer[T]) http.HandlerFunc {
+// handleDelta answers a peer with the changes of a kind after the version that it
+// knows. A version that is not a number is read as zero, which requests all objects.
+func handleDelta[T any](c *deltaCache[T]) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		n, err := strconv.Atoi(r.URL.Query().Get(since))
+		n, err := strconv.Atoi(r.URL.Query().Get(sinceParam))
 		if err != nil {
 			n = 0
 		}
-		p.write(w, r, api.Version(n))
+		c.write(w, r, api.Version(n))
 	}
 }
 
-func (m *Mesh) answer(w http.ResponseWriter, q *http.Request) {
+// handleExchange answers the exchange that a peer has started, then applies the
+// peer's message.
+func (m *Mesh) handleExchange(w http.ResponseWriter, q *http.Request) {
 	var e api.Exchange
-	if err := wire.Read(w, q, messageLimit, &e); err != nil {
+	if err := wire.Read(w, q, maxMessageBytes, &e); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	r := relation(e)
-	wire.Write(w, http.StatusOK, m.own(e.Self.Address, e.VM, r))
-	m.heard(e, r)
+	r := inverseRelation(e)
+	wire.Write(w, http.StatusOK, m.newExchange(e.Self.Address, e.VM, r))
+	m.receive(e, r)
 }
 
-// relation is what a peer is to this entry VM, by what this one is to it.
-func relation(e api.Exchange) placement.Relation {
+// inverseRelation returns the relation of a peer to this entry VM. The message of
+// the peer states the opposite one, of this entry VM to the peer.
+func inverseRelation(e api.Exchange) placement.Relation {
 	switch e.Relation {
 	case api.ExchangeRelationPrimary:
 		return placement.Attached
@@ -89,15 +94,15 @@
 	}
 }
 
-// applied answers a peer with the configuration in force.
-func (m *Mesh) applied(w http.ResponseWriter, _ *http.Request) {
+// handleApplied answers a peer with the configuration in force here.
+func (m *Mesh) handleApplied(w http.ResponseWriter, _ *http.Request) {
 	wire.Write(w, http.StatusOK, m.Applied.Applied())
 }
 
-// fetchApplied takes the configuration that a peer has in force.
+// fetchApplied fetches the configuration that a peer has in force and applies it.
 func (m *Mesh) fetchApplied(address string) {
 	m.Group.Go(func(ctx context.Context) error {
-		c, cancel := context.WithTimeout(ctx, callTime)
+		c, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var d directory.Config
 		if err := wire.Call(c, m.Client, http.MethodGet, "http://"+address+PathApplied, nil, &d); err != nil {
@@ -109,19 +114,20 @@
 	})
 }
 
-// fetch takes what a peer knows of a kind.
+// fetch requests the changes of a kind from a peer and merges them into the mirror.
+// If the call fails, the mirror refreshes from the platform.
 func fetch[T any](m *Mesh, address, path string, k *mirror.Mirror[T]) {
 	m.Group.Go(func(ctx context.Context) error {
-		c, cancel := context.WithTimeout(ctx, callTime)
+		c, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var d replica.Delta[T]
-		u := "http://" + address + path + "?" + since + "=" + strconv.Itoa(int(k.At()))
+		u := "http://" + address + path + "?" + sinceParam + "=" + strconv.Itoa(int(k.At()))
 		if err := wire.Call(c, m.Client, http.MethodGet, u, nil, &d); err != nil {
 			m.Log.Emit(event.PeerSilent, zap.String("address", address), zap.Error(err))
 			k.Refresh()
 			return nil
 		}
-		k.Offer(d)
+		k.Merge(d)
 		return nil
 	})
 }
--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -51,8 +51,8 @@
 	Broker    *broker.Broker
 	Follow    *follow.Follower
 	Poll      *poll.Poller
-	Beat      *heartbeat.Keeper
-	Claims    *claims.Keeper
+	Beat      *heartbeat.Tracker
+	Claims    *claims.Claimer
 	Deadlines *clock.Deadlines
 	Contents  *contents.Guard
 	Leaders   []*leader.Leader
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -87,25 +87,25 @@
 	}
 	d := h.deferList()
 	h.config = mirror.New(mirror.Parts[directory.Config]{
-		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configShare), Defer: d,
-		Take: h.configure, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configShare), ListDelay: d,
+		OnSnapshot: h.configure, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
 	})
 	h.servers = mirror.New(mirror.Parts[roster.Server]{
-		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverShare), Defer: d,
-		Take: h.serve, Guided: h.guided, Patient: h.patient, Away: h.away,
+		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverShare), ListDelay: d,
+		OnSnapshot: h.serve, HasRelay: h.guided, BacksOff: h.patient, LostChanged: h.away,
 	})
 	if c := s.CloseMS.Duration(); c > 0 {
 		h.closures = mirror.New(mirror.Parts[roster.Closure]{
-			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, Defer: d,
-			Timing: mirror.Timing{Wait: time.Duration(configShare * float64(c)), Slack: time.Duration(mirrorSlack * float64(c))},
-			Take:   h.close, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, ListDelay: d,
+			Timing:     mirror.Timing{Wait: time.Duration(configShare * float64(c)), Slack: time.Duration(mirrorSlack * float64(c))},
+			OnSnapshot: h.close, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
 		})
 	}
 	if h.adapter.Quarantined != nil {
 		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
-			Name: "quarantines", Source: h.adapter.Quarantined, Log: h.Log, Metrics: h.Metrics, Defer: firstDefer,
-			Timing: mirror.Timing{Wait: quarantineWait, Slack: time.Duration(mirrorSlack * float64(quarantineWait))},
-			Take:   h.quarantine, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+			Name: "quarantines", Source: h.adapter.Quarantined, Log: h.Log, Metrics: h.Metrics, ListDelay: firstDefer,
+			Timing:     mirror.Timing{Wait: quarantineWait, Slack: time.Duration(mirrorSlack * float64(quarantineWait))},
+			OnSnapshot: h.quarantine, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
 		})
 	}
 	h.mesh = mesh.New(mesh.Parts{
@@ -114,7 +114,7 @@
 			Address: h.Settings.Node.Control, Domain: h.Settings.Node.Domain, Capacity: gossip.Capacity(s.CpuShare, s.LinkMbps),
 		},
 		Client: h.peers, Group: h.group, Log: h.Log, Metrics: h.Metrics,
-		Config: h.config, Servers: h.servers, Closures: h.closures, Quarantines: h.quarantines, Loads: h.gateway, Engines: h.gateway, Notices: h.gateway, Applied: h.gateway,
+		Config: h.config, Servers: h.servers, Closures: h.closures, Quarantines: h.quarantines, Loads: h.gateway, Allocator: h.gateway, Notices: h.gateway, Applied: h.gateway,
 	})
 	return nil
 }
@@ -145,25 +145,25 @@
 }
 
 func (a allocators) Ask(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
-	return a.hosted.mesh.Ask(ctx, address, x)
+	return a.hosted.mesh.RequestPlace(ctx, address, x)
 }
 
 func (a allocators) Permit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
-	return a.hosted.mesh.Permit(ctx, address, x)
+	return a.hosted.mesh.RequestPermit(ctx, address, x)
 }
 
 func (a allocators) Report(ctx context.Context, address string, x api.Holding) error {
-	return a.hosted.mesh.Report(ctx, address, x)
+	return a.hosted.mesh.SendHolding(ctx, address, x)
 }
 
 // guided reports whether a hub brings what changes.
 func (h *Hosted) guided() bool {
-	return h.mesh.Guided()
+	return h.mesh.HasRelay()
 }
 
 // patient reports whether a hub asks the platform as well.
 func (h *Hosted) patient(failures int) bool {
-	return h.mesh.Patient(failures)
+	return h.mesh.BacksOff(failures)
 }
 
 // configure takes a configuration, and tells peers that hear of it from here.
@@ -213,7 +213,7 @@
 	h.group.Go(func(ctx context.Context) error {
 		duty.Sleep(ctx, tellTime)
 		h.telling.Store(false)
-		h.mesh.Tell()
+		h.mesh.Relay()
 		return nil
 	})
 }
@@ -302,7 +302,7 @@
 // dark reports whether nobody heard of has word from the platform, so that only
 // the servers themselves tell that they are leaving.
 func (h *Hosted) dark() bool {
-	return !h.servers.Direct() && h.mesh.Alone()
+	return !h.servers.Direct() && h.mesh.NoPeerInformed()
 }
 
 // tick lets requests in and tells allocators what changed.
@@ -320,7 +320,7 @@
 	h.rounds++
 	h.awake()
 	h.gateway.Step()
-	h.gateway.Contents.Verify(h.group, connects(h.Machine.Dial, h.gateway.Address))
+	h.gateway.Contents.ProbeServers(h.group, connects(h.Machine.Dial, h.gateway.Address))
 	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
 	if h.dark() {
 		h.gateway.Ask()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,10 +40,10 @@
 		Domain:        c.Settings.Node.Domain,
 		State:         c.Life.State(),
 		ConfigVersion: c.Follow.View().Version,
-		ConfigKept:    c.Follow.Kept(),
-		ClaimsEra:     c.Claims.Rewritten(),
+		ConfigKept:    c.Follow.Retained(),
+		ClaimsEra:     c.Claims.RewrittenEra(),
 		InFlight:      c.Life.InFlight(),
-		Contents:      c.Contents.All(),
+		Contents:      c.Contents.AllReports(),
 		Limits:        c.Entry.Limits(),
 		Leaving:       c.Entry.AnnouncedLeaving(),
 	}
@@ -68,7 +68,7 @@
 	}
 	sent := c.Life.Now()
 	if l, err := c.Peers.Config(ctx, address); err == nil {
-		c.Follow.Offer(l, sent)
+		c.Follow.OfferFromPeer(l, sent)
 	}
 }
 
@@ -80,7 +80,7 @@
 		c.Metrics.Add(metric.PlatformFailures, 1)
 		return
 	}
-	c.Beat.Listed(l)
+	c.Beat.ApplyList(l)
 	for _, v := range l {
 		if v.Role == api.VMRoleBackend {
 			leaving := v.State == api.VMStateLeaving
@@ -112,10 +112,10 @@
 	}
 	c.Deadlines.Check()
 	c.Contents.Step()
-	c.Contents.Verify(c.Group, connects(c.Machine.Dial, c.address))
-	c.Entry.SetMembers(c.Beat.Serving())
+	c.Contents.ProbeServers(c.Group, connects(c.Machine.Dial, c.address))
+	c.Entry.SetMembers(c.Beat.ServingCount())
 	for _, l := range c.Leaders {
-		l.Want(c.Life.State() == api.PeerStateServing && c.Beat.Candidate(l.Duty()))
+		l.Want(c.Life.State() == api.PeerStateServing && c.Beat.IsCandidate(l.Duty()))
 	}
 }
 
@@ -129,7 +129,7 @@
 	for _, a := range c.Beat.Addresses() {
 		sent := c.Life.Now()
 		if l, err := c.Peers.Config(ctx, a); err == nil {
-			c.Follow.Offer(l, sent)
+			c.Follow.OfferFromPeer(l, sent)
 			return
 		}
 	}
@@ -141,7 +141,7 @@
 		VM:            c.Owner.VM,
 		State:         c.Life.State(),
 		ConfigVersion: c.Follow.View().Version,
-		PlatformAgeMS: api.ToMilliseconds(c.Follow.Age()),
+		PlatformAgeMS: api.ToMilliseconds(c.Follow.TimeSinceAnswer()),
 		Leases:        []string{},
 		Members:       c.Beat.Status(),
 		Servers:       c.Broker.Status(),
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -70,7 +70,7 @@
 	c.cleanup(closer)
 	c.Platform = objectapi.Over(c.Reused, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
 	c.Engines = engine.Over(c.Reused, dialTime)
-	c.Peers = peer.Over(c.Reused, peerTime)
+	c.Peers = peer.NewWithClient(c.Reused, peerTime)
 	return nil
 }
 
@@ -131,16 +131,16 @@
 
 // Release asks the entry VM that made a claim.
 func (r release) Release(ctx context.Context, n api.VMName, q api.AttemptQuery) (bool, error) {
-	a, ok := r.node.Beat.Find(n)
+	a, ok := r.node.Beat.Address(n)
 	if !ok {
 		return false, fault.New(fault.PeerUnreachable, "the owner of the claim is not listed")
 	}
 	return r.node.Peers.Release(ctx, a, q)
 }
 
-// Rewritten reports whether all other entry VMs have written their claims again in an era.
-func (r release) Rewritten(e api.Era) bool {
-	return r.node.Beat.Rewritten(e)
+// ClaimsRewritten reports whether all other entry VMs have written their claims again in an era.
+func (r release) ClaimsRewritten(e api.Era) bool {
+	return r.node.Beat.ClaimsRewritten(e)
 }
 
 // duties makes and starts the duties.
@@ -160,7 +160,7 @@
 		Engines: c.Engines, Claims: c.Claims, Explain: c.Explain, Group: c.Group, Contents: c.Contents, Deadlines: c.Deadlines,
 		KeepAliveClient: c.Reused, SingleUseClient: c.Single,
 	})
-	c.Follow = follow.New(c.Platform, c.Life, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poll.Declare, c.Entry.Declare)
+	c.Follow = follow.New(c.Platform, c.Life, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poll.SetView, c.Entry.Declare)
 	c.Beat = heartbeat.New(c.heartbeat, c.catchUp, c.merge, c.Peers, c.Log, c.Metrics)
 	c.lead()
 	c.startDuties()
@@ -171,7 +171,7 @@
 func (c *Context) lost(n api.ServerName, err error) {
 	c.Broker.MarkUnreachable(n)
 	if port.ConnectionRefused(err) {
-		c.Contents.Ended(n)
+		c.Contents.RecordServerEnd(n)
 	}
 }
 
@@ -181,8 +181,8 @@
 	o := leader.New(orders.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	u := leader.New(upkeep.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	c.Leaders = []*leader.Leader{o, u}
-	c.Orders = orders.New(o, c.Engines, c.Follow.View, c.Poll.Last, c.Settings.Order.WeightsMBPerSecond, c.Log, c.Metrics)
-	c.Upkeep = upkeep.New(u, c.Platform, c.Follow.View, c.Broker.Status, c.Poll.Last, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
+	c.Orders = orders.New(o, c.Engines, c.Follow.View, c.Poll.LastReports, c.Settings.Order.WeightsMBPerSecond, c.Log, c.Metrics)
+	c.Upkeep = upkeep.New(u, c.Platform, c.Follow.View, c.Broker.Status, c.Poll.LastReports, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
 }
 
 // Times between the rounds of small duties.
@@ -205,7 +205,7 @@
 		g.Go(c.Orders.Work)
 	}
 	g.Go(c.Upkeep.Run)
-	g.Go(c.Claims.Run(c.Follow.Answered))
+	g.Go(c.Claims.Run(c.Follow.AnsweringFor))
 	for _, l := range c.Leaders {
 		g.Go(l.Run)
 	}
@@ -213,7 +213,7 @@
 
 // declare tells the dispatcher of the engines in a view, and claims of the platform's era.
 func (c *Context) declare(v *config.View) {
-	c.Claims.Enter(v.Version.Era())
+	c.Claims.EnterEra(v.Version.Era())
 	var l []dispatch.Server
 	for _, s := range v.Engines() {
 		l = append(l, dispatch.Server{Name: s.Name, Draining: v.Draining(s)})
@@ -268,7 +268,7 @@
 	// A stale replica of the platform must not take the fleet back: what any
 	// peer has in force is waited for.
 	end := time.Now().Add(peersWait)
-	for c.Beat.Newest() > c.Follow.View().Version && time.Now().Before(end) {
+	for c.Beat.MaxConfigVersion() > c.Follow.View().Version && time.Now().Before(end) {
 		if !duty.Sleep(c, tickEvery) {
 			return c.Err()
 		}
--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -18,46 +18,46 @@
 	"github.com/wardridge/wardridge/internal/ring"
 )
 
-// ringSize bounds the reports that wait to be taken.
+// ringSize bounds the reports that wait for delivery.
 const ringSize = 1024
 
-// target is one engine that is polled.
+// target is an engine that is polled.
 type target struct {
 	address string
 	cancel  context.CancelFunc
 }
 
-// Poller polls every declared engine.
+// Poller polls the load reports of all engines in the configuration.
 type Poller struct {
-	group   *duty.Group
-	client  *engine.Client
-	log     *event.Log
-	metrics *metric.Set
-	every   time.Duration
-	lost    Lost
-	reports *ring.Ring[api.LoadReport]
+	group         *duty.Group
+	client        *engine.Client
+	log           *event.Log
+	metrics       *metric.Set
+	interval      time.Duration
+	onUnreachable OnUnreachable
+	reports       *ring.Ring[api.LoadReport]
 
 	mutex   sync.Mutex
 	targets map[api.ServerName]target
 	last    map[api.ServerName]api.LoadReport
 }
 
-// Lost is told of an engine that can't be connected to, and how that failed.
-type Lost func(n api.ServerName, err error)
+// OnUnreachable is called with an engine that can't be connected to and the error.
+type OnUnreachable func(n api.ServerName, err error)
 
-// New makes a poller whose duties run in a group; lost is told of an engine
-// that can't be connected to.
-func New(g *duty.Group, c *engine.Client, l *event.Log, m *metric.Set, every time.Duration, lost Lost) *Poller {
+// New creates a poller whose duties run in a group. It calls onUnreachable for each failed poll of
+// an engine that can't be connected to.
+func New(g *duty.Group, c *engine.Client, l *event.Log, m *metric.Set, interval time.Duration, onUnreachable OnUnreachable) *Poller {
 	return &Poller{
-		group: g, client: c, log: l, metrics: m, every: every, lost: lost,
+		group: g, client: c, log: l, metrics: m, interval: interval, onUnreachable: onUnreachable,
 		reports: ring.New[api.LoadReport](ringSize),
 		targets: map[api.ServerName]target{},
 		last:    map[api.ServerName]api.LoadReport{},
 	}
 }
 
-// Declare polls the engines of a view, and no others.
-func (p *Poller) Declare(v *config.View) {
+// SetView starts polling the engines of a view and stops polling all others.
+func (p *Poller) SetView(v *config.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for n, t := range p.targets {
@@ -69,13 +69,13 @@
 	}
 	for n, s := range v.Servers {
 		if _, ok := p.targets[n]; s.Type == api.ServerTypeEngine && !ok {
-			p.begin(n, s.Address)
+			p.start(n, s.Address)
 		}
 	}
 }
 
-// begin starts the duty that polls one engine; the mutex is held.
-func (p *Poller) begin(n api.ServerName, address string) {
+// start starts the duty that polls one engine. The caller holds the mutex.
+func (p *Poller) start(n api.ServerName, address string) {
 	// The duty ends with the target or with the group, whichever is first.
 	c, cancel := context.WithCancel(context.Background())
 	p.targets[n] = target{address: address, cancel: cancel}
@@ -83,48 +83,50 @@
 		defer cancel()
 		defer context.AfterFunc(ctx, cancel)()
 		x := &engineState{name: n, address: address}
-		return duty.Loop(c, func() time.Duration { return spread(p.pause(x)) }, func(ctx context.Context) {
+		return duty.Loop(c, func() time.Duration { return jitter(p.nextDelay(x)) }, func(ctx context.Context) {
 			p.poll(ctx, x)
 		})
 	})
 }
 
-// pause is longer for an idle engine, whose report says nothing new.
-func (p *Poller) pause(x *engineState) time.Duration {
+// nextDelay returns the time until the next poll of an engine. It is longer for an idle one,
+// whose reports rarely change.
+func (p *Poller) nextDelay(x *engineState) time.Duration {
 	if x.idle {
-		return 2 * p.every
+		return 2 * p.interval
 	}
-	return p.every
+	return p.interval
 }
 
-// spread keeps entry VMs from polling in step.
-func spread(d time.Duration) time.Duration {
-	const part = 10
-	return d - d/part + rand.N(2*d/part+1)
+// jitter varies a delay by up to a tenth, so that entry VMs do not poll in step.
+func jitter(d time.Duration) time.Duration {
+	const divisor = 10
+	return d - d/divisor + rand.N(2*d/divisor+1)
 }
 
-// engineState is what one polling duty remembers.
+// engineState is the state of the duty that polls one engine.
 type engineState struct {
-	name    api.ServerName
-	address string
-	failed  bool
-	known   bool
-	leaving bool
-	idle    bool
+	name     api.ServerName
+	address  string
+	failed   bool
+	reported bool
+	leaving  bool
+	idle     bool
 }
 
+// poll reads one load report and queues it for delivery. It drops the report if the queue is full.
 func (p *Poller) poll(ctx context.Context, x *engineState) {
 	r, err := p.client.Load(ctx, x.address)
 	if err != nil {
-		p.failed(ctx, x, err)
+		p.recordFailure(ctx, x, err)
 		return
 	}
-	// A report of another server at this address says nothing of this one.
+	// The report of another server at this address does not describe this one.
 	if r.Server != x.name {
 		return
 	}
 	p.metrics.Add(metric.ReportsTaken, 1)
-	p.changed(x, r)
+	p.recordReport(x, r)
 	p.mutex.Lock()
 	p.last[x.name] = r
 	p.mutex.Unlock()
@@ -133,13 +135,15 @@
 	}
 }
 
-func (p *Poller) failed(ctx context.Context, x *engineState, err error) {
+// recordFailure counts a failed poll, unless the context has ended, and logs the first one in a
+// row.
+func (p *Poller) recordFailure(ctx context.Context, x *engineState, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	p.metrics.Add(metric.ReportsFailed, 1)
 	if fault.Has(err, fault.NotStarted) {
-		p.lost(x.name, err)
+		p.onUnreachable(x.name, err)
 	}
 	if !x.failed {
 		p.log.Emit(event.ServerUnreachable, zap.String("server", string(x.name)), zap.Error(err))
@@ -147,18 +151,20 @@
 	x.failed = true
 }
 
-func (p *Poller) changed(x *engineState, r api.LoadReport) {
+// recordReport updates the state of an engine by its report, and logs when it becomes ready or
+// starts to leave.
+func (p *Poller) recordReport(x *engineState, r api.LoadReport) {
 	if r.Leaving && !x.leaving {
 		p.log.Emit(event.ServerLeaving, zap.String("server", string(x.name)))
 	}
-	if (x.failed || !x.known) && !r.Leaving {
+	if (x.failed || !x.reported) && !r.Leaving {
 		p.log.Emit(event.ServerReady, zap.String("server", string(x.name)))
 	}
-	x.failed, x.known, x.leaving = false, true, r.Leaving
+	x.failed, x.reported, x.leaving = false, true, r.Leaving
 	x.idle = r.Running+r.Waiting == 0
 }
 
-// Deliver is the duty that passes reports on.
+// Deliver is the duty that passes the queued reports to a function, one at a time.
 func (p *Poller) Deliver(ctx context.Context, take func(api.LoadReport)) error {
 	for {
 		r, ok := p.reports.Take(ctx)
@@ -169,8 +175,8 @@
 	}
 }
 
-// Last gives each engine's last report.
-func (p *Poller) Last() map[api.ServerName]api.LoadReport {
+// LastReports returns the last report of each engine that is polled.
+func (p *Poller) LastReports() map[api.ServerName]api.LoadReport {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	m := make(map[api.ServerName]api.LoadReport, len(p.last))
