--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -99,7 +99,7 @@
 		wire.Refuse(w, f, "")
 		return
 	}
-	m.Allocator.RecordHolding(h)
+	m.Allocator.UpdateHolding(h)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -75,8 +75,8 @@
 type Allocator interface {
 	// Place answers a request for a place.
 	Place(ctx context.Context, a api.PlaceAsk) (api.PlaceAnswer, error)
-	// RecordHolding records what a peer reports to hold.
-	RecordHolding(h api.Holding)
+	// UpdateHolding records what a peer reports to hold.
+	UpdateHolding(h api.Holding)
 	// Permit answers a request for a send slot at a rate-limited server.
 	Permit(a api.PermitAsk) api.PermitAnswer
 }
