--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -158,7 +158,7 @@
 func TestReadyWaitsForClosures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 0)
-		b.Closable = true
+		b.WaitForClosures = true
 		if b.Ready() {
 			t.Error("before closures are known: got ready, want not")
 		}
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -386,7 +386,7 @@
 	t.Helper()
 	g, closer := duty.New(context.Background())
 	t.Cleanup(closer)
-	b := &bed{fake: f, Gateway: gateway.New(gateway.Parts{
+	b := &bed{fake: f, Gateway: gateway.New(gateway.Options{
 		Deadlines: clock.NewDeadlines(f.boot),
 		Domain:    "x", Backends: f, Group: g, Log: f.log, Metrics: metric.New(),
 		Retries: retry.NewWindows(10*time.Second, 0, slack),
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,8 +35,8 @@
 // configuration yet.
 const startWait = 500 * time.Millisecond
 
-// Parts are what a gateway works with.
-type Parts struct {
+// Options are what a gateway works with.
+type Options struct {
 	VM     api.VMName
 	Domain api.DomainName
 	// Seed is of the numbers that are drawn to choose servers.
@@ -57,14 +57,14 @@
 	Contents *contents.Guard
 	// Quarantines keeps refused contents; nil where only entry VMs remember them.
 	Quarantines port.Quarantines
-	// Closable is set where operators may close failure domains to new work: who does
+	// WaitForClosures is set where operators may close failure domains to new work: who does
 	// not know yet which are closed takes no callers.
-	Closable bool
+	WaitForClosures bool
 }
 
 // Gateway serves requests.
 type Gateway struct {
-	Parts
+	Options
 
 	directory atomic.Pointer[directory.Directory]
 	// configuring is held while a configuration comes into force.
@@ -101,7 +101,7 @@
 }
 
 // New makes a gateway that knows no configuration.
-func New(p Parts) *Gateway {
+func New(p Options) *Gateway {
 	if p.Peers == nil {
 		p.Peers = alone{}
 	}
@@ -113,7 +113,7 @@
 	}
 	g := &Gateway{
 		domains: placement.NewDomains(), contacts: holder.NewContacts(), reports: holder.NewReports(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
-		Parts: p, roster: roster.New(), picker: placement.NewPicker(rand.NewPCG(p.Seed, 0)),
+		Options: p, roster: roster.New(), picker: placement.NewPicker(rand.NewPCG(p.Seed, 0)),
 		runs: map[api.ServerName]map[*run]bool{}, admissions: map[api.ServiceName]*admission{},
 		answers: silence.NewResultCache(), watchdog: newWatchdog(),
 	}
@@ -123,7 +123,7 @@
 
 // Ready reports whether new callers may come.
 func (g *Gateway) Ready() bool {
-	return g.directory.Load() != nil && (g.closures.Load() || !g.Closable) && !g.Stopping()
+	return g.directory.Load() != nil && (g.closures.Load() || !g.WaitForClosures) && !g.Stopping()
 }
 
 // Stop turns the readiness before the process ends at a time; requests that
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -303,7 +303,7 @@
 }
 
 func TestVMWithoutConfigurationSaysNotRun(t *testing.T) {
-	g := gateway.New(gateway.Parts{})
+	g := gateway.New(gateway.Options{})
 	if g.Ready() {
 		t.Error("ready: got true, want false")
 	}
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -239,7 +239,7 @@
 		s.Items = append(s.Items, replica.Object[roster.Server]{Name: n, Value: roster.Server{Name: api.ServerName(n), Service: "engines", Address: n, Domain: "x", Slots: 24}})
 	}
 	for i, p := range peers {
-		v := gateway.New(gateway.Parts{
+		v := gateway.New(gateway.Options{
 			VM: api.VMName(strconv.Itoa(i)), Domain: "x", Seed: seed + uint64(i), Backends: l.engines, Peers: p, Group: g, Log: event.Discard(), Metrics: l.metrics,
 			Retries: retry.NewWindows(10*time.Second, 0, 0),
 		})
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -48,7 +48,7 @@
 		closer()
 		s.Close()
 	})
-	v := &vm{address: s.Listener.Addr().String(), table: gateway.New(gateway.Parts{
+	v := &vm{address: s.Listener.Addr().String(), table: gateway.New(gateway.Options{
 		Domain: "d", Group: g, Log: event.Discard(), Metrics: metric.New(), Retries: retry.NewWindows(time.Second, 0, 0),
 	})}
 	v.config = mirror.New(mirror.Parts[directory.Config]{Take: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -74,10 +74,10 @@
 func (hostedDecisions) Run(h *Hosted) error {
 	s := h.Settings.Gateway
 	h.deadlines = clock.NewDeadlines(h.Machine.Now)
-	h.gateway = gateway.New(gateway.Parts{
+	h.gateway = gateway.New(gateway.Options{
 		Deadlines: h.deadlines,
 		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: allocators{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
-		Closable:    s.CloseMS > 0,
+		WaitForClosures:    s.CloseMS > 0,
 		Quarantines: h.adapter.Quarantines,
 		Retries:     retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
 	})
