--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -104,7 +104,7 @@
 // or provably was not run, and gives the answer to take.
 func (g *Gateway) try(ctx context.Context, q *request, n placement.Need) (served, *fault.Error) {
 	c := call.New(q.route.Kind != directory.Safe)
-	again := func() bool { return g.again(q.service.Name) }
+	again := func() bool { return g.allowRetry(q.service.Name) }
 	var failed *port.Answer
 	for {
 		p := g.next(ctx, q, n, c)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -315,15 +315,15 @@
 	s.Refuse(f)
 }
 
-// Bound changes the bounds of sends beyond the first of each request.
-func (g *Gateway) Bound(span time.Duration, ratio, slack float64) {
+// SetRetryBounds changes the bounds of sends beyond the first of each request.
+func (g *Gateway) SetRetryBounds(span time.Duration, ratio, slack float64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.Retries.SetBounds(span, ratio, slack)
 }
 
-// again takes one more send to a service out of the fleet's bound.
-func (g *Gateway) again(s api.ServiceName) bool {
+// allowRetry takes one more send to a service out of the fleet's bound.
+func (g *Gateway) allowRetry(s api.ServiceName) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.Retries.Allow(time.Now(), s)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -337,7 +337,7 @@
 		f := newFake()
 		f.total = 1
 		b := newBed(t, f, 0)
-		b.Bound(10*time.Second, 0.2, 0)
+		b.SetRetryBounds(10*time.Second, 0.2, 0)
 		for range 20 {
 			b.ask("/stream/1")
 		}
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -377,7 +377,7 @@
 			continue
 		}
 		h.grace.Store(int64(seconds(s.Gateway.GraceS)))
-		h.gateway.Bound(seconds(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
+		h.gateway.SetRetryBounds(seconds(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
 		h.Log.Emit(event.SettingsTaken, zap.Bool("restart_needed", s.Node != h.Settings.Node || s.Platform != h.Settings.Platform))
 	}
 }
