--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -15,9 +15,9 @@
 // askTime bounds one question to a server: the pause between questions.
 const askTime = 250 * time.Millisecond
 
-// Ask asks the servers that run own streams whether they are leaving. It is
+// QueryLeaving asks the servers that run own streams whether they are leaving. It is
 // for an entry VM that hears neither from the platform nor from peers that do.
-func (g *Gateway) Ask() {
+func (g *Gateway) QueryLeaving() {
 	for _, s := range g.busy() {
 		g.Group.Go(func(ctx context.Context) error {
 			g.ask(ctx, s)
--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -148,7 +148,7 @@
 		if !s.aborted || len(f.sends) != 1 {
 			t.Errorf("got aborted %v after sends %v, want it broken off and nothing sent to the copy", s.aborted, f.sends)
 		}
-		if l := s.Held(); len(l) != 0 {
+		if l := s.LocalLoads(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
 		}
 	})
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -433,7 +433,7 @@
 	for _, x := range l {
 		s.Items = append(s.Items, replica.Object[roster.Server]{Name: string(x.Name), Value: x})
 	}
-	b.Serve(s)
+	b.UpdateServers(s)
 }
 
 // notice declares that one of the two engines is leaving.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -81,7 +81,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		unread := func(n string) api.Tokens {
-			return s.Held()[api.ServerName(n)].Unread
+			return s.LocalLoads()[api.ServerName(n)].Unread
 		}
 		s.notice(s.server)
 		time.Sleep(copyTime / 2)
@@ -170,7 +170,7 @@
 				t.Error("streams closed: got none, want the server's")
 			}
 		})
-		if l := s.Held(); len(l) != 0 {
+		if l := s.LocalLoads(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
 		}
 	})
@@ -180,7 +180,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		s.set(func(f *fake) { f.leaves[s.server] = true })
-		s.Ask()
+		s.QueryLeaving()
 		s.whole(t, s.server, other(s.server))
 	})
 }
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// Held gives what this entry VM holds at engines, wherever they are.
-func (g *Gateway) Held() placement.Loads {
+// LocalLoads gives what this entry VM holds at engines, wherever they are.
+func (g *Gateway) LocalLoads() placement.Loads {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Engines.Own(func(api.ServerName) bool { return true })
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -70,8 +70,8 @@
 	}
 	l.mutex.Unlock()
 	for _, v := range l.vms {
-		v.Away(false)
-		v.Serve(s)
+		v.SetStoreDown(false)
+		v.UpdateServers(s)
 	}
 }
 
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -53,7 +53,7 @@
 			if copied && !c.whole(f.total) {
 				t.Errorf("got %v ended %v, want all events", c.ids, c.ended)
 			}
-			if l := b.Held(); len(l) != 0 {
+			if l := b.LocalLoads(); len(l) != 0 {
 				t.Errorf("loads at the end: got %v, want none", l)
 			}
 		})
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -244,9 +244,9 @@
 			Retries: retry.NewWindows(10*time.Second, 0, 0),
 		})
 		v.Configure(replica.Snapshot[directory.Config]{Items: []replica.Object[directory.Config]{{Value: loadConfig()}}})
-		v.Serve(s)
-		g.Every(60*time.Millisecond, func(context.Context) { v.Tick() })
-		g.Every(240*time.Millisecond, func(context.Context) { v.Step() })
+		v.UpdateServers(s)
+		g.Every(60*time.Millisecond, func(context.Context) { v.AdmitWaiting() })
+		g.Every(240*time.Millisecond, func(context.Context) { v.Maintain() })
 		l.vms = append(l.vms, v)
 	}
 	return l
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -15,8 +15,8 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Serve takes the backend servers as the platform has them.
-func (g *Gateway) Serve(s replica.Snapshot[roster.Server]) {
+// UpdateServers takes the backend servers as the platform has them.
+func (g *Gateway) UpdateServers(s replica.Snapshot[roster.Server]) {
 	l := make([]roster.Server, 0, len(s.Items))
 	for _, o := range s.Items {
 		l = append(l, o.Value)
@@ -29,15 +29,15 @@
 	g.changed(c)
 }
 
-// Away notes whether the platform is lost.
-func (g *Gateway) Away(away bool) {
+// SetStoreDown notes whether the platform is lost.
+func (g *Gateway) SetStoreDown(away bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.roster.SetStoreDown(time.Now(), away)
 }
 
-// Step lets lapses end, and shares the bound on repeated sends anew.
-func (g *Gateway) Step() {
+// Maintain lets lapses end, and shares the bound on repeated sends anew.
+func (g *Gateway) Maintain() {
 	now := time.Now()
 	g.mutex.Lock()
 	c := g.roster.Expire(now)
@@ -102,8 +102,8 @@
 	return g.roster.Find(n)
 }
 
-// Address gives the address of a server that is known.
-func (g *Gateway) Address(n api.ServerName) (string, bool) {
+// ServerAddress gives the address of a server that is known.
+func (g *Gateway) ServerAddress(n api.ServerName) (string, bool) {
 	m, ok := g.member(n)
 	return m.Address, ok
 }
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -38,7 +38,7 @@
 		f.mutex.Lock()
 		f.signals["e2"] = port.Signals{Answered: true, Resting: true, Rest: time.Minute}
 		f.mutex.Unlock()
-		b.Ask()
+		b.QueryLeaving()
 		time.Sleep(eventGap)
 		f.mutex.Lock()
 		before, here := len(f.sends), 0
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -89,7 +89,7 @@
 		s := play(t, newFake(), 40, 5)
 		s.set(func(f *fake) { f.mute[s.server], f.ahead = true, 5 })
 		s.whole(t, s.server, other(s.server))
-		if l := s.Held(); len(l) != 0 {
+		if l := s.LocalLoads(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
 		}
 	})
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Tick lets requests in that find room as time passes, as at the end of a cooldown.
-func (g *Gateway) Tick() {
+// AdmitWaiting lets requests in that find room as time passes, as at the end of a cooldown.
+func (g *Gateway) AdmitWaiting() {
 	g.mutex.Lock()
 	g.letIn(time.Now())
 	g.Metrics.Put(metric.RequestsWaiting, int64(g.waiting()))
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -174,7 +174,7 @@
 
 // serve takes servers, and tells peers that hear of them from here.
 func (h *Hosted) serve(s replica.Snapshot[roster.Server]) {
-	h.gateway.Serve(s)
+	h.gateway.UpdateServers(s)
 	h.tell()
 }
 
@@ -196,9 +196,9 @@
 // the first moment on, before it is known whether peers still hear of them, so
 // that the servers are asked at once.
 func (h *Hosted) away(lost bool) {
-	h.gateway.Away(lost)
+	h.gateway.SetStoreDown(lost)
 	if lost {
-		h.gateway.Ask()
+		h.gateway.QueryLeaving()
 	}
 }
 
@@ -308,7 +308,7 @@
 // tick lets requests in and tells allocators what changed.
 func (h *Hosted) tick(context.Context) {
 	h.ticks++
-	h.gateway.Tick()
+	h.gateway.AdmitWaiting()
 	if h.ticks%roundTicks == 0 {
 		h.mesh.Round()
 		h.round()
@@ -319,11 +319,11 @@
 func (h *Hosted) round() {
 	h.rounds++
 	h.awake()
-	h.gateway.Step()
-	h.gateway.Contents.Verify(h.group, connects(h.Machine.Dial, h.gateway.Address))
+	h.gateway.Maintain()
+	h.gateway.Contents.Verify(h.group, connects(h.Machine.Dial, h.gateway.ServerAddress))
 	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
 	if h.dark() {
-		h.gateway.Ask()
+		h.gateway.QueryLeaving()
 	}
 	if h.rounds%sweepRounds == 0 {
 		h.pool.Sweep()
