--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -88,7 +88,7 @@
 	return l
 }
 
-func (p fleetPeers) Ask(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
+func (p fleetPeers) Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	p.fleet.mutex.Lock()
 	p.fleet.asked[address]++
 	p.fleet.mutex.Unlock()
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -181,7 +181,7 @@
 		l, _ := g.resting(d.service.Name)
 		a.Tried = append(slices.Clone(a.Tried), l...)
 	}
-	r, err := g.Peers.Ask(c, to, a)
+	r, err := g.Peers.Place(c, to, a)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if own {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -12,8 +12,8 @@
 	// Allocators lists the addresses of those that may allocate the engines of a
 	// failure domain, the first choice first; empty stands for this entry VM.
 	Allocators(d api.DomainName) []string
-	// Ask asks one of them for a place.
-	Ask(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error)
+	// Place asks one of them for a place.
+	Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error)
 	// Permit asks one of them for the turn of a request at a server with a limit.
 	Permit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error)
 	// Report tells one of them what this entry VM holds there.
@@ -25,7 +25,7 @@
 
 func (alone) Allocators(api.DomainName) []string { return []string{""} }
 
-func (alone) Ask(context.Context, string, api.PlaceAsk) (api.PlaceAnswer, error) {
+func (alone) Place(context.Context, string, api.PlaceAsk) (api.PlaceAnswer, error) {
 	return api.PlaceAnswer{}, fault.New(fault.NotStarted, "there are no other entry VMs")
 }
 
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -144,7 +144,7 @@
 	return a.hosted.mesh.Allocators(d)
 }
 
-func (a allocators) Ask(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
+func (a allocators) Place(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
 	return a.hosted.mesh.Ask(ctx, address, x)
 }
 
