--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,9 +31,9 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// startWait is when a caller may come back to an entry VM that knows no
+// startRetryAfter is when a caller may come back to an entry VM that knows no
 // configuration yet.
-const startWait = 500 * time.Millisecond
+const startRetryAfter = 500 * time.Millisecond
 
 // Options are what a gateway works with.
 type Options struct {
@@ -137,15 +137,15 @@
 	return g.stop.Load() != nil
 }
 
-// bodyLimit bounds bodies until a configuration says more, in bytes.
-const bodyLimit = 1 << 20
+// defaultBodyLimit bounds bodies until a configuration says more, in bytes.
+const defaultBodyLimit = 1 << 20
 
 // BodyLimit is the largest request body, in bytes.
 func (g *Gateway) BodyLimit() int64 {
 	if d := g.directory.Load(); d != nil && d.Limits.BodyBytes > 0 {
 		return d.Limits.BodyBytes
 	}
-	return bodyLimit
+	return defaultBodyLimit
 }
 
 // InFlight counts the requests that have no answer yet.
@@ -159,9 +159,9 @@
 	route     *directory.Route
 	workspace directory.Workspace
 	service   *directory.Service
-	// hold is how long the request is held at most, and deadline the end of that, once
+	// timeout is how long the request is held at most, and deadline the end of that, once
 	// it is admitted.
-	hold     time.Duration
+	timeout  time.Duration
 	deadline *clock.Deadline
 	sink     port.Sink
 	tried    []api.ServerName
@@ -202,7 +202,7 @@
 		g.Metrics.Count(metric.ByWorkspace, string(q.workspace.Name), q.outcome)
 	}()
 	var stop func()
-	ctx, q.deadline, stop = g.Deadlines.Context(ctx, r.Arrived.Add(q.hold))
+	ctx, q.deadline, stop = g.Deadlines.Context(ctx, r.Arrived.Add(q.timeout))
 	defer stop()
 	g.mutex.Lock()
 	g.Retries.CountFresh(time.Now(), q.service.Name)
@@ -227,7 +227,7 @@
 func (g *Gateway) admit(r *port.Request, s port.Sink) (*request, *fault.Error) {
 	d := g.directory.Load()
 	if d == nil {
-		return nil, fault.New(fault.Starting, "this entry VM knows no configuration yet").After(startWait)
+		return nil, fault.New(fault.Starting, "this entry VM knows no configuration yet").After(startRetryAfter)
 	}
 	x, f := d.Route(r.Host, r.Path)
 	if f != nil {
@@ -240,28 +240,28 @@
 	n := x.Choose(rand.Float64())
 	v, ok := d.Service(n)
 	if !ok {
-		return nil, fault.New(fault.NoServer, "the route's service is not configured").After(startWait)
+		return nil, fault.New(fault.NoServer, "the route's service is not configured").After(startRetryAfter)
 	}
 	if f := g.closing(r, x); f != nil {
 		return nil, f
 	}
 	q := &request{
 		Request: r, route: x, workspace: w, service: v, sink: s,
-		hold: holdTime(x.Timeout, r.Wait),
+		timeout: requestTimeout(x.Timeout, r.Wait),
 	}
 	return q, g.Contents.Check(q.content)
 }
 
-// holdDefault is how long a request is held where neither its route nor its
+// defaultTimeout is how long a request is held where neither its route nor its
 // caller says: longer than any answer of a plain service takes.
-const holdDefault = 30 * time.Second
+const defaultTimeout = 30 * time.Second
 
-// holdTime is the shorter of the times that a route and a caller allow; zero
+// requestTimeout is the shorter of the times that a route and a caller allow; zero
 // says nothing.
-func holdTime(route, caller time.Duration) time.Duration {
+func requestTimeout(route, caller time.Duration) time.Duration {
 	switch {
 	case route <= 0 && caller <= 0:
-		return holdDefault
+		return defaultTimeout
 	case route <= 0:
 		return caller
 	case caller <= 0:
@@ -271,8 +271,8 @@
 	}
 }
 
-// stopWait is when a caller that met a stopping entry VM may ask another one.
-const stopWait = 50 * time.Millisecond
+// stopRetryAfter is when a caller that met a stopping entry VM may ask another one.
+const stopRetryAfter = 50 * time.Millisecond
 
 // closing refuses what would be cut off at the end of a planned stop.
 func (g *Gateway) closing(r *port.Request, x *directory.Route) *fault.Error {
@@ -287,14 +287,14 @@
 	if takes {
 		return nil
 	}
-	return fault.New(fault.Stopping, "this entry VM ends before the request would").After(stopWait)
+	return fault.New(fault.Stopping, "this entry VM ends before the request would").After(stopRetryAfter)
 }
 
 // fail refuses a request for which servers were chosen.
 func (g *Gateway) fail(q *request, f *fault.Error) {
 	q.outcome = f.Code.Kind().Type
 	g.tell(q)
-	l := []zap.Field{zap.String("route", q.route.Name), zap.Duration("took", time.Since(q.Arrived)), zap.Duration("allowed", q.hold)}
+	l := []zap.Field{zap.String("route", q.route.Name), zap.Duration("took", time.Since(q.Arrived)), zap.Duration("allowed", q.timeout)}
 	g.refuse(q.Request, q.sink, f, append(l, q.figures()...)...)
 }
 
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -24,9 +24,9 @@
 	permitShare = 0.5
 	// patienceMost bounds the turns that are given ahead of their time, whatever is asked for.
 	patienceMost = 2 * time.Second
-	// unknownWait is when it is worth asking again for a server that the one asked has not
+	// unknownServerRetryAfter is when it is worth asking again for a server that the one asked has not
 	// heard of yet.
-	unknownWait = 250 * time.Millisecond
+	unknownServerRetryAfter = 250 * time.Millisecond
 )
 
 // permit is when a request may be sent to a server, or is worth another ask.
@@ -190,7 +190,7 @@
 	defer g.mutex.Unlock()
 	if _, ok := g.roster.Find(a.Server); !ok {
 		// What is sent to a server is remembered only while it is known.
-		return permit{at: time.Now().Add(unknownWait)}
+		return permit{at: time.Now().Add(unknownServerRetryAfter)}
 	}
 	t := throttle.Quota{Rate: throttle.Rate(a.PerSecond), Share: throttle.Whole}
 	if r, ok := g.picker.Limits.Find(a.Server); ok {
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -56,17 +56,17 @@
 	return g.wait(ctx, a, w)
 }
 
-// serverWait is when a caller may come back to an entry VM that knows no server:
+// noServerRetryAfter is when a caller may come back to an entry VM that knows no server:
 // servers whose entries lapsed write them again within about two seconds of the
 // store's return.
-const serverWait = 2 * time.Second
+const noServerRetryAfter = 2 * time.Second
 
 // noRoom is the refusal of a request that can't be let in in time; the mutex is
 // held. Where no server takes requests, it is not that there are too many of them: the
 // first servers are expected soon, or operators have closed the domains of all.
 func (g *Gateway) noRoom(now time.Time, a *admission, d demand) *fault.Error {
 	if !g.serves(d.service.Name) {
-		return fault.New(fault.NoServer, "no server of the service takes requests").After(serverWait)
+		return fault.New(fault.NoServer, "no server of the service takes requests").After(noServerRetryAfter)
 	}
 	return fault.New(fault.QueueFull, "no server is expected to have room in time").After(a.backlog.Refuse(now, d.ask.Late, d.deadline.Sub(now)))
 }
