--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -114,7 +114,7 @@
 		return api.PlaceAnswer{}, f
 	}
 	if !a.Forwarded {
-		g.Hold(a.Holding)
+		g.UpdateHolding(a.Holding)
 	}
 	return answer(g.allocate(ctx, d)), nil
 }
@@ -157,8 +157,8 @@
 	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Of, Copy: p.copy}
 }
 
-// Hold takes what another entry VM holds at engines that this one allocates.
-func (g *Gateway) Hold(h api.Holding) {
+// UpdateHolding takes what another entry VM holds at engines that this one allocates.
+func (g *Gateway) UpdateHolding(h api.Holding) {
 	x := placement.Holding{
 		Incarnation: h.Incarnation, Sequence: int64(h.Sequence), Loads: make(placement.Loads, len(h.Loads)), Asked: placement.Ask(h.Asked),
 	}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	g.Hold(h)
+	g.UpdateHolding(h)
 	return nil
 }
 
--- a/internal/mesh/allocate.go
+++ b/internal/mesh/allocate.go
@@ -98,7 +98,7 @@
 		wire.Refuse(w, f, "")
 		return
 	}
-	m.Engines.Hold(h)
+	m.Engines.UpdateHolding(h)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -71,8 +71,8 @@
 type Allocator interface {
 	// Place answers an ask for a place.
 	Place(ctx context.Context, a api.PlaceAsk) (api.PlaceAnswer, error)
-	// Hold takes what a peer holds.
-	Hold(h api.Holding)
+	// UpdateHolding takes what a peer holds.
+	UpdateHolding(h api.Holding)
 	// Permit answers an ask for the turn of a request at a server with a limit.
 	Permit(a api.PermitAsk) api.PermitAnswer
 }
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -77,9 +77,9 @@
 	h.gateway = gateway.New(gateway.Options{
 		Deadlines: h.deadlines,
 		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: allocators{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
-		WaitForClosures:    s.CloseMS > 0,
-		Quarantines: h.adapter.Quarantines,
-		Retries:     retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
+		WaitForClosures: s.CloseMS > 0,
+		Quarantines:     h.adapter.Quarantines,
+		Retries:         retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
 	})
 	apply := s.ApplyMS.Duration()
 	timing := func(share float64) mirror.Timing {
