--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -18,9 +18,9 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// hangAims is how many times its aim a safe request waits for one server
+// hangFactor is how many times its aim a safe request waits for one server
 // before another is asked: the slowest hundredth of answers takes less.
-const hangAims = 2.5
+const hangFactor = 2.5
 
 // served is a backend server's answer with where it came from; the reservation is nil
 // for a failure of a server that was kept while others were tried.
@@ -39,39 +39,39 @@
 
 // call serves a request that is answered whole.
 func (g *Gateway) call(ctx context.Context, q *request) {
-	v, f := g.try(ctx, q, placement.Need{})
+	v, f := g.sendWithRetries(ctx, q, placement.Need{})
 	if f != nil {
 		g.fail(q, f)
 		return
 	}
 	v.end()
-	g.whole(q, v.answer)
+	g.answerWhole(q, v.answer)
 }
 
-// whole gives a caller an answer that is not streamed.
-func (g *Gateway) whole(q *request, a port.Answer) {
+// answerWhole gives a caller an answer that is not streamed.
+func (g *Gateway) answerWhole(q *request, a port.Answer) {
 	if a.Status/100 == 2 {
 		// A failure may have come before the server began to run the request.
 		g.Contents.Answered(q.content)
 	}
-	g.done(q, q.lateness())
+	g.finish(q, q.lateness())
 	q.sink.Whole(a)
 }
 
-// done logs a request that was answered whole. What went well is shown by a few
+// finish logs a request that was answered whole. What went well is shown by a few
 // lines a second, what was late, retried or moved by all of its lines.
-func (g *Gateway) done(q *request, late lateness, figures ...zap.Field) {
+func (g *Gateway) finish(q *request, late lateness, figures ...zap.Field) {
 	g.Metrics.Add(metric.RequestsDone, 1)
 	took := time.Since(q.Arrived)
 	id := event.RequestDone
 	q.outcome = "done"
 	l := []zap.Field{zap.String("request", string(q.ID)), zap.String("route", q.route.Name), zap.Duration("took", took), zap.Duration("waited", q.waited)}
-	if late != inTime {
+	if late != onTime {
 		id = event.RequestLate
 		q.outcome = "late"
 		l = append(l, zap.String("cause", string(late)))
 	}
-	if late != inTime || q.retried {
+	if late != onTime || q.retried {
 		g.tell(q)
 	}
 	g.Log.Emit(id, append(l, figures...)...)
@@ -81,15 +81,15 @@
 type lateness string
 
 const (
-	inTime lateness = ""
+	onTime lateness = ""
 	// lateAnswer is a whole answer that took too long, lateFirst a stream's first
 	// event.
-	lateAnswer lateness = "answer"
-	lateFirst  lateness = "first event"
-	// latePause is a long pause at one server, as when a run is preempted, and
+	lateAnswer     lateness = "answer"
+	lateFirstEvent lateness = "first event"
+	// longPause is a long pause at one server, as when a run is preempted, and
 	// lateMoved one before the first event after the run went on elsewhere.
-	latePause lateness = "pause"
-	lateMoved lateness = "pause in a move"
+	longPause     lateness = "pause"
+	longMovePause lateness = "pause in a move"
 )
 
 // lateness says whether a call took longer than its route aims for.
@@ -97,29 +97,29 @@
 	if q.route.LatencyTarget > 0 && time.Since(q.Arrived) > q.route.LatencyTarget {
 		return lateAnswer
 	}
-	return inTime
+	return onTime
 }
 
-// try sends a request to one server after the other while it may be repeated
+// sendWithRetries sends a request to one server after the other while it may be repeated
 // or provably was not run, and gives the answer to take.
-func (g *Gateway) try(ctx context.Context, q *request, n placement.Need) (served, *fault.Error) {
+func (g *Gateway) sendWithRetries(ctx context.Context, q *request, n placement.Need) (served, *fault.Error) {
 	c := call.New(q.route.Kind != directory.Safe)
 	again := func() bool { return g.allowRetry(q.service.Name) }
 	var failed *port.Answer
 	for {
-		p := g.next(ctx, q, n, c)
+		p := g.pickNext(ctx, q, n, c)
 		if p.fault != nil {
-			return settle(failed, p.fault)
+			return preferAnswer(failed, p.fault)
 		}
 		if f := g.Contents.Check(q.content); f != nil {
 			p.end()
-			return settle(failed, c.Refusal(f))
+			return preferAnswer(failed, c.Refusal(f))
 		}
 		s, b := p.choice.Server, p.backup
-		q.choices = append(q.choices, chosen(q, p.choice))
+		q.choices = append(q.choices, choiceFields(q, p.choice))
 		q.tried = append(q.tried, s.Name)
-		a, err := g.attempt(ctx, q, s, b)
-		if err == nil && !worthAnother(q, a) {
+		a, err := g.sendAttempt(ctx, q, s, b)
+		if err == nil && !shouldRetry(q, a) {
 			g.note(s, placement.Served)
 			return served{answer: a, server: s, reservation: p.reservation, backup: b}, nil
 		}
@@ -129,25 +129,25 @@
 			failed = &a
 			err = fault.New(fault.OutcomeUnknown, "the server answered "+http.StatusText(a.Status))
 		} else {
-			g.note(s, met(err))
+			g.note(s, serverOutcome(err))
 			g.noteBreak(q, s, err)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(q.ID)), zap.String("server", string(s.Name)), zap.String("content", string(q.content())), zap.Error(err))
-		m, f := c.AttemptFailed(outcome(err), err, ctx.Err() != nil, again)
+		m, f := c.AttemptFailed(attemptOutcome(err), err, ctx.Err() != nil, again)
 		if m == call.Fail {
 			if errors.Is(context.Cause(ctx), context.Canceled) {
 				f = fault.Wrap(fault.CallerGone, err, "the caller closed its connection")
 			}
-			return settle(failed, f)
+			return preferAnswer(failed, f)
 		}
 		g.Metrics.Add(metric.Retries, 1)
 		q.retried = true
 	}
 }
 
-// next chooses the server to send to now. Only the first of an engine's request
+// pickNext chooses the server to send to now. Only the first of an engine's request
 // is waited for: what was sent before has used up its time to wait.
-func (g *Gateway) next(ctx context.Context, q *request, n placement.Need, c *call.Call) placed {
+func (g *Gateway) pickNext(ctx context.Context, q *request, n placement.Need, c *call.Call) placed {
 	if f := g.allRest(q, c); f != nil {
 		return placed{fault: f}
 	}
@@ -160,8 +160,8 @@
 	return g.placePlain(ctx, q, c)
 }
 
-// chosen gives the fields of the log line of a choice: the figures that decided.
-func chosen(q *request, x placement.Choice) []zap.Field {
+// choiceFields gives the fields of the log line of a choice: the figures that decided.
+func choiceFields(q *request, x placement.Choice) []zap.Field {
 	return []zap.Field{
 		zap.Time("at", time.Now()),
 		zap.String("request", string(q.ID)),
@@ -175,24 +175,24 @@
 	}
 }
 
-// settle passes a server's own failure on where there is one.
-func settle(failed *port.Answer, f *fault.Error) (served, *fault.Error) {
+// preferAnswer passes a server's own failure on where there is one.
+func preferAnswer(failed *port.Answer, f *fault.Error) (served, *fault.Error) {
 	if failed == nil {
 		return served{}, f
 	}
 	return served{answer: *failed}, nil
 }
 
-// worthAnother reports whether a server's failure is to be tried elsewhere.
-func worthAnother(q *request, a port.Answer) bool {
+// shouldRetry reports whether a server's failure is to be tried elsewhere.
+func shouldRetry(q *request, a port.Answer) bool {
 	return a.Status >= http.StatusInternalServerError && q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers
 }
 
-// attempt sends a request to one server.
-func (g *Gateway) attempt(ctx context.Context, q *request, s roster.Server, b *backup) (port.Answer, error) {
+// sendAttempt sends a request to one server.
+func (g *Gateway) sendAttempt(ctx context.Context, q *request, s roster.Server, b *backup) (port.Answer, error) {
 	left := q.deadline.Left()
 	if q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers && q.route.LatencyTarget > 0 {
-		left = min(left, time.Duration(hangAims*float64(q.route.LatencyTarget)))
+		left = min(left, time.Duration(hangFactor*float64(q.route.LatencyTarget)))
 		c, cancel := context.WithTimeout(ctx, left)
 		defer cancel()
 		ctx = c
@@ -200,14 +200,14 @@
 	if left <= 0 {
 		return port.Answer{}, fault.New(fault.NotStarted, "the deadline passed before the send")
 	}
-	a := q.attempt(s, b)
+	a := q.newAttempt(s, b)
 	a.Left, a.Connect = left, call.ConnectTimeout(q.route.LatencyTarget)
 	return g.Backends.Send(ctx, a)
 }
 
-// attempt is the request on its way to a server, whose run another one may
+// newAttempt is the request on its way to a server, whose run another one may
 // protect, with all the time that is left.
-func (q *request) attempt(s roster.Server, b *backup) port.Attempt {
+func (q *request) newAttempt(s roster.Server, b *backup) port.Attempt {
 	a := port.Attempt{
 		Request: q.Request, Server: s, Workspace: q.workspace.Name, Left: q.deadline.Left(),
 		Stream: q.route.Kind == directory.Stream,
@@ -218,8 +218,8 @@
 	return a
 }
 
-// outcome types an attempt's failure for the decision on another one.
-func outcome(err error) call.Outcome {
+// attemptOutcome types an attempt's failure for the decision on another one.
+func attemptOutcome(err error) call.Outcome {
 	for _, c := range []fault.Code{fault.NotStarted, fault.ServerRefused, fault.Misdirected} {
 		if fault.Has(err, c) {
 			return call.Unsent
@@ -228,8 +228,8 @@
 	return call.Incomplete
 }
 
-// met types an attempt's failure for the server's record.
-func met(err error) placement.Outcome {
+// serverOutcome types an attempt's failure for the server's record.
+func serverOutcome(err error) placement.Outcome {
 	if fault.Has(err, fault.ServerRefused) {
 		return placement.Full
 	}
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -108,7 +108,7 @@
 	x := c.resume
 	x.After, _ = r.progress()
 	b := g.protect(ctx, q, c.at)
-	t := q.attempt(c.at, b)
+	t := q.newAttempt(c.at, b)
 	t.Connect, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
 	g.noteSent(c.at)
 	a, err := g.sendUntilTaken(ctx, t)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -141,13 +141,13 @@
 	x := r.request.route
 	switch {
 	case x.LatencyTarget > 0 && r.pace.first > x.LatencyTarget:
-		return lateFirst
+		return lateFirstEvent
 	case x.GapTarget <= 0 || r.pace.pause <= x.GapTarget:
-		return inTime
+		return onTime
 	case r.pace.elsewhere:
-		return lateMoved
+		return longMovePause
 	default:
-		return latePause
+		return longPause
 	}
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -39,13 +39,13 @@
 
 // stream serves a request that is answered event by event.
 func (g *Gateway) stream(ctx context.Context, q *request) {
-	v, f := g.try(ctx, q, need(q))
+	v, f := g.sendWithRetries(ctx, q, need(q))
 	switch {
 	case f != nil:
 		g.fail(q, f)
 	case v.answer.Stream == nil:
 		v.end()
-		g.whole(q, v.answer)
+		g.answerWhole(q, v.answer)
 	default:
 		r := &run{request: q}
 		g.attach(r, v.server, v.reservation, v.backup)
@@ -78,7 +78,7 @@
 		case err == nil:
 			q.sink.End()
 			g.Contents.Answered(q.content)
-			g.done(q, r.lateness(), r.figures()...)
+			g.finish(q, r.lateness(), r.figures()...)
 			return
 		case ctx.Err() != nil || fault.Has(err, fault.CallerGone):
 			g.Metrics.Add(metric.CallersGone, 1)
