--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -72,7 +72,7 @@
 		l = append(l, zap.String("cause", string(late)))
 	}
 	if late != onTime || q.retried {
-		g.tell(q)
+		g.logChoices(q)
 	}
 	g.Log.Emit(id, append(l, figures...)...)
 }
--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -24,7 +24,7 @@
 	closed, opened := g.roster.SetClosures(now, s.At.Era(), l, g.warmUp)
 	g.letIn(now)
 	g.mutex.Unlock()
-	g.closures.Store(true)
+	g.closuresKnown.Store(true)
 	g.noteClosed(closed, opened, zap.Stringer("version", s.At))
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -69,10 +69,10 @@
 	directory atomic.Pointer[directory.Directory]
 	// configuring is held while a configuration comes into force.
 	configuring sync.Mutex
-	// closures is set once it is known which failure domains are closed.
-	closures atomic.Bool
-	stop     atomic.Pointer[drain.Stop]
-	inFlight atomic.Int64
+	// closuresKnown is set once it is known which failure domains are closed.
+	closuresKnown atomic.Bool
+	stop          atomic.Pointer[drain.Stop]
+	inFlight      atomic.Int64
 
 	mutex  sync.Mutex
 	roster *roster.Roster
@@ -93,11 +93,11 @@
 	asks         holder.Asks
 	reports      *holder.Reports
 	observations *holder.Observations
-	// answers are what servers of silent streams said; inquiries lets one
+	// queryResults are what servers of silent streams said; inquiries lets one
 	// question serve all streams of a server.
-	answers   *silence.ResultCache
-	inquiries singleflight.Group
-	watchdog  *watchdog
+	queryResults *silence.ResultCache
+	queries      singleflight.Group
+	watchdog     *watchdog
 }
 
 // New makes a gateway that knows no configuration.
@@ -115,7 +115,7 @@
 		domains: placement.NewDomains(), contacts: holder.NewContacts(), reports: holder.NewReports(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
 		Options: p, roster: roster.New(), picker: placement.NewPicker(rand.NewPCG(p.Seed, 0)),
 		runs: map[api.ServerName]map[*run]bool{}, admissions: map[api.ServiceName]*admission{},
-		answers: silence.NewResultCache(), watchdog: newWatchdog(),
+		queryResults: silence.NewResultCache(), watchdog: newWatchdog(),
 	}
 	g.Backends = observed{p.Backends, g}
 	return g
@@ -123,7 +123,7 @@
 
 // Ready reports whether new callers may come.
 func (g *Gateway) Ready() bool {
-	return g.directory.Load() != nil && (g.closures.Load() || !g.WaitForClosures) && !g.Stopping()
+	return g.directory.Load() != nil && (g.closuresKnown.Load() || !g.WaitForClosures) && !g.Stopping()
 }
 
 // Stop turns the readiness before the process ends at a time; requests that
@@ -191,9 +191,9 @@
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	g.Metrics.Add(metric.RequestsTotal, 1)
-	q, f := g.admit(r, s)
+	q, f := g.resolve(r, s)
 	if f != nil {
-		g.refuse(r, s, f, q.named()...)
+		g.refuse(r, s, f, q.contentFields()...)
 		return
 	}
 	began := time.Now()
@@ -214,17 +214,17 @@
 	g.call(ctx, q)
 }
 
-// named gives the content for the log where the request was named; there is none before
+// contentFields gives the content for the log where the request was contentFields; there is none before
 // its route is known.
-func (q *request) named() []zap.Field {
+func (q *request) contentFields() []zap.Field {
 	if q == nil || q.hash == "" {
 		return nil
 	}
 	return []zap.Field{zap.String("content", string(q.hash))}
 }
 
-// admit finds what the configuration says of a request.
-func (g *Gateway) admit(r *port.Request, s port.Sink) (*request, *fault.Error) {
+// resolve finds what the configuration says of a request.
+func (g *Gateway) resolve(r *port.Request, s port.Sink) (*request, *fault.Error) {
 	d := g.directory.Load()
 	if d == nil {
 		return nil, fault.New(fault.Starting, "this entry VM knows no configuration yet").After(startRetryAfter)
@@ -242,7 +242,7 @@
 	if !ok {
 		return nil, fault.New(fault.NoServer, "the route's service is not configured").After(startRetryAfter)
 	}
-	if f := g.closing(r, x); f != nil {
+	if f := g.checkStop(r, x); f != nil {
 		return nil, f
 	}
 	q := &request{
@@ -274,8 +274,8 @@
 // stopRetryAfter is when a caller that met a stopping entry VM may ask another one.
 const stopRetryAfter = 50 * time.Millisecond
 
-// closing refuses what would be cut off at the end of a planned stop.
-func (g *Gateway) closing(r *port.Request, x *directory.Route) *fault.Error {
+// checkStop refuses what would be cut off at the end of a planned stop.
+func (g *Gateway) checkStop(r *port.Request, x *directory.Route) *fault.Error {
 	s := g.stop.Load()
 	if s == nil {
 		return nil
@@ -293,13 +293,13 @@
 // fail refuses a request for which servers were chosen.
 func (g *Gateway) fail(q *request, f *fault.Error) {
 	q.outcome = f.Code.Kind().Type
-	g.tell(q)
+	g.logChoices(q)
 	l := []zap.Field{zap.String("route", q.route.Name), zap.Duration("took", time.Since(q.Arrived)), zap.Duration("allowed", q.timeout)}
 	g.refuse(q.Request, q.sink, f, append(l, q.figures()...)...)
 }
 
-// tell writes what was held back of a request that did not go well.
-func (g *Gateway) tell(q *request) {
+// logChoices writes what was held back of a request that did not go well.
+func (g *Gateway) logChoices(q *request) {
 	for _, f := range q.choices {
 		g.Log.Emit(event.ServerChosen, f...)
 	}
--- a/internal/gateway/inquiry.go
+++ b/internal/gateway/inquiry.go
@@ -14,9 +14,9 @@
 // inquire asks a server about its runs, once for all streams that are silent at
 // the same time.
 func (g *Gateway) inquire(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
-	x, _, _ := g.inquiries.Do(string(s.Name), func() (any, error) {
+	x, _, _ := g.queries.Do(string(s.Name), func() (any, error) {
 		g.mutex.Lock()
-		a, ok := g.answers.Get(time.Now(), s.Name)
+		a, ok := g.queryResults.Get(time.Now(), s.Name)
 		g.mutex.Unlock()
 		if ok {
 			return a, nil
@@ -33,7 +33,7 @@
 	now := time.Now()
 	a := silence.QueryResult{At: now, Answered: err == nil, Overrun: now.Sub(began) - bound, Produced: p.Made}
 	g.mutex.Lock()
-	g.answers.Put(s.Name, a)
+	g.queryResults.Put(s.Name, a)
 	g.mutex.Unlock()
 	if port.Refused(err) {
 		g.Contents.Ended(s.Name)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -172,7 +172,7 @@
 func (g *Gateway) lost(r *run, from roster.Server, err error) {
 	_, n := r.progress()
 	r.request.outcome = "generation_lost"
-	g.tell(r.request)
+	g.logChoices(r.request)
 	g.Metrics.Add(metric.RequestsFailed, 1)
 	g.Log.Emit(event.GenerationLost, zap.String("request", string(r.request.ID)), zap.String("content", string(r.request.content())), zap.String("route", r.request.route.Name), zap.String("server", string(from.Name)), zap.Int("events", n), zap.Error(err))
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -46,7 +46,7 @@
 		return ok
 	}
 	g.picker.Forget(known)
-	g.answers.Forget(known)
+	g.queryResults.Forget(known)
 	g.Metrics.Retain(metric.ByServer, func(n string) bool { return known(api.ServerName(n)) })
 	g.picker.Engines.Expire(now)
 	n := g.picker.Table.Members(now)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -83,7 +83,7 @@
 		case ctx.Err() != nil || fault.Has(err, fault.CallerGone):
 			g.Metrics.Add(metric.CallersGone, 1)
 			q.outcome = "caller_gone"
-			g.tell(q)
+			g.logChoices(q)
 			g.Log.Emit(event.CallerLeft, zap.String("request", string(q.ID)), zap.Error(err))
 			q.sink.Abort()
 			return
