--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -15,7 +15,7 @@
 // allocate gives a demand an engine of this entry VM's failure domain, sends it on
 // to another domain that is less loaded, or lets it wait. While an ask is under way
 // elsewhere other demands are met, so that the choice at home is made anew after it.
-func (g *Gateway) allocate(ctx context.Context, d demand) placed {
+func (g *Gateway) allocate(ctx context.Context, d demand) assignment {
 	if !d.forwarded {
 		g.markLate(&d)
 	}
@@ -40,7 +40,7 @@
 }
 
 // placeHere places a demand without asking anyone else.
-func (g *Gateway) placeHere(ctx context.Context, d demand) placed {
+func (g *Gateway) placeHere(ctx context.Context, d demand) assignment {
 	g.mutex.Lock()
 	now := time.Now()
 	if x, ok := g.pick(now, d); ok {
@@ -50,9 +50,9 @@
 	}
 	g.mutex.Unlock()
 	if !d.waits {
-		return placed{fault: fault.New(fault.NoServer, "no engine has room now")}
+		return assignment{fault: fault.New(fault.NoServer, "no engine has room now")}
 	}
-	return g.await(ctx, d)
+	return g.enqueue(ctx, d)
 }
 
 // better gives the failure domain that a demand is better sent on to; the mutex
@@ -74,12 +74,12 @@
 
 // forward asks the allocator of another failure domain. There the demand waits
 // only where there is nothing to wait for here.
-func (g *Gateway) forward(ctx context.Context, d demand, to api.DomainName) (placed, bool) {
+func (g *Gateway) forward(ctx context.Context, d demand, to api.DomainName) (assignment, bool) {
 	d.waits = d.waits && !g.has(d)
 	d.domain, d.forwarded = to, true
 	l := g.allocators(to)
 	if len(l) == 0 {
-		return placed{}, false
+		return assignment{}, false
 	}
 	d.standby = l[0].standby
 	p, ok := g.askAt(ctx, l[0].address, d)
@@ -147,14 +147,14 @@
 }
 
 // answer is the message for what a demand was given.
-func answer(p placed) api.PlaceAnswer {
+func answer(p assignment) api.PlaceAnswer {
 	if f := p.fault; f != nil {
 		return api.PlaceAnswer{Refused: &api.PlaceRefusal{
 			Code: int(f.Code), Detail: f.Detail, RetryAfterMS: api.ToMilliseconds(f.RetryAfter), Waiting: p.forecast.Waiting,
 			ForecastMS: api.ToMilliseconds(p.forecast.Wait), PatienceMS: api.ToMilliseconds(p.forecast.MaxWait), Behind: p.forecast.LateInOverload,
 		}}
 	}
-	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Of, Copy: p.copy}
+	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Of, Copy: p.backupName}
 }
 
 // UpdateHolding takes what another entry VM holds at engines that this one allocates.
@@ -180,7 +180,7 @@
 	for n, x := range h.Met {
 		g.picker.Health.NoteAll(now, api.ServerName(n), x)
 	}
-	g.letIn(now)
+	g.admitWaiting(now)
 }
 
 // Pools sums up the engines that this entry VM allocates, by service.
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -147,9 +147,9 @@
 
 // pickNext chooses the server to send to now. Only the first of an engine's request
 // is waited for: what was sent before has used up its time to wait.
-func (g *Gateway) pickNext(ctx context.Context, q *request, n placement.Need, c *call.Call) placed {
+func (g *Gateway) pickNext(ctx context.Context, q *request, n placement.Need, c *call.Call) assignment {
 	if f := g.allRest(q, c); f != nil {
-		return placed{fault: f}
+		return assignment{fault: f}
 	}
 	switch {
 	case q.service.Engine != nil && len(q.tried) == 0:
--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -22,7 +22,7 @@
 	now := time.Now()
 	g.mutex.Lock()
 	closed, opened := g.roster.SetClosures(now, s.At.Era(), l, g.warmUp)
-	g.letIn(now)
+	g.admitWaiting(now)
 	g.mutex.Unlock()
 	g.closuresKnown.Store(true)
 	g.noteClosed(closed, opened, zap.Stringer("version", s.At))
@@ -44,7 +44,7 @@
 	g.mutex.Lock()
 	closed, opened := g.roster.MergeRetainedClosures(now, l, g.warmUp)
 	if len(opened) > 0 {
-		g.letIn(now)
+		g.admitWaiting(now)
 	}
 	g.mutex.Unlock()
 	g.noteClosed(closed, opened, zap.Bool("of_peer", true))
@@ -55,7 +55,7 @@
 	g.mutex.Lock()
 	closed, opened := g.roster.ExpireClosures(now, g.warmUp)
 	if len(opened) > 0 {
-		g.letIn(now)
+		g.admitWaiting(now)
 	}
 	g.mutex.Unlock()
 	g.noteClosed(closed, opened, zap.Bool("kept", true))
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -133,8 +133,8 @@
 
 // take counts the place that was chosen for a demand, and one for a copy of its
 // run where that is worth it; the mutex is held.
-func (g *Gateway) take(now time.Time, d demand, x placement.Choice) placed {
-	p := placed{choice: x, reservation: g.assign(now, d, x.Server)}
+func (g *Gateway) take(now time.Time, d demand, x placement.Choice) assignment {
+	p := assignment{choice: x, reservation: g.assign(now, d, x.Server)}
 	if d.expected == 0 || d.purpose != api.PlaceAskPurposeRun {
 		return p
 	}
@@ -143,7 +143,7 @@
 	if !ok {
 		return p
 	}
-	p.copy = y.Name
+	p.backupName = y.Name
 	if r := g.assign(now, c, y.Server); r != nil {
 		p.backup = &backup{at: y.Server, reservation: r}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -295,7 +295,7 @@
 	q.outcome = f.Code.Kind().Type
 	g.logChoices(q)
 	l := []zap.Field{zap.String("route", q.route.Name), zap.Duration("took", time.Since(q.Arrived)), zap.Duration("allowed", q.timeout)}
-	g.refuse(q.Request, q.sink, f, append(l, q.figures()...)...)
+	g.refuse(q.Request, q.sink, f, append(l, q.waitFields()...)...)
 }
 
 // logChoices writes what was held back of a request that did not go well.
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -67,9 +67,9 @@
 }
 
 // place gives a stream its first server, for which it may have to wait.
-func (g *Gateway) place(ctx context.Context, q *request, n placement.Need) placed {
+func (g *Gateway) place(ctx context.Context, q *request, n placement.Need) assignment {
 	if q.Prompt.Tokens > q.service.Engine.Memory {
-		return placed{fault: fault.New(fault.NoServer, "no engine has memory for the prompt")}
+		return assignment{fault: fault.New(fault.NoServer, "no engine has memory for the prompt")}
 	}
 	began := time.Now()
 	p := g.obtain(ctx, g.demand(q, n, true))
@@ -78,23 +78,23 @@
 }
 
 // placeAgain gives a stream that a server turned away another one.
-func (g *Gateway) placeAgain(ctx context.Context, q *request, n placement.Need, c *call.Call) placed {
+func (g *Gateway) placeAgain(ctx context.Context, q *request, n placement.Need, c *call.Call) assignment {
 	p := g.obtain(ctx, g.demand(q, n, false))
 	if p.fault != nil {
-		return placed{fault: c.NoServer()}
+		return assignment{fault: c.NoServer()}
 	}
 	return p
 }
 
 // obtain asks the allocator of a demand's failure domain for a place. Where none
 // answers, this entry VM chooses by what it holds itself.
-func (g *Gateway) obtain(ctx context.Context, d demand) placed {
+func (g *Gateway) obtain(ctx context.Context, d demand) assignment {
 	p, ok := g.askAllocators(ctx, d)
 	if ok {
 		return p
 	}
 	if ctx.Err() != nil {
-		return placed{fault: overdue(ctx)}
+		return assignment{fault: waitFault(ctx)}
 	}
 	g.Metrics.Add(metric.PlacedAlone, 1)
 	g.markLate(&d)
@@ -117,7 +117,7 @@
 
 // askAllocators asks those that may allocate a domain's engines, one after the
 // other; it reports false where none of them answered.
-func (g *Gateway) askAllocators(ctx context.Context, d demand) (placed, bool) {
+func (g *Gateway) askAllocators(ctx context.Context, d demand) (assignment, bool) {
 	for _, to := range g.allocators(d.domain) {
 		d.standby = to.standby
 		if to.address == "" {
@@ -131,7 +131,7 @@
 			break
 		}
 	}
-	return placed{}, false
+	return assignment{}, false
 }
 
 // allocator is an entry VM that may allocate the servers of a failure domain.
@@ -171,7 +171,7 @@
 }
 
 // askAt asks one entry VM.
-func (g *Gateway) askAt(ctx context.Context, to string, d demand) (placed, bool) {
+func (g *Gateway) askAt(ctx context.Context, to string, d demand) (assignment, bool) {
 	a := d.message()
 	c, cancel := context.WithTimeout(ctx, allowed(a))
 	defer cancel()
@@ -191,7 +191,7 @@
 		if ctx.Err() == nil {
 			g.noteSilent(to, err)
 		}
-		return placed{}, false
+		return assignment{}, false
 	}
 	return g.accept(d, r)
 }
@@ -212,18 +212,18 @@
 
 // accept takes an allocator's answer; it reports false for a server that this
 // entry VM does not know, or knows to take no new requests. The mutex is held.
-func (g *Gateway) accept(d demand, r api.PlaceAnswer) (placed, bool) {
+func (g *Gateway) accept(d demand, r api.PlaceAnswer) (assignment, bool) {
 	if x := r.Refused; x != nil {
-		return placed{
+		return assignment{
 			fault:    fault.New(fault.Code(x.Code), x.Detail).After(x.RetryAfterMS.Duration()),
 			forecast: backlog.Forecast{Waiting: x.Waiting, Wait: x.ForecastMS.Duration(), MaxWait: x.PatienceMS.Duration(), LateInOverload: x.Behind},
 		}, true
 	}
 	m, ok := g.roster.Find(r.Server)
 	if !ok || !m.AcceptsRequests() || d.recipient == nil && g.picker.Rests.Resting(time.Now(), m.Name) {
-		return placed{}, false
+		return assignment{}, false
 	}
-	p := placed{choice: placement.Choice{Server: m.Server, Score: r.Score, Of: r.Of}, copy: r.Copy}
+	p := assignment{choice: placement.Choice{Server: m.Server, Score: r.Score, Of: r.Of}, backupName: r.Copy}
 	if r.Load != nil {
 		p.choice.Load = *r.Load
 	}
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -43,7 +43,7 @@
 
 // placePlain gives a request a plain server. One that has named a limit is used in its turn;
 // while others can be had no request waits for that.
-func (g *Gateway) placePlain(ctx context.Context, q *request, c *call.Call) placed {
+func (g *Gateway) placePlain(ctx context.Context, q *request, c *call.Call) assignment {
 	var full []denied
 	tried := slices.Clone(q.tried)
 	for {
@@ -62,30 +62,30 @@
 		full = append(full, denied{server: x, at: p.at})
 	}
 	if len(full) == 0 {
-		return placed{fault: c.NoServer()}
+		return assignment{fault: c.NoServer()}
 	}
 	return g.awaitTurn(ctx, q, c, full)
 }
 
 // awaitTurn lets a request wait for its turn at one of some servers that are all at their
 // limits, or refuses it at once where none comes in time.
-func (g *Gateway) awaitTurn(ctx context.Context, q *request, c *call.Call, full []denied) placed {
+func (g *Gateway) awaitTurn(ctx context.Context, q *request, c *call.Call, full []denied) assignment {
 	first := slices.MinFunc(full, func(a, b denied) int { return a.at.Compare(b.at) })
 	patience := time.Duration(permitShare*float64(q.aim())) - time.Since(q.Arrived)
 	if time.Until(first.at) > patience {
-		return placed{fault: g.noneYet(c, time.Until(first.at))}
+		return assignment{fault: g.noneYet(c, time.Until(first.at))}
 	}
 	p := g.permit(ctx, first.server, patience)
 	if !p.granted {
-		return placed{fault: g.noneYet(c, time.Until(p.at))}
+		return assignment{fault: g.noneYet(c, time.Until(p.at))}
 	}
 	began := time.Now()
 	if !duty.Sleep(ctx, p.at.Sub(began)) {
-		return placed{fault: overdue(ctx)}
+		return assignment{fault: waitFault(ctx)}
 	}
 	q.waited += time.Since(began)
 	if !g.takes(first.server.Name) {
-		return placed{fault: c.NoServer()}
+		return assignment{fault: c.NoServer()}
 	}
 	return g.takePlain(first.server)
 }
@@ -121,10 +121,10 @@
 }
 
 // takePlain reserves the load at a plain server.
-func (g *Gateway) takePlain(x placement.Choice) placed {
+func (g *Gateway) takePlain(x placement.Choice) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return placed{choice: x, reservation: g.reserve(time.Now(), x.Server, false, api.ServerLoad{Requests: 1})}
+	return assignment{choice: x, reservation: g.reserve(time.Now(), x.Server, false, api.ServerLoad{Requests: 1})}
 }
 
 // turn asks for a turn at once, unless it is known that there is none yet.
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -214,7 +214,7 @@
 	l.load.Unread += x.Unread
 	if l.engine {
 		l.gateway.reports.Changed(now, l.domain)
-		l.gateway.letIn(now)
+		l.gateway.admitWaiting(now)
 	}
 }
 
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -18,42 +18,42 @@
 
 // waiter is a demand that waits for an engine.
 type waiter struct {
-	demand demand
-	placed chan placed
+	demand   demand
+	assigned chan assignment
 }
 
-// placed is the server that a request was given, or why it was given none.
-type placed struct {
+// assignment is the server that a request was given, or why it was given none.
+type assignment struct {
 	choice      placement.Choice
 	reservation *reservation
-	// copy is the engine that keeps a copy of the run as it grows, empty for none;
+	// backupName is the engine that keeps a backupName of the run as it grows, empty for none;
 	// backup counts it where this entry VM holds the run.
-	copy   api.ServerName
-	backup *backup
-	fault  *fault.Error
+	backupName api.ServerName
+	backup     *backup
+	fault      *fault.Error
 	// forecast decided that the request could not wait.
 	forecast backlog.Forecast
 }
 
-// await lets a demand wait for room, or refuses it at once where none is expected
+// enqueue lets a demand wait for room, or refuses it at once where none is expected
 // in time.
-func (g *Gateway) await(ctx context.Context, d demand) placed {
+func (g *Gateway) enqueue(ctx context.Context, d demand) assignment {
 	g.mutex.Lock()
 	now := time.Now()
 	a := g.admission(d.service.Name)
 	f := a.backlog.Forecast(now, d.ask)
 	if !f.MayWait() || g.roster.Closed(d.domain) && !g.offers(now, d) {
-		p := placed{fault: g.noRoom(now, a, d), forecast: f}
+		p := assignment{fault: g.noCapacity(now, a, d), forecast: f}
 		g.mutex.Unlock()
 		return p
 	}
-	w := &waiter{demand: d, placed: make(chan placed, 1)}
+	w := &waiter{demand: d, assigned: make(chan assignment, 1)}
 	if out, over := a.backlog.Push(now, d.ask, w); over {
-		out.placed <- placed{fault: g.noRoom(now, a, out.demand)}
+		out.assigned <- assignment{fault: g.noCapacity(now, a, out.demand)}
 	}
-	g.letIn(now)
+	g.admitWaiting(now)
 	g.mutex.Unlock()
-	return g.wait(ctx, a, w)
+	return g.awaitAssignment(ctx, a, w)
 }
 
 // noServerRetryAfter is when a caller may come back to an entry VM that knows no server:
@@ -61,28 +61,28 @@
 // store's return.
 const noServerRetryAfter = 2 * time.Second
 
-// noRoom is the refusal of a request that can't be let in in time; the mutex is
+// noCapacity is the refusal of a request that can't be let in in time; the mutex is
 // held. Where no server takes requests, it is not that there are too many of them: the
 // first servers are expected soon, or operators have closed the domains of all.
-func (g *Gateway) noRoom(now time.Time, a *admission, d demand) *fault.Error {
-	if !g.serves(d.service.Name) {
+func (g *Gateway) noCapacity(now time.Time, a *admission, d demand) *fault.Error {
+	if !g.hasAvailable(d.service.Name) {
 		return fault.New(fault.NoServer, "no server of the service takes requests").After(noServerRetryAfter)
 	}
 	return fault.New(fault.QueueFull, "no server is expected to have room in time").After(a.backlog.Refuse(now, d.ask.Late, d.deadline.Sub(now)))
 }
 
-// serves reports whether a service has a server that takes requests; the mutex
+// hasAvailable reports whether a service has a server that takes requests; the mutex
 // is held.
-func (g *Gateway) serves(n api.ServiceName) bool {
+func (g *Gateway) hasAvailable(n api.ServiceName) bool {
 	return slices.ContainsFunc(g.roster.Service(n), roster.Member.AcceptsRequests)
 }
 
-// wait waits until a demand was given a server or refused, or its caller left.
-func (g *Gateway) wait(ctx context.Context, a *admission, w *waiter) placed {
+// awaitAssignment waits until a demand was given a server or refused, or its caller left.
+func (g *Gateway) awaitAssignment(ctx context.Context, a *admission, w *waiter) assignment {
 	t := time.NewTimer(backlog.MaxWait(w.demand.ask.LatencyTarget))
 	defer t.Stop()
 	select {
-	case p := <-w.placed:
+	case p := <-w.assigned:
 		return p
 	case <-t.C:
 	case <-ctx.Done():
@@ -92,11 +92,11 @@
 		return p
 	}
 	p.end()
-	return placed{fault: overdue(ctx)}
+	return assignment{fault: waitFault(ctx)}
 }
 
-// overdue types the end of a request that waited for a server.
-func overdue(ctx context.Context) *fault.Error {
+// waitFault types the end of a request that waited for a server.
+func waitFault(ctx context.Context) *fault.Error {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return fault.New(fault.CallerGone, "the caller closed its connection")
 	}
@@ -104,31 +104,31 @@
 }
 
 // end takes the load of a place away that nobody needs.
-func (p placed) end() {
+func (p assignment) end() {
 	p.reservation.end()
 	p.backup.end()
 }
 
 // withdraw ends a demand's wait. Unless it was given a server just before it is
 // refused, or given nothing where its caller is gone.
-func (g *Gateway) withdraw(a *admission, w *waiter, gone bool) placed {
+func (g *Gateway) withdraw(a *admission, w *waiter, gone bool) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	a.backlog.Remove(func(x *waiter) bool { return x == w })
 	select {
-	case p := <-w.placed:
+	case p := <-w.assigned:
 		return p
 	default:
 	}
 	if gone {
-		return placed{}
+		return assignment{}
 	}
-	return placed{fault: g.noRoom(time.Now(), a, w.demand)}
+	return assignment{fault: g.noCapacity(time.Now(), a, w.demand)}
 }
 
-// letIn gives servers to demands that wait, as far as there is room; the mutex
+// admitWaiting gives servers to demands that wait, as far as there is room; the mutex
 // is held.
-func (g *Gateway) letIn(now time.Time) {
+func (g *Gateway) admitWaiting(now time.Time) {
 	for _, a := range g.admissions {
 		for a.backlog.Len() > 0 {
 			var x placement.Choice
@@ -140,7 +140,7 @@
 			if !ok {
 				break
 			}
-			w.placed <- g.take(now, w.demand, x)
+			w.assigned <- g.take(now, w.demand, x)
 		}
 	}
 }
@@ -148,14 +148,14 @@
 // AdmitWaiting lets requests in that find room as time passes, as at the end of a cooldown.
 func (g *Gateway) AdmitWaiting() {
 	g.mutex.Lock()
-	g.letIn(time.Now())
+	g.admitWaiting(time.Now())
 	g.Metrics.Put(metric.RequestsWaiting, int64(g.waiting()))
 	g.mutex.Unlock()
 	g.tellAllocators()
 }
 
-// figures gives the fields of the log line of a refusal: what decided it.
-func (q *request) figures() []zap.Field {
+// waitFields gives the fields of the log line of a refusal: what decided it.
+func (q *request) waitFields() []zap.Field {
 	l := []zap.Field{zap.Duration("waited", q.waited)}
 	if f := q.forecast; f.MaxWait > 0 {
 		l = append(l, zap.Int("waiting", f.Waiting), zap.Duration("forecast", f.Wait), zap.Duration("patience", f.MaxWait), zap.Bool("behind", f.LateInOverload))
