--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -21,10 +21,10 @@
 	}
 	g.mutex.Lock()
 	now := time.Now()
-	x, ok := g.pick(now, d)
+	x, ok := g.pickEngine(now, d)
 	to, better := g.better(now, d, x, ok)
 	if ok && !better {
-		p := g.take(now, d, x)
+		p := g.assign(now, d, x)
 		g.mutex.Unlock()
 		return p
 	}
@@ -34,7 +34,7 @@
 		if done {
 			return p
 		}
-		d.waits = d.waits && g.has(d)
+		d.mayWait = d.mayWait && g.has(d)
 	}
 	return g.placeHere(ctx, d)
 }
@@ -43,13 +43,13 @@
 func (g *Gateway) placeHere(ctx context.Context, d demand) assignment {
 	g.mutex.Lock()
 	now := time.Now()
-	if x, ok := g.pick(now, d); ok {
-		p := g.take(now, d, x)
+	if x, ok := g.pickEngine(now, d); ok {
+		p := g.assign(now, d, x)
 		g.mutex.Unlock()
 		return p
 	}
 	g.mutex.Unlock()
-	if !d.waits {
+	if !d.mayWait {
 		return assignment{fault: fault.New(fault.NoServer, "no engine has room now")}
 	}
 	return g.enqueue(ctx, d)
@@ -75,7 +75,7 @@
 // forward asks the allocator of another failure domain. There the demand waits
 // only where there is nothing to wait for here.
 func (g *Gateway) forward(ctx context.Context, d demand, to api.DomainName) (assignment, bool) {
-	d.waits = d.waits && !g.has(d)
+	d.mayWait = d.mayWait && !g.has(d)
 	d.domain, d.forwarded = to, true
 	l := g.allocators(to)
 	if len(l) == 0 {
@@ -85,7 +85,7 @@
 	p, ok := g.askAt(ctx, l[0].address, d)
 	if !ok || p.fault != nil {
 		// A demand that was let wait there has its answer.
-		return p, ok && d.waits
+		return p, ok && d.mayWait
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -102,7 +102,7 @@
 
 // offers is has under the mutex.
 func (g *Gateway) offers(now time.Time, d demand) bool {
-	return slices.ContainsFunc(g.engines(now, d).Members, func(m roster.Member) bool {
+	return slices.ContainsFunc(g.enginePool(now, d).Members, func(m roster.Member) bool {
 		return m.AcceptsRequests() && !slices.Contains(d.tried, m.Name)
 	})
 }
@@ -134,9 +134,9 @@
 		return demand{}, fault.New(fault.NotFound, "no engines of this service are configured")
 	}
 	return demand{
-		service: s, purpose: a.Purpose, domain: a.Domain, exact: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, waits: a.Waits, expected: a.Expected, brief: a.Brief,
+		service: s, purpose: a.Purpose, domain: a.Domain, exact: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, mayWait: a.Waits, expectedLength: a.Expected, short: a.Brief,
 		need:     placement.Need{Tokens: a.Tokens, Unread: a.Unread},
-		ask:      backlog.Request{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), LatencyTarget: a.AimMS.Duration(), Late: a.Late},
+		request:  backlog.Request{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), LatencyTarget: a.AimMS.Duration(), Late: a.Late},
 		route:    a.Route,
 		wait:     a.WaitMS.Duration(),
 		deadline: time.Now().Add(a.LeftMS.Duration()),
@@ -200,7 +200,7 @@
 		}
 		x := g.picker.Sum(now, placement.Pool{
 			Domain: g.Domain, Exact: true, Memory: s.Engine.Memory, Warmup: g.warmup(now, s),
-			Members: g.members(s.Name, func(m roster.Member) bool { return m.Domain == g.Domain }),
+			Members: g.membersWhere(s.Name, func(m roster.Member) bool { return m.Domain == g.Domain }),
 		})
 		if a, ok := g.admissions[s.Name]; ok {
 			x.Waiting = a.backlog.Len()
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -46,16 +46,16 @@
 // demand is what a new run of a request asks for.
 func (g *Gateway) demand(q *request, n placement.Need, waits bool) demand {
 	d := demand{
-		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), waits: waits, tried: q.tried,
-		ask: backlog.Request{
+		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), mayWait: waits, tried: q.tried,
+		request: backlog.Request{
 			Workspace: q.workspace.Name, Rank: backlog.Rank(q.workspace.Priority, q.route.Priority),
 			Cost: float64(n.Tokens), LatencyTarget: q.aim(),
 		},
 		route: q.route.Name, wait: q.Wait,
 	}
-	d.brief = placement.Brief(q.expected())
+	d.short = placement.Brief(q.expected())
 	if q.protects() {
-		d.expected = q.expected()
+		d.expectedLength = q.expected()
 	}
 	return d
 }
@@ -104,9 +104,9 @@
 // message is the ask for a demand. That of another holder is sent on in its name.
 func (d demand) message() api.PlaceAsk {
 	a := api.PlaceAsk{
-		Domain: d.domain, Service: d.service.Name, Purpose: d.purpose, Tokens: d.need.Tokens, Unread: d.need.Unread, Expected: d.expected, Brief: d.brief,
-		Workspace: d.ask.Workspace, Rank: d.ask.Rank, AimMS: api.ToMilliseconds(d.ask.LatencyTarget), LeftMS: api.ToMilliseconds(time.Until(d.deadline)),
-		Route: d.route, WaitMS: api.ToMilliseconds(d.wait), Tried: d.tried, Waits: d.waits, Forwarded: d.forwarded, Standby: d.standby, Late: d.ask.Late,
+		Domain: d.domain, Service: d.service.Name, Purpose: d.purpose, Tokens: d.need.Tokens, Unread: d.need.Unread, Expected: d.expectedLength, Brief: d.short,
+		Workspace: d.request.Workspace, Rank: d.request.Rank, AimMS: api.ToMilliseconds(d.request.LatencyTarget), LeftMS: api.ToMilliseconds(time.Until(d.deadline)),
+		Route: d.route, WaitMS: api.ToMilliseconds(d.wait), Tried: d.tried, Waits: d.mayWait, Forwarded: d.forwarded, Standby: d.standby, Late: d.request.Late,
 	}
 	if r := d.recipient; r != nil {
 		a.Ask = int(r.Ask)
@@ -234,7 +234,7 @@
 	p.reservation = g.reserve(now, m.Server, true, d.load())
 	p.reservation.ahead = p.choice.Load.Unread
 	if c, ok := g.roster.Find(r.Copy); ok && c.AcceptsRequests() {
-		p.backup = &backup{at: c.Server, reservation: g.reserve(now, c.Server, true, d.copied(m.Server).load())}
+		p.backup = &backup{at: c.Server, reservation: g.reserve(now, c.Server, true, d.backupDemand(m.Server).load())}
 	}
 	return p, true
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -152,7 +152,7 @@
 	if !q.protects() {
 		return nil
 	}
-	p := g.obtain(ctx, g.demand(q, need(q), false).copied(source))
+	p := g.obtain(ctx, g.demand(q, need(q), false).backupDemand(source))
 	if p.fault != nil {
 		return nil
 	}
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -41,14 +41,14 @@
 	g.mutex.Lock()
 	now := time.Now()
 	a := g.admission(d.service.Name)
-	f := a.backlog.Forecast(now, d.ask)
+	f := a.backlog.Forecast(now, d.request)
 	if !f.MayWait() || g.roster.Closed(d.domain) && !g.offers(now, d) {
 		p := assignment{fault: g.noCapacity(now, a, d), forecast: f}
 		g.mutex.Unlock()
 		return p
 	}
 	w := &waiter{demand: d, assigned: make(chan assignment, 1)}
-	if out, over := a.backlog.Push(now, d.ask, w); over {
+	if out, over := a.backlog.Push(now, d.request, w); over {
 		out.assigned <- assignment{fault: g.noCapacity(now, a, out.demand)}
 	}
 	g.admitWaiting(now)
@@ -68,7 +68,7 @@
 	if !g.hasAvailable(d.service.Name) {
 		return fault.New(fault.NoServer, "no server of the service takes requests").After(noServerRetryAfter)
 	}
-	return fault.New(fault.QueueFull, "no server is expected to have room in time").After(a.backlog.Refuse(now, d.ask.Late, d.deadline.Sub(now)))
+	return fault.New(fault.QueueFull, "no server is expected to have room in time").After(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
 }
 
 // hasAvailable reports whether a service has a server that takes requests; the mutex
@@ -79,7 +79,7 @@
 
 // awaitAssignment waits until a demand was given a server or refused, or its caller left.
 func (g *Gateway) awaitAssignment(ctx context.Context, a *admission, w *waiter) assignment {
-	t := time.NewTimer(backlog.MaxWait(w.demand.ask.LatencyTarget))
+	t := time.NewTimer(backlog.MaxWait(w.demand.request.LatencyTarget))
 	defer t.Stop()
 	select {
 	case p := <-w.assigned:
@@ -134,13 +134,13 @@
 			var x placement.Choice
 			w, ok := a.backlog.Pop(now, func(w *waiter) bool {
 				var fits bool
-				x, fits = g.picker.Pick(now, g.engines(now, w.demand), w.demand.need, w.demand.tried)
+				x, fits = g.picker.Pick(now, g.enginePool(now, w.demand), w.demand.need, w.demand.tried)
 				return fits
 			})
 			if !ok {
 				break
 			}
-			w.assigned <- g.take(now, w.demand, x)
+			w.assigned <- g.assign(now, w.demand, x)
 		}
 	}
 }
