--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -31,9 +31,9 @@
 	return a
 }
 
-// keep forgets what was learned of routes and services that a configuration no
+// forgetUnconfigured forgets what was learned of routes and services that a configuration no
 // longer holds.
-func (g *Gateway) keep(d *directory.Directory) {
+func (g *Gateway) forgetUnconfigured(d *directory.Directory) {
 	routes := make(map[string]bool, len(d.Routes))
 	for i := range d.Routes {
 		routes[d.Routes[i].Name] = true
@@ -53,8 +53,8 @@
 	}
 }
 
-// noteLeaving learns how many servers leave at once.
-func (g *Gateway) noteLeaving(changed []roster.Member) {
+// noteDepartures learns how many servers leave at once.
+func (g *Gateway) noteDepartures(changed []roster.Member) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
@@ -65,8 +65,8 @@
 	}
 }
 
-// noteRead learns from a stream's first event.
-func (g *Gateway) noteRead(l *reservation, q *request) {
+// noteFirstEvent learns from a stream's first event.
+func (g *Gateway) noteFirstEvent(l *reservation, q *request) {
 	if l == nil {
 		return
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// waiting counts the requests that wait; the mutex is held.
-func (g *Gateway) waiting() int {
+// countWaiting counts the requests that wait; the mutex is held.
+func (g *Gateway) countWaiting() int {
 	n := 0
 	for _, a := range g.admissions {
 		n += a.backlog.Len()
--- a/internal/gateway/configure.go
+++ b/internal/gateway/configure.go
@@ -53,7 +53,7 @@
 	}
 	n := directory.New(c)
 	g.directory.Store(n)
-	g.keep(n)
+	g.forgetUnconfigured(n)
 	g.Metrics.Put(metric.ConfigVersion, c.Version)
 	return true
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -64,7 +64,7 @@
 	if len(l) == 0 {
 		return
 	}
-	g.noteLeaving(l)
+	g.noteDepartures(l)
 	for _, m := range l {
 		if m.Unannounced() {
 			g.Contents.Ended(m.Name)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -134,7 +134,7 @@
 	r.mutex.Lock()
 	l := r.reservation
 	r.mutex.Unlock()
-	g.noteRead(l, r.request)
+	g.noteFirstEvent(l, r.request)
 	l.read()
 	g.Metrics.Add(metric.FirstTokens, 1)
 	g.Metrics.Add(metric.FirstTokenMS, time.Since(r.request.Arrived).Milliseconds())
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -149,7 +149,7 @@
 func (g *Gateway) AdmitWaiting() {
 	g.mutex.Lock()
 	g.admitWaiting(time.Now())
-	g.Metrics.Put(metric.RequestsWaiting, int64(g.waiting()))
+	g.Metrics.Put(metric.RequestsWaiting, int64(g.countWaiting()))
 	g.mutex.Unlock()
 	g.tellAllocators()
 }
