--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -22,7 +22,7 @@
 	g.mutex.Lock()
 	now := time.Now()
 	x, ok := g.pickEngine(now, d)
-	to, better := g.better(now, d, x, ok)
+	to, better := g.betterDomain(now, d, x, ok)
 	if ok && !better {
 		p := g.assign(now, d, x)
 		g.mutex.Unlock()
@@ -34,13 +34,13 @@
 		if done {
 			return p
 		}
-		d.mayWait = d.mayWait && g.has(d)
+		d.mayWait = d.mayWait && g.hasEngine(d)
 	}
-	return g.placeHere(ctx, d)
+	return g.placeLocally(ctx, d)
 }
 
-// placeHere places a demand without asking anyone else.
-func (g *Gateway) placeHere(ctx context.Context, d demand) assignment {
+// placeLocally places a demand without asking anyone else.
+func (g *Gateway) placeLocally(ctx context.Context, d demand) assignment {
 	g.mutex.Lock()
 	now := time.Now()
 	if x, ok := g.pickEngine(now, d); ok {
@@ -55,14 +55,14 @@
 	return g.enqueue(ctx, d)
 }
 
-// better gives the failure domain that a demand is better sent on to; the mutex
+// betterDomain gives the failure domain that a demand is betterDomain sent on to; the mutex
 // is held. Copies stay near their run.
-func (g *Gateway) better(now time.Time, d demand, x placement.Choice, ok bool) (api.DomainName, bool) {
+func (g *Gateway) betterDomain(now time.Time, d demand, x placement.Choice, ok bool) (api.DomainName, bool) {
 	if d.forwarded || d.purpose == api.PlaceAskPurposeCopy || ok && d.purpose == api.PlaceAskPurposeMove {
 		return "", false
 	}
 	m := d.service.Engine.Memory
-	if !ok && !g.offers(now, d) {
+	if !ok && !g.hasEngineLocked(now, d) {
 		return g.domains.Instead(now, d.service.Name, m, d.need)
 	}
 	var home *placement.Choice
@@ -75,7 +75,7 @@
 // forward asks the allocator of another failure domain. There the demand waits
 // only where there is nothing to wait for here.
 func (g *Gateway) forward(ctx context.Context, d demand, to api.DomainName) (assignment, bool) {
-	d.mayWait = d.mayWait && !g.has(d)
+	d.mayWait = d.mayWait && !g.hasEngine(d)
 	d.domain, d.forwarded = to, true
 	l := g.allocators(to)
 	if len(l) == 0 {
@@ -93,15 +93,15 @@
 	return p, true
 }
 
-// has reports whether there is an engine here for a demand to wait for.
-func (g *Gateway) has(d demand) bool {
+// hasEngine reports whether there is an engine here for a demand to wait for.
+func (g *Gateway) hasEngine(d demand) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.offers(time.Now(), d)
+	return g.hasEngineLocked(time.Now(), d)
 }
 
-// offers is has under the mutex.
-func (g *Gateway) offers(now time.Time, d demand) bool {
+// hasEngineLocked is has under the mutex.
+func (g *Gateway) hasEngineLocked(now time.Time, d demand) bool {
 	return slices.ContainsFunc(g.enginePool(now, d).Members, func(m roster.Member) bool {
 		return m.AcceptsRequests() && !slices.Contains(d.tried, m.Name)
 	})
@@ -109,18 +109,18 @@
 
 // Place answers another entry VM that asks for a place at an engine.
 func (g *Gateway) Place(ctx context.Context, a api.PlaceAsk) (api.PlaceAnswer, error) {
-	d, f := g.demanded(a)
+	d, f := g.newRemoteDemand(a)
 	if f != nil {
 		return api.PlaceAnswer{}, f
 	}
 	if !a.Forwarded {
 		g.UpdateHolding(a.Holding)
 	}
-	return answer(g.allocate(ctx, d)), nil
+	return placeAnswer(g.allocate(ctx, d)), nil
 }
 
-// demanded is the demand in an ask of another entry VM.
-func (g *Gateway) demanded(a api.PlaceAsk) (demand, *fault.Error) {
+// newRemoteDemand is the demand in an ask of another entry VM.
+func (g *Gateway) newRemoteDemand(a api.PlaceAsk) (demand, *fault.Error) {
 	c := g.directory.Load()
 	if c == nil {
 		return demand{}, fault.New(fault.Starting, "this entry VM knows no configuration yet")
@@ -146,8 +146,8 @@
 	}, nil
 }
 
-// answer is the message for what a demand was given.
-func answer(p assignment) api.PlaceAnswer {
+// placeAnswer is the message for what a demand was given.
+func placeAnswer(p assignment) api.PlaceAnswer {
 	if f := p.fault; f != nil {
 		return api.PlaceAnswer{Refused: &api.PlaceRefusal{
 			Code: int(f.Code), Detail: f.Detail, RetryAfterMS: api.ToMilliseconds(f.RetryAfter), Waiting: p.forecast.Waiting,
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -98,7 +98,7 @@
 	}
 	g.Metrics.Add(metric.PlacedAlone, 1)
 	g.markLate(&d)
-	return g.placeHere(ctx, d)
+	return g.placeLocally(ctx, d)
 }
 
 // message is the ask for a demand. That of another holder is sent on in its name.
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -42,7 +42,7 @@
 	now := time.Now()
 	a := g.admission(d.service.Name)
 	f := a.backlog.Forecast(now, d.request)
-	if !f.MayWait() || g.roster.Closed(d.domain) && !g.offers(now, d) {
+	if !f.MayWait() || g.roster.Closed(d.domain) && !g.hasEngineLocked(now, d) {
 		p := assignment{fault: g.noCapacity(now, a, d), forecast: f}
 		g.mutex.Unlock()
 		return p
