--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -82,7 +82,7 @@
 		return assignment{}, false
 	}
 	d.standby = l[0].standby
-	p, ok := g.askAt(ctx, l[0].address, d)
+	p, ok := g.queryAllocator(ctx, l[0].address, d)
 	if !ok || p.fault != nil {
 		// A demand that was let wait there has its answer.
 		return p, ok && d.mayWait
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -153,9 +153,9 @@
 	}
 	switch {
 	case q.service.Engine != nil && len(q.tried) == 0:
-		return g.place(ctx, q, n)
+		return g.placeFirst(ctx, q, n)
 	case q.service.Engine != nil:
-		return g.placeAgain(ctx, q, n, c)
+		return g.placeNext(ctx, q, n, c)
 	}
 	return g.placePlain(ctx, q, c)
 }
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -100,6 +100,6 @@
 	defer g.mutex.Unlock()
 	g.reports.End(time.Now(), d, err != nil)
 	if err != nil {
-		g.noteSilent(to, err)
+		g.markUnreachable(to, err)
 	}
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -173,7 +173,7 @@
 	q := m.run.request
 	_, n := m.run.progress()
 	x := q.service.Engine
-	p := m.gateway.obtain(ctx, demand{
+	p := m.gateway.obtainPlace(ctx, demand{
 		service: q.service, purpose: api.PlaceAskPurposeMove, domain: m.source.Domain, deadline: q.deadline.At(),
 		need:  placement.Need{Tokens: need(q).Tokens + api.Tokens(n*x.TokensPerEvent/2), Unread: moveUnread},
 		tried: append(slices.Clone(m.tried), m.source.Name),
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -19,77 +19,77 @@
 )
 
 const (
-	// allocatorTime bounds an ask beyond the time that it may wait at the allocator: a
+	// allocatorTimeout bounds an ask beyond the time that it may wait at the allocator: a
 	// round trip takes a few ms, and one of a VM short of processor time some
 	// tens. A request that asked in vain has most of its aim left.
-	allocatorTime = 100 * time.Millisecond
-	// allocatorBrief bounds an ask for a run that is under way, whose caller waits
+	allocatorTimeout = 100 * time.Millisecond
+	// resumeAllocatorTimeout bounds an ask for a run that is under way, whose caller waits
 	// between two events.
-	allocatorBrief = 50 * time.Millisecond
-	// forwardTime bounds an ask that an allocator sends on to another one. It is
+	resumeAllocatorTimeout = 50 * time.Millisecond
+	// forwardTimeout bounds an ask that an allocator sends on to another one. It is
 	// shorter than any ask: who asked must hear from the allocator here, be the other
 	// one silent or not.
-	forwardTime = 30 * time.Millisecond
+	forwardTimeout = 30 * time.Millisecond
 )
 
-// aimDefault stands for the aim of a route that names none.
-const aimDefault = 2 * time.Second
+// defaultLatencyTarget stands for the aim of a route that names none.
+const defaultLatencyTarget = 2 * time.Second
 
-// aim is the time in which a request's answer, or its first event, is good.
-func (q *request) aim() time.Duration {
+// latencyTarget is the time in which a request's answer, or its first event, is good.
+func (q *request) latencyTarget() time.Duration {
 	if q.route.LatencyTarget <= 0 {
-		return aimDefault
+		return defaultLatencyTarget
 	}
 	return q.route.LatencyTarget
 }
 
-// demand is what a new run of a request asks for.
-func (g *Gateway) demand(q *request, n placement.Need, waits bool) demand {
+// newDemand is what a new run of a request asks for.
+func (g *Gateway) newDemand(q *request, n placement.Need, waits bool) demand {
 	d := demand{
 		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), mayWait: waits, tried: q.tried,
 		request: backlog.Request{
 			Workspace: q.workspace.Name, Rank: backlog.Rank(q.workspace.Priority, q.route.Priority),
-			Cost: float64(n.Tokens), LatencyTarget: q.aim(),
+			Cost: float64(n.Tokens), LatencyTarget: q.latencyTarget(),
 		},
 		route: q.route.Name, wait: q.Wait,
 	}
 	d.short = placement.Brief(q.expected())
-	if q.protects() {
+	if q.wantsBackup() {
 		d.expectedLength = q.expected()
 	}
 	return d
 }
 
-// protects reports whether a run of a request may be copied as it grows.
-func (q *request) protects() bool {
+// wantsBackup reports whether a run of a request may be copied as it grows.
+func (q *request) wantsBackup() bool {
 	e := q.service.Engine
 	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.Protects(q.expected())
 }
 
-// place gives a stream its first server, for which it may have to wait.
-func (g *Gateway) place(ctx context.Context, q *request, n placement.Need) assignment {
+// placeFirst gives a stream its first server, for which it may have to wait.
+func (g *Gateway) placeFirst(ctx context.Context, q *request, n placement.Need) assignment {
 	if q.Prompt.Tokens > q.service.Engine.Memory {
 		return assignment{fault: fault.New(fault.NoServer, "no engine has memory for the prompt")}
 	}
 	began := time.Now()
-	p := g.obtain(ctx, g.demand(q, n, true))
+	p := g.obtainPlace(ctx, g.newDemand(q, n, true))
 	q.waited, q.forecast = time.Since(began), p.forecast
 	return p
 }
 
-// placeAgain gives a stream that a server turned away another one.
-func (g *Gateway) placeAgain(ctx context.Context, q *request, n placement.Need, c *call.Call) assignment {
-	p := g.obtain(ctx, g.demand(q, n, false))
+// placeNext gives a stream that a server turned away another one.
+func (g *Gateway) placeNext(ctx context.Context, q *request, n placement.Need, c *call.Call) assignment {
+	p := g.obtainPlace(ctx, g.newDemand(q, n, false))
 	if p.fault != nil {
 		return assignment{fault: c.NoServer()}
 	}
 	return p
 }
 
-// obtain asks the allocator of a demand's failure domain for a place. Where none
+// obtainPlace asks the allocator of a demand's failure domain for a place. Where none
 // answers, this entry VM chooses by what it holds itself.
-func (g *Gateway) obtain(ctx context.Context, d demand) assignment {
-	p, ok := g.askAllocators(ctx, d)
+func (g *Gateway) obtainPlace(ctx context.Context, d demand) assignment {
+	p, ok := g.queryAllocators(ctx, d)
 	if ok {
 		return p
 	}
@@ -101,8 +101,8 @@
 	return g.placeLocally(ctx, d)
 }
 
-// message is the ask for a demand. That of another holder is sent on in its name.
-func (d demand) message() api.PlaceAsk {
+// placeAsk is the ask for a demand. That of another holder is sent on in its name.
+func (d demand) placeAsk() api.PlaceAsk {
 	a := api.PlaceAsk{
 		Domain: d.domain, Service: d.service.Name, Purpose: d.purpose, Tokens: d.need.Tokens, Unread: d.need.Unread, Expected: d.expectedLength, Brief: d.short,
 		Workspace: d.request.Workspace, Rank: d.request.Rank, AimMS: api.ToMilliseconds(d.request.LatencyTarget), LeftMS: api.ToMilliseconds(time.Until(d.deadline)),
@@ -115,16 +115,16 @@
 	return a
 }
 
-// askAllocators asks those that may allocate a domain's engines, one after the
+// queryAllocators asks those that may allocate a domain's engines, one after the
 // other; it reports false where none of them answered.
-func (g *Gateway) askAllocators(ctx context.Context, d demand) (assignment, bool) {
+func (g *Gateway) queryAllocators(ctx context.Context, d demand) (assignment, bool) {
 	for _, to := range g.allocators(d.domain) {
 		d.standby = to.standby
 		if to.address == "" {
 			d.exact = true
 			return g.allocate(ctx, d), true
 		}
-		if p, ok := g.askAt(ctx, to.address, d); ok {
+		if p, ok := g.queryAllocator(ctx, to.address, d); ok {
 			return p, true
 		}
 		if ctx.Err() != nil {
@@ -155,14 +155,14 @@
 	return l
 }
 
-// allowed bounds an ask, with the time that it may wait.
-func allowed(a api.PlaceAsk) time.Duration {
-	limit := allocatorBrief
+// placeTimeout bounds an ask, with the time that it may wait.
+func placeTimeout(a api.PlaceAsk) time.Duration {
+	limit := resumeAllocatorTimeout
 	switch {
 	case a.Forwarded:
-		limit = forwardTime
+		limit = forwardTimeout
 	case a.Purpose == api.PlaceAskPurposeRun:
-		limit = allocatorTime
+		limit = allocatorTimeout
 	}
 	if a.Waits {
 		limit += backlog.MaxWait(a.AimMS.Duration())
@@ -170,14 +170,14 @@
 	return limit
 }
 
-// askAt asks one entry VM.
-func (g *Gateway) askAt(ctx context.Context, to string, d demand) (assignment, bool) {
-	a := d.message()
-	c, cancel := context.WithTimeout(ctx, allowed(a))
+// queryAllocator asks one entry VM.
+func (g *Gateway) queryAllocator(ctx context.Context, to string, d demand) (assignment, bool) {
+	a := d.placeAsk()
+	c, cancel := context.WithTimeout(ctx, placeTimeout(a))
 	defer cancel()
 	own := d.recipient == nil
 	if own {
-		a.Ask, a.Holding = g.beginAsk(d.domain)
+		a.Ask, a.Holding = g.beginQuery(d.domain)
 		l, _ := g.resting(d.service.Name)
 		a.Tried = append(slices.Clone(a.Tried), l...)
 	}
@@ -189,30 +189,30 @@
 	}
 	if err != nil {
 		if ctx.Err() == nil {
-			g.noteSilent(to, err)
+			g.markUnreachable(to, err)
 		}
 		return assignment{}, false
 	}
-	return g.accept(d, r)
+	return g.acceptAnswer(d, r)
 }
 
-// noteSilent passes an allocator over for a while; the mutex is held.
-func (g *Gateway) noteSilent(address string, err error) {
+// markUnreachable passes an allocator over for a while; the mutex is held.
+func (g *Gateway) markUnreachable(address string, err error) {
 	g.contacts.Failed(time.Now(), address)
 	g.Log.Emit(event.AllocatorSilent, zap.String("address", address), zap.Error(err))
 }
 
-// beginAsk numbers an ask and gives the report that goes with it.
-func (g *Gateway) beginAsk(d api.DomainName) (int, api.Holding) {
+// beginQuery numbers an ask and gives the report that goes with it.
+func (g *Gateway) beginQuery(d api.DomainName) (int, api.Holding) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	n := g.asks.Begin()
 	return int(n), g.holding(d)
 }
 
-// accept takes an allocator's answer; it reports false for a server that this
+// acceptAnswer takes an allocator's answer; it reports false for a server that this
 // entry VM does not know, or knows to take no new requests. The mutex is held.
-func (g *Gateway) accept(d demand, r api.PlaceAnswer) (assignment, bool) {
+func (g *Gateway) acceptAnswer(d demand, r api.PlaceAnswer) (assignment, bool) {
 	if x := r.Refused; x != nil {
 		return assignment{
 			fault:    fault.New(fault.Code(x.Code), x.Detail).After(x.RetryAfterMS.Duration()),
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -71,7 +71,7 @@
 // limits, or refuses it at once where none comes in time.
 func (g *Gateway) awaitTurn(ctx context.Context, q *request, c *call.Call, full []denied) assignment {
 	first := slices.MinFunc(full, func(a, b denied) int { return a.at.Compare(b.at) })
-	patience := time.Duration(permitShare*float64(q.aim())) - time.Since(q.Arrived)
+	patience := time.Duration(permitShare*float64(q.latencyTarget())) - time.Since(q.Arrived)
 	if time.Until(first.at) > patience {
 		return assignment{fault: g.noneYet(c, time.Until(first.at))}
 	}
@@ -176,7 +176,7 @@
 		if ctx.Err() == nil {
 			g.mutex.Lock()
 			defer g.mutex.Unlock()
-			g.noteSilent(to, err)
+			g.markUnreachable(to, err)
 		}
 		return permit{}, false
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -149,10 +149,10 @@
 // protect chooses the server that is to keep a copy of a run that goes on at
 // another one, and counts the copy there; nil for none.
 func (g *Gateway) protect(ctx context.Context, q *request, source roster.Server) *backup {
-	if !q.protects() {
+	if !q.wantsBackup() {
 		return nil
 	}
-	p := g.obtain(ctx, g.demand(q, need(q), false).backupDemand(source))
+	p := g.obtainPlace(ctx, g.newDemand(q, need(q), false).backupDemand(source))
 	if p.fault != nil {
 		return nil
 	}
