--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// permitTime bounds one ask for a permit; a request that asks in vain has most of its aim
+	// permitTimeout bounds one ask for a permit; a request that asks in vain has most of its aim
 	// left.
-	permitTime = 30 * time.Millisecond
-	// permitShare is the part of its aim that a request may wait for its turn at a server.
-	permitShare = 0.5
-	// patienceMost bounds the turns that are given ahead of their time, whatever is asked for.
-	patienceMost = 2 * time.Second
+	permitTimeout = 30 * time.Millisecond
+	// maxWaitShare is the part of its aim that a request may wait for its turn at a server.
+	maxWaitShare = 0.5
+	// maxSlotWait bounds the turns that are given ahead of their time, whatever is asked for.
+	maxSlotWait = 2 * time.Second
 	// unknownServerRetryAfter is when it is worth asking again for a server that the one asked has not
 	// heard of yet.
 	unknownServerRetryAfter = 250 * time.Millisecond
@@ -35,8 +35,8 @@
 	at      time.Time
 }
 
-// denied is a server at its limit, and when its next turn is.
-type denied struct {
+// busyServer is a server at its limit, and when its next turn is.
+type busyServer struct {
 	server placement.Choice
 	at     time.Time
 }
@@ -44,68 +44,68 @@
 // placePlain gives a request a plain server. One that has named a limit is used in its turn;
 // while others can be had no request waits for that.
 func (g *Gateway) placePlain(ctx context.Context, q *request, c *call.Call) assignment {
-	var full []denied
+	var full []busyServer
 	tried := slices.Clone(q.tried)
 	for {
 		x, ok := g.pickPlain(q.service, tried)
 		if !ok {
 			break
 		}
-		if _, limited := g.limit(x.Name); !limited {
-			return g.takePlain(x)
+		if _, limited := g.serverLimit(x.Name); !limited {
+			return g.reservePlain(x)
 		}
-		p := g.turn(ctx, x)
+		p := g.trySendSlot(ctx, x)
 		if p.granted {
-			return g.takePlain(x)
+			return g.reservePlain(x)
 		}
 		tried = append(tried, x.Name)
-		full = append(full, denied{server: x, at: p.at})
+		full = append(full, busyServer{server: x, at: p.at})
 	}
 	if len(full) == 0 {
 		return assignment{fault: c.NoServer()}
 	}
-	return g.awaitTurn(ctx, q, c, full)
+	return g.awaitSendSlot(ctx, q, c, full)
 }
 
-// awaitTurn lets a request wait for its turn at one of some servers that are all at their
+// awaitSendSlot lets a request wait for its turn at one of some servers that are all at their
 // limits, or refuses it at once where none comes in time.
-func (g *Gateway) awaitTurn(ctx context.Context, q *request, c *call.Call, full []denied) assignment {
-	first := slices.MinFunc(full, func(a, b denied) int { return a.at.Compare(b.at) })
-	patience := time.Duration(permitShare*float64(q.latencyTarget())) - time.Since(q.Arrived)
+func (g *Gateway) awaitSendSlot(ctx context.Context, q *request, c *call.Call, full []busyServer) assignment {
+	first := slices.MinFunc(full, func(a, b busyServer) int { return a.at.Compare(b.at) })
+	patience := time.Duration(maxWaitShare*float64(q.latencyTarget())) - time.Since(q.Arrived)
 	if time.Until(first.at) > patience {
-		return assignment{fault: g.noneYet(c, time.Until(first.at))}
+		return assignment{fault: g.refuseAllBusy(c, time.Until(first.at))}
 	}
-	p := g.permit(ctx, first.server, patience)
+	p := g.obtainPermit(ctx, first.server, patience)
 	if !p.granted {
-		return assignment{fault: g.noneYet(c, time.Until(p.at))}
+		return assignment{fault: g.refuseAllBusy(c, time.Until(p.at))}
 	}
 	began := time.Now()
 	if !duty.Sleep(ctx, p.at.Sub(began)) {
 		return assignment{fault: waitFault(ctx)}
 	}
 	q.waited += time.Since(began)
-	if !g.takes(first.server.Name) {
+	if !g.acceptsRequests(first.server.Name) {
 		return assignment{fault: c.NoServer()}
 	}
-	return g.takePlain(first.server)
+	return g.reservePlain(first.server)
 }
 
-// takes reports whether a server still takes requests of this entry VM.
-func (g *Gateway) takes(n api.ServerName) bool {
+// acceptsRequests reports whether a server still acceptsRequests requests of this entry VM.
+func (g *Gateway) acceptsRequests(n api.ServerName) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.roster.Find(n)
 	return ok && m.AcceptsRequests() && !g.picker.Rests.Resting(time.Now(), n)
 }
 
-// noneYet is the refusal of a request that no server takes for so long.
-func (g *Gateway) noneYet(c *call.Call, wait time.Duration) *fault.Error {
+// refuseAllBusy is the refusal of a request that no server takes for so long.
+func (g *Gateway) refuseAllBusy(c *call.Call, wait time.Duration) *fault.Error {
 	g.Metrics.Add(metric.ServersBusy, 1)
 	return c.AllBusy(wait)
 }
 
-// limit is what a server has named.
-func (g *Gateway) limit(n api.ServerName) (throttle.Rate, bool) {
+// serverLimit is what a server has named.
+func (g *Gateway) serverLimit(n api.ServerName) (throttle.Rate, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Limits.Find(n)
@@ -120,22 +120,22 @@
 	return g.picker.Pick(now, l, placement.Need{}, tried)
 }
 
-// takePlain reserves the load at a plain server.
-func (g *Gateway) takePlain(x placement.Choice) assignment {
+// reservePlain reserves the load at a plain server.
+func (g *Gateway) reservePlain(x placement.Choice) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return assignment{choice: x, reservation: g.reserve(time.Now(), x.Server, false, api.ServerLoad{Requests: 1})}
 }
 
-// turn asks for a turn at once, unless it is known that there is none yet.
-func (g *Gateway) turn(ctx context.Context, x placement.Choice) permit {
+// trySendSlot asks for a trySendSlot at once, unless it is known that there is none yet.
+func (g *Gateway) trySendSlot(ctx context.Context, x placement.Choice) permit {
 	g.mutex.Lock()
 	until, ok := g.picker.Pacer.DeniedUntil(time.Now(), x.Name)
 	g.mutex.Unlock()
 	if ok {
 		return permit{at: until}
 	}
-	p := g.permit(ctx, x, 0)
+	p := g.obtainPermit(ctx, x, 0)
 	if !p.granted {
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
@@ -144,18 +144,18 @@
 	return p
 }
 
-// permit asks who paces a server for the turn of one request: the entry VM that allocates the
+// obtainPermit asks who paces a server for the turn of one request: the entry VM that allocates the
 // servers of its failure domain, or the next one. Where neither answers, this entry VM keeps
 // to its own part.
-func (g *Gateway) permit(ctx context.Context, x placement.Choice, patience time.Duration) permit {
-	r, _ := g.limit(x.Name)
+func (g *Gateway) obtainPermit(ctx context.Context, x placement.Choice, patience time.Duration) permit {
+	r, _ := g.serverLimit(x.Name)
 	a := api.PermitAsk{Protocol: gossip.Protocol, VM: g.VM, Server: x.Name, PerSecond: float64(r), PatienceMS: api.ToMilliseconds(patience)}
 	for _, to := range g.allocators(x.Domain) {
 		a.Standby = to.standby
 		if to.address == "" {
-			return g.pace(a, patience)
+			return g.reserveSendSlot(a, patience)
 		}
-		if p, ok := g.askPermit(ctx, to.address, a); ok {
+		if p, ok := g.queryPermit(ctx, to.address, a); ok {
 			return p
 		}
 	}
@@ -167,9 +167,9 @@
 	return permit{granted: ok, at: at}
 }
 
-// askPermit asks another entry VM.
-func (g *Gateway) askPermit(ctx context.Context, to string, a api.PermitAsk) (permit, bool) {
-	c, cancel := context.WithTimeout(ctx, permitTime)
+// queryPermit asks another entry VM.
+func (g *Gateway) queryPermit(ctx context.Context, to string, a api.PermitAsk) (permit, bool) {
+	c, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	x, err := g.Peers.Permit(c, to, a)
 	if err != nil {
@@ -183,9 +183,9 @@
 	return permit{granted: x.Granted, at: time.Now().Add(x.WaitMS.Duration())}, true
 }
 
-// pace gives the turn of one request at a server that this entry VM paces, by the lower of the
+// reserveSendSlot gives the turn of one request at a server that this entry VM paces, by the lower of the
 // limits that it and the asker know.
-func (g *Gateway) pace(a api.PermitAsk, patience time.Duration) permit {
+func (g *Gateway) reserveSendSlot(a api.PermitAsk, patience time.Duration) permit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if _, ok := g.roster.Find(a.Server); !ok {
@@ -199,13 +199,13 @@
 	if a.Standby || g.fleet.Partitioned() {
 		t.Share = throttle.Standby
 	}
-	at, ok := g.picker.Pacer.Reserve(time.Now(), a.Server, t, min(patience, patienceMost))
+	at, ok := g.picker.Pacer.Reserve(time.Now(), a.Server, t, min(patience, maxSlotWait))
 	return permit{granted: ok, at: at}
 }
 
 // Permit answers another entry VM that asks for the turn of one request.
 func (g *Gateway) Permit(a api.PermitAsk) api.PermitAnswer {
-	p := g.pace(a, a.PatienceMS.Duration())
+	p := g.reserveSendSlot(a, a.PatienceMS.Duration())
 	// What is left of a ms counts as one: a turn must not come early.
 	wait := max(0, time.Until(p.at)+time.Millisecond-1)
 	return api.PermitAnswer{Granted: p.granted, WaitMS: api.ToMilliseconds(wait)}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -116,7 +116,7 @@
 
 // takeOff moves a run off its server. A copy of it is no use while its holder takes nothing.
 func (g *Gateway) takeOff(r *run) {
-	r.unprotect(func(s roster.Server) bool { return !g.takes(s.Name) })
+	r.unprotect(func(s roster.Server) bool { return !g.acceptsRequests(s.Name) })
 	g.move(r)
 }
 
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -149,5 +149,5 @@
 	if d == 0 {
 		return nil
 	}
-	return g.noneYet(c, d+time.Duration(rand.Float64()*float64(restSpread)))
+	return g.refuseAllBusy(c, d+time.Duration(rand.Float64()*float64(restSpread)))
 }
