--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -9,11 +9,11 @@
 	"github.com/wardridge/wardridge/internal/decide/placement"
 )
 
-// reportTime bounds one report to an allocator, as long as an ask may take.
-const reportTime = 300 * time.Millisecond
+// reportTimeout bounds one report to an allocator, as long as an ask may take.
+const reportTimeout = 300 * time.Millisecond
 
-// holding is what this entry VM holds in a failure domain; the mutex is held.
-func (g *Gateway) holding(d api.DomainName) api.Holding {
+// localHolding is what this entry VM holds in a failure domain; the mutex is held.
+func (g *Gateway) localHolding(d api.DomainName) api.Holding {
 	g.sequence++
 	asked, open := g.asks.State()
 	h := api.Holding{
@@ -23,7 +23,7 @@
 	for _, n := range open {
 		h.Open = append(h.Open, int(n))
 	}
-	for n, l := range g.held(d) {
+	for n, l := range g.localLoads(d) {
 		h.Loads[string(n)] = l
 	}
 	o := g.observations.Take(d)
@@ -36,8 +36,8 @@
 	return h
 }
 
-// held is the own loads in a failure domain; the mutex is held.
-func (g *Gateway) held(d api.DomainName) placement.Loads {
+// localLoads is the own loads in a failure domain; the mutex is localLoads.
+func (g *Gateway) localLoads(d api.DomainName) placement.Loads {
 	return g.picker.Engines.Own(func(n api.ServerName) bool {
 		m, ok := g.roster.Find(n)
 		return ok && m.Domain == d
@@ -51,8 +51,8 @@
 	return g.picker.Engines.Own(func(api.ServerName) bool { return true })
 }
 
-// tellAllocators tells allocators what this entry VM holds, as far as that is due.
-func (g *Gateway) tellAllocators() {
+// reportDue tells allocators what this entry VM holds, as far as that is due.
+func (g *Gateway) reportDue() {
 	g.mutex.Lock()
 	l := g.reports.Due(time.Now())
 	g.mutex.Unlock()
@@ -61,41 +61,41 @@
 		switch {
 		case len(u) == 0:
 		case u[0].address == "":
-			g.tellNobody(d)
+			g.discardReport(d)
 		default:
-			g.tellAllocator(d, u[0].address)
+			g.startReport(d, u[0].address)
 		}
 	}
 }
 
-// tellNobody forgets what there was to tell of a domain that this entry VM
+// discardReport forgets what there was to tell of a domain that this entry VM
 // allocates: it has learned of it already.
-func (g *Gateway) tellNobody(d api.DomainName) {
+func (g *Gateway) discardReport(d api.DomainName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.reports.Own(time.Now(), d)
 	g.observations.Take(d)
 }
 
-// tellAllocator makes a report to an allocator where one is due.
-func (g *Gateway) tellAllocator(d api.DomainName, to string) {
+// startReport makes a report to an allocator where one is due.
+func (g *Gateway) startReport(d api.DomainName, to string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if !g.reports.Begin(time.Now(), d, to, len(g.held(d)) > 0) {
+	if !g.reports.Begin(time.Now(), d, to, len(g.localLoads(d)) > 0) {
 		return
 	}
-	h := g.holding(d)
+	h := g.localHolding(d)
 	g.Group.Go(func(ctx context.Context) error {
-		c, cancel := context.WithTimeout(ctx, reportTime)
+		c, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
 		err := g.Peers.Report(c, to, h)
-		g.reported(d, to, err)
+		g.endReport(d, to, err)
 		return nil
 	})
 }
 
-// reported notes what became of a report.
-func (g *Gateway) reported(d api.DomainName, to string, err error) {
+// endReport notes what became of a report.
+func (g *Gateway) endReport(d api.DomainName, to string, err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.reports.End(time.Now(), d, err != nil)
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -207,7 +207,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	n := g.asks.Begin()
-	return int(n), g.holding(d)
+	return int(n), g.localHolding(d)
 }
 
 // acceptAnswer takes an allocator's answer; it reports false for a server that this
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -151,7 +151,7 @@
 	g.admitWaiting(time.Now())
 	g.Metrics.Put(metric.RequestsWaiting, int64(g.countWaiting()))
 	g.mutex.Unlock()
-	g.tellAllocators()
+	g.reportDue()
 }
 
 // waitFields gives the fields of the log line of a refusal: what decided it.
