--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -12,22 +12,22 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// askTime bounds one question to a server: the pause between questions.
-const askTime = 250 * time.Millisecond
+// queryTimeout bounds one question to a server: the pause between questions.
+const queryTimeout = 250 * time.Millisecond
 
 // QueryLeaving asks the servers that run own streams whether they are leaving. It is
 // for an entry VM that hears neither from the platform nor from peers that do.
 func (g *Gateway) QueryLeaving() {
-	for _, s := range g.busy() {
+	for _, s := range g.serversWithRuns() {
 		g.Group.Go(func(ctx context.Context) error {
-			g.ask(ctx, s)
+			g.queryServer(ctx, s)
 			return nil
 		})
 	}
 }
 
-// busy lists the servers with own streams that are not known to leave.
-func (g *Gateway) busy() []roster.Server {
+// serversWithRuns lists the servers with own streams that are not known to leave.
+func (g *Gateway) serversWithRuns() []roster.Server {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var l []roster.Server
@@ -39,21 +39,21 @@
 	return l
 }
 
-func (g *Gateway) ask(ctx context.Context, s roster.Server) {
-	c, cancel := context.WithTimeout(ctx, askTime)
+func (g *Gateway) queryServer(ctx context.Context, s roster.Server) {
+	c, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	p, err := g.Backends.Report(c, s, false)
-	g.told(s, p, err)
+	g.noteReport(s, p, err)
 }
 
-// told takes what a server tells of itself, or that it told nothing.
-func (g *Gateway) told(s roster.Server, p port.Report, err error) {
+// noteReport takes what a server tells of itself, or that it noteReport nothing.
+func (g *Gateway) noteReport(s roster.Server, p port.Report, err error) {
 	if err != nil {
 		g.Log.Emit(event.ServerUnreachable, zap.String("server", string(s.Name)), zap.Error(err))
 		return
 	}
 	if s.SupersededBy(p.Born) {
-		g.noteEnded(s.Name)
+		g.noteRestart(s.Name)
 		return
 	}
 	if p.Leaving {
@@ -61,9 +61,9 @@
 	}
 }
 
-// noteEnded takes a server that has started again. Runs that came there after its end
+// noteRestart takes a server that has started again. Runs that came there after its end
 // was known are ended as well.
-func (g *Gateway) noteEnded(n api.ServerName) {
+func (g *Gateway) noteRestart(n api.ServerName) {
 	g.mutex.Lock()
 	m, ok := g.roster.End(time.Now(), n)
 	g.mutex.Unlock()
--- a/internal/gateway/inquiry.go
+++ b/internal/gateway/inquiry.go
@@ -11,9 +11,9 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// inquire asks a server about its runs, once for all streams that are silent at
+// queryRuns asks a server about its runs, once for all streams that are silent at
 // the same time.
-func (g *Gateway) inquire(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
+func (g *Gateway) queryRuns(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
 	x, _, _ := g.queries.Do(string(s.Name), func() (any, error) {
 		g.mutex.Lock()
 		a, ok := g.queryResults.Get(time.Now(), s.Name)
@@ -21,15 +21,15 @@
 		if ok {
 			return a, nil
 		}
-		return g.question(ctx, s, bound), nil
+		return g.queryUncached(ctx, s, bound), nil
 	})
 	return x.(silence.QueryResult)
 }
 
-// question is inquire without an answer in hand.
-func (g *Gateway) question(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
+// queryUncached is inquire without an answer in hand.
+func (g *Gateway) queryUncached(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
 	began := time.Now()
-	p, err := g.report(ctx, s, bound)
+	p, err := g.hedgedReport(ctx, s, bound)
 	now := time.Now()
 	a := silence.QueryResult{At: now, Answered: err == nil, Overrun: now.Sub(began) - bound, Produced: p.Made}
 	g.mutex.Lock()
@@ -41,19 +41,19 @@
 	if a.Unresponsive() {
 		g.note(s, placement.Lost)
 	}
-	g.told(s, p, err)
+	g.noteReport(s, p, err)
 	return a
 }
 
-// report asks a server for its report over two new connections, the second a
+// hedgedReport asks a server for its hedgedReport over two new connections, the second a
 // little later: one lost packet must not make a server pass for silent.
-func (g *Gateway) report(ctx context.Context, s roster.Server, bound time.Duration) (port.Report, error) {
+func (g *Gateway) hedgedReport(ctx context.Context, s roster.Server, bound time.Duration) (port.Report, error) {
 	c, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
-	replies := make(chan reply, 2)
+	replies := make(chan reportResult, 2)
 	for _, after := range []time.Duration{0, silence.HedgeDelay(bound)} {
 		g.Group.Go(func(context.Context) error {
-			replies <- g.reportAfter(c, s, after)
+			replies <- g.delayedReport(c, s, after)
 			return nil
 		})
 	}
@@ -64,17 +64,17 @@
 	return r.report, r.err
 }
 
-// reply is what became of one question.
-type reply struct {
+// reportResult is what became of one question.
+type reportResult struct {
 	report port.Report
 	err    error
 }
 
-// reportAfter asks a server over a new connection after a time.
-func (g *Gateway) reportAfter(ctx context.Context, s roster.Server, after time.Duration) reply {
+// delayedReport asks a server over a new connection after a time.
+func (g *Gateway) delayedReport(ctx context.Context, s roster.Server, after time.Duration) reportResult {
 	if after > 0 && !duty.Sleep(ctx, after) {
-		return reply{err: ctx.Err()}
+		return reportResult{err: ctx.Err()}
 	}
 	p, err := g.Backends.Report(ctx, s, true)
-	return reply{p, err}
+	return reportResult{p, err}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -107,7 +107,7 @@
 		l.again(wait)
 		return
 	}
-	a := l.gateway.inquire(ctx, l.server, bound)
+	a := l.gateway.queryRuns(ctx, l.server, bound)
 	copied := a.Unresponsive() && l.holderAnswers(ctx)
 	s, ok := l.state(wait)
 	if !ok {
