--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -73,9 +73,9 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if n := l.load.Unread; n > 0 {
-		d := time.Since(l.at)
-		g.admission(q.service.Name).reading.Note(l.ahead+n, d)
-		g.observations.Read(l.domain, q.service.Name, l.ahead+n, d)
+		d := time.Since(l.since)
+		g.admission(q.service.Name).reading.Note(l.unreadAhead+n, d)
+		g.observations.Read(l.domain, q.service.Name, l.unreadAhead+n, d)
 	}
 }
 
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -199,7 +199,7 @@
 			continue
 		}
 		x := g.picker.Sum(now, placement.Pool{
-			Domain: g.Domain, Exact: true, Memory: s.Engine.Memory, Warmup: g.warmup(now, s),
+			Domain: g.Domain, Exact: true, Memory: s.Engine.Memory, Warmup: g.warmupBound(now, s),
 			Members: g.membersWhere(s.Name, func(m roster.Member) bool { return m.Domain == g.Domain }),
 		})
 		if a, ok := g.admissions[s.Name]; ok {
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -68,10 +68,10 @@
 	m, ok := g.roster.End(time.Now(), n)
 	g.mutex.Unlock()
 	if ok {
-		g.changed([]roster.Member{m})
+		g.applyChanges([]roster.Member{m})
 		return
 	}
-	for _, r := range g.all() {
+	for _, r := range g.allRuns() {
 		if r.at().Name == n {
 			g.watchdog.close(r)
 		}
@@ -89,7 +89,7 @@
 		}
 	}
 	g.mutex.Unlock()
-	g.changed(c)
+	g.applyChanges(c)
 }
 
 // Leaving lists the servers that said themselves that they are leaving.
--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -75,9 +75,9 @@
 	if len(closed) == 0 {
 		return
 	}
-	for _, r := range g.all() {
-		r.unprotect(g.unusable)
-		if g.leaving(r.at().Name) {
+	for _, r := range g.allRuns() {
+		r.unprotect(g.unavailable)
+		if g.departing(r.at().Name) {
 			// What protected it is gone, so that it has to be moved after all.
 			g.move(r)
 		}
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -46,7 +46,7 @@
 // time. The mutex is held.
 func (g *Gateway) enginePool(now time.Time, d demand) placement.Pool {
 	l := placement.Pool{
-		Domain: d.domain, Exact: d.exact, Rests: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmup(now, d.service),
+		Domain: d.domain, Exact: d.exact, Rests: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmupBound(now, d.service),
 		Members: g.membersWhere(d.service.Name, func(m roster.Member) bool {
 			return m.Domain == d.domain || !g.domains.Known(now, d.service.Name, m.Domain)
 		}),
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -103,7 +103,7 @@
 // New makes a gateway that knows no configuration.
 func New(p Options) *Gateway {
 	if p.Peers == nil {
-		p.Peers = alone{}
+		p.Peers = noPeers{}
 	}
 	if p.Deadlines == nil {
 		p.Deadlines = clock.NewDeadlines(clock.Boot)
--- a/internal/gateway/inquiry.go
+++ b/internal/gateway/inquiry.go
@@ -39,7 +39,7 @@
 		g.Contents.Ended(s.Name)
 	}
 	if a.Unresponsive() {
-		g.note(s, placement.Lost)
+		g.noteOutcome(s, placement.Lost)
 	}
 	g.noteReport(s, p, err)
 	return a
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -232,7 +232,7 @@
 	}
 	now := time.Now()
 	p.reservation = g.reserve(now, m.Server, true, d.load())
-	p.reservation.ahead = p.choice.Load.Unread
+	p.reservation.unreadAhead = p.choice.Load.Unread
 	if c, ok := g.roster.Find(r.Copy); ok && c.AcceptsRequests() {
 		p.backup = &backup{at: c.Server, reservation: g.reserve(now, c.Server, true, d.backupDemand(m.Server).load())}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -20,17 +20,17 @@
 	Report(ctx context.Context, address string, h api.Holding) error
 }
 
-// alone stands for the peers of an entry VM without any.
-type alone struct{}
+// noPeers stands for the peers of an entry VM without any.
+type noPeers struct{}
 
-func (alone) Allocators(api.DomainName) []string { return []string{""} }
+func (noPeers) Allocators(api.DomainName) []string { return []string{""} }
 
-func (alone) Place(context.Context, string, api.PlaceAsk) (api.PlaceAnswer, error) {
+func (noPeers) Place(context.Context, string, api.PlaceAsk) (api.PlaceAnswer, error) {
 	return api.PlaceAnswer{}, fault.New(fault.NotStarted, "there are no other entry VMs")
 }
 
-func (alone) Permit(context.Context, string, api.PermitAsk) (api.PermitAnswer, error) {
+func (noPeers) Permit(context.Context, string, api.PermitAsk) (api.PermitAnswer, error) {
 	return api.PermitAnswer{}, fault.New(fault.NotStarted, "there are no other entry VMs")
 }
 
-func (alone) Report(context.Context, string, api.Holding) error { return nil }
+func (noPeers) Report(context.Context, string, api.Holding) error { return nil }
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -116,7 +116,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	l := placement.Pool{Members: g.roster.Service(s.Name), Domain: g.Domain, Warmup: g.warmup(now, s), Rests: true}
+	l := placement.Pool{Members: g.roster.Service(s.Name), Domain: g.Domain, Warmup: g.warmupBound(now, s), Rests: true}
 	return g.picker.Pick(now, l, placement.Need{}, tried)
 }
 
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -25,7 +25,7 @@
 
 // noteBreak takes what the failure of an attempt tells of its content and its server.
 func (g *Gateway) noteBreak(q *request, s roster.Server, err error) {
-	if !g.leaving(s.Name) {
+	if !g.departing(s.Name) {
 		g.Contents.Broke(q.content, s.Name, err)
 	}
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -38,7 +38,7 @@
 	}
 	from := r.at()
 	if !stopped {
-		g.note(from, placement.Lost)
+		g.noteOutcome(from, placement.Lost)
 		if r.young(began) {
 			g.noteBreak(r.request, from, broke)
 		}
@@ -107,7 +107,7 @@
 	q := r.request
 	x := c.resume
 	x.After, _ = r.progress()
-	b := g.protect(ctx, q, c.at)
+	b := g.placeBackup(ctx, q, c.at)
 	t := q.newAttempt(c.at, b)
 	t.Connect, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
 	g.noteSent(c.at)
@@ -122,7 +122,7 @@
 	}
 	g.detach(r)
 	g.attach(r, c.at, c.reservation, b)
-	c.reservation.read()
+	c.reservation.notePromptRead()
 	return a.Stream, nil
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -191,9 +191,9 @@
 	}
 	m[r] = true
 	g.mutex.Unlock()
-	r.unprotect(g.unusable)
-	if g.leaving(s.Name) {
-		g.takeOff(r)
+	r.unprotect(g.unavailable)
+	if g.departing(s.Name) {
+		g.evacuate(r)
 	}
 }
 
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -26,7 +26,7 @@
 	g.roster.SetEra(now, s.At.Era())
 	c := g.roster.Update(now, l, s.Settled)
 	g.mutex.Unlock()
-	g.changed(c)
+	g.applyChanges(c)
 }
 
 // SetStoreDown notes whether the platform is lost.
@@ -56,11 +56,11 @@
 	g.reopen(now)
 	g.judge()
 	g.watchdog.sweep()
-	g.changed(c)
+	g.applyChanges(c)
 }
 
-// changed moves runs off servers that have begun to leave.
-func (g *Gateway) changed(l []roster.Member) {
+// applyChanges moves runs off servers that have begun to leave.
+func (g *Gateway) applyChanges(l []roster.Member) {
 	if len(l) == 0 {
 		return
 	}
@@ -71,19 +71,19 @@
 		}
 		g.Log.Emit(event.ServerState, zap.String("server", string(m.Name)), zap.String("address", m.Address), zap.String("state", m.State.String()))
 	}
-	for _, r := range g.all() {
-		r.unprotect(g.unusable)
-		switch s, ok := g.member(r.at().Name); {
+	for _, r := range g.allRuns() {
+		r.unprotect(g.unavailable)
+		switch s, ok := g.findMember(r.at().Name); {
 		case ok && s.State == roster.Ended:
 			g.watchdog.close(r)
 		case !ok || s.State.Departing():
-			g.takeOff(r)
+			g.evacuate(r)
 		}
 	}
 }
 
-// all lists the runs that are under way.
-func (g *Gateway) all() []*run {
+// allRuns lists the runs that are under way.
+func (g *Gateway) allRuns() []*run {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var l []*run
@@ -95,8 +95,8 @@
 	return l
 }
 
-// member gives what is known of a server.
-func (g *Gateway) member(n api.ServerName) (roster.Member, bool) {
+// findMember gives what is known of a server.
+func (g *Gateway) findMember(n api.ServerName) (roster.Member, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.roster.Find(n)
@@ -104,39 +104,39 @@
 
 // ServerAddress gives the address of a server that is known.
 func (g *Gateway) ServerAddress(n api.ServerName) (string, bool) {
-	m, ok := g.member(n)
+	m, ok := g.findMember(n)
 	return m.Address, ok
 }
 
-// leaving reports whether a server takes no new requests for good.
-func (g *Gateway) leaving(n api.ServerName) bool {
-	m, ok := g.member(n)
+// departing reports whether a server takes no new requests for good.
+func (g *Gateway) departing(n api.ServerName) bool {
+	m, ok := g.findMember(n)
 	return !ok || m.State.Departing()
 }
 
-// takeOff moves a run off its server. A copy of it is no use while its holder takes nothing.
-func (g *Gateway) takeOff(r *run) {
+// evacuate moves a run off its server. A copy of it is no use while its holder takes nothing.
+func (g *Gateway) evacuate(r *run) {
 	r.unprotect(func(s roster.Server) bool { return !g.acceptsRequests(s.Name) })
 	g.move(r)
 }
 
-// unusable reports whether a run may not go on at a server that it is not at yet.
-func (g *Gateway) unusable(s roster.Server) bool {
-	m, ok := g.member(s.Name)
+// unavailable reports whether a run may not go on at a server that it is not at yet.
+func (g *Gateway) unavailable(s roster.Server) bool {
+	m, ok := g.findMember(s.Name)
 	return !ok || !m.AcceptsRequests()
 }
 
-// warmup is what the cold servers of a service bear; the mutex is held.
-func (g *Gateway) warmup(now time.Time, s *directory.Service) placement.Warmup {
+// warmupBound is what the cold servers of a service bear; the mutex is held.
+func (g *Gateway) warmupBound(now time.Time, s *directory.Service) placement.Warmup {
 	return placement.Warmup{Rate: s.ColdRate, Choosers: g.picker.Table.Members(now)}
 }
 
 // reserve counts a load at a server until the reservation ends; the mutex is
 // held.
 func (g *Gateway) reserve(now time.Time, s roster.Server, engine bool, x api.ServerLoad) *reservation {
-	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, at: now}
+	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, since: now}
 	if engine {
-		l.ahead = g.picker.Engines.Total(s.Name).Unread
+		l.unreadAhead = g.picker.Engines.Total(s.Name).Unread
 		g.reports.Granted(now, s.Domain)
 	}
 	l.add(x)
@@ -146,9 +146,9 @@
 	return l
 }
 
-// protect chooses the server that is to keep a copy of a run that goes on at
+// placeBackup chooses the server that is to keep a copy of a run that goes on at
 // another one, and counts the copy there; nil for none.
-func (g *Gateway) protect(ctx context.Context, q *request, source roster.Server) *backup {
+func (g *Gateway) placeBackup(ctx context.Context, q *request, source roster.Server) *backup {
 	if !q.wantsBackup() {
 		return nil
 	}
@@ -167,10 +167,10 @@
 	// engine is set for the place at an engine, which allocators are told of.
 	engine bool
 	load   api.ServerLoad
-	// at is when it was made, and ahead the prompts that the server had to read
+	// since is when it was made, and ahead the prompts that the server had to read
 	// then.
-	at    time.Time
-	ahead api.Tokens
+	since       time.Time
+	unreadAhead api.Tokens
 }
 
 // add adds to the load of the reservation's server; the mutex is held.
@@ -182,14 +182,14 @@
 	l.gateway.picker.Table.Add(l.server, x)
 }
 
-// read notes that the prompt was read.
-func (l *reservation) read() {
+// notePromptRead notes that the prompt was notePromptRead.
+func (l *reservation) notePromptRead() {
 	if l == nil {
 		return
 	}
 	l.gateway.mutex.Lock()
 	defer l.gateway.mutex.Unlock()
-	l.change(api.ServerLoad{Unread: -l.load.Unread})
+	l.adjust(api.ServerLoad{Unread: -l.load.Unread})
 }
 
 // end takes the load away; further calls do nothing.
@@ -199,11 +199,11 @@
 	}
 	l.gateway.mutex.Lock()
 	defer l.gateway.mutex.Unlock()
-	l.change(placement.Minus(l.load))
+	l.adjust(placement.Minus(l.load))
 }
 
-// change adds to the load, which may let others in; the mutex is held.
-func (l *reservation) change(x api.ServerLoad) {
+// adjust adds to the load, which may let others in; the mutex is held.
+func (l *reservation) adjust(x api.ServerLoad) {
 	if x == (api.ServerLoad{}) {
 		return
 	}
@@ -218,10 +218,10 @@
 	}
 }
 
-// note records what a request met at a server. The allocator of an engine is told,
+// noteOutcome records what a request met at a server. The allocator of an engine is told,
 // at once of what is not good: an engine that takes no connection is empty, and
 // looks best of all to who does not know.
-func (g *Gateway) note(s roster.Server, o placement.Outcome) {
+func (g *Gateway) noteOutcome(s roster.Server, o placement.Outcome) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -113,7 +113,7 @@
 
 // noteNotice takes a server's word in an answer that it leaves.
 func (g *Gateway) noteNotice(s roster.Server) {
-	if !g.leaving(s.Name) {
+	if !g.departing(s.Name) {
 		g.Log.Emit(event.ServerNotice, zap.String("server", string(s.Name)))
 	}
 	g.NoteLeaving([]api.ServerName{s.Name})
@@ -125,9 +125,9 @@
 	g.mutex.Lock()
 	g.picker.Rests.Note(time.Now(), s.Name, d)
 	g.mutex.Unlock()
-	for _, r := range g.all() {
-		if g.leaving(r.at().Name) {
-			g.takeOff(r)
+	for _, r := range g.allRuns() {
+		if g.departing(r.at().Name) {
+			g.evacuate(r)
 		}
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -135,7 +135,7 @@
 	l := r.reservation
 	r.mutex.Unlock()
 	g.noteFirstEvent(l, r.request)
-	l.read()
+	l.notePromptRead()
 	g.Metrics.Add(metric.FirstTokens, 1)
 	g.Metrics.Add(metric.FirstTokenMS, time.Since(r.request.Arrived).Milliseconds())
 }
