--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -31,9 +31,9 @@
 	backup      *backup
 }
 
-// end takes the load of an answer away that needs no server any more.
-func (v served) end() {
-	v.reservation.end()
+// release takes the load of an answer away that needs no server any more.
+func (v served) release() {
+	v.reservation.release()
 	v.backup.end()
 }
 
@@ -44,7 +44,7 @@
 		g.fail(q, f)
 		return
 	}
-	v.end()
+	v.release()
 	g.answerWhole(q, v.answer)
 }
 
@@ -112,7 +112,7 @@
 			return preferAnswer(failed, p.fault)
 		}
 		if f := g.Contents.Check(q.content); f != nil {
-			p.end()
+			p.release()
 			return preferAnswer(failed, c.Refusal(f))
 		}
 		s, b := p.choice.Server, p.backup
@@ -123,7 +123,7 @@
 			g.noteOutcome(s, placement.Served)
 			return served{answer: a, server: s, reservation: p.reservation, backup: b}, nil
 		}
-		p.end()
+		p.release()
 		if err == nil {
 			g.noteOutcome(s, placement.Failed)
 			failed = &a
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -188,7 +188,7 @@
 }
 
 func (m *mover) release() {
-	m.reservation.end()
+	m.reservation.release()
 	m.reservation = nil
 }
 
@@ -257,7 +257,7 @@
 
 // drop frees a copy that nobody will use.
 func (g *Gateway) drop(c *held) {
-	c.reservation.end()
+	c.reservation.release()
 	g.Group.Go(func(ctx context.Context) error {
 		x, cancel := context.WithTimeout(ctx, dropTime)
 		defer cancel()
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -60,7 +60,7 @@
 		s, c, err = g.goBack(ctx, r, from, c, err)
 	}
 	if err != nil {
-		c.reservation.end()
+		c.reservation.release()
 		g.lost(r, from, err)
 		return nil, false
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -31,7 +31,7 @@
 // end takes the copy's load away.
 func (b *backup) end() {
 	if b != nil {
-		b.reservation.end()
+		b.reservation.release()
 	}
 }
 
@@ -204,7 +204,7 @@
 	l, b := r.reservation, r.backup
 	r.reservation, r.backup = nil, nil
 	r.mutex.Unlock()
-	l.end()
+	l.release()
 	b.end()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -192,8 +192,8 @@
 	l.adjust(api.ServerLoad{Unread: -l.load.Unread})
 }
 
-// end takes the load away; further calls do nothing.
-func (l *reservation) end() {
+// release takes the load away; further calls do nothing.
+func (l *reservation) release() {
 	if l == nil {
 		return
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -44,7 +44,7 @@
 	case f != nil:
 		g.fail(q, f)
 	case v.answer.Stream == nil:
-		v.end()
+		v.release()
 		g.answerWhole(q, v.answer)
 	default:
 		r := &run{request: q}
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -91,7 +91,7 @@
 	if ctx.Err() == nil {
 		return p
 	}
-	p.end()
+	p.release()
 	return assignment{fault: waitFault(ctx)}
 }
 
@@ -103,9 +103,9 @@
 	return fault.New(fault.DeadlinePassed, "the deadline passed while the request waited for a server")
 }
 
-// end takes the load of a place away that nobody needs.
-func (p assignment) end() {
-	p.reservation.end()
+// release takes the load of a place away that nobody needs.
+func (p assignment) release() {
+	p.reservation.release()
 	p.backup.end()
 }
 
