--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// noteDepartures learns how many servers leave at once.
-func (g *Gateway) noteDepartures(changed []roster.Member) {
+// recordDepartures learns how many servers leave at once.
+func (g *Gateway) recordDepartures(changed []roster.Member) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
@@ -65,8 +65,8 @@
 	}
 }
 
-// noteFirstEvent learns from a stream's first event.
-func (g *Gateway) noteFirstEvent(l *reservation, q *request) {
+// recordPrefill learns from a stream's first event.
+func (g *Gateway) recordPrefill(l *reservation, q *request) {
 	if l == nil {
 		return
 	}
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -43,17 +43,17 @@
 	c, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	p, err := g.Backends.Report(c, s, false)
-	g.noteReport(s, p, err)
+	g.handleReport(s, p, err)
 }
 
-// noteReport takes what a server tells of itself, or that it noteReport nothing.
-func (g *Gateway) noteReport(s roster.Server, p port.Report, err error) {
+// handleReport takes what a server tells of itself, or that it handleReport nothing.
+func (g *Gateway) handleReport(s roster.Server, p port.Report, err error) {
 	if err != nil {
 		g.Log.Emit(event.ServerUnreachable, zap.String("server", string(s.Name)), zap.Error(err))
 		return
 	}
 	if s.SupersededBy(p.Born) {
-		g.noteRestart(s.Name)
+		g.handleRestart(s.Name)
 		return
 	}
 	if p.Leaving {
@@ -61,9 +61,9 @@
 	}
 }
 
-// noteRestart takes a server that has started again. Runs that came there after its end
+// handleRestart takes a server that has started again. Runs that came there after its end
 // was known are ended as well.
-func (g *Gateway) noteRestart(n api.ServerName) {
+func (g *Gateway) handleRestart(n api.ServerName) {
 	g.mutex.Lock()
 	m, ok := g.roster.End(time.Now(), n)
 	g.mutex.Unlock()
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -120,16 +120,16 @@
 		q.tried = append(q.tried, s.Name)
 		a, err := g.sendAttempt(ctx, q, s, b)
 		if err == nil && !shouldRetry(q, a) {
-			g.noteOutcome(s, placement.Served)
+			g.recordOutcome(s, placement.Served)
 			return served{answer: a, server: s, reservation: p.reservation, backup: b}, nil
 		}
 		p.release()
 		if err == nil {
-			g.noteOutcome(s, placement.Failed)
+			g.recordOutcome(s, placement.Failed)
 			failed = &a
 			err = fault.New(fault.OutcomeUnknown, "the server answered "+http.StatusText(a.Status))
 		} else {
-			g.noteOutcome(s, serverOutcome(err))
+			g.recordOutcome(s, serverOutcome(err))
 			g.noteBreak(q, s, err)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(q.ID)), zap.String("server", string(s.Name)), zap.String("content", string(q.content())), zap.Error(err))
--- a/internal/gateway/inquiry.go
+++ b/internal/gateway/inquiry.go
@@ -39,9 +39,9 @@
 		g.Contents.Ended(s.Name)
 	}
 	if a.Unresponsive() {
-		g.noteOutcome(s, placement.Lost)
+		g.recordOutcome(s, placement.Lost)
 	}
-	g.noteReport(s, p, err)
+	g.handleReport(s, p, err)
 	return a
 }
 
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -38,7 +38,7 @@
 	}
 	from := r.at()
 	if !stopped {
-		g.noteOutcome(from, placement.Lost)
+		g.recordOutcome(from, placement.Lost)
 		if r.young(began) {
 			g.noteBreak(r.request, from, broke)
 		}
@@ -122,7 +122,7 @@
 	}
 	g.detach(r)
 	g.attach(r, c.at, c.reservation, b)
-	c.reservation.notePromptRead()
+	c.reservation.recordPromptRead()
 	return a.Stream, nil
 }
 
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -64,7 +64,7 @@
 	if len(l) == 0 {
 		return
 	}
-	g.noteDepartures(l)
+	g.recordDepartures(l)
 	for _, m := range l {
 		if m.Unannounced() {
 			g.Contents.Ended(m.Name)
@@ -182,8 +182,8 @@
 	l.gateway.picker.Table.Add(l.server, x)
 }
 
-// notePromptRead notes that the prompt was notePromptRead.
-func (l *reservation) notePromptRead() {
+// recordPromptRead notes that the prompt was recordPromptRead.
+func (l *reservation) recordPromptRead() {
 	if l == nil {
 		return
 	}
@@ -218,10 +218,10 @@
 	}
 }
 
-// noteOutcome records what a request met at a server. The allocator of an engine is told,
+// recordOutcome records what a request met at a server. The allocator of an engine is told,
 // at once of what is not good: an engine that takes no connection is empty, and
 // looks best of all to who does not know.
-func (g *Gateway) noteOutcome(s roster.Server, o placement.Outcome) {
+func (g *Gateway) recordOutcome(s roster.Server, o placement.Outcome) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -134,8 +134,8 @@
 	r.mutex.Lock()
 	l := r.reservation
 	r.mutex.Unlock()
-	g.noteFirstEvent(l, r.request)
-	l.notePromptRead()
+	g.recordPrefill(l, r.request)
+	l.recordPromptRead()
 	g.Metrics.Add(metric.FirstTokens, 1)
 	g.Metrics.Add(metric.FirstTokenMS, time.Since(r.request.Arrived).Milliseconds())
 }
