--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -151,7 +151,7 @@
 }
 
 // Many entry VMs that each see a few requests give callers what one that sees all would.
-func TestManyEntryVMsPlaceAsOne(t *testing.T) {
+func TestManyEntryVMsPlaceAsWellAsOne(t *testing.T) {
 	for _, x := range []float64{1, 2.2} {
 		var one, many []tally
 		for seed := range uint64(3) {
@@ -170,7 +170,7 @@
 }
 
 // While the VM that allocates is silent, as when it is frozen, the next one does.
-func TestAllocatorFallsSilentAndWakes(t *testing.T) {
+func TestStandbyAllocatesWhileAllocatorIsSilent(t *testing.T) {
 	got := playFleet(t, 4, 40, 1, func(f *fleetLoad) {
 		time.Sleep(8 * time.Second)
 		f.silence("0", true)
@@ -188,7 +188,7 @@
 }
 
 // Where no VM that allocates answers, each places by what it knows.
-func TestEntryVMsPlaceAloneWhereNobodyAllocates(t *testing.T) {
+func TestEntryVMsPlaceAloneWhenNoAllocatorAnswers(t *testing.T) {
 	got := playFleet(t, 5, 10, 0.5, func(f *fleetLoad) {
 		f.silence("0", true)
 		f.silence("1", true)
@@ -201,7 +201,7 @@
 }
 
 // An engine that takes no connection is empty, and must not be chosen for it.
-func TestEngineThatDiesIsLeftAlone(t *testing.T) {
+func TestUnreachableEngineIsAvoided(t *testing.T) {
 	got := playFleet(t, 6, 40, 1, func(f *fleetLoad) {
 		time.Sleep(8 * time.Second)
 		f.engines.kill("e0", true)
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestSilentDomainDoesNotSilenceItsNeighbour(t *testing.T) {
+func TestForwardToSilentDomainKeepsAllocatorInUse(t *testing.T) {
 	var first, second int
 	playFleet(t, 7, 40, 4, func(f *fleetLoad) {
 		for range 60 {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -77,7 +77,7 @@
 }
 
 // A run on its way must not meet a long prompt at its target.
-func TestTargetOfAMoveCountsAsReading(t *testing.T) {
+func TestMoveTargetCountsPromptToRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		unread := func(n string) api.Tokens {
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestStreamGoesOnFromCopyInHand(t *testing.T) {
+func TestStreamResumesFromFinishedCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
 		s.notice(s.server)
@@ -107,7 +107,7 @@
 	})
 }
 
-func TestStreamWithoutCopyIsBrokenOff(t *testing.T) {
+func TestStreamWithoutCopyIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 20, 5)
 		s.set(func(f *fake) { f.dead[s.server] = true })
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestMoveTakesAnotherTargetWhereOneIsFull(t *testing.T) {
+func TestMoveTriesAnotherTargetWhenOneIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		o := other(s.server)
@@ -139,7 +139,7 @@
 }
 
 // A copy that still hangs at a server which died must not keep the run from being moved again.
-func TestRunIsMovedAgainBesideAHangingCopy(t *testing.T) {
+func TestRunIsMovedAgainWhileAnOldCopyHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 100, 5)
 		o := other(s.server)
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestServerIsAskedWhereNobodyTells(t *testing.T) {
+func TestLeavingServerIsFoundByQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		s.set(func(f *fake) { f.leaves[s.server] = true })
@@ -186,7 +186,7 @@
 }
 
 // What one entry VM was told by a server moves the runs of all.
-func TestNoticeTravelsBetweenVMs(t *testing.T) {
+func TestLeavingNoticeOfAPeerMovesRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newBed(t, newFake(), 0)
 		s := play(t, newFake(), 60, 5)
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestRequestWithoutAnyTimeIsServed(t *testing.T) {
+func TestRequestWithoutTimeoutIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 0)
 		b.fake.answers["p1"], b.fake.answers["p2"] = []any{200}, []any{200}
@@ -256,7 +256,7 @@
 }
 
 // A server whose address another one has is gone, and is not tried again each moment.
-func TestServerWhoseAddressAnotherOneHasIsLeftAlone(t *testing.T) {
+func TestServerWhoseAddressWasReusedIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		b := newBed(t, f, 100)
@@ -287,7 +287,7 @@
 }
 
 // A caller that leaves is no failure of the system.
-func TestCallerThatLeavesIsTold(t *testing.T) {
+func TestCanceledCallEndsAsCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 0)
 		lost := fault.New(fault.OutcomeUnknown, "cut")
@@ -302,7 +302,7 @@
 	})
 }
 
-func TestVMWithoutConfigurationSaysNotRun(t *testing.T) {
+func TestReadyOnlyWithConfigurationAndBeforeStop(t *testing.T) {
 	g := gateway.New(gateway.Options{})
 	if g.Ready() {
 		t.Error("ready: got true, want false")
@@ -332,7 +332,7 @@
 }
 
 // A service's bound on repeated sends goes by its own requests.
-func TestRequestsOfOneServiceAllowNoRepeatsOfAnother(t *testing.T) {
+func TestRetriesAreBoundedPerService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 1
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -14,7 +14,7 @@
 
 // Whether a server was slow or a caller's time short can be told from the line
 // of the failure alone; on call it could not.
-func TestFailureTellsTheTimeThatWasAllowed(t *testing.T) {
+func TestFailureLogsTheTimeAllowed(t *testing.T) {
 	var out bytes.Buffer
 	l, flush, err := event.Over(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, &out)
 	if err != nil {
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -38,7 +38,7 @@
 }
 
 // A request that finds engines full is let in as soon as a run ends.
-func TestRequestWaitsForRoom(t *testing.T) {
+func TestRequestWaitsForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 100
@@ -91,7 +91,7 @@
 
 // While no server is known the caller is not told of an overload: it may come
 // back as soon as servers can be expected.
-func TestNoServerIsNoOverload(t *testing.T) {
+func TestNoServerIsNotRefusedAsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 0)
 		b.servers(map[string]bool{"e1": true, "e2": true})
@@ -108,7 +108,7 @@
 }
 
 // A prompt that no engine can hold is refused at once.
-func TestImpossiblePromptIsRefusedAtOnce(t *testing.T) {
+func TestTooLongPromptIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, newFake(), 0)
 		c := &caller{}
