--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -15,7 +15,7 @@
 )
 
 // halls declares servers by name with their failure domains.
-func (b *bed) halls(domains map[string]api.DomainName, draining ...string) {
+func (b *testGateway) halls(domains map[string]api.DomainName, draining ...string) {
 	var l []roster.Server
 	for n, d := range domains {
 		l = append(l, server(n, d, slices.Contains(draining, n)))
@@ -24,7 +24,7 @@
 }
 
 // shut declares the failure domains that are closed.
-func (b *bed) shut(l ...api.DomainName) {
+func (b *testGateway) shut(l ...api.DomainName) {
 	b.version++
 	s := replica.Snapshot[roster.Closure]{At: b.version}
 	for _, d := range l {
@@ -39,7 +39,7 @@
 }
 
 // ask sends a request and gives its caller once it has an answer or an event.
-func (b *bed) ask(path string) *caller {
+func (b *testGateway) ask(path string) *caller {
 	c := &caller{}
 	b.Handle(context.Background(), request(path), c)
 	return c
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 3
-		b := newBed(t, f, 9)
+		b := newTestGateway(t, f, 9)
 		b.halls(usual())
 		b.shut("x")
 		for range 8 {
@@ -91,7 +91,7 @@
 // wait.
 func TestNothingIsLeftOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 9)
+		b := newTestGateway(t, newFake(), 9)
 		b.halls(usual())
 		b.shut("x", "y")
 		for _, p := range []string{"/stream/1", "/safe/1", "/unsafe/1"} {
@@ -128,7 +128,7 @@
 		s := play(t, newFake(), 80, 5)
 		o := other(s.server)
 		s.halls(map[string]api.DomainName{s.server: "x", o: "x"}, s.server)
-		time.Sleep(copyTime / 2)
+		time.Sleep(firstCopyTime / 2)
 		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
 		s.shut("x")
 		s.whole(t, s.server, "e3")
@@ -157,7 +157,7 @@
 // An entry VM that does not know yet which domains are closed takes no callers.
 func TestReadyWaitsForClosures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 0)
+		b := newTestGateway(t, newFake(), 0)
 		b.WaitForClosures = true
 		if b.Ready() {
 			t.Error("before closures are known: got ready, want not")
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -26,59 +26,59 @@
 // eventGap is the time between two events of a fake engine.
 const eventGap = 30 * time.Millisecond
 
-// routeAim is the time in which an answer is good.
-const routeAim = 100 * time.Millisecond
+// latencyTarget is the time in which an answer is good.
+const latencyTarget = 100 * time.Millisecond
 
-// gapAim is the longest good pause of a stream.
-const gapAim = 180 * time.Millisecond
+// gapTarget is the longest good pause of a stream.
+const gapTarget = 180 * time.Millisecond
 
-// copyTime is what the first copy of a run takes, and restTime a later one.
+// firstCopyTime is what the first copy of a run takes, and laterCopyTime a later one.
 const (
-	copyTime = 300 * time.Millisecond
-	restTime = 10 * time.Millisecond
+	firstCopyTime = 300 * time.Millisecond
+	laterCopyTime = 10 * time.Millisecond
 )
 
 // fakeRun is one generation, wherever it runs.
 type fakeRun struct {
-	total   int
-	made    int
-	server  string
-	stopped bool
+	total    int
+	produced int
+	server   string
+	stopped  bool
 }
 
 // fake stands for all backend servers.
 type fake struct {
-	mutex sync.Mutex
+	silentStreams sync.Mutex
 	// answers scripts plain servers: what each send gets, in order.
 	answers map[string][]any
 	sends   []string
 	runs    map[string]*fakeRun
 	dead    map[string]bool
 	// full targets refuse copies; handles names the copies that are held.
-	full    map[string]bool
-	handles map[string]string
-	copies  int
-	missing int
-	// hang makes copies take longer than any notice.
-	hang     bool
-	released []string
-	closed   int
-	total    int
-	leaves   map[string]bool
-	// stops names the servers that stopped runs, by handle: they keep the memory too.
-	stops map[string]string
-	// turnsAway servers turn each request away and ask for rest.
-	turnsAway map[string]bool
+	full     map[string]bool
+	handles  map[string]string
+	copies   int
+	notBegun int
+	// hangCopies makes copies take longer than any notice.
+	hangCopies bool
+	released   []string
+	closed     int
+	total      int
+	leaves     map[string]bool
+	// stoppedAt names the servers that stopped runs, by handle: they keep the memory too.
+	stoppedAt map[string]string
+	// refuses servers turn each request away and ask for rest.
+	refuses map[string]bool
 	// signals are what servers say of themselves in their reports.
 	signals map[string]port.Signals
 	// born is when the life that answers at a server began.
 	born map[string]api.Birth
-	// dark servers say nothing, while their connections stay open; mute ones go
+	// silent servers say nothing, while their connections stay open; mute ones go
 	// on and are asked in vain over the connections that are open, which lack the
 	// newest events, ahead of them.
-	dark  map[string]bool
-	mute  map[string]bool
-	ahead int
+	silent map[string]bool
+	mute   map[string]bool
+	ahead  int
 	// gap is the time between two events, reports counts the questions.
 	gap     time.Duration
 	reports int
@@ -88,32 +88,32 @@
 	log *event.Log
 	// backups lets servers keep copies of runs as they grow.
 	backups bool
-	// lefts are the times that servers were given, in order; lead is by how much the
+	// timesLeft are the times that servers were given, in order; lead is by how much the
 	// boot clock is ahead.
-	lefts []time.Duration
-	lead  time.Duration
+	timesLeft []time.Duration
+	bootAhead time.Duration
 }
 
 func newFake() *fake {
 	return &fake{
 		answers: map[string][]any{}, runs: map[string]*fakeRun{}, dead: map[string]bool{},
-		full: map[string]bool{}, handles: map[string]string{}, leaves: map[string]bool{}, signals: map[string]port.Signals{}, stops: map[string]string{}, turnsAway: map[string]bool{}, born: map[string]api.Birth{}, dark: map[string]bool{}, mute: map[string]bool{}, gap: eventGap, total: 20, log: event.Discard(),
+		full: map[string]bool{}, handles: map[string]string{}, leaves: map[string]bool{}, signals: map[string]port.Signals{}, stoppedAt: map[string]string{}, refuses: map[string]bool{}, born: map[string]api.Birth{}, silent: map[string]bool{}, mute: map[string]bool{}, gap: eventGap, total: 20, log: event.Discard(),
 	}
 }
 
 // boot reads the clock that goes on while the VM is suspended.
 func (f *fake) boot() time.Time {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return time.Now().Add(f.lead)
+	f.silentStreams.Lock()
+	defer f.silentStreams.Unlock()
+	return time.Now().Add(f.bootAhead)
 }
 
 func (f *fake) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+	f.silentStreams.Lock()
+	defer f.silentStreams.Unlock()
 	n := string(a.Server.Name)
 	f.sends = append(f.sends, n)
-	f.lefts = append(f.lefts, a.Left)
+	f.timesLeft = append(f.timesLeft, a.Left)
 	if l := f.answers[n]; len(l) > 0 {
 		f.answers[n] = l[1:]
 		if err, ok := l[0].(error); ok {
@@ -124,7 +124,7 @@
 	if f.dead[n] {
 		return port.Answer{}, fault.New(fault.NotStarted, "dead")
 	}
-	if f.turnsAway[n] {
+	if f.refuses[n] {
 		return port.Answer{Signals: port.Signals{Answered: true, Resting: true, Rest: time.Minute}}, fault.New(fault.ServerRefused, "shed")
 	}
 	return f.open(ctx, a)
@@ -132,8 +132,8 @@
 
 // sent counts the sends so far.
 func (f *fake) sent() int {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+	f.silentStreams.Lock()
+	defer f.silentStreams.Unlock()
 	return len(f.sends)
 }
 
@@ -143,7 +143,7 @@
 	r := f.runs[id]
 	after := 0
 	if x := a.Resume; x != nil {
-		if f.handles[x.Handle] != n && f.stops[x.Handle] != n {
+		if f.handles[x.Handle] != n && f.stoppedAt[x.Handle] != n {
 			return port.Answer{}, fault.New(fault.ServerRefused, "no such copy")
 		}
 		after, _ = strconv.Atoi(x.After)
@@ -185,8 +185,8 @@
 			return port.Event{}, fault.New(fault.GenerationLost, "closed")
 		}
 	}
-	s.fake.mutex.Lock()
-	defer s.fake.mutex.Unlock()
+	s.fake.silentStreams.Lock()
+	defer s.fake.silentStreams.Unlock()
 	switch {
 	case s.run.stopped || s.fake.dead[s.server] || s.run.server != s.server:
 		return port.Event{}, fault.New(fault.GenerationLost, "broke off")
@@ -194,53 +194,53 @@
 		return port.Event{}, io.EOF
 	}
 	id := strconv.Itoa(s.next)
-	s.run.made = max(s.run.made, s.next)
+	s.run.produced = max(s.run.produced, s.next)
 	s.next++
 	return port.Event{ID: id, Bytes: []byte("id: " + id + "\n\n")}, nil
 }
 
 func (s *fakeStream) Waiting() bool {
-	s.fake.mutex.Lock()
-	defer s.fake.mutex.Unlock()
+	s.fake.silentStreams.Lock()
+	defer s.fake.silentStreams.Unlock()
 	return s.fake.waiting
 }
 
 // silent reports whether nothing comes over this connection any more.
 func (s *fakeStream) silent() bool {
-	s.fake.mutex.Lock()
-	defer s.fake.mutex.Unlock()
-	return s.fake.dark[s.server] || s.fake.mute[s.server]
+	s.fake.silentStreams.Lock()
+	defer s.fake.silentStreams.Unlock()
+	return s.fake.silent[s.server] || s.fake.mute[s.server]
 }
 
 func (s *fakeStream) Close() {
 	s.once.Do(func() {
 		close(s.closed)
-		s.fake.mutex.Lock()
-		defer s.fake.mutex.Unlock()
+		s.fake.silentStreams.Lock()
+		defer s.fake.silentStreams.Unlock()
 		s.fake.closed++
 	})
 }
 
 func (f *fake) Copy(_ context.Context, o port.CopyOrder) (port.Copy, error) {
-	f.mutex.Lock()
+	f.silentStreams.Lock()
 	first := f.copies == 0
-	if f.missing > 0 {
-		f.missing--
-		f.mutex.Unlock()
+	if f.notBegun > 0 {
+		f.notBegun--
+		f.silentStreams.Unlock()
 		return port.Copy{}, fault.New(fault.NotFound, "not begun")
 	}
-	hang := f.hang
-	f.mutex.Unlock()
+	hang := f.hangCopies
+	f.silentStreams.Unlock()
 	switch {
 	case hang:
 		time.Sleep(3 * time.Second)
 	case first:
-		time.Sleep(copyTime)
+		time.Sleep(firstCopyTime)
 	default:
-		time.Sleep(restTime)
+		time.Sleep(laterCopyTime)
 	}
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+	f.silentStreams.Lock()
+	defer f.silentStreams.Unlock()
 	r := f.runs[string(o.Request)]
 	switch {
 	case f.dead[string(o.Source.Name)]:
@@ -255,35 +255,35 @@
 	f.handles[h] = string(o.Target.Name)
 	if o.Stop {
 		r.stopped = true
-		f.stops[h] = string(o.Source.Name)
+		f.stoppedAt[h] = string(o.Source.Name)
 	}
 	return port.Copy{Handle: h}, nil
 }
 
 func (f *fake) Report(ctx context.Context, s roster.Server, _ bool) (port.Report, error) {
 	n := string(s.Name)
-	f.mutex.Lock()
-	dark := f.dark[n]
+	f.silentStreams.Lock()
+	dark := f.silent[n]
 	f.reports++
-	f.mutex.Unlock()
+	f.silentStreams.Unlock()
 	if dark {
 		<-ctx.Done()
 		return port.Report{}, fault.Wrap(fault.NotStarted, ctx.Err(), "dark")
 	}
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+	f.silentStreams.Lock()
+	defer f.silentStreams.Unlock()
 	p := port.Report{Leaving: f.leaves[n], Born: f.born[n], Made: map[api.RequestID]int{}, Signals: f.signals[n]}
 	for id, r := range f.runs {
 		if r.server == n {
-			p.Made[api.RequestID(id)] = r.made + f.ahead
+			p.Made[api.RequestID(id)] = r.produced + f.ahead
 		}
 	}
 	return p, nil
 }
 
 func (f *fake) Release(_ context.Context, _ roster.Server, handle string) (port.Signals, error) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+	f.silentStreams.Lock()
+	defer f.silentStreams.Unlock()
 	f.released = append(f.released, handle)
 	return port.Signals{}, nil
 }
@@ -315,8 +315,8 @@
 	c.aborted = true
 }
 
-// broken reports whether the answer was broken off.
-func (c *caller) broken() bool {
+// wasAborted reports whether the answer was wasAborted off.
+func (c *caller) wasAborted() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.aborted
@@ -345,8 +345,8 @@
 	return nil
 }
 
-// leave makes the caller go away before its next event.
-func (c *caller) leave() {
+// disconnect makes the caller go away before its next event.
+func (c *caller) disconnect() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.gone = true
@@ -358,8 +358,8 @@
 	return len(c.ids)
 }
 
-// whole reports whether the caller has events 1 to n, once each and in order.
-func (c *caller) whole(n int) bool {
+// complete reports whether the caller has events 1 to n, once each and in order.
+func (c *caller) complete(n int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.ids) != n || !c.ended || c.aborted {
@@ -373,27 +373,27 @@
 	return true
 }
 
-// bed is a gateway over fake servers.
-type bed struct {
+// testGateway is a gateway over fake servers.
+type testGateway struct {
 	*gateway.Gateway
 	fake    *fake
 	version api.Version
 }
 
-// newBed makes a gateway that knows a stream route and plain ones, and two
+// newTestGateway makes a gateway that knows a stream route and plain ones, and two
 // engines and two plain servers.
-func newBed(t *testing.T, f *fake, slack float64) *bed {
+func newTestGateway(t *testing.T, f *fake, slack float64) *testGateway {
 	t.Helper()
 	g, closer := duty.New(context.Background())
 	t.Cleanup(closer)
-	b := &bed{fake: f, Gateway: gateway.New(gateway.Options{
+	b := &testGateway{fake: f, Gateway: gateway.New(gateway.Options{
 		Deadlines: clock.NewDeadlines(f.boot),
 		Domain:    "x", Backends: f, Group: g, Log: f.log, Metrics: metric.New(),
 		Retries: retry.NewWindows(10*time.Second, 0, slack),
 	})}
 	e := &directory.Engine{Slots: 24, Memory: 34000, SupportsMoves: true, SupportsBackups: f.backups, TokensPerEvent: 4}
 	route := func(p string, k directory.Kind, s api.ServiceName) directory.Route {
-		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, LatencyTarget: routeAim, GapTarget: gapAim, MaxServers: 2, Targets: []directory.Target{{Service: s, Weight: 1}}}
+		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, LatencyTarget: latencyTarget, GapTarget: gapTarget, MaxServers: 2, Targets: []directory.Target{{Service: s, Weight: 1}}}
 	}
 	timeless := route("/timeless/", directory.Unsafe, "plain")
 	timeless.Timeout = 0
@@ -409,7 +409,7 @@
 }
 
 // servers declares servers by name and whether they are draining.
-func (b *bed) servers(m map[string]bool) {
+func (b *testGateway) servers(m map[string]bool) {
 	var l []roster.Server
 	for n, d := range m {
 		l = append(l, server(n, "x", d))
@@ -427,7 +427,7 @@
 }
 
 // serve declares servers.
-func (b *bed) serve(l []roster.Server) {
+func (b *testGateway) serve(l []roster.Server) {
 	b.version++
 	s := replica.Snapshot[roster.Server]{At: b.version}
 	for _, x := range l {
@@ -437,7 +437,7 @@
 }
 
 // notice declares that one of the two engines is leaving.
-func (b *bed) notice(engine string) {
+func (b *testGateway) notice(engine string) {
 	b.servers(map[string]bool{engine: true, other(engine): false})
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -24,7 +24,7 @@
 
 // scene is one stream through a gateway.
 type scene struct {
-	*bed
+	*testGateway
 	*caller
 	// server runs the stream at first.
 	server string
@@ -35,7 +35,7 @@
 func play(t *testing.T, f *fake, total, events int) *scene {
 	t.Helper()
 	f.total = total
-	s := &scene{bed: newBed(t, f, 0), caller: &caller{}, done: make(chan struct{})}
+	s := &scene{testGateway: newTestGateway(t, f, 0), caller: &caller{}, done: make(chan struct{})}
 	s.Group.Go(func(ctx context.Context) error {
 		defer close(s.done)
 		s.Handle(ctx, request("/stream/1"), s.caller)
@@ -50,8 +50,8 @@
 
 // set changes what the fake servers do.
 func (s *scene) set(change func(f *fake)) {
-	s.fake.mutex.Lock()
-	defer s.fake.mutex.Unlock()
+	s.fake.silentStreams.Lock()
+	defer s.fake.silentStreams.Unlock()
 	change(s.fake)
 }
 
@@ -60,7 +60,7 @@
 func (s *scene) whole(t *testing.T, servers ...string) {
 	t.Helper()
 	<-s.done
-	if !s.caller.whole(s.fake.total) {
+	if !s.caller.complete(s.fake.total) {
 		t.Errorf("events: got %v ended %v, want 1 to %d and an end", s.ids, s.ended, s.fake.total)
 	}
 	if got := s.fake.sends; !slices.Equal(got, servers) {
@@ -84,11 +84,11 @@
 			return s.LocalLoads()[api.ServerName(n)].Unread
 		}
 		s.notice(s.server)
-		time.Sleep(copyTime / 2)
+		time.Sleep(firstCopyTime / 2)
 		if unread(other(s.server)) == 0 {
 			t.Error("while the run is copied: got no prompt to read at the target, want some")
 		}
-		time.Sleep(2 * copyTime)
+		time.Sleep(2 * firstCopyTime)
 		if got := unread(other(s.server)); got != 0 {
 			t.Errorf("after it went on there: got %d tokens to read, want none", got)
 		}
@@ -101,7 +101,7 @@
 		s := play(t, newFake(), 40, 5)
 		s.notice(s.server)
 		// The first copy has just ended; the server dies before it is stopped.
-		time.Sleep(copyTime + time.Millisecond)
+		time.Sleep(firstCopyTime + time.Millisecond)
 		s.set(func(f *fake) { f.dead[s.server] = true })
 		s.whole(t, s.server, other(s.server))
 	})
@@ -121,7 +121,7 @@
 func TestMoveWaitsForRunToBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
-		f.missing = 5
+		f.notBegun = 5
 		s := play(t, f, 60, 1)
 		s.notice(s.server)
 		s.whole(t, s.server, other(s.server))
@@ -144,10 +144,10 @@
 		s := play(t, newFake(), 100, 5)
 		o := other(s.server)
 		s.notice(s.server)
-		time.Sleep(copyTime + time.Millisecond)
-		s.set(func(f *fake) { f.hang = true })
+		time.Sleep(firstCopyTime + time.Millisecond)
+		s.set(func(f *fake) { f.hangCopies = true })
 		time.Sleep(2 * eventGap)
-		s.set(func(f *fake) { f.dead[s.server], f.hang = true, false })
+		s.set(func(f *fake) { f.dead[s.server], f.hangCopies = true, false })
 		time.Sleep(5 * eventGap)
 		s.servers(map[string]bool{o: true, "e3": false})
 		s.whole(t, s.server, o, "e3")
@@ -158,8 +158,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 100, 5)
 		s.notice(s.server)
-		time.Sleep(copyTime + time.Millisecond)
-		s.leave()
+		time.Sleep(firstCopyTime + time.Millisecond)
+		s.disconnect()
 		<-s.done
 		time.Sleep(time.Second)
 		s.set(func(f *fake) {
@@ -188,7 +188,7 @@
 // What one entry VM was told by a server moves the runs of all.
 func TestLeavingNoticeOfAPeerMovesRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newBed(t, newFake(), 0)
+		a := newTestGateway(t, newFake(), 0)
 		s := play(t, newFake(), 60, 5)
 		a.NoteLeaving([]api.ServerName{api.ServerName(s.server), "unknown"})
 		s.NoteLeaving(a.Leaving())
@@ -223,7 +223,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFake()
-				b := newBed(t, f, c.slack)
+				b := newTestGateway(t, f, c.slack)
 				f.answers["p1"], f.answers["p2"] = c.p1, c.p2
 				// What a peer has at p2 makes p1 the first choice, whatever is drawn.
 				b.UpdateLoads("peer", placement.Hub, placement.Report{Loads: placement.Loads{"p2": {Requests: 3}}, Members: 1})
@@ -243,7 +243,7 @@
 
 func TestRequestWithoutTimeoutIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 0)
+		b := newTestGateway(t, newFake(), 0)
 		b.fake.answers["p1"], b.fake.answers["p2"] = []any{200}, []any{200}
 		r := request("/timeless/1")
 		r.Wait = 0
@@ -259,7 +259,7 @@
 func TestServerWhoseAddressWasReusedIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
-		b := newBed(t, f, 100)
+		b := newTestGateway(t, f, 100)
 		for range 100 {
 			f.answers["p1"] = append(f.answers["p1"], fault.New(fault.Misdirected, "another one"))
 			f.answers["p2"] = append(f.answers["p2"], 200)
@@ -289,7 +289,7 @@
 // A caller that leaves is no failure of the system.
 func TestCanceledCallEndsAsCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 0)
+		b := newTestGateway(t, newFake(), 0)
 		lost := fault.New(fault.OutcomeUnknown, "cut")
 		b.fake.answers["p1"], b.fake.answers["p2"] = []any{lost}, []any{lost}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -308,7 +308,7 @@
 		t.Error("ready: got true, want false")
 	}
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 0)
+		b := newTestGateway(t, newFake(), 0)
 		if !b.Ready() {
 			t.Error("ready with a configuration: got false, want true")
 		}
@@ -336,7 +336,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 1
-		b := newBed(t, f, 0)
+		b := newTestGateway(t, f, 0)
 		b.SetRetryBounds(10*time.Second, 0.2, 0)
 		for range 20 {
 			b.ask("/stream/1")
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -10,7 +10,7 @@
 )
 
 // lives declares engines by name and birth.
-func (b *bed) lives(born map[string]api.Birth) {
+func (b *testGateway) lives(born map[string]api.Birth) {
 	var l []roster.Server
 	for n, at := range born {
 		x := server(n, "x", false)
@@ -29,7 +29,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFake()
 			f.backups, f.total = copied, 40
-			b := newBed(t, f, 0)
+			b := newTestGateway(t, f, 0)
 			b.lives(map[string]api.Birth{"e1": 1, "e2": 1})
 			c := b.begin("r", time.Minute)
 			for c.count() < 9 {
@@ -37,20 +37,20 @@
 			}
 			at := f.sends[0]
 			o := other(at[:2])
-			f.mutex.Lock()
+			f.silentStreams.Lock()
 			f.mute[at] = true
-			f.mutex.Unlock()
+			f.silentStreams.Unlock()
 			b.lives(map[string]api.Birth{at[:2]: 2, o: 1})
 			// Well before it would pass for silent.
 			time.Sleep(2 * time.Millisecond)
 			if got, want := f.sent() == 2, copied; got != want {
 				t.Errorf("copied %v: got gone on %v, want %v", copied, got, want)
 			}
-			if c.broken() == copied {
-				t.Errorf("copied %v: got broken off %v, want %v", copied, c.broken(), !copied)
+			if c.wasAborted() == copied {
+				t.Errorf("copied %v: got broken off %v, want %v", copied, c.wasAborted(), !copied)
 			}
 			time.Sleep(time.Minute)
-			if copied && !c.whole(f.total) {
+			if copied && !c.complete(f.total) {
 				t.Errorf("got %v ended %v, want all events", c.ids, c.ended)
 			}
 			if l := b.LocalLoads(); len(l) != 0 {
@@ -67,27 +67,27 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFake()
 			f.total = 40
-			b := newBed(t, f, 0)
+			b := newTestGateway(t, f, 0)
 			b.lives(map[string]api.Birth{"e1": 1})
 			c := b.begin("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
 			}
-			f.mutex.Lock()
+			f.silentStreams.Lock()
 			f.mute["e1@1"], f.born["e1@1"] = true, 2
 			delete(f.runs, "r")
-			f.mutex.Unlock()
+			f.silentStreams.Unlock()
 			began := time.Now()
 			if known {
 				// Its entry comes back late, as one that lapsed does.
 				b.lives(map[string]api.Birth{"e1": 2})
 				b.lives(map[string]api.Birth{"e1": 1})
 			}
-			for !c.broken() && time.Since(began) < 10*time.Second {
+			for !c.wasAborted() && time.Since(began) < 10*time.Second {
 				time.Sleep(time.Millisecond)
 			}
-			if got := time.Since(began); got > 2*gapAim {
-				t.Errorf("known %v: got the stream broken off after %v, want it within %v", known, got, 2*gapAim)
+			if got := time.Since(began); got > 2*gapTarget {
+				t.Errorf("known %v: got the stream broken off after %v, want it within %v", known, got, 2*gapTarget)
 			}
 		})
 	}
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -258,7 +258,7 @@
 	}}}
 	for i, k := range kinds {
 		c.Routes = append(c.Routes, directory.Route{
-			Name: k.path, Host: "h", Prefix: k.path, Kind: directory.Stream, Timeout: k.patient, LatencyTarget: k.aim, GapTarget: gapAim,
+			Name: k.path, Host: "h", Prefix: k.path, Kind: directory.Stream, Timeout: k.patient, LatencyTarget: k.aim, GapTarget: gapTarget,
 			Priority: len(kinds) - 1 - i, MaxServers: 1, Targets: []directory.Target{{Service: "engines", Weight: 1}},
 		})
 	}
@@ -377,7 +377,7 @@
 		t.refused++
 	case !c.ended:
 		t.failed++
-	case c.first.Sub(began) > k.aim || c.pause > gapAim:
+	case c.first.Sub(began) > k.aim || c.pause > gapTarget:
 		t.late++
 	default:
 		t.inAim++
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -24,7 +24,7 @@
 	f.log = l
 	lost := fault.New(fault.OutcomeUnknown, "no answer")
 	f.answers["p1"], f.answers["p2"] = []any{lost}, []any{lost}
-	b := newBed(t, f, 0)
+	b := newTestGateway(t, f, 0)
 	r := request("/unsafe/1")
 	r.Wait = 400 * time.Millisecond
 	b.Handle(context.Background(), r, &caller{})
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -12,7 +12,7 @@
 )
 
 // streams begins so many streams, of which each is kept a copy of, and gives their callers.
-func (b *bed) streams(n int) []*caller {
+func (b *testGateway) streams(n int) []*caller {
 	var l []*caller
 	for i := range n {
 		r, k := request("/stream/1"), &caller{}
@@ -32,15 +32,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups, f.total = true, 60
-		b := newBed(t, f, 9)
+		b := newTestGateway(t, f, 9)
 		l := b.streams(10)
 		time.Sleep(10 * eventGap)
-		f.mutex.Lock()
+		f.silentStreams.Lock()
 		f.signals["e2"] = port.Signals{Answered: true, Resting: true, Rest: time.Minute}
-		f.mutex.Unlock()
+		f.silentStreams.Unlock()
 		b.QueryLeaving()
 		time.Sleep(eventGap)
-		f.mutex.Lock()
+		f.silentStreams.Lock()
 		before, here := len(f.sends), 0
 		for _, n := range f.sends {
 			if n == "e1" {
@@ -48,11 +48,11 @@
 			}
 		}
 		f.dead["e1"] = true
-		f.mutex.Unlock()
+		f.silentStreams.Unlock()
 		time.Sleep(5 * time.Second)
 		whole := 0
 		for _, k := range l {
-			if k.whole(f.total) {
+			if k.complete(f.total) {
 				whole++
 			}
 		}
@@ -69,10 +69,10 @@
 }
 
 // rests lets a server ask this entry VM for rest, in the report that it is asked for.
-func (b *bed) rests(n string, d time.Duration) {
-	b.fake.mutex.Lock()
+func (b *testGateway) rests(n string, d time.Duration) {
+	b.fake.silentStreams.Lock()
 	b.fake.signals[n] = port.Signals{Answered: true, Resting: true, Rest: d}
-	b.fake.mutex.Unlock()
+	b.fake.silentStreams.Unlock()
 	_, _ = b.Backends.Report(context.Background(), server(n, "x", false), false)
 }
 
@@ -99,9 +99,9 @@
 				f.backups = true
 				s := play(t, f, 60, 5)
 				s.three("")
-				f.mutex.Lock()
+				f.silentStreams.Lock()
 				holder := f.handles["r"]
-				f.mutex.Unlock()
+				f.silentStreams.Unlock()
 				c.do(s, holder)
 				s.whole(t, s.server, "e3")
 			})
@@ -110,7 +110,7 @@
 }
 
 // three declares three engines, of which one may be leaving.
-func (b *bed) three(leaving string) {
+func (b *testGateway) three(leaving string) {
 	m := map[string]bool{"e1": false, "e2": false, "e3": false}
 	if leaving != "" {
 		m[leaving] = true
@@ -122,7 +122,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 60, 5)
 		target := other(s.server)
-		s.set(func(f *fake) { f.turnsAway[target] = true })
+		s.set(func(f *fake) { f.refuses[target] = true })
 		s.servers(map[string]bool{s.server: true, target: false})
 		for s.fake.sent() < 3 && !s.over() {
 			time.Sleep(eventGap)
@@ -140,8 +140,8 @@
 		began := time.Now()
 		s.rests("e9", time.Minute)
 		<-s.done
-		if got, want := time.Since(began), 60*eventGap; got > want || !s.caller.whole(s.fake.total) {
-			t.Errorf("got the stream whole: %v, after %v, want it within %v", s.caller.whole(s.fake.total), got, want)
+		if got, want := time.Since(began), 60*eventGap; got > want || !s.caller.complete(s.fake.total) {
+			t.Errorf("got the stream whole: %v, after %v, want it within %v", s.caller.complete(s.fake.total), got, want)
 		}
 	})
 }
@@ -166,7 +166,7 @@
 		s.awaitStop()
 		s.shut("x")
 		<-s.done
-		if !s.caller.whole(s.fake.total) {
+		if !s.caller.complete(s.fake.total) {
 			t.Errorf("events: got %d of %d, want the whole stream", s.count(), s.fake.total)
 		}
 	})
@@ -175,7 +175,7 @@
 // awaitStop waits until the stream's run was stopped, and its move has ended.
 func (s *scene) awaitStop() {
 	for stopped := false; !stopped; time.Sleep(5 * time.Millisecond) {
-		s.set(func(f *fake) { stopped = len(f.stops) > 0 })
+		s.set(func(f *fake) { stopped = len(f.stoppedAt) > 0 })
 	}
 }
 
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -13,11 +13,11 @@
 		f := newFake()
 		f.backups = true
 		s := play(t, f, 40, 5)
-		s.set(func(f *fake) { f.dark[s.server] = true })
+		s.set(func(f *fake) { f.silent[s.server] = true })
 		began := time.Now()
 		s.whole(t, s.server, other(s.server))
-		if got, want := time.Since(began), 35*eventGap+gapAim; got > want {
-			t.Errorf("the rest took %v, want no pause above %v", got, gapAim)
+		if got, want := time.Since(began), 35*eventGap+gapTarget; got > want {
+			t.Errorf("the rest took %v, want no pause above %v", got, gapTarget)
 		}
 	})
 }
@@ -30,13 +30,13 @@
 		f := newFake()
 		f.backups = true
 		s := play(t, f, 40, 5)
-		s.set(func(f *fake) { f.dark["e1"], f.dark["e2"] = true, true })
+		s.set(func(f *fake) { f.silent["e1"], f.silent["e2"] = true, true })
 		time.Sleep(time.Second)
 		s.set(func(f *fake) {
 			if f.closed != 0 {
 				t.Errorf("streams closed: got %d, want none", f.closed)
 			}
-			f.dark[other(s.server)] = false
+			f.silent[other(s.server)] = false
 		})
 		s.whole(t, s.server, other(s.server))
 	})
@@ -64,7 +64,7 @@
 func TestSilentRunWithoutACopyIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
-		s.set(func(f *fake) { f.dark[s.server] = true })
+		s.set(func(f *fake) { f.silent[s.server] = true })
 		time.Sleep(5 * time.Second)
 		select {
 		case <-s.done:
@@ -100,7 +100,7 @@
 func TestRunThatCannotBeFetchedIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := play(t, newFake(), 40, 5)
-		s.set(func(f *fake) { f.mute[s.server], f.ahead, f.missing = true, 5, 100 })
+		s.set(func(f *fake) { f.mute[s.server], f.ahead, f.notBegun = true, 5, 100 })
 		time.Sleep(3 * time.Second)
 		s.set(func(f *fake) { f.mute[s.server] = false })
 		s.whole(t, s.server)
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -12,23 +12,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 60
-		b := newBed(t, f, 0)
+		b := newTestGateway(t, f, 0)
 		c := b.begin("r", time.Minute)
 		for c.count() < 9 {
 			time.Sleep(eventGap)
 		}
 		const suspended = 3 * time.Second
-		f.mutex.Lock()
-		f.lead = suspended
+		f.silentStreams.Lock()
+		f.bootAhead = suspended
 		at := f.sends[0]
-		f.mutex.Unlock()
+		f.silentStreams.Unlock()
 		b.Deadlines.Check()
 		b.notice(at)
 		time.Sleep(time.Minute)
-		if !c.whole(f.total) || len(f.lefts) != 2 {
-			t.Fatalf("got %d events and %d sends, want all events by way of two servers", c.count(), len(f.lefts))
+		if !c.complete(f.total) || len(f.timesLeft) != 2 {
+			t.Fatalf("got %d events and %d sends, want all events by way of two servers", c.count(), len(f.timesLeft))
 		}
-		if got, most := f.lefts[1], f.lefts[0]-suspended; got > most {
+		if got, most := f.timesLeft[1], f.timesLeft[0]-suspended; got > most {
 			t.Errorf("time left for the second server: got %v, want at most %v", got, most)
 		}
 	})
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -11,9 +11,9 @@
 )
 
 // crowd fills both engines with long streams and gives the callers.
-func crowd(t *testing.T, f *fake) (*bed, []*caller) {
+func crowd(t *testing.T, f *fake) (*testGateway, []*caller) {
 	t.Helper()
-	b := newBed(t, f, 0)
+	b := newTestGateway(t, f, 0)
 	var l []*caller
 	for i := range 20 {
 		l = append(l, b.begin(string(rune('a'+i)), time.Minute))
@@ -24,7 +24,7 @@
 }
 
 // begin sends a stream's request and gives its caller.
-func (b *bed) begin(id string, wait time.Duration) *caller {
+func (b *testGateway) begin(id string, wait time.Duration) *caller {
 	c := &caller{}
 	b.Group.Go(func(ctx context.Context) error {
 		q := request("/stream/1")
@@ -52,9 +52,9 @@
 		if full == 0 || full == len(l) {
 			t.Fatalf("refused of %d streams: got %d, want some, so that both engines are full", len(l), full)
 		}
-		l[0].leave()
+		l[0].disconnect()
 		// Its run ends with its next event, while the request waits.
-		time.Sleep(eventGap - routeAim/20)
+		time.Sleep(eventGap - latencyTarget/20)
 		c := b.begin("last", time.Minute)
 		time.Sleep(5 * eventGap)
 		if x := c.refused(); x != nil || c.count() == 0 {
@@ -72,7 +72,7 @@
 		b, _ := crowd(t, f)
 		sends := f.sent()
 		c := b.begin("last", time.Minute)
-		time.Sleep(routeAim / 8)
+		time.Sleep(latencyTarget / 8)
 		x := c.refused()
 		if x == nil {
 			t.Fatal("got no answer, want a refusal")
@@ -80,7 +80,7 @@
 		if x.Code != fault.QueueFull || x.Ran != api.RanNo {
 			t.Errorf("got %v ran %s, want a full queue and not run", x, x.Ran)
 		}
-		if got := x.RetryAfter; got <= routeAim || got > time.Minute/3 {
+		if got := x.RetryAfter; got <= latencyTarget || got > time.Minute/3 {
 			t.Errorf("to come back after: got %v, want more than the aim and at most a third of the time", got)
 		}
 		if got := f.sent(); got != sends {
@@ -93,10 +93,10 @@
 // back as soon as servers can be expected.
 func TestNoServerIsNotRefusedAsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 0)
+		b := newTestGateway(t, newFake(), 0)
 		b.servers(map[string]bool{"e1": true, "e2": true})
 		c := b.begin("first", time.Minute)
-		time.Sleep(routeAim / 8)
+		time.Sleep(latencyTarget / 8)
 		x := c.refused()
 		if x == nil || x.Code != fault.NoServer {
 			t.Fatalf("got %v, want that no server is known", x)
@@ -110,7 +110,7 @@
 // A prompt that no engine can hold is refused at once.
 func TestTooLongPromptIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 0)
+		b := newTestGateway(t, newFake(), 0)
 		c := &caller{}
 		q := request("/stream/1")
 		q.Prompt.Tokens = 50000
@@ -147,7 +147,7 @@
 		cancel()
 		<-done
 		sends := f.sent()
-		l[0].leave()
+		l[0].disconnect()
 		time.Sleep(3 * eventGap)
 		if got := f.sent(); got != sends {
 			t.Errorf("sends after the caller left: got %d, want none", got-sends)
