--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -80,10 +80,10 @@
 // Runs in a domain that closes go on where they are.
 func TestRunsInAClosedDomainGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
+		s := startStream(t, newFake(), 40, 5)
 		s.halls(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
 		s.shut("x")
-		s.whole(t, s.server)
+		s.checkWhole(t, s.server)
 	})
 }
 
@@ -113,25 +113,25 @@
 // A run that has to leave its engine goes to one in an open domain, or waits for one.
 func TestMovesAvoidClosedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFake(), 60, 5)
 		o := other(s.server)
 		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"})
 		s.shut("x")
 		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
-		s.whole(t, s.server, "e3")
+		s.checkWhole(t, s.server, "e3")
 	})
 }
 
 // A target whose domain closes during the move is given up for another one.
 func TestTargetsDomainClosesDuringAMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 80, 5)
+		s := startStream(t, newFake(), 80, 5)
 		o := other(s.server)
 		s.halls(map[string]api.DomainName{s.server: "x", o: "x"}, s.server)
 		time.Sleep(firstCopyTime / 2)
 		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
 		s.shut("x")
-		s.whole(t, s.server, "e3")
+		s.checkWhole(t, s.server, "e3")
 	})
 }
 
@@ -140,10 +140,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
-		s := play(t, f, 60, 5)
+		s := startStream(t, f, 60, 5)
 		s.halls(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
 		s.shut("y")
-		s.set(func(f *fake) { f.dead[s.server] = true })
+		s.update(func(f *fake) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || len(f.sends) != 1 {
 			t.Errorf("got aborted %v after sends %v, want it broken off and nothing sent to the copy", s.aborted, f.sends)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -22,8 +22,8 @@
 	return "e1"
 }
 
-// scene is one stream through a gateway.
-type scene struct {
+// streamTest is one stream through a gateway.
+type streamTest struct {
 	*testGateway
 	*caller
 	// server runs the stream at first.
@@ -31,11 +31,11 @@
 	done   chan struct{}
 }
 
-// play starts a stream of so many events and waits until its caller has some.
-func play(t *testing.T, f *fake, total, events int) *scene {
+// startStream starts a stream of so many events and waits until its caller has some.
+func startStream(t *testing.T, f *fake, total, events int) *streamTest {
 	t.Helper()
 	f.total = total
-	s := &scene{testGateway: newTestGateway(t, f, 0), caller: &caller{}, done: make(chan struct{})}
+	s := &streamTest{testGateway: newTestGateway(t, f, 0), caller: &caller{}, done: make(chan struct{})}
 	s.Group.Go(func(ctx context.Context) error {
 		defer close(s.done)
 		s.Handle(ctx, request("/stream/1"), s.caller)
@@ -48,16 +48,16 @@
 	return s
 }
 
-// set changes what the fake servers do.
-func (s *scene) set(change func(f *fake)) {
+// update changes what the fake servers do.
+func (s *streamTest) update(change func(f *fake)) {
 	s.fake.silentStreams.Lock()
 	defer s.fake.silentStreams.Unlock()
 	change(s.fake)
 }
 
-// whole waits for the end and checks that the caller has every event, from
+// checkWhole waits for the end and checks that the caller has every event, from
 // these servers in turn.
-func (s *scene) whole(t *testing.T, servers ...string) {
+func (s *streamTest) checkWhole(t *testing.T, servers ...string) {
 	t.Helper()
 	<-s.done
 	if !s.caller.complete(s.fake.total) {
@@ -70,16 +70,16 @@
 
 func TestStreamIsMovedOffLeavingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
+		s := startStream(t, newFake(), 40, 5)
 		s.notice(s.server)
-		s.whole(t, s.server, other(s.server))
+		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
 // A run on its way must not meet a long prompt at its target.
 func TestMoveTargetCountsPromptToRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFake(), 60, 5)
 		unread := func(n string) api.Tokens {
 			return s.LocalLoads()[api.ServerName(n)].Unread
 		}
@@ -92,25 +92,25 @@
 		if got := unread(other(s.server)); got != 0 {
 			t.Errorf("after it went on there: got %d tokens to read, want none", got)
 		}
-		s.whole(t, s.server, other(s.server))
+		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
 func TestStreamResumesFromFinishedCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
+		s := startStream(t, newFake(), 40, 5)
 		s.notice(s.server)
 		// The first copy has just ended; the server dies before it is stopped.
 		time.Sleep(firstCopyTime + time.Millisecond)
-		s.set(func(f *fake) { f.dead[s.server] = true })
-		s.whole(t, s.server, other(s.server))
+		s.update(func(f *fake) { f.dead[s.server] = true })
+		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
 func TestStreamWithoutCopyIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 20, 5)
-		s.set(func(f *fake) { f.dead[s.server] = true })
+		s := startStream(t, newFake(), 20, 5)
+		s.update(func(f *fake) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || s.ended {
 			t.Errorf("got aborted %v ended %v, want it aborted and not ended", s.aborted, s.ended)
@@ -122,47 +122,47 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.notBegun = 5
-		s := play(t, f, 60, 1)
+		s := startStream(t, f, 60, 1)
 		s.notice(s.server)
-		s.whole(t, s.server, other(s.server))
+		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
 func TestMoveTriesAnotherTargetWhenOneIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFake(), 60, 5)
 		o := other(s.server)
-		s.set(func(f *fake) { f.full[o] = true })
+		s.update(func(f *fake) { f.full[o] = true })
 		s.servers(map[string]bool{s.server: true, o: false, "e3": false})
-		s.whole(t, s.server, "e3")
+		s.checkWhole(t, s.server, "e3")
 	})
 }
 
 // A copy that still hangs at a server which died must not keep the run from being moved again.
 func TestRunIsMovedAgainWhileAnOldCopyHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 100, 5)
+		s := startStream(t, newFake(), 100, 5)
 		o := other(s.server)
 		s.notice(s.server)
 		time.Sleep(firstCopyTime + time.Millisecond)
-		s.set(func(f *fake) { f.hangCopies = true })
+		s.update(func(f *fake) { f.hangCopies = true })
 		time.Sleep(2 * eventGap)
-		s.set(func(f *fake) { f.dead[s.server], f.hangCopies = true, false })
+		s.update(func(f *fake) { f.dead[s.server], f.hangCopies = true, false })
 		time.Sleep(5 * eventGap)
 		s.servers(map[string]bool{o: true, "e3": false})
-		s.whole(t, s.server, o, "e3")
+		s.checkWhole(t, s.server, o, "e3")
 	})
 }
 
 func TestCopyIsFreedWhenCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 100, 5)
+		s := startStream(t, newFake(), 100, 5)
 		s.notice(s.server)
 		time.Sleep(firstCopyTime + time.Millisecond)
 		s.disconnect()
 		<-s.done
 		time.Sleep(time.Second)
-		s.set(func(f *fake) {
+		s.update(func(f *fake) {
 			if len(f.released) == 0 {
 				t.Error("copies freed: got none, want one")
 			}
@@ -178,10 +178,10 @@
 
 func TestLeavingServerIsFoundByQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
-		s.set(func(f *fake) { f.leaves[s.server] = true })
+		s := startStream(t, newFake(), 60, 5)
+		s.update(func(f *fake) { f.leaves[s.server] = true })
 		s.QueryLeaving()
-		s.whole(t, s.server, other(s.server))
+		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
@@ -189,10 +189,10 @@
 func TestLeavingNoticeOfAPeerMovesRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestGateway(t, newFake(), 0)
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFake(), 60, 5)
 		a.NoteLeaving([]api.ServerName{api.ServerName(s.server), "unknown"})
 		s.NoteLeaving(a.Leaving())
-		s.whole(t, s.server, other(s.server))
+		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -31,7 +31,7 @@
 			f.backups, f.total = copied, 40
 			b := newTestGateway(t, f, 0)
 			b.lives(map[string]api.Birth{"e1": 1, "e2": 1})
-			c := b.begin("r", time.Minute)
+			c := b.startRequest("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
 			}
@@ -69,7 +69,7 @@
 			f.total = 40
 			b := newTestGateway(t, f, 0)
 			b.lives(map[string]api.Birth{"e1": 1})
-			c := b.begin("r", time.Minute)
+			c := b.startRequest("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
 			}
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -80,13 +80,13 @@
 func TestRunIsMovedWhereTheHolderOfItsCopyRests(t *testing.T) {
 	tests := []struct {
 		name string
-		do   func(s *scene, holder string)
+		do   func(s *streamTest, holder string)
 	}{
-		{"rests first", func(s *scene, holder string) {
+		{"rests first", func(s *streamTest, holder string) {
 			s.rests(holder, time.Minute)
 			s.three(s.server)
 		}},
-		{"rests while the server leaves", func(s *scene, holder string) {
+		{"rests while the server leaves", func(s *streamTest, holder string) {
 			s.three(s.server)
 			time.Sleep(eventGap)
 			s.rests(holder, time.Minute)
@@ -97,13 +97,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFake()
 				f.backups = true
-				s := play(t, f, 60, 5)
+				s := startStream(t, f, 60, 5)
 				s.three("")
 				f.silentStreams.Lock()
 				holder := f.handles["r"]
 				f.silentStreams.Unlock()
 				c.do(s, holder)
-				s.whole(t, s.server, "e3")
+				s.checkWhole(t, s.server, "e3")
 			})
 		})
 	}
@@ -120,21 +120,21 @@
 
 func TestRunThatItsTargetTurnsAwayGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFake(), 60, 5)
 		target := other(s.server)
-		s.set(func(f *fake) { f.refuses[target] = true })
+		s.update(func(f *fake) { f.refuses[target] = true })
 		s.servers(map[string]bool{s.server: true, target: false})
 		for s.fake.sent() < 3 && !s.over() {
 			time.Sleep(eventGap)
 		}
 		s.three(s.server)
-		s.whole(t, s.server, target, s.server, "e3")
+		s.checkWhole(t, s.server, target, s.server, "e3")
 	})
 }
 
 func TestStoppedRunIsNotMovedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFake(), 60, 5)
 		s.three(s.server)
 		s.awaitStop()
 		began := time.Now()
@@ -149,19 +149,19 @@
 // A run whose target's domain operators close at its last step goes back as well.
 func TestRunWhoseTargetIsClosedGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFake(), 60, 5)
 		target := other(s.server)
 		s.halls(map[string]api.DomainName{s.server: "x", target: "y"}, s.server)
 		s.awaitStop()
 		s.shut("y")
-		s.whole(t, s.server, s.server)
+		s.checkWhole(t, s.server, s.server)
 	})
 }
 
 // A run whose server and target operators close at its last step goes on all the same.
 func TestRunWhoseServerAndTargetAreClosedGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFake(), 60, 5)
 		s.servers(map[string]bool{s.server: true, other(s.server): false})
 		s.awaitStop()
 		s.shut("x")
@@ -173,14 +173,14 @@
 }
 
 // awaitStop waits until the stream's run was stopped, and its move has ended.
-func (s *scene) awaitStop() {
+func (s *streamTest) awaitStop() {
 	for stopped := false; !stopped; time.Sleep(5 * time.Millisecond) {
-		s.set(func(f *fake) { stopped = len(f.stoppedAt) > 0 })
+		s.update(func(f *fake) { stopped = len(f.stoppedAt) > 0 })
 	}
 }
 
 // over reports whether the stream has ended.
-func (s *scene) over() bool {
+func (s *streamTest) over() bool {
 	select {
 	case <-s.done:
 		return true
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -12,10 +12,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
-		s := play(t, f, 40, 5)
-		s.set(func(f *fake) { f.silent[s.server] = true })
+		s := startStream(t, f, 40, 5)
+		s.update(func(f *fake) { f.silent[s.server] = true })
 		began := time.Now()
-		s.whole(t, s.server, other(s.server))
+		s.checkWhole(t, s.server, other(s.server))
 		if got, want := time.Since(began), 35*eventGap+gapTarget; got > want {
 			t.Errorf("the rest took %v, want no pause above %v", got, gapTarget)
 		}
@@ -29,16 +29,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
-		s := play(t, f, 40, 5)
-		s.set(func(f *fake) { f.silent["e1"], f.silent["e2"] = true, true })
+		s := startStream(t, f, 40, 5)
+		s.update(func(f *fake) { f.silent["e1"], f.silent["e2"] = true, true })
 		time.Sleep(time.Second)
-		s.set(func(f *fake) {
+		s.update(func(f *fake) {
 			if f.closed != 0 {
 				t.Errorf("streams closed: got %d, want none", f.closed)
 			}
 			f.silent[other(s.server)] = false
 		})
-		s.whole(t, s.server, other(s.server))
+		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
@@ -47,24 +47,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups = true
-		s := play(t, f, 40, 5)
-		s.set(func(f *fake) { f.mute[s.server], f.ahead, f.waiting = true, 5, true })
+		s := startStream(t, f, 40, 5)
+		s.update(func(f *fake) { f.mute[s.server], f.ahead, f.waiting = true, 5, true })
 		time.Sleep(3 * time.Second)
-		s.set(func(f *fake) {
+		s.update(func(f *fake) {
 			if f.reports != 0 {
 				t.Errorf("questions: got %d, want none", f.reports)
 			}
 			f.mute[s.server] = false
 		})
-		s.whole(t, s.server)
+		s.checkWhole(t, s.server)
 	})
 }
 
 // Without a copy nothing else can go on with the run; its server may come back.
 func TestSilentRunWithoutACopyIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
-		s.set(func(f *fake) { f.silent[s.server] = true })
+		s := startStream(t, newFake(), 40, 5)
+		s.update(func(f *fake) { f.silent[s.server] = true })
 		time.Sleep(5 * time.Second)
 		select {
 		case <-s.done:
@@ -74,7 +74,7 @@
 		if c := s.choose(t); c != other(s.server) {
 			t.Errorf("while it is silent: got new work at %s, want it at %s", c, other(s.server))
 		}
-		s.set(func(f *fake) {
+		s.update(func(f *fake) {
 			// Each question goes out over two connections.
 			if n := f.reports; n > 2*8 {
 				t.Errorf("questions in 5 s: got %d, want fewer and fewer", n)
@@ -86,9 +86,9 @@
 // Connections may go silent for good while new ones work.
 func TestRunIsFetchedWhereItsConnectionIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
-		s.set(func(f *fake) { f.mute[s.server], f.ahead = true, 5 })
-		s.whole(t, s.server, other(s.server))
+		s := startStream(t, newFake(), 40, 5)
+		s.update(func(f *fake) { f.mute[s.server], f.ahead = true, 5 })
+		s.checkWhole(t, s.server, other(s.server))
 		if l := s.LocalLoads(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
 		}
@@ -99,11 +99,11 @@
 // come, as after lost packets.
 func TestRunThatCannotBeFetchedIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
-		s.set(func(f *fake) { f.mute[s.server], f.ahead, f.notBegun = true, 5, 100 })
+		s := startStream(t, newFake(), 40, 5)
+		s.update(func(f *fake) { f.mute[s.server], f.ahead, f.notBegun = true, 5, 100 })
 		time.Sleep(3 * time.Second)
-		s.set(func(f *fake) { f.mute[s.server] = false })
-		s.whole(t, s.server)
+		s.update(func(f *fake) { f.mute[s.server] = false })
+		s.checkWhole(t, s.server)
 	})
 }
 
@@ -112,16 +112,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.backups, f.gap = true, 2*time.Second
-		s := play(t, f, 6, 2)
-		s.whole(t, s.server)
+		s := startStream(t, f, 6, 2)
+		s.checkWhole(t, s.server)
 	})
 }
 
 // choose gives the server that a new stream would go to.
-func (s *scene) choose(t *testing.T) string {
+func (s *streamTest) choose(t *testing.T) string {
 	t.Helper()
 	c := &caller{}
-	s.set(func(f *fake) { f.total = 1 })
+	s.update(func(f *fake) { f.total = 1 })
 	r := request("/stream/2")
 	r.ID = "r2"
 	s.Handle(t.Context(), r, c)
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -13,7 +13,7 @@
 		f := newFake()
 		f.total = 60
 		b := newTestGateway(t, f, 0)
-		c := b.begin("r", time.Minute)
+		c := b.startRequest("r", time.Minute)
 		for c.count() < 9 {
 			time.Sleep(eventGap)
 		}
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -10,21 +10,21 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// crowd fills both engines with long streams and gives the callers.
-func crowd(t *testing.T, f *fake) (*testGateway, []*caller) {
+// fillEngines fills both engines with long streams and gives the callers.
+func fillEngines(t *testing.T, f *fake) (*testGateway, []*caller) {
 	t.Helper()
 	b := newTestGateway(t, f, 0)
 	var l []*caller
 	for i := range 20 {
-		l = append(l, b.begin(string(rune('a'+i)), time.Minute))
+		l = append(l, b.startRequest(string(rune('a'+i)), time.Minute))
 		// One at a time, so that its prompt counts as read.
 		time.Sleep(2 * eventGap)
 	}
 	return b, l
 }
 
-// begin sends a stream's request and gives its caller.
-func (b *testGateway) begin(id string, wait time.Duration) *caller {
+// startRequest sends a stream's request and gives its caller.
+func (b *testGateway) startRequest(id string, wait time.Duration) *caller {
 	c := &caller{}
 	b.Group.Go(func(ctx context.Context) error {
 		q := request("/stream/1")
@@ -42,7 +42,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 100
-		b, l := crowd(t, f)
+		b, l := fillEngines(t, f)
 		full := 0
 		for _, c := range l {
 			if c.refused() != nil {
@@ -55,7 +55,7 @@
 		l[0].disconnect()
 		// Its run ends with its next event, while the request waits.
 		time.Sleep(eventGap - latencyTarget/20)
-		c := b.begin("last", time.Minute)
+		c := b.startRequest("last", time.Minute)
 		time.Sleep(5 * eventGap)
 		if x := c.refused(); x != nil || c.count() == 0 {
 			t.Errorf("got fault %v and %d events, want the stream to begin once a run has ended", x, c.count())
@@ -69,9 +69,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 1000
-		b, _ := crowd(t, f)
+		b, _ := fillEngines(t, f)
 		sends := f.sent()
-		c := b.begin("last", time.Minute)
+		c := b.startRequest("last", time.Minute)
 		time.Sleep(latencyTarget / 8)
 		x := c.refused()
 		if x == nil {
@@ -95,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestGateway(t, newFake(), 0)
 		b.servers(map[string]bool{"e1": true, "e2": true})
-		c := b.begin("first", time.Minute)
+		c := b.startRequest("first", time.Minute)
 		time.Sleep(latencyTarget / 8)
 		x := c.refused()
 		if x == nil || x.Code != fault.NoServer {
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 1000
-		b, l := crowd(t, f)
+		b, l := fillEngines(t, f)
 		ctx, cancel := context.WithCancel(context.Background())
 		c := &caller{}
 		done := make(chan struct{})
@@ -152,7 +152,7 @@
 		if got := f.sent(); got != sends {
 			t.Errorf("sends after the caller left: got %d, want none", got-sends)
 		}
-		n := b.begin("next", time.Minute)
+		n := b.startRequest("next", time.Minute)
 		time.Sleep(3 * eventGap)
 		if x := n.refused(); x != nil {
 			t.Errorf("the next request: got %v, want it let in", x)
