--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -15,11 +15,11 @@
 	"github.com/wardridge/wardridge/internal/gateway"
 )
 
-// elsewhere is the entry VM that allocates the engines of another failure domain.
-const elsewhere = "elsewhere"
+// remoteAllocator is the entry VM that allocates the engines of another failure domain.
+const remoteAllocator = "elsewhere"
 
-// way is the time of a message between two entry VMs.
-const way = time.Millisecond
+// messageDelay is the time of a message between two entry VMs.
+const messageDelay = time.Millisecond
 
 // fleetLoad is many entry VMs, of which the first two may allocate the engines.
 type fleetLoad struct {
@@ -28,14 +28,14 @@
 	mutex sync.Mutex
 	// silent VMs answer nobody.
 	silent map[string]bool
-	// asked counts the asks to each VM.
-	asked map[string]int
+	// placeRequests counts the asks to each VM.
+	placeRequests map[string]int
 }
 
 // newFleet makes so many entry VMs.
 func newFleet(t *testing.T, seed uint64, vms int) *fleetLoad {
 	t.Helper()
-	f := &fleetLoad{silent: map[string]bool{}, asked: map[string]int{}}
+	f := &fleetLoad{silent: map[string]bool{}, placeRequests: map[string]int{}}
 	var l []gateway.Peers
 	for i := range vms {
 		l = append(l, fleetPeers{fleet: f, self: strconv.Itoa(i)})
@@ -44,7 +44,7 @@
 	return f
 }
 
-func (f *fleetLoad) silence(vm string, silent bool) {
+func (f *fleetLoad) setSilent(vm string, silent bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.silent[vm] = silent
@@ -53,9 +53,9 @@
 // reach is the way to a VM; it takes until the caller gives up where that is
 // silent.
 func (f *fleetLoad) reach(ctx context.Context, vm string) (*gateway.Gateway, error) {
-	duty.Sleep(ctx, way)
+	duty.Sleep(ctx, messageDelay)
 	f.mutex.Lock()
-	s := f.silent[vm] || strings.HasPrefix(vm, elsewhere)
+	s := f.silent[vm] || strings.HasPrefix(vm, remoteAllocator)
 	f.mutex.Unlock()
 	if s {
 		<-ctx.Done()
@@ -77,7 +77,7 @@
 func (p fleetPeers) Allocators(d api.DomainName) []string {
 	if d != "x" {
 		// The allocators of other failure domains are VMs that answer nobody.
-		return []string{elsewhere, elsewhere + "-2"}
+		return []string{remoteAllocator, remoteAllocator + "-2"}
 	}
 	l := []string{"0", "1"}
 	for i := range l {
@@ -90,7 +90,7 @@
 
 func (p fleetPeers) Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	p.fleet.mutex.Lock()
-	p.fleet.asked[address]++
+	p.fleet.placeRequests[address]++
 	p.fleet.mutex.Unlock()
 	g, err := p.fleet.reach(ctx, address)
 	if err != nil {
@@ -138,14 +138,14 @@
 	return got
 }
 
-func calm(*fleetLoad) {}
+func undisturbed(*fleetLoad) {}
 
 // sum adds up what callers of both kinds got.
 func sum(l []tally) (inAim, late, asked int) {
 	for _, t := range l {
-		inAim += t.inAim
+		inAim += t.inTime
 		late += t.late
-		asked += t.asked
+		asked += t.requests
 	}
 	return inAim, late, asked
 }
@@ -156,7 +156,7 @@
 		var one, many []tally
 		for seed := range uint64(3) {
 			one = append(one, playLoad(t, 3+seed, x)...)
-			many = append(many, playFleet(t, 3+seed, 40, x, calm)...)
+			many = append(many, playFleet(t, 3+seed, 40, x, undisturbed)...)
 		}
 		wantInAim, wantLate, asked := sum(one)
 		gotInAim, gotLate, _ := sum(many)
@@ -173,16 +173,16 @@
 func TestStandbyAllocatesWhileAllocatorIsSilent(t *testing.T) {
 	got := playFleet(t, 4, 40, 1, func(f *fleetLoad) {
 		time.Sleep(8 * time.Second)
-		f.silence("0", true)
+		f.setSilent("0", true)
 		time.Sleep(8 * time.Second)
-		f.silence("0", false)
+		f.setSilent("0", false)
 	})
 	for i, k := range kinds {
-		if n := got[i].failed + got[i].refused; n > got[i].asked/50 {
-			t.Errorf("%s: got %d failed or refused of %d, want at most a fiftieth", k.path, n, got[i].asked)
+		if n := got[i].failed + got[i].refused; n > got[i].requests/50 {
+			t.Errorf("%s: got %d failed or refused of %d, want at most a fiftieth", k.path, n, got[i].requests)
 		}
-		if n := got[i].late; n > got[i].asked/8 {
-			t.Errorf("%s: got %d late of %d, want at most an eighth", k.path, n, got[i].asked)
+		if n := got[i].late; n > got[i].requests/8 {
+			t.Errorf("%s: got %d late of %d, want at most an eighth", k.path, n, got[i].requests)
 		}
 	}
 }
@@ -190,12 +190,12 @@
 // Where no VM that allocates answers, each places by what it knows.
 func TestEntryVMsPlaceAloneWhenNoAllocatorAnswers(t *testing.T) {
 	got := playFleet(t, 5, 10, 0.5, func(f *fleetLoad) {
-		f.silence("0", true)
-		f.silence("1", true)
+		f.setSilent("0", true)
+		f.setSilent("1", true)
 	})
 	for i, k := range kinds {
 		if n := got[i].failed + got[i].refused; n > 0 {
-			t.Errorf("%s: got %d failed or refused of %d, want none", k.path, n, got[i].asked)
+			t.Errorf("%s: got %d failed or refused of %d, want none", k.path, n, got[i].requests)
 		}
 	}
 }
@@ -204,9 +204,9 @@
 func TestUnreachableEngineIsAvoided(t *testing.T) {
 	got := playFleet(t, 6, 40, 1, func(f *fleetLoad) {
 		time.Sleep(8 * time.Second)
-		f.engines.kill("e0", true)
+		f.engines.setDead("e0", true)
 		time.Sleep(8 * time.Second)
-		f.engines.kill("e0", false)
+		f.engines.setDead("e0", false)
 	})
 	n := 0
 	for _, x := range got {
@@ -230,7 +230,7 @@
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		first, second = f.asked["0"], f.asked["1"]
+		first, second = f.placeRequests["0"], f.placeRequests["1"]
 	})
 	if first == 0 || second > 0 {
 		t.Errorf("asks to the first and second hub: got %d and %d, want all to the first", first, second)
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -83,8 +83,8 @@
 			l := newLoad(t, seed)
 			l.group.Go(l.takeBack)
 			for i, k := range l.play(t, x) {
-				got[i].asked += k.asked
-				got[i].inAim += k.inAim
+				got[i].requests += k.requests
+				got[i].inTime += k.inTime
 				got[i].late += k.late
 				got[i].refused += k.refused
 				got[i].failed += k.failed
@@ -105,7 +105,7 @@
 	}{{1.2, 20}, {1.4, 50}} {
 		got := playLeaves(t, c.x)[0]
 		if n := got.late + got.refused; n > c.most {
-			t.Errorf("at %.1f: got %d long answers late or refused of %d, want at most %d", c.x, n, got.asked, c.most)
+			t.Errorf("at %.1f: got %d long answers late or refused of %d, want at most %d", c.x, n, got.requests, c.most)
 		}
 	}
 }
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -99,8 +99,8 @@
 	dead map[string]bool
 }
 
-// kill lets an engine take no connection, or take them again.
-func (e *engines) kill(n string, dead bool) {
+// setDead lets an engine take no connection, or take them again.
+func (e *engines) setDead(n string, dead bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.dead[n] = dead
@@ -173,26 +173,26 @@
 	})
 }
 
-// kind is one kind of request of the load.
-type kind struct {
-	path    string
-	prompt  api.Tokens
-	answer  float64
-	perS    float64
-	aim     time.Duration
-	patient time.Duration
+// requestKind is one requestKind of request of the load.
+type requestKind struct {
+	path      string
+	prompt    api.Tokens
+	answer    float64
+	perSecond float64
+	target    time.Duration
+	timeout   time.Duration
 }
 
 // kinds are long and short answers of one service, the short ones first in rank,
 // at a load that the engines carry with ease.
-var kinds = []kind{
+var kinds = []requestKind{
 	{"/long/", 3000, 900, 3.3, 1800 * time.Millisecond, 39 * time.Second},
 	{"/short/", 2500, 12, 4.6, 1500 * time.Millisecond, 6 * time.Second},
 }
 
 // tally counts what callers of one kind got.
 type tally struct {
-	asked, inAim, late, refused, failed int
+	requests, inTime, late, refused, failed int
 	// slowRefusals were answered later than an eighth of the aim.
 	slowRefusals int
 }
@@ -258,7 +258,7 @@
 	}}}
 	for i, k := range kinds {
 		c.Routes = append(c.Routes, directory.Route{
-			Name: k.path, Host: "h", Prefix: k.path, Kind: directory.Stream, Timeout: k.patient, LatencyTarget: k.aim, GapTarget: gapTarget,
+			Name: k.path, Host: "h", Prefix: k.path, Kind: directory.Stream, Timeout: k.timeout, LatencyTarget: k.target, GapTarget: gapTarget,
 			Priority: len(kinds) - 1 - i, MaxServers: 1, Targets: []directory.Target{{Service: "engines", Weight: 1}},
 		})
 	}
@@ -277,19 +277,19 @@
 	var all []arrival
 	for i, k := range kinds {
 		gap := func() time.Duration {
-			return time.Duration(l.random.ExpFloat64() / (k.perS * x) * float64(time.Second))
+			return time.Duration(l.random.ExpFloat64() / (k.perSecond * x) * float64(time.Second))
 		}
 		for at := gap(); at < loadTime; at += gap() {
 			n := k.answer * math.Exp(0.8*l.random.NormFloat64()-0.32)
 			hint := n * math.Exp(0.5*l.random.NormFloat64())
-			all = append(all, arrival{i, at, min(max(api.Tokens(n), 1), answerMost), api.Tokens(hint)})
+			all = append(all, arrival{i, at, min(max(api.Tokens(n), 1), maxAnswer), api.Tokens(hint)})
 		}
 	}
 	return all
 }
 
-// answerMost is the longest answer, in tokens.
-const answerMost = 2200
+// maxAnswer is the longest answer, in tokens.
+const maxAnswer = 2200
 
 // play sends a multiple of every kind's load and waits for all answers.
 func (l *load) play(t *testing.T, x float64) []tally {
@@ -312,29 +312,29 @@
 func (l *load) call(ctx context.Context, a arrival) {
 	k := kinds[a.kind]
 	began := time.Now()
-	c := l.try(ctx, a, k.patient)
+	c := l.try(ctx, a, k.timeout)
 	first := c
 	if c.fault != nil {
-		left := k.patient - time.Since(began)
+		left := k.timeout - time.Since(began)
 		duty.Sleep(ctx, min(c.fault.RetryAfter, left/3))
-		c = l.try(ctx, a, k.patient-time.Since(began))
+		c = l.try(ctx, a, k.timeout-time.Since(began))
 	}
-	l.note(a.kind, began, first, c)
+	l.record(a.kind, began, first, c)
 }
 
-// timed is a caller that notes when events came.
-type timed struct {
+// timedCaller is a caller that notes when events came.
+type timedCaller struct {
 	caller
 	refused, first, last time.Time
 	pause                time.Duration
 }
 
-func (c *timed) Refuse(f *fault.Error) {
+func (c *timedCaller) Refuse(f *fault.Error) {
 	c.refused = time.Now()
 	c.caller.Refuse(f)
 }
 
-func (c *timed) Event(e port.Event) error {
+func (c *timedCaller) Event(e port.Event) error {
 	now := time.Now()
 	if c.first.IsZero() {
 		c.first = now
@@ -345,7 +345,7 @@
 	return c.caller.Event(e)
 }
 
-func (l *load) try(ctx context.Context, a arrival, wait time.Duration) *timed {
+func (l *load) try(ctx context.Context, a arrival, wait time.Duration) *timedCaller {
 	k := kinds[a.kind]
 	l.mutex.Lock()
 	l.count++
@@ -355,21 +355,21 @@
 	l.engines.mutex.Lock()
 	l.engines.length[id] = a.length
 	l.engines.mutex.Unlock()
-	c := &timed{}
+	c := &timedCaller{}
 	v.Handle(ctx, &port.Request{
 		ID: id, Method: http.MethodPost, Host: "h", Path: k.path + "1", Target: k.path + "1", Header: http.Header{},
-		Arrived: time.Now(), Wait: wait, Prompt: port.Prompt{Tokens: k.prompt, Limit: answerMost, Expected: a.hint},
+		Arrived: time.Now(), Wait: wait, Prompt: port.Prompt{Tokens: k.prompt, Limit: maxAnswer, Expected: a.hint},
 	}, c)
 	return c
 }
 
-// note counts what a caller got, from its first try on.
-func (l *load) note(i int, began time.Time, first, c *timed) {
+// record counts what a caller got, from its first try on.
+func (l *load) record(i int, began time.Time, first, c *timedCaller) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	t, k := &l.tallies[i], kinds[i]
-	t.asked++
-	if first.fault != nil && first.refused.Sub(began) > k.aim/8 {
+	t.requests++
+	if first.fault != nil && first.refused.Sub(began) > k.target/8 {
 		t.slowRefusals++
 	}
 	switch {
@@ -377,10 +377,10 @@
 		t.refused++
 	case !c.ended:
 		t.failed++
-	case c.first.Sub(began) > k.aim || c.pause > gapTarget:
+	case c.first.Sub(began) > k.target || c.pause > gapTarget:
 		t.late++
 	default:
-		t.inAim++
+		t.inTime++
 	}
 }
 
@@ -400,11 +400,11 @@
 	for _, x := range []float64{1.6, 2.2, 4} {
 		got := playLoad(t, 1, x)
 		for i, k := range kinds {
-			if want := calm[i].inAim * 6 / 5; got[i].inAim < want {
-				t.Errorf("%s at %.1f: got %d answers in time, want at least %d, a fifth more than at the usual load", k.path, x, got[i].inAim, want)
+			if want := calm[i].inTime * 6 / 5; got[i].inTime < want {
+				t.Errorf("%s at %.1f: got %d answers in time, want at least %d, a fifth more than at the usual load", k.path, x, got[i].inTime, want)
 			}
-			if n := got[i].asked / 10; got[i].slowRefusals > n {
-				t.Errorf("%s at %.1f: got %d refusals later than an eighth of the aim, want at most %d of %d", k.path, x, got[i].slowRefusals, n, got[i].asked)
+			if n := got[i].requests / 10; got[i].slowRefusals > n {
+				t.Errorf("%s at %.1f: got %d refusals later than an eighth of the aim, want at most %d of %d", k.path, x, got[i].slowRefusals, n, got[i].requests)
 			}
 		}
 	}
