--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -332,7 +332,7 @@
 }
 
 // A service's bound on repeated sends goes by its own requests.
-func TestRetriesAreBoundedPerService(t *testing.T) {
+func TestRequestsOfOneServiceAllowNoRepeatsOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		f.total = 1
