--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -104,7 +104,7 @@
 // or provably was not run, and gives the answer to take.
 func (g *Gateway) sendWithRetries(ctx context.Context, q *request, n placement.Need) (served, *fault.Error) {
 	c := call.New(q.route.Kind != directory.Safe)
-	again := func() bool { return g.allowRetry(q.service.Name) }
+	retry := func() bool { return g.allowRetry(q.service.Name) }
 	var failed *port.Answer
 	for {
 		p := g.pickNext(ctx, q, n, c)
@@ -133,7 +133,7 @@
 			g.noteBreak(q, s, err)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(q.ID)), zap.String("server", string(s.Name)), zap.String("content", string(q.content())), zap.Error(err))
-		m, f := c.AttemptFailed(attemptOutcome(err), err, ctx.Err() != nil, again)
+		m, f := c.AttemptFailed(attemptOutcome(err), err, ctx.Err() != nil, retry)
 		if m == call.Fail {
 			if errors.Is(context.Cause(ctx), context.Canceled) {
 				f = fault.Wrap(fault.CallerGone, err, "the caller closed its connection")
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -67,11 +67,11 @@
 }
 
 // membersWhere lists the servers of a service that are kept; the mutex is held.
-func (g *Gateway) membersWhere(n api.ServiceName, keep func(m roster.Member) bool) []roster.Member {
+func (g *Gateway) membersWhere(n api.ServiceName, want func(m roster.Member) bool) []roster.Member {
 	all := g.roster.Service(n)
 	l := make([]roster.Member, 0, len(all))
 	for _, m := range all {
-		if keep(m) {
+		if want(m) {
 			l = append(l, m)
 		}
 	}
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -229,10 +229,10 @@
 		f.silentStreams.Unlock()
 		return port.Copy{}, fault.New(fault.NotFound, "not begun")
 	}
-	hang := f.hangCopies
+	hangs := f.hangCopies
 	f.silentStreams.Unlock()
 	switch {
-	case hang:
+	case hangs:
 		time.Sleep(3 * time.Second)
 	case first:
 		time.Sleep(firstCopyTime)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -280,11 +280,11 @@
 	if s == nil {
 		return nil
 	}
-	takes := s.TakesCall(time.Now())
+	accepts := s.TakesCall(time.Now())
 	if x.Kind == directory.Stream {
-		takes = s.TakesStream(time.Now(), r.Prompt.Expected, r.Prompt.Limit)
+		accepts = s.TakesStream(time.Now(), r.Prompt.Expected, r.Prompt.Limit)
 	}
-	if takes {
+	if accepts {
 		return nil
 	}
 	return fault.New(fault.Stopping, "this entry VM ends before the request would").After(stopRetryAfter)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -280,8 +280,8 @@
 				got++
 			}
 		}
-		if most := 6; got > most {
-			t.Errorf("sends to it in four seconds: got %d, want at most %d", got, most)
+		if limit := 6; got > limit {
+			t.Errorf("sends to it in four seconds: got %d, want at most %d", got, limit)
 		}
 	})
 }
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -175,8 +175,8 @@
 	a := d.placeAsk()
 	c, cancel := context.WithTimeout(ctx, placeTimeout(a))
 	defer cancel()
-	own := d.recipient == nil
-	if own {
+	local := d.recipient == nil
+	if local {
 		a.Ask, a.Holding = g.beginQuery(d.domain)
 		l, _ := g.resting(d.service.Name)
 		a.Tried = append(slices.Clone(a.Tried), l...)
@@ -184,7 +184,7 @@
 	r, err := g.Peers.Place(c, to, a)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if own {
+	if local {
 		g.asks.End(placement.Ask(a.Ask))
 	}
 	if err != nil {
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -44,7 +44,7 @@
 // placePlain gives a request a plain server. One that has named a limit is used in its turn;
 // while others can be had no request waits for that.
 func (g *Gateway) placePlain(ctx context.Context, q *request, c *call.Call) assignment {
-	var full []busyServer
+	var busy []busyServer
 	tried := slices.Clone(q.tried)
 	for {
 		x, ok := g.pickPlain(q.service, tried)
@@ -59,23 +59,23 @@
 			return g.reservePlain(x)
 		}
 		tried = append(tried, x.Name)
-		full = append(full, busyServer{server: x, at: p.at})
+		busy = append(busy, busyServer{server: x, at: p.at})
 	}
-	if len(full) == 0 {
+	if len(busy) == 0 {
 		return assignment{fault: c.NoServer()}
 	}
-	return g.awaitSendSlot(ctx, q, c, full)
+	return g.awaitSendSlot(ctx, q, c, busy)
 }
 
 // awaitSendSlot lets a request wait for its turn at one of some servers that are all at their
 // limits, or refuses it at once where none comes in time.
-func (g *Gateway) awaitSendSlot(ctx context.Context, q *request, c *call.Call, full []busyServer) assignment {
-	first := slices.MinFunc(full, func(a, b busyServer) int { return a.at.Compare(b.at) })
-	patience := time.Duration(maxWaitShare*float64(q.latencyTarget())) - time.Since(q.Arrived)
-	if time.Until(first.at) > patience {
+func (g *Gateway) awaitSendSlot(ctx context.Context, q *request, c *call.Call, busy []busyServer) assignment {
+	first := slices.MinFunc(busy, func(a, b busyServer) int { return a.at.Compare(b.at) })
+	maxWait := time.Duration(maxWaitShare*float64(q.latencyTarget())) - time.Since(q.Arrived)
+	if time.Until(first.at) > maxWait {
 		return assignment{fault: g.refuseAllBusy(c, time.Until(first.at))}
 	}
-	p := g.obtainPermit(ctx, first.server, patience)
+	p := g.obtainPermit(ctx, first.server, maxWait)
 	if !p.granted {
 		return assignment{fault: g.refuseAllBusy(c, time.Until(p.at))}
 	}
@@ -147,13 +147,13 @@
 // obtainPermit asks who paces a server for the turn of one request: the entry VM that allocates the
 // servers of its failure domain, or the next one. Where neither answers, this entry VM keeps
 // to its own part.
-func (g *Gateway) obtainPermit(ctx context.Context, x placement.Choice, patience time.Duration) permit {
+func (g *Gateway) obtainPermit(ctx context.Context, x placement.Choice, maxWait time.Duration) permit {
 	r, _ := g.serverLimit(x.Name)
-	a := api.PermitAsk{Protocol: gossip.Protocol, VM: g.VM, Server: x.Name, PerSecond: float64(r), PatienceMS: api.ToMilliseconds(patience)}
+	a := api.PermitAsk{Protocol: gossip.Protocol, VM: g.VM, Server: x.Name, PerSecond: float64(r), PatienceMS: api.ToMilliseconds(maxWait)}
 	for _, to := range g.allocators(x.Domain) {
 		a.Standby = to.standby
 		if to.address == "" {
-			return g.reserveSendSlot(a, patience)
+			return g.reserveSendSlot(a, maxWait)
 		}
 		if p, ok := g.queryPermit(ctx, to.address, a); ok {
 			return p
@@ -163,7 +163,7 @@
 	defer g.mutex.Unlock()
 	now := time.Now()
 	t := throttle.Quota{Rate: r, Share: throttle.Alone, Members: g.picker.Table.Members(now)}
-	at, ok := g.picker.Pacer.Reserve(now, x.Name, t, patience)
+	at, ok := g.picker.Pacer.Reserve(now, x.Name, t, maxWait)
 	return permit{granted: ok, at: at}
 }
 
@@ -185,7 +185,7 @@
 
 // reserveSendSlot gives the turn of one request at a server that this entry VM paces, by the lower of the
 // limits that it and the asker know.
-func (g *Gateway) reserveSendSlot(a api.PermitAsk, patience time.Duration) permit {
+func (g *Gateway) reserveSendSlot(a api.PermitAsk, maxWait time.Duration) permit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if _, ok := g.roster.Find(a.Server); !ok {
@@ -199,7 +199,7 @@
 	if a.Standby || g.fleet.Partitioned() {
 		t.Share = throttle.Standby
 	}
-	at, ok := g.picker.Pacer.Reserve(time.Now(), a.Server, t, min(patience, maxSlotWait))
+	at, ok := g.picker.Pacer.Reserve(time.Now(), a.Server, t, min(maxWait, maxSlotWait))
 	return permit{granted: ok, at: at}
 }
 
