--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -11,17 +11,17 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// admission is what lets the requests of one service in: those that wait, and
-// what was learned of its servers.
+// admission is the queue of one service, with what is learned of its servers.
 type admission struct {
 	backlog *backlog.Backlog[*waiter]
 	reading placement.Reading
 	reserve placement.Reserve
-	// shortage keeps copies out of memory that runs lack.
+	// shortage keeps backup copies out of memory that runs need.
 	shortage placement.Shortage
 }
 
-// admission gives what lets the requests of a service in; the mutex is held.
+// admission returns the admission of a service, which it makes if there is none; the mutex is
+// held.
 func (g *Gateway) admission(n api.ServiceName) *admission {
 	a, ok := g.admissions[n]
 	if !ok {
@@ -31,8 +31,8 @@
 	return a
 }
 
-// forgetUnconfigured forgets what was learned of routes and services that a configuration no
-// longer holds.
+// forgetUnconfigured drops what was learned of routes and services that a configuration no
+// longer has.
 func (g *Gateway) forgetUnconfigured(d *directory.Directory) {
 	routes := make(map[string]bool, len(d.Routes))
 	for i := range d.Routes {
@@ -53,7 +53,7 @@
 	}
 }
 
-// recordDepartures learns how many servers leave at once.
+// recordDepartures records how many servers of a service leave at once.
 func (g *Gateway) recordDepartures(changed []roster.Member) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -65,7 +65,8 @@
 	}
 }
 
-// recordPrefill learns from a stream's first event.
+// recordPrefill records the time to a stream's first event, from which the prefill rate of
+// engines is learned.
 func (g *Gateway) recordPrefill(l *reservation, q *request) {
 	if l == nil {
 		return
@@ -79,7 +80,7 @@
 	}
 }
 
-// countWaiting counts the requests that wait; the mutex is held.
+// countWaiting counts the requests in all queues; the mutex is held.
 func (g *Gateway) countWaiting() int {
 	n := 0
 	for _, a := range g.admissions {
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -12,9 +12,9 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// allocate gives a demand an engine of this entry VM's failure domain, sends it on
-// to another domain that is less loaded, or lets it wait. While an ask is under way
-// elsewhere other demands are met, so that the choice at home is made anew after it.
+// allocate places a demand at an engine of this entry VM's failure domain, forwards it to
+// another domain that is less loaded, or lets it wait. Other demands are placed while it is
+// forwarded, so the choice at home is made again after that.
 func (g *Gateway) allocate(ctx context.Context, d demand) assignment {
 	if !d.forwarded {
 		g.markLate(&d)
@@ -39,7 +39,7 @@
 	return g.placeLocally(ctx, d)
 }
 
-// placeLocally places a demand without asking anyone else.
+// placeLocally places a demand without querying another entry VM.
 func (g *Gateway) placeLocally(ctx context.Context, d demand) assignment {
 	g.mutex.Lock()
 	now := time.Now()
@@ -50,13 +50,14 @@
 	}
 	g.mutex.Unlock()
 	if !d.mayWait {
-		return assignment{fault: fault.New(fault.NoServer, "no engine has room now")}
+		return assignment{fault: fault.New(fault.NoServer, "no engine has capacity now")}
 	}
 	return g.enqueue(ctx, d)
 }
 
-// betterDomain gives the failure domain that a demand is betterDomain sent on to; the mutex
-// is held. Copies stay near their run.
+// betterDomain returns the failure domain to which a demand had better be forwarded, if there
+// is one; the mutex is held. Backup copies stay in the domain of their run, and so do moves for
+// which there is an engine here.
 func (g *Gateway) betterDomain(now time.Time, d demand, x placement.Choice, ok bool) (api.DomainName, bool) {
 	if d.forwarded || d.purpose == api.PlaceAskPurposeCopy || ok && d.purpose == api.PlaceAskPurposeMove {
 		return "", false
@@ -72,8 +73,8 @@
 	return g.domains.Better(now, d.service.Name, m, d.need, home)
 }
 
-// forward asks the allocator of another failure domain. There the demand waits
-// only where there is nothing to wait for here.
+// forward queries the allocator of another failure domain. The demand may wait there only if
+// there is no engine here that it could wait for.
 func (g *Gateway) forward(ctx context.Context, d demand, to api.DomainName) (assignment, bool) {
 	d.mayWait = d.mayWait && !g.hasEngine(d)
 	d.domain, d.forwarded = to, true
@@ -84,7 +85,7 @@
 	d.standby = l[0].standby
 	p, ok := g.queryAllocator(ctx, l[0].address, d)
 	if !ok || p.fault != nil {
-		// A demand that was let wait there has its answer.
+		// A refusal is final for a demand that could wait there.
 		return p, ok && d.mayWait
 	}
 	g.mutex.Lock()
@@ -93,21 +94,21 @@
 	return p, true
 }
 
-// hasEngine reports whether there is an engine here for a demand to wait for.
+// hasEngine reports whether there is an engine here that a demand could wait for.
 func (g *Gateway) hasEngine(d demand) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.hasEngineLocked(time.Now(), d)
 }
 
-// hasEngineLocked is has under the mutex.
+// hasEngineLocked is hasEngine; the mutex is held.
 func (g *Gateway) hasEngineLocked(now time.Time, d demand) bool {
 	return slices.ContainsFunc(g.enginePool(now, d).Members, func(m roster.Member) bool {
 		return m.AcceptsRequests() && !slices.Contains(d.tried, m.Name)
 	})
 }
 
-// Place answers another entry VM that asks for a place at an engine.
+// Place answers the request of another entry VM for a place at an engine.
 func (g *Gateway) Place(ctx context.Context, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	d, f := g.newRemoteDemand(a)
 	if f != nil {
@@ -119,14 +120,14 @@
 	return placeAnswer(g.allocate(ctx, d)), nil
 }
 
-// newRemoteDemand is the demand in an ask of another entry VM.
+// newRemoteDemand makes the demand that another entry VM requests a place for.
 func (g *Gateway) newRemoteDemand(a api.PlaceAsk) (demand, *fault.Error) {
 	c := g.directory.Load()
 	if c == nil {
 		return demand{}, fault.New(fault.Starting, "this entry VM knows no configuration yet")
 	}
 	if a.Domain != g.Domain {
-		// What is held in another domain must not be taken for what is held in this one.
+		// The holding in the message is for another domain and must not count in this one.
 		return demand{}, fault.New(fault.NotFound, "this entry VM allocates the engines of another failure domain")
 	}
 	s, ok := c.Service(a.Service)
@@ -146,7 +147,7 @@
 	}, nil
 }
 
-// placeAnswer is the message for what a demand was given.
+// placeAnswer makes the message that tells another entry VM what its demand was assigned.
 func placeAnswer(p assignment) api.PlaceAnswer {
 	if f := p.fault; f != nil {
 		return api.PlaceAnswer{Refused: &api.PlaceRefusal{
@@ -157,7 +158,8 @@
 	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Of, Copy: p.backupName}
 }
 
-// UpdateHolding takes what another entry VM holds at engines that this one allocates.
+// UpdateHolding takes another entry VM's report of what it holds at engines that this one
+// allocates.
 func (g *Gateway) UpdateHolding(h api.Holding) {
 	x := placement.Holding{
 		Incarnation: h.Incarnation, Sequence: int64(h.Sequence), Loads: make(placement.Loads, len(h.Loads)), Asked: placement.Ask(h.Asked),
@@ -183,7 +185,7 @@
 	g.admitWaiting(now)
 }
 
-// Pools sums up the engines that this entry VM allocates, by service.
+// Pools sums up the loads of the engines that this entry VM allocates, by service.
 func (g *Gateway) Pools() map[api.ServiceName]api.PoolLoad {
 	d := g.directory.Load()
 	if d == nil {
@@ -210,7 +212,7 @@
 	return l
 }
 
-// UpdatePools takes what the allocator of another failure domain tells.
+// UpdatePools takes the sums that the allocator of another failure domain reports.
 func (g *Gateway) UpdatePools(d api.DomainName, l map[api.ServiceName]api.PoolLoad) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -12,11 +12,11 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// queryTimeout bounds one question to a server: the pause between questions.
+// queryTimeout bounds one query of a server. It equals the interval between queries.
 const queryTimeout = 250 * time.Millisecond
 
-// QueryLeaving asks the servers that run own streams whether they are leaving. It is
-// for an entry VM that hears neither from the platform nor from peers that do.
+// QueryLeaving asks the servers that run streams of this entry VM whether they are leaving. It
+// is for an entry VM that learns of it neither from the platform nor from peers.
 func (g *Gateway) QueryLeaving() {
 	for _, s := range g.serversWithRuns() {
 		g.Group.Go(func(ctx context.Context) error {
@@ -26,7 +26,8 @@
 	}
 }
 
-// serversWithRuns lists the servers with own streams that are not known to leave.
+// serversWithRuns lists the servers that run streams of this entry VM and are not known to
+// leave.
 func (g *Gateway) serversWithRuns() []roster.Server {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -46,7 +47,7 @@
 	g.handleReport(s, p, err)
 }
 
-// handleReport takes what a server tells of itself, or that it handleReport nothing.
+// handleReport takes what a server reports of itself, or logs that it did not answer.
 func (g *Gateway) handleReport(s roster.Server, p port.Report, err error) {
 	if err != nil {
 		g.Log.Emit(event.ServerUnreachable, zap.String("server", string(s.Name)), zap.Error(err))
@@ -61,8 +62,8 @@
 	}
 }
 
-// handleRestart takes a server that has started again. Runs that came there after its end
-// was known are ended as well.
+// handleRestart ends the runs of a server that has started again. Runs that were sent to its
+// old incarnation after the restart was known are ended as well.
 func (g *Gateway) handleRestart(n api.ServerName) {
 	g.mutex.Lock()
 	m, ok := g.roster.End(time.Now(), n)
@@ -78,8 +79,7 @@
 	}
 }
 
-// NoteLeaving takes servers that told this entry VM or a peer that they are
-// leaving.
+// NoteLeaving marks servers as leaving that announced it to this entry VM or a peer.
 func (g *Gateway) NoteLeaving(l []api.ServerName) {
 	var c []roster.Member
 	g.mutex.Lock()
@@ -92,7 +92,7 @@
 	g.applyChanges(c)
 }
 
-// Leaving lists the servers that said themselves that they are leaving.
+// Leaving lists the servers that announced themselves that they are leaving.
 func (g *Gateway) Leaving() []api.ServerName {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -18,12 +18,12 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// hangFactor is how many times its aim a safe request waits for one server
-// before another is asked: the slowest hundredth of answers takes less.
+// hangFactor is how many times its latency target a safe request waits for one server before it
+// tries another. The 99th percentile of answer times is below it.
 const hangFactor = 2.5
 
-// served is a backend server's answer with where it came from; the reservation is nil
-// for a failure of a server that was kept while others were tried.
+// served is the answer of a backend server. The reservation is nil for the failure of a server
+// that is passed on after other servers were tried.
 type served struct {
 	answer      port.Answer
 	server      roster.Server
@@ -31,13 +31,13 @@
 	backup      *backup
 }
 
-// release takes the load of an answer away that needs no server any more.
+// release removes the load of an answer that needs its server no longer.
 func (v served) release() {
 	v.reservation.release()
 	v.backup.end()
 }
 
-// call serves a request that is answered whole.
+// call serves a request whose answer is not streamed.
 func (g *Gateway) call(ctx context.Context, q *request) {
 	v, f := g.sendWithRetries(ctx, q, placement.Need{})
 	if f != nil {
@@ -48,19 +48,19 @@
 	g.answerWhole(q, v.answer)
 }
 
-// answerWhole gives a caller an answer that is not streamed.
+// answerWhole passes on an answer that is not streamed.
 func (g *Gateway) answerWhole(q *request, a port.Answer) {
 	if a.Status/100 == 2 {
-		// A failure may have come before the server began to run the request.
+		// An error answer may have come before the server began to run the content.
 		g.Contents.Answered(q.content)
 	}
 	g.finish(q, q.lateness())
 	q.sink.Whole(a)
 }
 
-// finish logs a request that was answered whole. What went well is shown by a few
-// lines a second, what was late, retried or moved by all of its lines.
-func (g *Gateway) finish(q *request, late lateness, figures ...zap.Field) {
+// finish counts and logs an answered request. The log shows a few lines a second of answers in
+// time; for one that was late or retried it also has the choices of servers.
+func (g *Gateway) finish(q *request, late lateness, fields ...zap.Field) {
 	g.Metrics.Add(metric.RequestsDone, 1)
 	took := time.Since(q.Arrived)
 	id := event.RequestDone
@@ -74,25 +74,25 @@
 	if late != onTime || q.retried {
 		g.logChoices(q)
 	}
-	g.Log.Emit(id, append(l, figures...)...)
+	g.Log.Emit(id, append(l, fields...)...)
 }
 
-// lateness says what an answer missed of what its route aims for.
+// lateness is the latency target that an answer missed; its values are logged.
 type lateness string
 
 const (
 	onTime lateness = ""
-	// lateAnswer is a whole answer that took too long, lateFirst a stream's first
+	// lateAnswer is an unstreamed answer that took too long, lateFirstEvent a stream's first
 	// event.
 	lateAnswer     lateness = "answer"
 	lateFirstEvent lateness = "first event"
-	// longPause is a long pause at one server, as when a run is preempted, and
-	// lateMoved one before the first event after the run went on elsewhere.
+	// longPause is a long gap between two events of one server, as when the server preempts the
+	// run; longMovePause is one before the first event after a move.
 	longPause     lateness = "pause"
 	longMovePause lateness = "pause in a move"
 )
 
-// lateness says whether a call took longer than its route aims for.
+// lateness reports whether a call took longer than the latency target of its route.
 func (q *request) lateness() lateness {
 	if q.route.LatencyTarget > 0 && time.Since(q.Arrived) > q.route.LatencyTarget {
 		return lateAnswer
@@ -100,8 +100,8 @@
 	return onTime
 }
 
-// sendWithRetries sends a request to one server after the other while it may be repeated
-// or provably was not run, and gives the answer to take.
+// sendWithRetries sends a request to one server after another, as long as it is safe to repeat
+// or provably did not run, and returns the answer to pass on.
 func (g *Gateway) sendWithRetries(ctx context.Context, q *request, n placement.Need) (served, *fault.Error) {
 	c := call.New(q.route.Kind != directory.Safe)
 	retry := func() bool { return g.allowRetry(q.service.Name) }
@@ -145,8 +145,8 @@
 	}
 }
 
-// pickNext chooses the server to send to now. Only the first of an engine's request
-// is waited for: what was sent before has used up its time to wait.
+// pickNext chooses the server of the next attempt. Only the first attempt at an engine may wait
+// in the queue: later ones have used up that time.
 func (g *Gateway) pickNext(ctx context.Context, q *request, n placement.Need, c *call.Call) assignment {
 	if f := g.allRest(q, c); f != nil {
 		return assignment{fault: f}
@@ -160,7 +160,7 @@
 	return g.placePlain(ctx, q, c)
 }
 
-// choiceFields gives the fields of the log line of a choice: the figures that decided.
+// choiceFields are the log fields of a chosen server, with the figures that decided for it.
 func choiceFields(q *request, x placement.Choice) []zap.Field {
 	return []zap.Field{
 		zap.Time("at", time.Now()),
@@ -175,7 +175,7 @@
 	}
 }
 
-// preferAnswer passes a server's own failure on where there is one.
+// preferAnswer returns the error answer of a server where there is one, or else the fault.
 func preferAnswer(failed *port.Answer, f *fault.Error) (served, *fault.Error) {
 	if failed == nil {
 		return served{}, f
@@ -183,7 +183,7 @@
 	return served{answer: *failed}, nil
 }
 
-// shouldRetry reports whether a server's failure is to be tried elsewhere.
+// shouldRetry reports whether an error answer is to be retried at another server.
 func shouldRetry(q *request, a port.Answer) bool {
 	return a.Status >= http.StatusInternalServerError && q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers
 }
@@ -198,15 +198,15 @@
 		ctx = c
 	}
 	if left <= 0 {
-		return port.Answer{}, fault.New(fault.NotStarted, "the deadline passed before the send")
+		return port.Answer{}, fault.New(fault.NotStarted, "the deadline passed before the request was sent")
 	}
 	a := q.newAttempt(s, b)
 	a.Left, a.Connect = left, call.ConnectTimeout(q.route.LatencyTarget)
 	return g.Backends.Send(ctx, a)
 }
 
-// newAttempt is the request on its way to a server, whose run another one may
-// protect, with all the time that is left.
+// newAttempt makes an attempt at a server, with all the time that is left. The server of the
+// backup, if there is one, is to hold a backup copy of the run.
 func (q *request) newAttempt(s roster.Server, b *backup) port.Attempt {
 	a := port.Attempt{
 		Request: q.Request, Server: s, Workspace: q.workspace.Name, Left: q.deadline.Left(),
@@ -218,7 +218,7 @@
 	return a
 }
 
-// attemptOutcome types an attempt's failure for the decision on another one.
+// attemptOutcome maps the error of an attempt to the outcome that decides on a retry.
 func attemptOutcome(err error) call.Outcome {
 	for _, c := range []fault.Code{fault.NotStarted, fault.ServerRefused, fault.Misdirected} {
 		if fault.Has(err, c) {
@@ -228,7 +228,7 @@
 	return call.Incomplete
 }
 
-// serverOutcome types an attempt's failure for the server's record.
+// serverOutcome maps the error of an attempt to the outcome in the server's health record.
 func serverOutcome(err error) placement.Outcome {
 	if fault.Has(err, fault.ServerRefused) {
 		return placement.Full
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -10,40 +10,43 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// demand asks for a place at an engine, for this entry VM or for another one.
+// demand asks for a place at an engine, for this entry VM or for a peer.
 type demand struct {
 	service *directory.Service
 	purpose api.PlaceAskPurpose
-	// domain is the failure domain whose engines are wanted.
+	// domain is the failure domain whose engines are asked for.
 	domain  api.DomainName
 	need    placement.Need
 	request backlog.Request
-	// route and wait are the route of a new run and the time that its caller allowed,
-	// which tell whether it was refused before.
+	// route and wait are the route of a new run and the timeout of its caller, by which the
+	// backlog tells a retry of a refused request from a first try.
 	route string
 	wait  time.Duration
 	// deadline is when the caller gives up.
 	deadline time.Time
-	// mayWait is set where the demand may wait for room, forwarded where another
-	// allocator has sent it on.
+	// mayWait is set where the demand may wait in the queue, forwarded where another allocator
+	// has passed it on.
 	mayWait, forwarded bool
 	tried              []api.ServerName
-	// expectedLength is the length of an answer whose run may have a copy; zero for none.
+	// expectedLength is the expected length of the answer of a run that may have a backup copy;
+	// zero where it may not.
 	expectedLength api.Tokens
-	// short runs may use memory that is kept for the runs of servers that leave.
+	// short is set for a run that may use the memory reserved for the runs of servers that
+	// leave.
 	short bool
-	// exact is set where this entry VM allocates the domain's engines.
+	// exact is set where this entry VM allocates the engines of the domain, and so knows their
+	// loads.
 	exact bool
-	// standby is set where the first choice to allocate them does not answer.
+	// standby is set where the first choice of allocator does not answer.
 	standby bool
-	// recipient is the holder of the place, nil for this entry VM.
+	// recipient is the peer that will hold the place, nil for this entry VM.
 	recipient *placement.Recipient
 }
 
-// enginePool is the pool that a demand is met from: the enginePool of its failure
-// domain, and those of domains that nobody is known to allocate. For new runs
-// memory is kept free for the runs of servers that leave, and prompts are read in
-// time. The mutex is held.
+// enginePool is the pool that a demand is placed in: the engines of its failure domain, and
+// those of domains without a known allocator. For a new run, memory is reserved for the runs of
+// servers that leave, and the prompts that an engine has to read before it are bounded by the
+// latency target. The mutex is held.
 func (g *Gateway) enginePool(now time.Time, d demand) placement.Pool {
 	l := placement.Pool{
 		Domain: d.domain, Exact: d.exact, Rests: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmupBound(now, d.service),
@@ -66,7 +69,7 @@
 	return l
 }
 
-// membersWhere lists the servers of a service that are kept; the mutex is held.
+// membersWhere lists the servers of a service that satisfy a condition; the mutex is held.
 func (g *Gateway) membersWhere(n api.ServiceName, want func(m roster.Member) bool) []roster.Member {
 	all := g.roster.Service(n)
 	l := make([]roster.Member, 0, len(all))
@@ -78,8 +81,8 @@
 	return l
 }
 
-// pickEngine chooses an engine for a demand at once, unless others wait for it; the
-// mutex is held.
+// pickEngine chooses an engine for a demand without waiting. A new run gets none while others
+// are ahead of it in the queue. The mutex is held.
 func (g *Gateway) pickEngine(now time.Time, d demand) (placement.Choice, bool) {
 	l := g.enginePool(now, d)
 	a := g.admission(d.service.Name)
@@ -102,8 +105,9 @@
 	return x, ok
 }
 
-// markLate notes whether a new run comes too late for its aim: the entry VM that
-// places it sees most callers of a route, whose usual times tell.
+// markLate notes whether a new run comes too late for its latency target. That is decided by
+// the entry VM that places the run: it sees most requests of a route and so knows the usual
+// timeouts of its callers.
 func (g *Gateway) markLate(d *demand) {
 	if d.purpose != api.PlaceAskPurposeRun {
 		return
@@ -113,7 +117,7 @@
 	d.request.Late = g.admission(d.service.Name).backlog.Late(d.route, d.wait, d.request.LatencyTarget)
 }
 
-// load is what the place of a demand counts for.
+// load is the load that the place of a demand adds to its engine.
 func (d demand) load() api.ServerLoad {
 	l := api.ServerLoad{Requests: 1, Tokens: d.need.Tokens, Unread: d.need.Unread}
 	if d.purpose == api.PlaceAskPurposeCopy {
@@ -122,8 +126,8 @@
 	return l
 }
 
-// backupDemand is the demand for a place that keeps a copy of a run as it grows, beside
-// the server that runs it.
+// backupDemand asks for a place for a backup copy of a run, at another server than the one that
+// runs it.
 func (d demand) backupDemand(at roster.Server) demand {
 	return demand{
 		service: d.service, purpose: api.PlaceAskPurposeCopy, domain: at.Domain, need: placement.Need{Tokens: d.need.Tokens},
@@ -131,8 +135,8 @@
 	}
 }
 
-// assign counts the place that was chosen for a demand, and one for a copy of its
-// run where that is worth it; the mutex is held.
+// assign counts the place chosen for a demand, and one for a backup copy of its run where a
+// copy is wanted and an engine is free for it; the mutex is held.
 func (g *Gateway) assign(now time.Time, d demand, x placement.Choice) assignment {
 	p := assignment{choice: x, reservation: g.reserveOrGrant(now, d, x.Server)}
 	if d.expectedLength == 0 || d.purpose != api.PlaceAskPurposeRun {
@@ -150,8 +154,8 @@
 	return p
 }
 
-// reserveOrGrant counts a demand's load for its holder: as an own reservation, or as a
-// grant, for which there is none. The mutex is held.
+// reserveOrGrant counts the load of a demand: as a reservation of this entry VM, or as a grant
+// to a peer, where the result is nil. The mutex is held.
 func (g *Gateway) reserveOrGrant(now time.Time, d demand, s roster.Server) *reservation {
 	if d.recipient != nil {
 		g.picker.Engines.Grant(now, *d.recipient, s.Name, d.load())
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,3 +1,3 @@
-// Package gateway takes requests of any wire through route, key, placement and
-// attempts to their one answer, and moves streams off servers that leave.
+// Package gateway routes each request, chooses a backend server for it, sends it with retries
+// and passes the answer on to its caller. It moves running streams off servers that leave.
 package gateway
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -26,10 +26,10 @@
 // eventGap is the time between two events of a fake engine.
 const eventGap = 30 * time.Millisecond
 
-// latencyTarget is the time in which an answer is good.
+// latencyTarget is the latency target of the test routes.
 const latencyTarget = 100 * time.Millisecond
 
-// gapTarget is the longest good pause of a stream.
+// gapTarget is the longest gap between two events that is in time.
 const gapTarget = 180 * time.Millisecond
 
 // firstCopyTime is what the first copy of a run takes, and laterCopyTime a later one.
@@ -38,7 +38,7 @@
 	laterCopyTime = 10 * time.Millisecond
 )
 
-// fakeRun is one generation, wherever it runs.
+// fakeRun is one generation, at whichever server it runs.
 type fakeRun struct {
 	total    int
 	produced int
@@ -46,50 +46,52 @@
 	stopped  bool
 }
 
-// fake stands for all backend servers.
+// fake stands in for all backend servers.
 type fake struct {
 	silentStreams sync.Mutex
-	// answers scripts plain servers: what each send gets, in order.
+	// answers scripts plain servers: the status or error of each send, in order.
 	answers map[string][]any
 	sends   []string
 	runs    map[string]*fakeRun
 	dead    map[string]bool
-	// full targets refuse copies; handles names the copies that are held.
+	// full targets refuse copies; handles maps the handles of copies to the servers that hold
+	// them.
 	full     map[string]bool
 	handles  map[string]string
 	copies   int
 	notBegun int
-	// hangCopies makes copies take longer than any notice.
+	// hangCopies makes copies take longer than any notice of a leaving server.
 	hangCopies bool
 	released   []string
 	closed     int
 	total      int
 	leaves     map[string]bool
-	// stoppedAt names the servers that stopped runs, by handle: they keep the memory too.
+	// stoppedAt maps the handles of stopped runs to their source servers, which hold the memory
+	// as well.
 	stoppedAt map[string]string
-	// refuses servers turn each request away and ask for rest.
+	// refuses names the servers that refuse each request and ask for a backoff.
 	refuses map[string]bool
-	// signals are what servers say of themselves in their reports.
+	// signals are sent by servers in their reports.
 	signals map[string]port.Signals
-	// born is when the life that answers at a server began.
+	// born is the start of the incarnation that answers at a server.
 	born map[string]api.Birth
-	// silent servers say nothing, while their connections stay open; mute ones go
-	// on and are asked in vain over the connections that are open, which lack the
-	// newest events, ahead of them.
+	// silent servers send nothing, while their connections stay open. Servers with
+	// silentStreams answer queries and produce events, but nothing arrives over the streams
+	// that are open. ahead is how many more events a report counts than arrived.
 	silent map[string]bool
 	mute   map[string]bool
 	ahead  int
-	// gap is the time between two events, reports counts the questions.
+	// gap is the time between two events; reports counts the queries.
 	gap     time.Duration
 	reports int
-	// waiting lets bytes wait on connections that nothing is read from.
+	// waiting makes a stream report unread bytes.
 	waiting bool
-	// log takes the gateway's lines.
+	// log takes the gateway's log lines.
 	log *event.Log
-	// backups lets servers keep copies of runs as they grow.
+	// backups lets servers hold backup copies of runs.
 	backups bool
-	// timesLeft are the times that servers were given, in order; lead is by how much the
-	// boot clock is ahead.
+	// timesLeft are the times left that were sent to servers, in order. bootAhead is by how
+	// much the boot clock is ahead of the ordinary clock.
 	timesLeft []time.Duration
 	bootAhead time.Duration
 }
@@ -101,7 +103,7 @@
 	}
 }
 
-// boot reads the clock that goes on while the VM is suspended.
+// boot reads a clock that runs on while the VM is suspended.
 func (f *fake) boot() time.Time {
 	f.silentStreams.Lock()
 	defer f.silentStreams.Unlock()
@@ -122,10 +124,10 @@
 		return port.Answer{Head: port.Head{Status: l[0].(int)}, Body: []byte(n)}, nil
 	}
 	if f.dead[n] {
-		return port.Answer{}, fault.New(fault.NotStarted, "dead")
+		return port.Answer{}, fault.New(fault.NotStarted, "server crashed")
 	}
 	if f.refuses[n] {
-		return port.Answer{Signals: port.Signals{Answered: true, Resting: true, Rest: time.Minute}}, fault.New(fault.ServerRefused, "shed")
+		return port.Answer{Signals: port.Signals{Answered: true, Resting: true, Rest: time.Minute}}, fault.New(fault.ServerRefused, "load shed")
 	}
 	return f.open(ctx, a)
 }
@@ -189,7 +191,7 @@
 	defer s.fake.silentStreams.Unlock()
 	switch {
 	case s.run.stopped || s.fake.dead[s.server] || s.run.server != s.server:
-		return port.Event{}, fault.New(fault.GenerationLost, "broke off")
+		return port.Event{}, fault.New(fault.GenerationLost, "connection broken")
 	case s.next > s.run.total:
 		return port.Event{}, io.EOF
 	}
@@ -205,7 +207,7 @@
 	return s.fake.waiting
 }
 
-// silent reports whether nothing comes over this connection any more.
+// silent reports whether nothing arrives over this connection any more.
 func (s *fakeStream) silent() bool {
 	s.fake.silentStreams.Lock()
 	defer s.fake.silentStreams.Unlock()
@@ -227,7 +229,7 @@
 	if f.notBegun > 0 {
 		f.notBegun--
 		f.silentStreams.Unlock()
-		return port.Copy{}, fault.New(fault.NotFound, "not begun")
+		return port.Copy{}, fault.New(fault.NotFound, "run not started")
 	}
 	hangs := f.hangCopies
 	f.silentStreams.Unlock()
@@ -244,11 +246,11 @@
 	r := f.runs[string(o.Request)]
 	switch {
 	case f.dead[string(o.Source.Name)]:
-		return port.Copy{}, fault.New(fault.OutcomeUnknown, "dead")
+		return port.Copy{}, fault.New(fault.OutcomeUnknown, "server crashed")
 	case r == nil || r.server != string(o.Source.Name) || r.stopped:
 		return port.Copy{}, fault.New(fault.NotFound, "no such run")
 	case f.full[string(o.Target.Name)]:
-		return port.Copy{}, fault.New(fault.ServerRefused, "no room")
+		return port.Copy{}, fault.New(fault.ServerRefused, "no capacity")
 	}
 	f.copies++
 	h := "h-" + string(o.Target.Name)
@@ -268,7 +270,7 @@
 	f.silentStreams.Unlock()
 	if dark {
 		<-ctx.Done()
-		return port.Report{}, fault.Wrap(fault.NotStarted, ctx.Err(), "dark")
+		return port.Report{}, fault.Wrap(fault.NotStarted, ctx.Err(), "server silent")
 	}
 	f.silentStreams.Lock()
 	defer f.silentStreams.Unlock()
@@ -288,7 +290,7 @@
 	return port.Signals{}, nil
 }
 
-// caller collects one answer.
+// caller collects the answer of one request.
 type caller struct {
 	mutex   sync.Mutex
 	status  int
@@ -315,7 +317,7 @@
 	c.aborted = true
 }
 
-// wasAborted reports whether the answer was wasAborted off.
+// wasAborted reports whether the answer was aborted.
 func (c *caller) wasAborted() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -328,7 +330,7 @@
 	c.fault = f
 }
 
-// refused gives the refusal so far, nil for none.
+// refused returns the refusal so far, nil for none.
 func (c *caller) refused() *fault.Error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -345,7 +347,7 @@
 	return nil
 }
 
-// disconnect makes the caller go away before its next event.
+// disconnect makes the next event fail as if the caller had closed its connection.
 func (c *caller) disconnect() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -358,7 +360,8 @@
 	return len(c.ids)
 }
 
-// complete reports whether the caller has events 1 to n, once each and in order.
+// complete reports whether the caller got the events 1 to n once each and in order, and the
+// end.
 func (c *caller) complete(n int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -373,15 +376,15 @@
 	return true
 }
 
-// testGateway is a gateway over fake servers.
+// testGateway is a gateway in front of fake servers.
 type testGateway struct {
 	*gateway.Gateway
 	fake    *fake
 	version api.Version
 }
 
-// newTestGateway makes a gateway that knows a stream route and plain ones, and two
-// engines and two plain servers.
+// newTestGateway makes a gateway with a stream route and plain routes, two engines and two
+// plain servers.
 func newTestGateway(t *testing.T, f *fake, slack float64) *testGateway {
 	t.Helper()
 	g, closer := duty.New(context.Background())
@@ -408,7 +411,7 @@
 	return b
 }
 
-// servers declares servers by name and whether they are draining.
+// servers declares servers by name; the value tells whether a server is draining.
 func (b *testGateway) servers(m map[string]bool) {
 	var l []roster.Server
 	for n, d := range m {
@@ -417,7 +420,7 @@
 	b.serve(l)
 }
 
-// server is one in a failure domain; an engine's name begins with e.
+// server makes a server in a failure domain. It is an engine if its name begins with e.
 func server(n string, d api.DomainName, draining bool) roster.Server {
 	v := api.ServiceName("plain")
 	if n[0] == 'e' {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -21,18 +21,18 @@
 // messageDelay is the time of a message between two entry VMs.
 const messageDelay = time.Millisecond
 
-// fleetLoad is many entry VMs, of which the first two may allocate the engines.
+// fleetLoad is a load on many entry VMs, of which the first two may allocate the engines.
 type fleetLoad struct {
 	*load
 
 	mutex sync.Mutex
-	// silent VMs answer nobody.
+	// silent VMs answer no messages.
 	silent map[string]bool
-	// placeRequests counts the asks to each VM.
+	// placeRequests counts the place requests to each VM.
 	placeRequests map[string]int
 }
 
-// newFleet makes so many entry VMs.
+// newFleet makes a number of entry VMs.
 func newFleet(t *testing.T, seed uint64, vms int) *fleetLoad {
 	t.Helper()
 	f := &fleetLoad{silent: map[string]bool{}, placeRequests: map[string]int{}}
@@ -50,8 +50,7 @@
 	f.silent[vm] = silent
 }
 
-// reach is the way to a VM; it takes until the caller gives up where that is
-// silent.
+// reach sends a message to a VM. To a silent one it blocks until the sender's timeout.
 func (f *fleetLoad) reach(ctx context.Context, vm string) (*gateway.Gateway, error) {
 	duty.Sleep(ctx, messageDelay)
 	f.mutex.Lock()
@@ -68,7 +67,7 @@
 	return f.vms[i], nil
 }
 
-// fleetPeers are what one VM sees of the others.
+// fleetPeers are the peers of one VM.
 type fleetPeers struct {
 	fleet *fleetLoad
 	self  string
@@ -76,7 +75,7 @@
 
 func (p fleetPeers) Allocators(d api.DomainName) []string {
 	if d != "x" {
-		// The allocators of other failure domains are VMs that answer nobody.
+		// The allocators of other failure domains never answer.
 		return []string{remoteAllocator, remoteAllocator + "-2"}
 	}
 	l := []string{"0", "1"}
@@ -98,7 +97,7 @@
 	}
 	x, err := g.Place(ctx, a)
 	if ctx.Err() != nil {
-		// Who has given up gets no answer.
+		// The client has given up, so no answer reaches it.
 		return api.PlaceAnswer{}, fault.New(fault.OutcomeUnknown, "no answer in time")
 	}
 	return x, err
@@ -121,8 +120,8 @@
 	return nil
 }
 
-// playFleet plays a load against so many entry VMs in virtual time; during plays
-// beside it.
+// playFleet plays a load against a number of entry VMs in virtual time, while during runs
+// alongside.
 func playFleet(t *testing.T, seed uint64, vms int, x float64, during func(f *fleetLoad)) []tally {
 	t.Helper()
 	var got []tally
@@ -138,19 +137,21 @@
 	return got
 }
 
+// undisturbed is for a load without faults.
 func undisturbed(*fleetLoad) {}
 
-// sum adds up what callers of both kinds got.
-func sum(l []tally) (inAim, late, asked int) {
+// sum adds up the results of all kinds.
+func sum(l []tally) (inTime, late, requests int) {
 	for _, t := range l {
-		inAim += t.inTime
+		inTime += t.inTime
 		late += t.late
-		asked += t.requests
+		requests += t.requests
 	}
-	return inAim, late, asked
+	return inTime, late, requests
 }
 
-// Many entry VMs that each see a few requests give callers what one that sees all would.
+// Many entry VMs that see few requests each must serve callers about as well as one that sees
+// all.
 func TestManyEntryVMsPlaceAsWellAsOne(t *testing.T) {
 	for _, x := range []float64{1, 2.2} {
 		var one, many []tally
@@ -158,18 +159,18 @@
 			one = append(one, playLoad(t, 3+seed, x)...)
 			many = append(many, playFleet(t, 3+seed, 40, x, undisturbed)...)
 		}
-		wantInAim, wantLate, asked := sum(one)
-		gotInAim, gotLate, _ := sum(many)
-		if want := wantInAim * 9 / 10; gotInAim < want {
-			t.Errorf("at %.1f: got %d answers in time, want at least %d, nine tenths of what one entry VM gives", x, gotInAim, want)
+		wantInTime, wantLate, requests := sum(one)
+		gotInTime, gotLate, _ := sum(many)
+		if want := wantInTime * 9 / 10; gotInTime < want {
+			t.Errorf("at %.1f times the load: got %d answers in time, want at least %d, nine tenths of those of one entry VM", x, gotInTime, want)
 		}
-		if want := wantLate + asked/20; gotLate > want {
-			t.Errorf("at %.1f: got %d late, want at most %d", x, gotLate, want)
+		if want := wantLate + requests/20; gotLate > want {
+			t.Errorf("at %.1f times the load: got %d late answers, want at most %d", x, gotLate, want)
 		}
 	}
 }
 
-// While the VM that allocates is silent, as when it is frozen, the next one does.
+// While the allocating VM is silent, as when it is frozen, the standby allocates.
 func TestStandbyAllocatesWhileAllocatorIsSilent(t *testing.T) {
 	got := playFleet(t, 4, 40, 1, func(f *fleetLoad) {
 		time.Sleep(8 * time.Second)
@@ -187,7 +188,7 @@
 	}
 }
 
-// Where no VM that allocates answers, each places by what it knows.
+// When no allocator answers, each VM places requests by the loads that it knows itself.
 func TestEntryVMsPlaceAloneWhenNoAllocatorAnswers(t *testing.T) {
 	got := playFleet(t, 5, 10, 0.5, func(f *fleetLoad) {
 		f.setSilent("0", true)
@@ -200,7 +201,7 @@
 	}
 }
 
-// An engine that takes no connection is empty, and must not be chosen for it.
+// An engine that accepts no connections has no load, and must not be chosen for that.
 func TestUnreachableEngineIsAvoided(t *testing.T) {
 	got := playFleet(t, 6, 40, 1, func(f *fleetLoad) {
 		time.Sleep(8 * time.Second)
@@ -212,13 +213,15 @@
 	for _, x := range got {
 		n += x.refused + x.failed
 	}
-	// The pauses after losses in a row add up to 8 s after six of them; some more
+	// The cooldowns after losses in a row add up to 8 s after six of them; some more
 	// requests are under way before the first loss is known.
 	if want := 12; n > want {
 		t.Errorf("got %d requests refused or failed, want at most %d", n, want)
 	}
 }
 
+// An allocator that forwards requests to a silent failure domain must still answer in time, or
+// its peers would take it for silent too and go to the standby.
 func TestForwardToSilentDomainKeepsAllocatorInUse(t *testing.T) {
 	var first, second int
 	playFleet(t, 7, 40, 4, func(f *fleetLoad) {
@@ -233,6 +236,6 @@
 		first, second = f.placeRequests["0"], f.placeRequests["1"]
 	})
 	if first == 0 || second > 0 {
-		t.Errorf("asks to the first and second hub: got %d and %d, want all to the first", first, second)
+		t.Errorf("place requests to the first and second allocator: got %d and %d, want all to the first", first, second)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,43 +31,42 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// startRetryAfter is when a caller may come back to an entry VM that knows no
-// configuration yet.
+// startRetryAfter is the Retry-After of an entry VM that has no configuration yet.
 const startRetryAfter = 500 * time.Millisecond
 
-// Options are what a gateway works with.
+// Options are the settings and dependencies of a Gateway.
 type Options struct {
 	VM     api.VMName
 	Domain api.DomainName
-	// Seed is of the numbers that are drawn to choose servers.
+	// Seed seeds the random numbers by which servers are chosen, and tells the incarnations of
+	// this entry VM apart.
 	Seed     uint64
 	Backends port.Backends
-	// Peers reaches the entry VMs that allocate engines; nil where this one is
-	// alone.
+	// Peers reaches the entry VMs that allocate engines; nil for an entry VM without peers.
 	Peers   Peers
 	Group   *duty.Group
 	Log     *event.Log
 	Metrics *metric.Set
-	// Retries bounds the sends beyond the first of each request, by service.
+	// Retries bounds the retries of each service.
 	Retries *retry.Windows
-	// Deadlines end requests at their callers' times; nil makes some by the boot clock.
+	// Deadlines end requests at their callers' deadlines; nil for a default that follows the
+	// boot clock.
 	Deadlines *clock.Deadlines
-	// Contents knows the contents that end servers; nil makes a guard of its
-	// own.
+	// Contents knows the contents that crash servers; nil for a guard of this gateway alone.
 	Contents *contents.Guard
-	// Quarantines keeps refused contents; nil where only entry VMs remember them.
+	// Quarantines stores quarantined contents; nil where only entry VMs remember them.
 	Quarantines port.Quarantines
-	// WaitForClosures is set where operators may close failure domains to new work: who does
-	// not know yet which are closed takes no callers.
+	// WaitForClosures is set where operators can close failure domains: the gateway is not
+	// ready until it knows which of them are closed.
 	WaitForClosures bool
 }
 
-// Gateway serves requests.
+// Gateway serves requests on backend servers.
 type Gateway struct {
 	Options
 
 	directory atomic.Pointer[directory.Directory]
-	// configuring is held while a configuration comes into force.
+	// configuring is held while a configuration is put into force.
 	configuring sync.Mutex
 	// closuresKnown is set once it is known which failure domains are closed.
 	closuresKnown atomic.Bool
@@ -77,30 +76,32 @@
 	mutex  sync.Mutex
 	roster *roster.Roster
 	picker *placement.Picker
-	runs   map[api.ServerName]map[*run]bool
-	// admissions let requests in, by service.
+	// runs holds the running streams by the server that runs them.
+	runs map[api.ServerName]map[*run]bool
+	// admissions holds the waiting requests and what is learned of servers, by service.
 	admissions map[api.ServiceName]*admission
-	// domains is what the allocators of other failure domains tell, contacts which
-	// of them did not answer.
+	// domains holds the load reports of the allocators of other failure domains, and contacts
+	// the allocators that failed to answer.
 	domains  *placement.Domains
 	contacts *holder.Contacts
-	// fleet knows whether a part of the entry VMs may be behind a cut.
+	// fleet tells whether some of the entry VMs may be cut off by a network partition.
 	fleet throttle.Fleet
-	// incarnation, sequence, asks, reports and observations are of what this entry VM
-	// tells allocators.
+	// These are the state of the reports of this entry VM to allocators: incarnation and
+	// sequence order them, asks are the place requests under way, reports says when one is due,
+	// and observations is what they tell of servers.
 	incarnation  api.Incarnation
 	sequence     int
 	asks         holder.Asks
 	reports      *holder.Reports
 	observations *holder.Observations
-	// queryResults are what servers of silent streams said; inquiries lets one
-	// question serve all streams of a server.
+	// queryResults holds the recent answers of servers whose streams are silent; queries lets
+	// the streams of one server share a query.
 	queryResults *silence.ResultCache
 	queries      singleflight.Group
 	watchdog     *watchdog
 }
 
-// New makes a gateway that knows no configuration.
+// New makes a gateway without a configuration.
 func New(p Options) *Gateway {
 	if p.Peers == nil {
 		p.Peers = noPeers{}
@@ -121,26 +122,26 @@
 	return g
 }
 
-// Ready reports whether new callers may come.
+// Ready reports whether the gateway accepts new callers.
 func (g *Gateway) Ready() bool {
 	return g.directory.Load() != nil && (g.closuresKnown.Load() || !g.WaitForClosures) && !g.Stopping()
 }
 
-// Stop turns the readiness before the process ends at a time; requests that
-// still come are served where they will be over by then.
+// Stop makes the gateway not ready, ahead of the process's end at a given time. Requests that
+// still arrive are served if they can be finished by then.
 func (g *Gateway) Stop(end time.Time) {
 	g.stop.Store(&drain.Stop{Began: time.Now(), End: end})
 }
 
-// Stopping reports whether the process is about to end.
+// Stopping reports whether Stop was called.
 func (g *Gateway) Stopping() bool {
 	return g.stop.Load() != nil
 }
 
-// defaultBodyLimit bounds bodies until a configuration says more, in bytes.
+// defaultBodyLimit bounds request bodies where no configuration does, in bytes.
 const defaultBodyLimit = 1 << 20
 
-// BodyLimit is the largest request body, in bytes.
+// BodyLimit is the size of the largest accepted request body, in bytes.
 func (g *Gateway) BodyLimit() int64 {
 	if d := g.directory.Load(); d != nil && d.Limits.BodyBytes > 0 {
 		return d.Limits.BodyBytes
@@ -148,37 +149,39 @@
 	return defaultBodyLimit
 }
 
-// InFlight counts the requests that have no answer yet.
+// InFlight counts the requests that are not finished.
 func (g *Gateway) InFlight() int {
 	return int(g.inFlight.Load())
 }
 
-// request is a request with what the configuration says of it.
+// request is a caller's request with the route, workspace and service that the configuration
+// gives it.
 type request struct {
 	*port.Request
 	route     *directory.Route
 	workspace directory.Workspace
 	service   *directory.Service
-	// timeout is how long the request is held at most, and deadline the end of that, once
-	// it is admitted.
+	// timeout bounds the time of the request from its arrival on; deadline is set once the
+	// request is admitted.
 	timeout  time.Duration
 	deadline *clock.Deadline
 	sink     port.Sink
 	tried    []api.ServerName
-	// choices are the log lines of the servers chosen, which are written at the
-	// end where the request did not go well.
+	// choices are the log fields of the servers chosen. They are logged at the end, for
+	// requests that failed, were late or were retried.
 	choices [][]zap.Field
 	retried bool
-	// forecast decided that the request could not wait; waited is how long it did.
+	// forecast is the estimate of the wait by which the request was refused; waited is how long
+	// it did wait.
 	forecast backlog.Forecast
 	waited   time.Duration
-	// outcome names the end for the metrics.
+	// outcome labels the end of the request in metrics.
 	outcome string
-	// hash names the content once it was asked for.
+	// hash is the hash of the content, empty until it is first needed.
 	hash api.ContentHash
 }
 
-// content names what the request asks for, the same for every attempt of its caller.
+// content is the hash of what the request asks for: the same for each attempt of its caller.
 func (q *request) content() api.ContentHash {
 	if q.hash == "" {
 		q.hash = quarantine.Hash(q.workspace.Name, q.Method, q.Host, q.Target, q.Body)
@@ -186,7 +189,7 @@
 	return q.hash
 }
 
-// Handle serves one request to its end.
+// Handle serves a request and returns when it is finished.
 func (g *Gateway) Handle(ctx context.Context, r *port.Request, s port.Sink) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -214,8 +217,8 @@
 	g.call(ctx, q)
 }
 
-// contentFields gives the content for the log where the request was contentFields; there is none before
-// its route is known.
+// contentFields are the log fields of the content. There are none for a request that was
+// refused before its content was hashed.
 func (q *request) contentFields() []zap.Field {
 	if q == nil || q.hash == "" {
 		return nil
@@ -223,7 +226,9 @@
 	return []zap.Field{zap.String("content", string(q.hash))}
 }
 
-// resolve finds what the configuration says of a request.
+// resolve looks up the route, workspace and service of a request, and refuses one that the
+// gateway can't serve now. A request whose content is refused is returned with the fault, for
+// the log.
 func (g *Gateway) resolve(r *port.Request, s port.Sink) (*request, *fault.Error) {
 	d := g.directory.Load()
 	if d == nil {
@@ -252,12 +257,12 @@
 	return q, g.Contents.Check(q.content)
 }
 
-// defaultTimeout is how long a request is held where neither its route nor its
-// caller says: longer than any answer of a plain service takes.
+// defaultTimeout bounds a request where neither its route nor its caller does. It is longer
+// than any answer of a plain service takes.
 const defaultTimeout = 30 * time.Second
 
-// requestTimeout is the shorter of the times that a route and a caller allow; zero
-// says nothing.
+// requestTimeout is the shorter of the timeouts of a route and a caller, where zero stands for
+// none.
 func requestTimeout(route, caller time.Duration) time.Duration {
 	switch {
 	case route <= 0 && caller <= 0:
@@ -271,10 +276,11 @@
 	}
 }
 
-// stopRetryAfter is when a caller that met a stopping entry VM may ask another one.
+// stopRetryAfter is the Retry-After of an entry VM that is stopping: the caller can go to
+// another one.
 const stopRetryAfter = 50 * time.Millisecond
 
-// checkStop refuses what would be cut off at the end of a planned stop.
+// checkStop refuses a request that would be cut off at the end of a planned stop.
 func (g *Gateway) checkStop(r *port.Request, x *directory.Route) *fault.Error {
 	s := g.stop.Load()
 	if s == nil {
@@ -287,10 +293,10 @@
 	if accepts {
 		return nil
 	}
-	return fault.New(fault.Stopping, "this entry VM ends before the request would").After(stopRetryAfter)
+	return fault.New(fault.Stopping, "this entry VM is stopping and would end before the request").After(stopRetryAfter)
 }
 
-// fail refuses a request for which servers were chosen.
+// fail refuses a request whose route is known, and logs the servers that were chosen for it.
 func (g *Gateway) fail(q *request, f *fault.Error) {
 	q.outcome = f.Code.Kind().Type
 	g.logChoices(q)
@@ -298,15 +304,14 @@
 	g.refuse(q.Request, q.sink, f, append(l, q.waitFields()...)...)
 }
 
-// logChoices writes what was held back of a request that did not go well.
+// logChoices logs the choices of servers, which are left out for requests that go well.
 func (g *Gateway) logChoices(q *request) {
 	for _, f := range q.choices {
 		g.Log.Emit(event.ServerChosen, f...)
 	}
 }
 
-// refuse answers a request that no server answered, and logs what more is known
-// of it.
+// refuse answers a request that no server answered, and logs the fault with more fields.
 func (g *Gateway) refuse(r *port.Request, s port.Sink, f *fault.Error, known ...zap.Field) {
 	e, m := ending.Of(f)
 	g.Metrics.Add(m, 1)
@@ -315,14 +320,15 @@
 	s.Refuse(f)
 }
 
-// SetRetryBounds changes the bounds of sends beyond the first of each request.
+// SetRetryBounds changes the bounds on retries: a service may retry a ratio of its requests
+// within a span, and slack more.
 func (g *Gateway) SetRetryBounds(span time.Duration, ratio, slack float64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.Retries.SetBounds(span, ratio, slack)
 }
 
-// allowRetry takes one more send to a service out of the fleet's bound.
+// allowRetry counts a retry for a service, and reports whether the fleet's bound allows it.
 func (g *Gateway) allowRetry(s api.ServiceName) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/gateway"
 )
 
-// other gives the engine that is not the one named.
+// other returns the name of the other one of the two engines.
 func other(n string) string {
 	if n == "e1" {
 		return "e2"
@@ -26,12 +26,13 @@
 type streamTest struct {
 	*testGateway
 	*caller
-	// server runs the stream at first.
+	// server is the engine that runs the stream at first.
 	server string
 	done   chan struct{}
 }
 
-// startStream starts a stream of so many events and waits until its caller has some.
+// startStream starts a stream with a total number of events, and returns once its caller has
+// some of them.
 func startStream(t *testing.T, f *fake, total, events int) *streamTest {
 	t.Helper()
 	f.total = total
@@ -48,20 +49,20 @@
 	return s
 }
 
-// update changes what the fake servers do.
+// update changes the behavior of the fake servers.
 func (s *streamTest) update(change func(f *fake)) {
 	s.fake.silentStreams.Lock()
 	defer s.fake.silentStreams.Unlock()
 	change(s.fake)
 }
 
-// checkWhole waits for the end and checks that the caller has every event, from
-// these servers in turn.
+// checkWhole waits for the end of the stream and checks that the caller got every event, and
+// that the stream was sent to these servers in turn.
 func (s *streamTest) checkWhole(t *testing.T, servers ...string) {
 	t.Helper()
 	<-s.done
 	if !s.caller.complete(s.fake.total) {
-		t.Errorf("events: got %v ended %v, want 1 to %d and an end", s.ids, s.ended, s.fake.total)
+		t.Errorf("events: got %v and ended %v, want 1 to %d and ended true", s.ids, s.ended, s.fake.total)
 	}
 	if got := s.fake.sends; !slices.Equal(got, servers) {
 		t.Errorf("sends: got %v, want %v", got, servers)
@@ -76,7 +77,8 @@
 	})
 }
 
-// A run on its way must not meet a long prompt at its target.
+// The prompt of a run that is being moved counts at its target, so that no long prompt is sent
+// there that the run would have to wait for.
 func TestMoveTargetCountsPromptToRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startStream(t, newFake(), 60, 5)
@@ -86,11 +88,11 @@
 		s.notice(s.server)
 		time.Sleep(firstCopyTime / 2)
 		if unread(other(s.server)) == 0 {
-			t.Error("while the run is copied: got no prompt to read at the target, want some")
+			t.Error("while the run is copied: got no prompt counted at the target, want some")
 		}
 		time.Sleep(2 * firstCopyTime)
 		if got := unread(other(s.server)); got != 0 {
-			t.Errorf("after it went on there: got %d tokens to read, want none", got)
+			t.Errorf("after the run resumed there: got %d tokens to read, want none", got)
 		}
 		s.checkWhole(t, s.server, other(s.server))
 	})
@@ -100,7 +102,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := startStream(t, newFake(), 40, 5)
 		s.notice(s.server)
-		// The first copy has just ended; the server dies before it is stopped.
+		// The first copy has just finished; the server crashes before the run is stopped.
 		time.Sleep(firstCopyTime + time.Millisecond)
 		s.update(func(f *fake) { f.dead[s.server] = true })
 		s.checkWhole(t, s.server, other(s.server))
@@ -113,7 +115,7 @@
 		s.update(func(f *fake) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || s.ended {
-			t.Errorf("got aborted %v ended %v, want it aborted and not ended", s.aborted, s.ended)
+			t.Errorf("got aborted %v and ended %v, want true and false", s.aborted, s.ended)
 		}
 	})
 }
@@ -138,7 +140,7 @@
 	})
 }
 
-// A copy that still hangs at a server which died must not keep the run from being moved again.
+// A copy call that still hangs at a crashed server must not block the next move of the run.
 func TestRunIsMovedAgainWhileAnOldCopyHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startStream(t, newFake(), 100, 5)
@@ -185,7 +187,7 @@
 	})
 }
 
-// What one entry VM was told by a server moves the runs of all.
+// A leaving notice that one entry VM got from a server moves the runs of all entry VMs.
 func TestLeavingNoticeOfAPeerMovesRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestGateway(t, newFake(), 0)
@@ -209,14 +211,14 @@
 		sends  int
 	}{
 		{"answer", "/unsafe/1", 9, []any{200}, []any{200}, 200, 0, 1},
-		{"safe one again after a failure", "/safe/1", 9, []any{500}, []any{200}, 200, 0, 2},
-		{"safe one again after a loss", "/safe/1", 9, []any{lost}, []any{200}, 200, 0, 2},
-		{"safe one that fails everywhere", "/safe/1", 9, []any{500}, []any{500}, 500, 0, 2},
-		{"safe one without budget", "/safe/1", 0, []any{500}, []any{200}, 500, 0, 1},
-		{"unsafe one never again after a failure", "/unsafe/1", 9, []any{500}, []any{200}, 500, 0, 1},
-		{"unsafe one never again after a loss", "/unsafe/1", 9, []any{lost}, []any{200}, 0, fault.OutcomeUnknown, 1},
-		{"unsafe one again where it did not run", "/unsafe/1", 9, []any{refused}, []any{200}, 200, 0, 2},
-		{"refused everywhere", "/unsafe/1", 9, []any{refused}, []any{refused}, 0, fault.NoServer, 2},
+		{"safe request is retried after a failure", "/safe/1", 9, []any{500}, []any{200}, 200, 0, 2},
+		{"safe request is retried after a lost answer", "/safe/1", 9, []any{lost}, []any{200}, 200, 0, 2},
+		{"safe request fails at all servers", "/safe/1", 9, []any{500}, []any{500}, 500, 0, 2},
+		{"safe request without retry budget", "/safe/1", 0, []any{500}, []any{200}, 500, 0, 1},
+		{"unsafe request is not retried after a failure", "/unsafe/1", 9, []any{500}, []any{200}, 500, 0, 1},
+		{"unsafe request is not retried after a lost answer", "/unsafe/1", 9, []any{lost}, []any{200}, 0, fault.OutcomeUnknown, 1},
+		{"unsafe request is retried if it did not run", "/unsafe/1", 9, []any{refused}, []any{200}, 200, 0, 2},
+		{"refused by all servers", "/unsafe/1", 9, []any{refused}, []any{refused}, 0, fault.NoServer, 2},
 		{"unknown path", "/none", 9, nil, nil, 0, fault.UnknownPath, 0},
 	}
 	for _, c := range tests {
@@ -225,7 +227,7 @@
 				f := newFake()
 				b := newTestGateway(t, f, c.slack)
 				f.answers["p1"], f.answers["p2"] = c.p1, c.p2
-				// What a peer has at p2 makes p1 the first choice, whatever is drawn.
+				// The load of a peer at p2 makes p1 the first choice, whatever the random numbers are.
 				b.UpdateLoads("peer", placement.Hub, placement.Report{Loads: placement.Loads{"p2": {Requests: 3}}, Members: 1})
 				var k caller
 				b.Handle(context.Background(), request(c.path), &k)
@@ -255,22 +257,23 @@
 	})
 }
 
-// A server whose address another one has is gone, and is not tried again each moment.
+// A server whose address now belongs to another one is gone; a request must not be sent there
+// every time.
 func TestServerWhoseAddressWasReusedIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
 		b := newTestGateway(t, f, 100)
 		for range 100 {
-			f.answers["p1"] = append(f.answers["p1"], fault.New(fault.Misdirected, "another one"))
+			f.answers["p1"] = append(f.answers["p1"], fault.New(fault.Misdirected, "another server at the address"))
 			f.answers["p2"] = append(f.answers["p2"], 200)
 		}
-		// What a peer has at p2 makes p1 the first choice.
+		// The load of a peer at p2 makes p1 the first choice.
 		for range 40 {
 			b.UpdateLoads("peer", placement.Hub, placement.Report{Loads: placement.Loads{"p2": {Requests: 3}}, Members: 1})
 			var k caller
 			b.Handle(context.Background(), request("/unsafe/1"), &k)
 			if k.status != http.StatusOK {
-				t.Fatalf("got %d and %v, want it served by the other one", k.status, k.fault)
+				t.Fatalf("got %d and %v, want 200 from the other server", k.status, k.fault)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -281,12 +284,12 @@
 			}
 		}
 		if limit := 6; got > limit {
-			t.Errorf("sends to it in four seconds: got %d, want at most %d", got, limit)
+			t.Errorf("sends to the server that is gone in four seconds: got %d, want at most %d", got, limit)
 		}
 	})
 }
 
-// A caller that leaves is no failure of the system.
+// A caller that disconnects must not count as a failure of the system.
 func TestCanceledCallEndsAsCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestGateway(t, newFake(), 0)
@@ -297,7 +300,7 @@
 		var k caller
 		b.Handle(ctx, request("/unsafe/1"), &k)
 		if k.fault == nil || k.fault.Code != fault.CallerGone {
-			t.Errorf("got %v, want that the caller left", k.fault)
+			t.Errorf("got %v, want caller_gone", k.fault)
 		}
 	})
 }
@@ -319,7 +322,7 @@
 		var k caller
 		b.Handle(context.Background(), request("/stream/1"), &k)
 		if k.fault == nil || k.fault.Code != fault.Stopping || k.fault.RetryAfter == 0 {
-			t.Errorf("long stream at a stopping VM: got %v, want a refusal with a time to come back", k.fault)
+			t.Errorf("long stream at a stopping VM: got %v, want a refusal with a Retry-After", k.fault)
 		}
 		b.fake.answers["p1"] = []any{200}
 		b.fake.answers["p2"] = []any{200}
@@ -331,7 +334,7 @@
 	})
 }
 
-// A service's bound on repeated sends goes by its own requests.
+// The bound on the retries of a service depends on the requests of that service alone.
 func TestRequestsOfOneServiceAllowNoRepeatsOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -345,7 +348,7 @@
 		f.answers["p1"], f.answers["p2"] = []any{500, 500}, []any{500, 500}
 		c := b.ask("/safe/1")
 		if got := f.sent() - sent; got != 1 || c.status != 500 {
-			t.Errorf("got status %d after %d sends, want the failure after one", c.status, got)
+			t.Errorf("got status %d after %d sends, want status 500 after one send", c.status, got)
 		}
 	})
 }
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -9,10 +9,12 @@
 	"github.com/wardridge/wardridge/internal/decide/placement"
 )
 
-// reportTimeout bounds one report to an allocator, as long as an ask may take.
+// reportTimeout bounds one report to an allocator. It is as long as a request for a place may
+// take.
 const reportTimeout = 300 * time.Millisecond
 
-// localHolding is what this entry VM holds in a failure domain; the mutex is held.
+// localHolding is the report of what this entry VM holds in a failure domain; the mutex is
+// held.
 func (g *Gateway) localHolding(d api.DomainName) api.Holding {
 	g.sequence++
 	asked, open := g.asks.State()
@@ -36,7 +38,7 @@
 	return h
 }
 
-// localLoads is the own loads in a failure domain; the mutex is localLoads.
+// localLoads are the loads that this entry VM holds in a failure domain; the mutex is held.
 func (g *Gateway) localLoads(d api.DomainName) placement.Loads {
 	return g.picker.Engines.Own(func(n api.ServerName) bool {
 		m, ok := g.roster.Find(n)
@@ -44,14 +46,14 @@
 	})
 }
 
-// LocalLoads gives what this entry VM holds at engines, wherever they are.
+// LocalLoads are the loads that this entry VM holds at engines of all failure domains.
 func (g *Gateway) LocalLoads() placement.Loads {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Engines.Own(func(api.ServerName) bool { return true })
 }
 
-// reportDue tells allocators what this entry VM holds, as far as that is due.
+// reportDue sends the reports to allocators that are due.
 func (g *Gateway) reportDue() {
 	g.mutex.Lock()
 	l := g.reports.Due(time.Now())
@@ -68,8 +70,8 @@
 	}
 }
 
-// discardReport forgets what there was to tell of a domain that this entry VM
-// allocates: it has learned of it already.
+// discardReport drops the report for a domain that this entry VM allocates itself, since it
+// knows its own loads and observations.
 func (g *Gateway) discardReport(d api.DomainName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -77,7 +79,7 @@
 	g.observations.Take(d)
 }
 
-// startReport makes a report to an allocator where one is due.
+// startReport sends a report to an allocator if one is due.
 func (g *Gateway) startReport(d api.DomainName, to string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -94,7 +96,7 @@
 	})
 }
 
-// endReport notes what became of a report.
+// endReport records the result of a report.
 func (g *Gateway) endReport(d api.DomainName, to string, err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/inquiry.go
+++ b/internal/gateway/inquiry.go
@@ -11,8 +11,8 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// queryRuns asks a server about its runs, once for all streams that are silent at
-// the same time.
+// queryRuns asks a server about its runs. Streams of one server that are silent at the same
+// time share one query.
 func (g *Gateway) queryRuns(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
 	x, _, _ := g.queries.Do(string(s.Name), func() (any, error) {
 		g.mutex.Lock()
@@ -26,7 +26,7 @@
 	return x.(silence.QueryResult)
 }
 
-// queryUncached is inquire without an answer in hand.
+// queryUncached is queryRuns without a cached answer.
 func (g *Gateway) queryUncached(ctx context.Context, s roster.Server, bound time.Duration) silence.QueryResult {
 	began := time.Now()
 	p, err := g.hedgedReport(ctx, s, bound)
@@ -45,8 +45,8 @@
 	return a
 }
 
-// hedgedReport asks a server for its hedgedReport over two new connections, the second a
-// little later: one lost packet must not make a server pass for silent.
+// hedgedReport asks a server for its report over two new connections, the second a little
+// later, so that one lost packet does not make a server look silent.
 func (g *Gateway) hedgedReport(ctx context.Context, s roster.Server, bound time.Duration) (port.Report, error) {
 	c, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
@@ -64,13 +64,13 @@
 	return r.report, r.err
 }
 
-// reportResult is what became of one question.
+// reportResult is the result of one request for a report.
 type reportResult struct {
 	report port.Report
 	err    error
 }
 
-// delayedReport asks a server over a new connection after a time.
+// delayedReport waits for a time, then asks a server for its report over a new connection.
 func (g *Gateway) delayedReport(ctx context.Context, s roster.Server, after time.Duration) reportResult {
 	if after > 0 && !duty.Sleep(ctx, after) {
 		return reportResult{err: ctx.Err()}
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -27,8 +27,8 @@
 	"github.com/wardridge/wardridge/internal/standin/batch"
 )
 
-// engineOptions size an engine whose steps read a piece of one prompt and write
-// a token of every run.
+// engineOptions configure an engine whose steps read a chunk of one prompt and write one token
+// of every run.
 func engineOptions() batch.Options {
 	return batch.Options{
 		KVTokens: 34000, MaxBatch: 24, PrefillChunk: 112, StepBase: 7 * time.Millisecond,
@@ -36,10 +36,10 @@
 	}
 }
 
-// stride is the number of tokens in one event.
+// stride is the number of tokens per event.
 const stride = 4
 
-// engine steps one model in virtual time.
+// engine runs the steps of one model in virtual time.
 type engine struct {
 	mutex   sync.Mutex
 	model   *batch.Model
@@ -47,7 +47,7 @@
 	wake    chan struct{}
 }
 
-// loop steps while there is work.
+// loop runs steps while there is work.
 func (e *engine) loop(ctx context.Context) error {
 	for {
 		e.mutex.Lock()
@@ -89,17 +89,17 @@
 	}
 }
 
-// engines stand for all model servers.
+// engines stand in for all model servers.
 type engines struct {
 	all   map[string]*engine
 	mutex sync.Mutex
-	// length is the true length of each answer, in tokens.
+	// length is the true length of the answer of each request, in tokens.
 	length map[api.RequestID]api.Tokens
-	// dead engines take no connection.
+	// dead engines refuse connections.
 	dead map[string]bool
 }
 
-// setDead lets an engine take no connection, or take them again.
+// setDead makes an engine refuse connections, or accept them again.
 func (e *engines) setDead(n string, dead bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -130,7 +130,7 @@
 }
 
 func (e *engines) Copy(context.Context, port.CopyOrder) (port.Copy, error) {
-	return port.Copy{}, fault.New(fault.NotFound, "no copies here")
+	return port.Copy{}, fault.New(fault.NotFound, "the engines make no copies")
 }
 
 func (e *engines) Report(context.Context, roster.Server, bool) (port.Report, error) {
@@ -173,7 +173,7 @@
 	})
 }
 
-// requestKind is one requestKind of request of the load.
+// requestKind is one kind of request in the load.
 type requestKind struct {
 	path      string
 	prompt    api.Tokens
@@ -183,21 +183,21 @@
 	timeout   time.Duration
 }
 
-// kinds are long and short answers of one service, the short ones first in rank,
-// at a load that the engines carry with ease.
+// kinds are requests for long and for short answers of one service, the short ones of higher
+// rank. The engines carry this load with ease.
 var kinds = []requestKind{
 	{"/long/", 3000, 900, 3.3, 1800 * time.Millisecond, 39 * time.Second},
 	{"/short/", 2500, 12, 4.6, 1500 * time.Millisecond, 6 * time.Second},
 }
 
-// tally counts what callers of one kind got.
+// tally counts the results of the callers of one kind.
 type tally struct {
 	requests, inTime, late, refused, failed int
-	// slowRefusals were answered later than an eighth of the aim.
+	// slowRefusals arrived later than an eighth of the latency target.
 	slowRefusals int
 }
 
-// load plays callers against the gateways of some entry VMs.
+// load sends the requests of callers to the gateways of some entry VMs.
 type load struct {
 	vms     []*gateway.Gateway
 	metrics *metric.Set
@@ -215,13 +215,13 @@
 	loadTime    = 30 * time.Second
 )
 
-// newLoad makes a gateway before engines that no request has reached.
+// newLoad makes a gateway in front of engines without load.
 func newLoad(t *testing.T, seed uint64) *load {
 	t.Helper()
 	return newFleetLoad(t, seed, []gateway.Peers{nil})
 }
 
-// newFleetLoad makes a gateway for each of some peers before the same engines.
+// newFleetLoad makes one gateway for each element of peers, all in front of the same engines.
 func newFleetLoad(t *testing.T, seed uint64, peers []gateway.Peers) *load {
 	t.Helper()
 	g, closer := duty.New(context.Background())
@@ -265,14 +265,14 @@
 	return c
 }
 
-// arrival is one request of the load: all that is drawn of it.
+// arrival is one request of the load, with all that is random about it.
 type arrival struct {
 	kind         int
 	at           time.Duration
 	length, hint api.Tokens
 }
 
-// plan draws a multiple of every kind's load for a time.
+// plan draws the requests of a multiple of every kind's load.
 func (l *load) plan(x float64) []arrival {
 	var all []arrival
 	for i, k := range kinds {
@@ -288,7 +288,7 @@
 	return all
 }
 
-// maxAnswer is the longest answer, in tokens.
+// maxAnswer is the length of the longest answer, in tokens.
 const maxAnswer = 2200
 
 // play sends a multiple of every kind's load and waits for all answers.
@@ -308,7 +308,7 @@
 	return l.tallies
 }
 
-// call is one caller, who comes back once after a refusal.
+// call is one caller, who retries once after a refusal.
 func (l *load) call(ctx context.Context, a arrival) {
 	k := kinds[a.kind]
 	began := time.Now()
@@ -322,7 +322,7 @@
 	l.record(a.kind, began, first, c)
 }
 
-// timedCaller is a caller that notes when events came.
+// timedCaller is a caller that records the times of events.
 type timedCaller struct {
 	caller
 	refused, first, last time.Time
@@ -363,7 +363,7 @@
 	return c
 }
 
-// record counts what a caller got, from its first try on.
+// record counts the result of a caller, with times from its first try on.
 func (l *load) record(i int, began time.Time, first, c *timedCaller) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -384,7 +384,7 @@
 	}
 }
 
-// playLoad plays a load in virtual time.
+// playLoad plays a load against one gateway in virtual time.
 func playLoad(t *testing.T, seed uint64, x float64) []tally {
 	t.Helper()
 	var got []tally
@@ -395,16 +395,18 @@
 	return got
 }
 
+// Under overload the engines must still give at least a fifth more answers in time than at the
+// usual load, and refusals must come early.
 func TestOverloadDoesNotCollapse(t *testing.T) {
 	calm := playLoad(t, 1, 1)
 	for _, x := range []float64{1.6, 2.2, 4} {
 		got := playLoad(t, 1, x)
 		for i, k := range kinds {
 			if want := calm[i].inTime * 6 / 5; got[i].inTime < want {
-				t.Errorf("%s at %.1f: got %d answers in time, want at least %d, a fifth more than at the usual load", k.path, x, got[i].inTime, want)
+				t.Errorf("%s at %.1f times the load: got %d answers in time, want at least %d, a fifth more than at the usual load", k.path, x, got[i].inTime, want)
 			}
 			if n := got[i].requests / 10; got[i].slowRefusals > n {
-				t.Errorf("%s at %.1f: got %d refusals later than an eighth of the aim, want at most %d of %d", k.path, x, got[i].slowRefusals, n, got[i].requests)
+				t.Errorf("%s at %.1f times the load: got %d refusals later than an eighth of the latency target, want at most %d of %d", k.path, x, got[i].slowRefusals, n, got[i].requests)
 			}
 		}
 	}
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -12,8 +12,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Whether a server was slow or a caller's time short can be told from the line
-// of the failure alone; on call it could not.
+// The log line of a failed request must show by itself whether the server was slow or the
+// caller's timeout was short. Without the time allowed, operators on call could not tell.
 func TestFailureLogsTheTimeAllowed(t *testing.T) {
 	var out bytes.Buffer
 	l, flush, err := event.Over(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, &out)
@@ -31,7 +31,7 @@
 	flush()
 	for _, want := range []string{`"msg":"request_failed"`, `"allowed":0.4`, `"took":`, `"route":"/unsafe/"`} {
 		if got := out.String(); !strings.Contains(got, want) {
-			t.Errorf("got %s, want in it %s", got, want)
+			t.Errorf("log: got %s, want it to contain %s", got, want)
 		}
 	}
 }
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -19,23 +19,24 @@
 )
 
 const (
-	// allocatorTimeout bounds an ask beyond the time that it may wait at the allocator: a
-	// round trip takes a few ms, and one of a VM short of processor time some
-	// tens. A request that asked in vain has most of its aim left.
+	// allocatorTimeout bounds a request to an allocator, beyond the time that it may wait in
+	// the queue there. A round trip takes a few ms, and some tens of ms where a VM is short of
+	// CPU time. After a time-out most of the request's latency target is left.
 	allocatorTimeout = 100 * time.Millisecond
-	// resumeAllocatorTimeout bounds an ask for a run that is under way, whose caller waits
-	// between two events.
+	// resumeAllocatorTimeout bounds a request for a run that is under way: its caller is
+	// waiting for the next event.
 	resumeAllocatorTimeout = 50 * time.Millisecond
-	// forwardTimeout bounds an ask that an allocator sends on to another one. It is
-	// shorter than any ask: who asked must hear from the allocator here, be the other
-	// one silent or not.
+	// forwardTimeout bounds a request that an allocator forwards to another one. It is shorter
+	// than the other timeouts, so that the first allocator answers its own client in time even
+	// if the second one is silent.
 	forwardTimeout = 30 * time.Millisecond
 )
 
-// defaultLatencyTarget stands for the aim of a route that names none.
+// defaultLatencyTarget is the latency target of a route that sets none.
 const defaultLatencyTarget = 2 * time.Second
 
-// latencyTarget is the time in which a request's answer, or its first event, is good.
+// latencyTarget is the time within which the request's answer, or its first event, should
+// arrive.
 func (q *request) latencyTarget() time.Duration {
 	if q.route.LatencyTarget <= 0 {
 		return defaultLatencyTarget
@@ -43,7 +44,7 @@
 	return q.route.LatencyTarget
 }
 
-// newDemand is what a new run of a request asks for.
+// newDemand makes the demand of a new run.
 func (g *Gateway) newDemand(q *request, n placement.Need, waits bool) demand {
 	d := demand{
 		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), mayWait: waits, tried: q.tried,
@@ -60,16 +61,16 @@
 	return d
 }
 
-// wantsBackup reports whether a run of a request may be copied as it grows.
+// wantsBackup reports whether a run of the request may have a backup copy.
 func (q *request) wantsBackup() bool {
 	e := q.service.Engine
 	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.Protects(q.expected())
 }
 
-// placeFirst gives a stream its first server, for which it may have to wait.
+// placeFirst places the first attempt of a stream, which may have to wait in the queue.
 func (g *Gateway) placeFirst(ctx context.Context, q *request, n placement.Need) assignment {
 	if q.Prompt.Tokens > q.service.Engine.Memory {
-		return assignment{fault: fault.New(fault.NoServer, "no engine has memory for the prompt")}
+		return assignment{fault: fault.New(fault.NoServer, "no engine has enough memory for the prompt")}
 	}
 	began := time.Now()
 	p := g.obtainPlace(ctx, g.newDemand(q, n, true))
@@ -77,7 +78,7 @@
 	return p
 }
 
-// placeNext gives a stream that a server turned away another one.
+// placeNext places another attempt after a server failed or refused one; it does not wait.
 func (g *Gateway) placeNext(ctx context.Context, q *request, n placement.Need, c *call.Call) assignment {
 	p := g.obtainPlace(ctx, g.newDemand(q, n, false))
 	if p.fault != nil {
@@ -86,8 +87,8 @@
 	return p
 }
 
-// obtainPlace asks the allocator of a demand's failure domain for a place. Where none
-// answers, this entry VM chooses by what it holds itself.
+// obtainPlace obtains a place from the allocator of a demand's failure domain. Where no
+// allocator answers, this entry VM chooses an engine by the loads that it knows itself.
 func (g *Gateway) obtainPlace(ctx context.Context, d demand) assignment {
 	p, ok := g.queryAllocators(ctx, d)
 	if ok {
@@ -101,7 +102,8 @@
 	return g.placeLocally(ctx, d)
 }
 
-// placeAsk is the ask for a demand. That of another holder is sent on in its name.
+// placeAsk makes the message that requests a place for a demand. The demand of a peer is passed
+// on in the peer's name.
 func (d demand) placeAsk() api.PlaceAsk {
 	a := api.PlaceAsk{
 		Domain: d.domain, Service: d.service.Name, Purpose: d.purpose, Tokens: d.need.Tokens, Unread: d.need.Unread, Expected: d.expectedLength, Brief: d.short,
@@ -115,8 +117,8 @@
 	return a
 }
 
-// queryAllocators asks those that may allocate a domain's engines, one after the
-// other; it reports false where none of them answered.
+// queryAllocators tries the allocators of a domain one after the other; it reports false if
+// none of them answered.
 func (g *Gateway) queryAllocators(ctx context.Context, d demand) (assignment, bool) {
 	for _, to := range g.allocators(d.domain) {
 		d.standby = to.standby
@@ -138,12 +140,12 @@
 type allocator struct {
 	// address is empty for this entry VM.
 	address string
-	// standby is set where another one is the first choice.
+	// standby is set where another entry VM is the first choice.
 	standby bool
 }
 
-// allocators lists those that may allocate a domain's servers and did not lately
-// fail to answer.
+// allocators lists the entry VMs that may allocate a domain's servers, without those that
+// recently failed to answer.
 func (g *Gateway) allocators(d api.DomainName) []allocator {
 	all := g.Peers.Allocators(d)
 	g.mutex.Lock()
@@ -155,7 +157,7 @@
 	return l
 }
 
-// placeTimeout bounds an ask, with the time that it may wait.
+// placeTimeout bounds a request for a place, the time in the allocator's queue included.
 func placeTimeout(a api.PlaceAsk) time.Duration {
 	limit := resumeAllocatorTimeout
 	switch {
@@ -170,7 +172,8 @@
 	return limit
 }
 
-// queryAllocator asks one entry VM.
+// queryAllocator requests a place from one allocator; it reports false where there is no usable
+// answer.
 func (g *Gateway) queryAllocator(ctx context.Context, to string, d demand) (assignment, bool) {
 	a := d.placeAsk()
 	c, cancel := context.WithTimeout(ctx, placeTimeout(a))
@@ -196,13 +199,14 @@
 	return g.acceptAnswer(d, r)
 }
 
-// markUnreachable passes an allocator over for a while; the mutex is held.
+// markUnreachable leaves an allocator out for a while; the mutex is held.
 func (g *Gateway) markUnreachable(address string, err error) {
 	g.contacts.Failed(time.Now(), address)
 	g.Log.Emit(event.AllocatorSilent, zap.String("address", address), zap.Error(err))
 }
 
-// beginQuery numbers an ask and gives the report that goes with it.
+// beginQuery numbers a request to an allocator, and makes the report of local loads that goes
+// with it.
 func (g *Gateway) beginQuery(d api.DomainName) (int, api.Holding) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -210,8 +214,9 @@
 	return int(n), g.localHolding(d)
 }
 
-// acceptAnswer takes an allocator's answer; it reports false for a server that this
-// entry VM does not know, or knows to take no new requests. The mutex is held.
+// acceptAnswer turns an allocator's answer into an assignment. It reports false if this entry
+// VM does not know the assigned server, or knows that it accepts no requests. The mutex is
+// held.
 func (g *Gateway) acceptAnswer(d demand, r api.PlaceAnswer) (assignment, bool) {
 	if x := r.Refused; x != nil {
 		return assignment{
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -9,18 +9,18 @@
 
 // Peers reaches the entry VMs that allocate engines.
 type Peers interface {
-	// Allocators lists the addresses of those that may allocate the engines of a
-	// failure domain, the first choice first; empty stands for this entry VM.
+	// Allocators lists the addresses of the entry VMs that may allocate the engines of a
+	// failure domain, the first choice first. An empty address stands for this entry VM.
 	Allocators(d api.DomainName) []string
-	// Place asks one of them for a place.
+	// Place requests a place at an engine from one of them.
 	Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error)
-	// Permit asks one of them for the turn of a request at a server with a limit.
+	// Permit requests a send slot at a server with a rate limit from one of them.
 	Permit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error)
-	// Report tells one of them what this entry VM holds there.
+	// Report reports to one of them what this entry VM holds there.
 	Report(ctx context.Context, address string, h api.Holding) error
 }
 
-// noPeers stands for the peers of an entry VM without any.
+// noPeers is the Peers of an entry VM that runs alone.
 type noPeers struct{}
 
 func (noPeers) Allocators(api.DomainName) []string { return []string{""} }
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -17,32 +17,33 @@
 )
 
 const (
-	// permitTimeout bounds one ask for a permit; a request that asks in vain has most of its aim
-	// left.
+	// permitTimeout bounds one request for a permit. After a time-out most of the latency
+	// target is left.
 	permitTimeout = 30 * time.Millisecond
-	// maxWaitShare is the part of its aim that a request may wait for its turn at a server.
+	// maxWaitShare is the share of its latency target that a request may wait for a send slot.
 	maxWaitShare = 0.5
-	// maxSlotWait bounds the turns that are given ahead of their time, whatever is asked for.
+	// maxSlotWait bounds how far ahead send slots are reserved, whatever wait a peer asks for.
 	maxSlotWait = 2 * time.Second
-	// unknownServerRetryAfter is when it is worth asking again for a server that the one asked has not
-	// heard of yet.
+	// unknownServerRetryAfter is the time until another request for a permit, where the
+	// allocator does not know the server yet.
 	unknownServerRetryAfter = 250 * time.Millisecond
 )
 
-// permit is when a request may be sent to a server, or is worth another ask.
+// permit is a send slot at a server and its time; where none was granted, it is the time to try
+// again.
 type permit struct {
 	granted bool
 	at      time.Time
 }
 
-// busyServer is a server at its limit, and when its next turn is.
+// busyServer is a server at its rate limit, with the time of its next send slot.
 type busyServer struct {
 	server placement.Choice
 	at     time.Time
 }
 
-// placePlain gives a request a plain server. One that has named a limit is used in its turn;
-// while others can be had no request waits for that.
+// placePlain gives a request a plain server. One with a rate limit is used if it has a send
+// slot now; the request waits for a slot only where there is no other server.
 func (g *Gateway) placePlain(ctx context.Context, q *request, c *call.Call) assignment {
 	var busy []busyServer
 	tried := slices.Clone(q.tried)
@@ -67,8 +68,8 @@
 	return g.awaitSendSlot(ctx, q, c, busy)
 }
 
-// awaitSendSlot lets a request wait for its turn at one of some servers that are all at their
-// limits, or refuses it at once where none comes in time.
+// awaitSendSlot waits for the earliest send slot of servers that are all at their rate limits,
+// or refuses the request at once where no slot comes in time.
 func (g *Gateway) awaitSendSlot(ctx context.Context, q *request, c *call.Call, busy []busyServer) assignment {
 	first := slices.MinFunc(busy, func(a, b busyServer) int { return a.at.Compare(b.at) })
 	maxWait := time.Duration(maxWaitShare*float64(q.latencyTarget())) - time.Since(q.Arrived)
@@ -90,7 +91,7 @@
 	return g.reservePlain(first.server)
 }
 
-// acceptsRequests reports whether a server still acceptsRequests requests of this entry VM.
+// acceptsRequests reports whether a server still accepts requests of this entry VM.
 func (g *Gateway) acceptsRequests(n api.ServerName) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -98,13 +99,13 @@
 	return ok && m.AcceptsRequests() && !g.picker.Rests.Resting(time.Now(), n)
 }
 
-// refuseAllBusy is the refusal of a request that no server takes for so long.
+// refuseAllBusy is the refusal of a request that no server can take for a time.
 func (g *Gateway) refuseAllBusy(c *call.Call, wait time.Duration) *fault.Error {
 	g.Metrics.Add(metric.ServersBusy, 1)
 	return c.AllBusy(wait)
 }
 
-// serverLimit is what a server has named.
+// serverLimit is the rate limit that a server announced, if it announced one.
 func (g *Gateway) serverLimit(n api.ServerName) (throttle.Rate, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -120,14 +121,14 @@
 	return g.picker.Pick(now, l, placement.Need{}, tried)
 }
 
-// reservePlain reserves the load at a plain server.
+// reservePlain counts a request at a plain server.
 func (g *Gateway) reservePlain(x placement.Choice) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return assignment{choice: x, reservation: g.reserve(time.Now(), x.Server, false, api.ServerLoad{Requests: 1})}
 }
 
-// trySendSlot asks for a trySendSlot at once, unless it is known that there is none yet.
+// trySendSlot requests a send slot for now, unless it is known that there is none yet.
 func (g *Gateway) trySendSlot(ctx context.Context, x placement.Choice) permit {
 	g.mutex.Lock()
 	until, ok := g.picker.Pacer.DeniedUntil(time.Now(), x.Name)
@@ -144,9 +145,9 @@
 	return p
 }
 
-// obtainPermit asks who paces a server for the turn of one request: the entry VM that allocates the
-// servers of its failure domain, or the next one. Where neither answers, this entry VM keeps
-// to its own part.
+// obtainPermit obtains a send slot at a server from the allocator of the server's failure
+// domain, or from the standby. Where neither answers, this entry VM stays within its own share
+// of the server's limit.
 func (g *Gateway) obtainPermit(ctx context.Context, x placement.Choice, maxWait time.Duration) permit {
 	r, _ := g.serverLimit(x.Name)
 	a := api.PermitAsk{Protocol: gossip.Protocol, VM: g.VM, Server: x.Name, PerSecond: float64(r), PatienceMS: api.ToMilliseconds(maxWait)}
@@ -167,7 +168,7 @@
 	return permit{granted: ok, at: at}
 }
 
-// queryPermit asks another entry VM.
+// queryPermit requests a permit from another entry VM.
 func (g *Gateway) queryPermit(ctx context.Context, to string, a api.PermitAsk) (permit, bool) {
 	c, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
@@ -183,13 +184,13 @@
 	return permit{granted: x.Granted, at: time.Now().Add(x.WaitMS.Duration())}, true
 }
 
-// reserveSendSlot gives the turn of one request at a server that this entry VM paces, by the lower of the
-// limits that it and the asker know.
+// reserveSendSlot reserves a send slot at a server for which this entry VM allocates them. It
+// applies the lower of the limits known here and to the requester.
 func (g *Gateway) reserveSendSlot(a api.PermitAsk, maxWait time.Duration) permit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if _, ok := g.roster.Find(a.Server); !ok {
-		// What is sent to a server is remembered only while it is known.
+		// Send slots are recorded for known servers alone.
 		return permit{at: time.Now().Add(unknownServerRetryAfter)}
 	}
 	t := throttle.Quota{Rate: throttle.Rate(a.PerSecond), Share: throttle.Whole}
@@ -203,10 +204,10 @@
 	return permit{granted: ok, at: at}
 }
 
-// Permit answers another entry VM that asks for the turn of one request.
+// Permit answers the request of another entry VM for a send slot.
 func (g *Gateway) Permit(a api.PermitAsk) api.PermitAnswer {
 	p := g.reserveSendSlot(a, a.PatienceMS.Duration())
-	// What is left of a ms counts as one: a turn must not come early.
+	// Rounded up to a full ms, so that no request is sent before its slot.
 	wait := max(0, time.Until(p.at)+time.Millisecond-1)
 	return api.PermitAnswer{Granted: p.granted, WaitMS: api.ToMilliseconds(wait)}
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// UpdateServers takes the backend servers as the platform has them.
+// UpdateServers takes the backend servers that the platform lists.
 func (g *Gateway) UpdateServers(s replica.Snapshot[roster.Server]) {
 	l := make([]roster.Server, 0, len(s.Items))
 	for _, o := range s.Items {
@@ -29,14 +29,15 @@
 	g.applyChanges(c)
 }
 
-// SetStoreDown notes whether the platform is lost.
+// SetStoreDown notes whether the platform's store is down.
 func (g *Gateway) SetStoreDown(away bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.roster.SetStoreDown(time.Now(), away)
 }
 
-// Maintain lets lapses end, and shares the bound on repeated sends anew.
+// Maintain does the periodic work: it expires servers, closures and grants, drops the records
+// of servers that are gone, and divides the bound on retries by the number of entry VMs.
 func (g *Gateway) Maintain() {
 	now := time.Now()
 	g.mutex.Lock()
@@ -59,7 +60,8 @@
 	g.applyChanges(c)
 }
 
-// applyChanges moves runs off servers that have begun to leave.
+// applyChanges logs the new states of servers, moves runs off servers that begin to leave, and
+// ends the runs of servers that have ended.
 func (g *Gateway) applyChanges(l []roster.Member) {
 	if len(l) == 0 {
 		return
@@ -82,7 +84,7 @@
 	}
 }
 
-// allRuns lists the runs that are under way.
+// allRuns lists the running streams.
 func (g *Gateway) allRuns() []*run {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -95,44 +97,45 @@
 	return l
 }
 
-// findMember gives what is known of a server.
+// findMember returns the state of a server.
 func (g *Gateway) findMember(n api.ServerName) (roster.Member, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.roster.Find(n)
 }
 
-// ServerAddress gives the address of a server that is known.
+// ServerAddress returns the address of a server, if the server is known.
 func (g *Gateway) ServerAddress(n api.ServerName) (string, bool) {
 	m, ok := g.findMember(n)
 	return m.Address, ok
 }
 
-// departing reports whether a server takes no new requests for good.
+// departing reports whether a server will never accept new requests again, or is unknown.
 func (g *Gateway) departing(n api.ServerName) bool {
 	m, ok := g.findMember(n)
 	return !ok || m.State.Departing()
 }
 
-// evacuate moves a run off its server. A copy of it is no use while its holder takes nothing.
+// evacuate moves a run off its server. A backup copy at a server that accepts no requests now
+// is given up first: the run could not be resumed from it.
 func (g *Gateway) evacuate(r *run) {
 	r.unprotect(func(s roster.Server) bool { return !g.acceptsRequests(s.Name) })
 	g.move(r)
 }
 
-// unavailable reports whether a run may not go on at a server that it is not at yet.
+// unavailable reports whether a server is unknown or accepts no requests, so that a run can't
+// be resumed there.
 func (g *Gateway) unavailable(s roster.Server) bool {
 	m, ok := g.findMember(s.Name)
 	return !ok || !m.AcceptsRequests()
 }
 
-// warmupBound is what the cold servers of a service bear; the mutex is held.
+// warmupBound is the bound on requests to the cold servers of a service; the mutex is held.
 func (g *Gateway) warmupBound(now time.Time, s *directory.Service) placement.Warmup {
 	return placement.Warmup{Rate: s.ColdRate, Choosers: g.picker.Table.Members(now)}
 }
 
-// reserve counts a load at a server until the reservation ends; the mutex is
-// held.
+// reserve counts a load at a server until the reservation ends; the mutex is held.
 func (g *Gateway) reserve(now time.Time, s roster.Server, engine bool, x api.ServerLoad) *reservation {
 	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, since: now}
 	if engine {
@@ -146,8 +149,8 @@
 	return l
 }
 
-// placeBackup chooses the server that is to keep a copy of a run that goes on at
-// another one, and counts the copy there; nil for none.
+// placeBackup chooses the server for a backup copy of a run that is resumed at another server,
+// and counts the copy there; nil for none.
 func (g *Gateway) placeBackup(ctx context.Context, q *request, source roster.Server) *backup {
 	if !q.wantsBackup() {
 		return nil
@@ -159,21 +162,21 @@
 	return &backup{at: p.choice.Server, reservation: p.reservation}
 }
 
-// reservation is the load of one request counted at one server.
+// reservation is the load of one request at one server.
 type reservation struct {
 	gateway *Gateway
 	server  api.ServerName
 	domain  api.DomainName
-	// engine is set for the place at an engine, which allocators are told of.
+	// engine is set for a place at an engine, which is reported to the allocator.
 	engine bool
 	load   api.ServerLoad
-	// since is when it was made, and ahead the prompts that the server had to read
-	// then.
+	// since is the time of the reservation, and unreadAhead the prompt tokens that the engine
+	// had to read before it.
 	since       time.Time
 	unreadAhead api.Tokens
 }
 
-// add adds to the load of the reservation's server; the mutex is held.
+// add adds to the load of the server; the mutex is held.
 func (l *reservation) add(x api.ServerLoad) {
 	if l.engine {
 		l.gateway.picker.Engines.Add(l.server, x)
@@ -182,7 +185,7 @@
 	l.gateway.picker.Table.Add(l.server, x)
 }
 
-// recordPromptRead notes that the prompt was recordPromptRead.
+// recordPromptRead removes the prompt from the load, once the engine has read it.
 func (l *reservation) recordPromptRead() {
 	if l == nil {
 		return
@@ -192,7 +195,7 @@
 	l.adjust(api.ServerLoad{Unread: -l.load.Unread})
 }
 
-// release takes the load away; further calls do nothing.
+// release removes the load; further calls do nothing.
 func (l *reservation) release() {
 	if l == nil {
 		return
@@ -202,7 +205,8 @@
 	l.adjust(placement.Minus(l.load))
 }
 
-// adjust adds to the load, which may let others in; the mutex is held.
+// adjust adds to the load. A smaller load may make capacity for waiting requests, which are
+// admitted. The mutex is held.
 func (l *reservation) adjust(x api.ServerLoad) {
 	if x == (api.ServerLoad{}) {
 		return
@@ -218,9 +222,9 @@
 	}
 }
 
-// recordOutcome records what a request met at a server. The allocator of an engine is told,
-// at once of what is not good: an engine that takes no connection is empty, and
-// looks best of all to who does not know.
+// recordOutcome records the outcome of a request at a server. For an engine it is also reported
+// to the allocator, and a bad outcome at once: an engine that accepts no connection has no
+// load, and looks best to an allocator that does not know.
 func (g *Gateway) recordOutcome(s roster.Server, o placement.Outcome) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -246,7 +250,7 @@
 	return ok && v.Engine != nil
 }
 
-// ReportLoads gives the report on the loads of plain servers for a peer.
+// ReportLoads makes the report on the loads of plain servers for a peer.
 func (g *Gateway) ReportLoads(vm api.VMName, r placement.Relation) placement.Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -16,27 +16,27 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// waiter is a demand that waits for an engine.
+// waiter is a demand that waits in the queue.
 type waiter struct {
 	demand   demand
 	assigned chan assignment
 }
 
-// assignment is the server that a request was given, or why it was given none.
+// assignment is the server that a demand was given, or the fault with which it was refused.
 type assignment struct {
 	choice      placement.Choice
 	reservation *reservation
-	// backupName is the engine that keeps a backupName of the run as it grows, empty for none;
-	// backup counts it where this entry VM holds the run.
+	// backupName is the engine that is to hold a backup copy of the run, empty for none. backup
+	// is its reservation, set where this entry VM holds the run.
 	backupName api.ServerName
 	backup     *backup
 	fault      *fault.Error
-	// forecast decided that the request could not wait.
+	// forecast is the estimate of the wait by which the demand was refused.
 	forecast backlog.Forecast
 }
 
-// enqueue lets a demand wait for room, or refuses it at once where none is expected
-// in time.
+// enqueue queues a demand until an engine has capacity for it, or refuses it at once where none
+// is expected to in time.
 func (g *Gateway) enqueue(ctx context.Context, d demand) assignment {
 	g.mutex.Lock()
 	now := time.Now()
@@ -56,28 +56,28 @@
 	return g.awaitAssignment(ctx, a, w)
 }
 
-// noServerRetryAfter is when a caller may come back to an entry VM that knows no server:
-// servers whose entries lapsed write them again within about two seconds of the
-// store's return.
+// noServerRetryAfter is the Retry-After of an entry VM that knows no server of a service.
+// Servers whose entries have expired write them again within about two seconds of the store's
+// return.
 const noServerRetryAfter = 2 * time.Second
 
-// noCapacity is the refusal of a request that can't be let in in time; the mutex is
-// held. Where no server takes requests, it is not that there are too many of them: the
-// first servers are expected soon, or operators have closed the domains of all.
+// noCapacity is the refusal of a demand that can't be admitted in time; the mutex is held. A
+// service of which no server accepts requests is not overloaded: its first servers are still to
+// start, or operators have closed the failure domains of all.
 func (g *Gateway) noCapacity(now time.Time, a *admission, d demand) *fault.Error {
 	if !g.hasAvailable(d.service.Name) {
 		return fault.New(fault.NoServer, "no server of the service takes requests").After(noServerRetryAfter)
 	}
-	return fault.New(fault.QueueFull, "no server is expected to have room in time").After(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
+	return fault.New(fault.QueueFull, "no server is expected to have capacity in time").After(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
 }
 
-// hasAvailable reports whether a service has a server that takes requests; the mutex
-// is held.
+// hasAvailable reports whether a server of a service accepts requests; the mutex is held.
 func (g *Gateway) hasAvailable(n api.ServiceName) bool {
 	return slices.ContainsFunc(g.roster.Service(n), roster.Member.AcceptsRequests)
 }
 
-// awaitAssignment waits until a demand was given a server or refused, or its caller left.
+// awaitAssignment waits until a queued demand is given a server or refused, or until its caller
+// leaves.
 func (g *Gateway) awaitAssignment(ctx context.Context, a *admission, w *waiter) assignment {
 	t := time.NewTimer(backlog.MaxWait(w.demand.request.LatencyTarget))
 	defer t.Stop()
@@ -95,7 +95,7 @@
 	return assignment{fault: waitFault(ctx)}
 }
 
-// waitFault types the end of a request that waited for a server.
+// waitFault is the fault of a request whose context ended while it waited for a server.
 func waitFault(ctx context.Context) *fault.Error {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return fault.New(fault.CallerGone, "the caller closed its connection")
@@ -103,14 +103,14 @@
 	return fault.New(fault.DeadlinePassed, "the deadline passed while the request waited for a server")
 }
 
-// release takes the load of a place away that nobody needs.
+// release removes the load of an assignment that is not used.
 func (p assignment) release() {
 	p.reservation.release()
 	p.backup.end()
 }
 
-// withdraw ends a demand's wait. Unless it was given a server just before it is
-// refused, or given nothing where its caller is gone.
+// withdraw takes a demand out of the queue. Its result is the server that it was given at the
+// last moment, or else a refusal, which is left out where the caller is gone.
 func (g *Gateway) withdraw(a *admission, w *waiter, gone bool) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -126,8 +126,8 @@
 	return assignment{fault: g.noCapacity(time.Now(), a, w.demand)}
 }
 
-// admitWaiting gives servers to demands that wait, as far as there is room; the mutex
-// is held.
+// admitWaiting gives servers to waiting demands, as far as there is capacity; the mutex is
+// held.
 func (g *Gateway) admitWaiting(now time.Time) {
 	for _, a := range g.admissions {
 		for a.backlog.Len() > 0 {
@@ -145,7 +145,8 @@
 	}
 }
 
-// AdmitWaiting lets requests in that find room as time passes, as at the end of a cooldown.
+// AdmitWaiting admits the requests for which there is capacity as time passes, as at the end of
+// a cooldown, and sends the reports to allocators that are due.
 func (g *Gateway) AdmitWaiting() {
 	g.mutex.Lock()
 	g.admitWaiting(time.Now())
@@ -154,7 +155,8 @@
 	g.reportDue()
 }
 
-// waitFields gives the fields of the log line of a refusal: what decided it.
+// waitFields are the log fields of a refusal that tell how long the request waited and by which
+// forecast it was refused.
 func (q *request) waitFields() []zap.Field {
 	l := []zap.Field{zap.Duration("waited", q.waited)}
 	if f := q.forecast; f.MaxWait > 0 {
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -10,20 +10,20 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// fillEngines fills both engines with long streams and gives the callers.
+// fillEngines starts more long streams than both engines can hold, and returns their callers.
 func fillEngines(t *testing.T, f *fake) (*testGateway, []*caller) {
 	t.Helper()
 	b := newTestGateway(t, f, 0)
 	var l []*caller
 	for i := range 20 {
 		l = append(l, b.startRequest(string(rune('a'+i)), time.Minute))
-		// One at a time, so that its prompt counts as read.
+		// One at a time, so that each prompt counts as read.
 		time.Sleep(2 * eventGap)
 	}
 	return b, l
 }
 
-// startRequest sends a stream's request and gives its caller.
+// startRequest sends a stream request and returns its caller.
 func (b *testGateway) startRequest(id string, wait time.Duration) *caller {
 	c := &caller{}
 	b.Group.Go(func(ctx context.Context) error {
@@ -37,7 +37,7 @@
 	return c
 }
 
-// A request that finds engines full is let in as soon as a run ends.
+// A request that finds the engines full is admitted as soon as a run ends.
 func TestRequestWaitsForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -53,7 +53,7 @@
 			t.Fatalf("refused of %d streams: got %d, want some, so that both engines are full", len(l), full)
 		}
 		l[0].disconnect()
-		// Its run ends with its next event, while the request waits.
+		// The run of the caller that left ends with its next event, while the request waits.
 		time.Sleep(eventGap - latencyTarget/20)
 		c := b.startRequest("last", time.Minute)
 		time.Sleep(5 * eventGap)
@@ -63,8 +63,8 @@
 	})
 }
 
-// What can't be let in within an eighth of its aim is refused by then, as not
-// run, with a time to come back.
+// A request that can't be admitted within an eighth of its latency target is refused by then,
+// as not run and with a Retry-After.
 func TestRequestIsRefusedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -78,19 +78,19 @@
 			t.Fatal("got no answer, want a refusal")
 		}
 		if x.Code != fault.QueueFull || x.Ran != api.RanNo {
-			t.Errorf("got %v ran %s, want a full queue and not run", x, x.Ran)
+			t.Errorf("got %v and ran %s, want queue_full and not run", x, x.Ran)
 		}
 		if got := x.RetryAfter; got <= latencyTarget || got > time.Minute/3 {
-			t.Errorf("to come back after: got %v, want more than the aim and at most a third of the time", got)
+			t.Errorf("Retry-After: got %v, want more than the latency target and at most a third of the timeout", got)
 		}
 		if got := f.sent(); got != sends {
-			t.Errorf("sends: got %d more, want none", got-sends)
+			t.Errorf("sends of the refused request: got %d, want none", got-sends)
 		}
 	})
 }
 
-// While no server is known the caller is not told of an overload: it may come
-// back as soon as servers can be expected.
+// While no server is known, a caller must not be told of an overload: it may retry as soon as
+// servers can be expected.
 func TestNoServerIsNotRefusedAsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestGateway(t, newFake(), 0)
@@ -99,15 +99,15 @@
 		time.Sleep(latencyTarget / 8)
 		x := c.refused()
 		if x == nil || x.Code != fault.NoServer {
-			t.Fatalf("got %v, want that no server is known", x)
+			t.Fatalf("got %v, want no_server", x)
 		}
 		if got := x.RetryAfter; got > 2*time.Second {
-			t.Errorf("to come back after: got %v, want two seconds at most", got)
+			t.Errorf("Retry-After: got %v, want two seconds at most", got)
 		}
 	})
 }
 
-// A prompt that no engine can hold is refused at once.
+// A prompt that fits into no engine's memory must not wait in the queue.
 func TestTooLongPromptIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestGateway(t, newFake(), 0)
@@ -117,16 +117,16 @@
 		began := time.Now()
 		b.Handle(context.Background(), q, c)
 		if c.fault == nil || c.fault.Ran != api.RanNo {
-			t.Fatalf("got %v, want a refusal that says not run", c.fault)
+			t.Fatalf("got %v, want a refusal as not run", c.fault)
 		}
 		if got := time.Since(began); got != 0 {
-			t.Errorf("refused after %v, want it at once", got)
+			t.Errorf("refused after: got %v, want 0", got)
 		}
 	})
 }
 
-// A caller that leaves while its request waits leaves nothing behind: the place
-// it would have got goes to the next.
+// When a caller disconnects while its request waits, nothing is sent for it, and the capacity
+// goes to the next request.
 func TestCallerLeavesWhileItsRequestWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
@@ -155,7 +155,7 @@
 		n := b.startRequest("next", time.Minute)
 		time.Sleep(3 * eventGap)
 		if x := n.refused(); x != nil {
-			t.Errorf("the next request: got %v, want it let in", x)
+			t.Errorf("the next request: got %v, want it admitted", x)
 		}
 	})
 }
