--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,13 +87,13 @@
 	// fleet tells whether some of the entry VMs may be cut off by a network partition.
 	fleet throttle.Fleet
 	// These are the state of the reports of this entry VM to allocators: incarnation and
-	// sequence order them, asks are the place requests under way, reports says when one is due,
-	// and observations is what they tell of servers.
-	incarnation  api.Incarnation
-	sequence     int
-	asks         holder.Asks
-	reports      *holder.Reports
-	observations *holder.Observations
+	// sequence order them, placeRequests are the place requests under way, reports says when
+	// one is due, and observations is what they tell of servers.
+	incarnation   api.Incarnation
+	sequence      int
+	placeRequests holder.Asks
+	reports       *holder.Reports
+	observations  *holder.Observations
 	// queryResults holds the recent answers of servers whose streams are silent; queries lets
 	// the streams of one server share a query.
 	queryResults *silence.ResultCache
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -17,9 +17,9 @@
 // held.
 func (g *Gateway) localHolding(d api.DomainName) api.Holding {
 	g.sequence++
-	asked, open := g.asks.State()
+	last, open := g.placeRequests.State()
 	h := api.Holding{
-		Protocol: gossip.Protocol, VM: g.VM, Incarnation: g.incarnation, Sequence: g.sequence, Asked: int(asked),
+		Protocol: gossip.Protocol, VM: g.VM, Incarnation: g.incarnation, Sequence: g.sequence, Asked: int(last),
 		Loads: map[string]api.ServerLoad{}, Read: map[string]api.ReadTime{}, Met: map[string]api.Outcomes{},
 	}
 	for _, n := range open {
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -188,7 +188,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if local {
-		g.asks.End(placement.Ask(a.Ask))
+		g.placeRequests.End(placement.Ask(a.Ask))
 	}
 	if err != nil {
 		if ctx.Err() == nil {
@@ -210,7 +210,7 @@
 func (g *Gateway) beginQuery(d api.DomainName) (int, api.Holding) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	n := g.asks.Begin()
+	n := g.placeRequests.Begin()
 	return int(n), g.localHolding(d)
 }
 
