--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -22,9 +22,9 @@
 // tries another. The 99th percentile of answer times is below it.
 const hangFactor = 2.5
 
-// served is the answer of a backend server. The reservation is nil for the failure of a server
+// serverAnswer is the answer of a backend server. The reservation is nil for the failure of a server
 // that is passed on after other servers were tried.
-type served struct {
+type serverAnswer struct {
 	answer      port.Answer
 	server      roster.Server
 	reservation *reservation
@@ -32,7 +32,7 @@
 }
 
 // release removes the load of an answer that needs its server no longer.
-func (v served) release() {
+func (v serverAnswer) release() {
 	v.reservation.release()
 	v.backup.end()
 }
@@ -102,7 +102,7 @@
 
 // sendWithRetries sends a request to one server after another, as long as it is safe to repeat
 // or provably did not run, and returns the answer to pass on.
-func (g *Gateway) sendWithRetries(ctx context.Context, q *request, n placement.Need) (served, *fault.Error) {
+func (g *Gateway) sendWithRetries(ctx context.Context, q *request, n placement.Need) (serverAnswer, *fault.Error) {
 	c := call.New(q.route.Kind != directory.Safe)
 	retry := func() bool { return g.allowRetry(q.service.Name) }
 	var failed *port.Answer
@@ -121,7 +121,7 @@
 		a, err := g.sendAttempt(ctx, q, s, b)
 		if err == nil && !shouldRetry(q, a) {
 			g.recordOutcome(s, placement.Served)
-			return served{answer: a, server: s, reservation: p.reservation, backup: b}, nil
+			return serverAnswer{answer: a, server: s, reservation: p.reservation, backup: b}, nil
 		}
 		p.release()
 		if err == nil {
@@ -176,11 +176,11 @@
 }
 
 // preferAnswer returns the error answer of a server where there is one, or else the fault.
-func preferAnswer(failed *port.Answer, f *fault.Error) (served, *fault.Error) {
+func preferAnswer(failed *port.Answer, f *fault.Error) (serverAnswer, *fault.Error) {
 	if failed == nil {
-		return served{}, f
+		return serverAnswer{}, f
 	}
-	return served{answer: *failed}, nil
+	return serverAnswer{answer: *failed}, nil
 }
 
 // shouldRetry reports whether an error answer is to be retried at another server.
--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -47,7 +47,7 @@
 
 func TestClosedDomainGetsNothingNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.total = 3
 		b := newTestGateway(t, f, 9)
 		b.halls(usual())
@@ -80,7 +80,7 @@
 // Runs in a domain that closes go on where they are.
 func TestRunsInAClosedDomainGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 40, 5)
+		s := startStream(t, newFakeServers(), 40, 5)
 		s.halls(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
 		s.shut("x")
 		s.checkWhole(t, s.server)
@@ -91,7 +91,7 @@
 // wait.
 func TestNothingIsLeftOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestGateway(t, newFake(), 9)
+		b := newTestGateway(t, newFakeServers(), 9)
 		b.halls(usual())
 		b.shut("x", "y")
 		for _, p := range []string{"/stream/1", "/safe/1", "/unsafe/1"} {
@@ -113,7 +113,7 @@
 // A run that has to leave its engine goes to one in an open domain, or waits for one.
 func TestMovesAvoidClosedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		o := other(s.server)
 		s.halls(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"})
 		s.shut("x")
@@ -125,7 +125,7 @@
 // A target whose domain closes during the move is given up for another one.
 func TestTargetsDomainClosesDuringAMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 80, 5)
+		s := startStream(t, newFakeServers(), 80, 5)
 		o := other(s.server)
 		s.halls(map[string]api.DomainName{s.server: "x", o: "x"}, s.server)
 		time.Sleep(firstCopyTime / 2)
@@ -138,12 +138,12 @@
 // Going on from a copy is a new request: one in a closed domain is not used.
 func TestCopyInAClosedDomainIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups = true
 		s := startStream(t, f, 60, 5)
 		s.halls(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
 		s.shut("y")
-		s.update(func(f *fake) { f.dead[s.server] = true })
+		s.update(func(f *fakeServers) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || len(f.sends) != 1 {
 			t.Errorf("got aborted %v after sends %v, want it broken off and nothing sent to the copy", s.aborted, f.sends)
@@ -157,7 +157,7 @@
 // An entry VM that does not know yet which domains are closed takes no callers.
 func TestReadyWaitsForClosures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestGateway(t, newFake(), 0)
+		b := newTestGateway(t, newFakeServers(), 0)
 		b.WaitForClosures = true
 		if b.Ready() {
 			t.Error("before closures are known: got ready, want not")
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -46,8 +46,8 @@
 	stopped  bool
 }
 
-// fake stands in for all backend servers.
-type fake struct {
+// fakeServers stands in for all backend servers.
+type fakeServers struct {
 	silentStreams sync.Mutex
 	// answers scripts plain servers: the status or error of each send, in order.
 	answers map[string][]any
@@ -96,21 +96,21 @@
 	bootAhead time.Duration
 }
 
-func newFake() *fake {
-	return &fake{
+func newFakeServers() *fakeServers {
+	return &fakeServers{
 		answers: map[string][]any{}, runs: map[string]*fakeRun{}, dead: map[string]bool{},
 		full: map[string]bool{}, handles: map[string]string{}, leaves: map[string]bool{}, signals: map[string]port.Signals{}, stoppedAt: map[string]string{}, refuses: map[string]bool{}, born: map[string]api.Birth{}, silent: map[string]bool{}, mute: map[string]bool{}, gap: eventGap, total: 20, log: event.Discard(),
 	}
 }
 
 // boot reads a clock that runs on while the VM is suspended.
-func (f *fake) boot() time.Time {
+func (f *fakeServers) boot() time.Time {
 	f.silentStreams.Lock()
 	defer f.silentStreams.Unlock()
 	return time.Now().Add(f.bootAhead)
 }
 
-func (f *fake) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
+func (f *fakeServers) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	f.silentStreams.Lock()
 	defer f.silentStreams.Unlock()
 	n := string(a.Server.Name)
@@ -133,14 +133,14 @@
 }
 
 // sent counts the sends so far.
-func (f *fake) sent() int {
+func (f *fakeServers) sent() int {
 	f.silentStreams.Lock()
 	defer f.silentStreams.Unlock()
 	return len(f.sends)
 }
 
 // open starts or resumes a run; the mutex is held.
-func (f *fake) open(ctx context.Context, a port.Attempt) (port.Answer, error) {
+func (f *fakeServers) open(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	n, id := string(a.Server.Name), string(a.Request.ID)
 	r := f.runs[id]
 	after := 0
@@ -164,7 +164,7 @@
 }
 
 type fakeStream struct {
-	fake   *fake
+	fake   *fakeServers
 	run    *fakeRun
 	server string
 	next   int
@@ -223,7 +223,7 @@
 	})
 }
 
-func (f *fake) Copy(_ context.Context, o port.CopyOrder) (port.Copy, error) {
+func (f *fakeServers) Copy(_ context.Context, o port.CopyOrder) (port.Copy, error) {
 	f.silentStreams.Lock()
 	first := f.copies == 0
 	if f.notBegun > 0 {
@@ -262,7 +262,7 @@
 	return port.Copy{Handle: h}, nil
 }
 
-func (f *fake) Report(ctx context.Context, s roster.Server, _ bool) (port.Report, error) {
+func (f *fakeServers) Report(ctx context.Context, s roster.Server, _ bool) (port.Report, error) {
 	n := string(s.Name)
 	f.silentStreams.Lock()
 	dark := f.silent[n]
@@ -283,7 +283,7 @@
 	return p, nil
 }
 
-func (f *fake) Release(_ context.Context, _ roster.Server, handle string) (port.Signals, error) {
+func (f *fakeServers) Release(_ context.Context, _ roster.Server, handle string) (port.Signals, error) {
 	f.silentStreams.Lock()
 	defer f.silentStreams.Unlock()
 	f.released = append(f.released, handle)
@@ -379,13 +379,13 @@
 // testGateway is a gateway in front of fake servers.
 type testGateway struct {
 	*gateway.Gateway
-	fake    *fake
+	fake    *fakeServers
 	version api.Version
 }
 
 // newTestGateway makes a gateway with a stream route and plain routes, two engines and two
 // plain servers.
-func newTestGateway(t *testing.T, f *fake, slack float64) *testGateway {
+func newTestGateway(t *testing.T, f *fakeServers, slack float64) *testGateway {
 	t.Helper()
 	g, closer := duty.New(context.Background())
 	t.Cleanup(closer)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -33,7 +33,7 @@
 
 // startStream starts a stream with a total number of events, and returns once its caller has
 // some of them.
-func startStream(t *testing.T, f *fake, total, events int) *streamTest {
+func startStream(t *testing.T, f *fakeServers, total, events int) *streamTest {
 	t.Helper()
 	f.total = total
 	s := &streamTest{testGateway: newTestGateway(t, f, 0), caller: &caller{}, done: make(chan struct{})}
@@ -50,7 +50,7 @@
 }
 
 // update changes the behavior of the fake servers.
-func (s *streamTest) update(change func(f *fake)) {
+func (s *streamTest) update(change func(f *fakeServers)) {
 	s.fake.silentStreams.Lock()
 	defer s.fake.silentStreams.Unlock()
 	change(s.fake)
@@ -71,7 +71,7 @@
 
 func TestStreamIsMovedOffLeavingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 40, 5)
+		s := startStream(t, newFakeServers(), 40, 5)
 		s.notice(s.server)
 		s.checkWhole(t, s.server, other(s.server))
 	})
@@ -81,7 +81,7 @@
 // there that the run would have to wait for.
 func TestMoveTargetCountsPromptToRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		unread := func(n string) api.Tokens {
 			return s.LocalLoads()[api.ServerName(n)].Unread
 		}
@@ -100,19 +100,19 @@
 
 func TestStreamResumesFromFinishedCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 40, 5)
+		s := startStream(t, newFakeServers(), 40, 5)
 		s.notice(s.server)
 		// The first copy has just finished; the server crashes before the run is stopped.
 		time.Sleep(firstCopyTime + time.Millisecond)
-		s.update(func(f *fake) { f.dead[s.server] = true })
+		s.update(func(f *fakeServers) { f.dead[s.server] = true })
 		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
 func TestStreamWithoutCopyIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 20, 5)
-		s.update(func(f *fake) { f.dead[s.server] = true })
+		s := startStream(t, newFakeServers(), 20, 5)
+		s.update(func(f *fakeServers) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || s.ended {
 			t.Errorf("got aborted %v and ended %v, want true and false", s.aborted, s.ended)
@@ -122,7 +122,7 @@
 
 func TestMoveWaitsForRunToBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.notBegun = 5
 		s := startStream(t, f, 60, 1)
 		s.notice(s.server)
@@ -132,9 +132,9 @@
 
 func TestMoveTriesAnotherTargetWhenOneIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		o := other(s.server)
-		s.update(func(f *fake) { f.full[o] = true })
+		s.update(func(f *fakeServers) { f.full[o] = true })
 		s.servers(map[string]bool{s.server: true, o: false, "e3": false})
 		s.checkWhole(t, s.server, "e3")
 	})
@@ -143,13 +143,13 @@
 // A copy call that still hangs at a crashed server must not block the next move of the run.
 func TestRunIsMovedAgainWhileAnOldCopyHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 100, 5)
+		s := startStream(t, newFakeServers(), 100, 5)
 		o := other(s.server)
 		s.notice(s.server)
 		time.Sleep(firstCopyTime + time.Millisecond)
-		s.update(func(f *fake) { f.hangCopies = true })
+		s.update(func(f *fakeServers) { f.hangCopies = true })
 		time.Sleep(2 * eventGap)
-		s.update(func(f *fake) { f.dead[s.server], f.hangCopies = true, false })
+		s.update(func(f *fakeServers) { f.dead[s.server], f.hangCopies = true, false })
 		time.Sleep(5 * eventGap)
 		s.servers(map[string]bool{o: true, "e3": false})
 		s.checkWhole(t, s.server, o, "e3")
@@ -158,13 +158,13 @@
 
 func TestCopyIsFreedWhenCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 100, 5)
+		s := startStream(t, newFakeServers(), 100, 5)
 		s.notice(s.server)
 		time.Sleep(firstCopyTime + time.Millisecond)
 		s.disconnect()
 		<-s.done
 		time.Sleep(time.Second)
-		s.update(func(f *fake) {
+		s.update(func(f *fakeServers) {
 			if len(f.released) == 0 {
 				t.Error("copies freed: got none, want one")
 			}
@@ -180,8 +180,8 @@
 
 func TestLeavingServerIsFoundByQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 60, 5)
-		s.update(func(f *fake) { f.leaves[s.server] = true })
+		s := startStream(t, newFakeServers(), 60, 5)
+		s.update(func(f *fakeServers) { f.leaves[s.server] = true })
 		s.QueryLeaving()
 		s.checkWhole(t, s.server, other(s.server))
 	})
@@ -190,8 +190,8 @@
 // A leaving notice that one entry VM got from a server moves the runs of all entry VMs.
 func TestLeavingNoticeOfAPeerMovesRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newTestGateway(t, newFake(), 0)
-		s := startStream(t, newFake(), 60, 5)
+		a := newTestGateway(t, newFakeServers(), 0)
+		s := startStream(t, newFakeServers(), 60, 5)
 		a.NoteLeaving([]api.ServerName{api.ServerName(s.server), "unknown"})
 		s.NoteLeaving(a.Leaving())
 		s.checkWhole(t, s.server, other(s.server))
@@ -224,7 +224,7 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFake()
+				f := newFakeServers()
 				b := newTestGateway(t, f, c.slack)
 				f.answers["p1"], f.answers["p2"] = c.p1, c.p2
 				// The load of a peer at p2 makes p1 the first choice, whatever the random numbers are.
@@ -245,7 +245,7 @@
 
 func TestRequestWithoutTimeoutIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestGateway(t, newFake(), 0)
+		b := newTestGateway(t, newFakeServers(), 0)
 		b.fake.answers["p1"], b.fake.answers["p2"] = []any{200}, []any{200}
 		r := request("/timeless/1")
 		r.Wait = 0
@@ -261,7 +261,7 @@
 // every time.
 func TestServerWhoseAddressWasReusedIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		b := newTestGateway(t, f, 100)
 		for range 100 {
 			f.answers["p1"] = append(f.answers["p1"], fault.New(fault.Misdirected, "another server at the address"))
@@ -292,7 +292,7 @@
 // A caller that disconnects must not count as a failure of the system.
 func TestCanceledCallEndsAsCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestGateway(t, newFake(), 0)
+		b := newTestGateway(t, newFakeServers(), 0)
 		lost := fault.New(fault.OutcomeUnknown, "cut")
 		b.fake.answers["p1"], b.fake.answers["p2"] = []any{lost}, []any{lost}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -311,7 +311,7 @@
 		t.Error("ready: got true, want false")
 	}
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestGateway(t, newFake(), 0)
+		b := newTestGateway(t, newFakeServers(), 0)
 		if !b.Ready() {
 			t.Error("ready with a configuration: got false, want true")
 		}
@@ -337,7 +337,7 @@
 // The bound on the retries of a service depends on the requests of that service alone.
 func TestRequestsOfOneServiceAllowNoRepeatsOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.total = 1
 		b := newTestGateway(t, f, 0)
 		b.SetRetryBounds(10*time.Second, 0.2, 0)
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -27,7 +27,7 @@
 func TestRunsOfAnEndedLife(t *testing.T) {
 	for _, copied := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFake()
+			f := newFakeServers()
 			f.backups, f.total = copied, 40
 			b := newTestGateway(t, f, 0)
 			b.lives(map[string]api.Birth{"e1": 1, "e2": 1})
@@ -65,7 +65,7 @@
 func TestServerTellsOfItsLaterLife(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFake()
+			f := newFakeServers()
 			f.total = 40
 			b := newTestGateway(t, f, 0)
 			b.lives(map[string]api.Birth{"e1": 1})
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFake()
+	f := newFakeServers()
 	f.log = l
 	lost := fault.New(fault.OutcomeUnknown, "no answer")
 	f.answers["p1"], f.answers["p2"] = []any{lost}, []any{lost}
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -30,7 +30,7 @@
 
 func TestFewRunsGoOnAtAServerThatRests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups, f.total = true, 60
 		b := newTestGateway(t, f, 9)
 		l := b.streams(10)
@@ -95,7 +95,7 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFake()
+				f := newFakeServers()
 				f.backups = true
 				s := startStream(t, f, 60, 5)
 				s.three("")
@@ -120,9 +120,9 @@
 
 func TestRunThatItsTargetTurnsAwayGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		target := other(s.server)
-		s.update(func(f *fake) { f.refuses[target] = true })
+		s.update(func(f *fakeServers) { f.refuses[target] = true })
 		s.servers(map[string]bool{s.server: true, target: false})
 		for s.fake.sent() < 3 && !s.over() {
 			time.Sleep(eventGap)
@@ -134,7 +134,7 @@
 
 func TestStoppedRunIsNotMovedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		s.three(s.server)
 		s.awaitStop()
 		began := time.Now()
@@ -149,7 +149,7 @@
 // A run whose target's domain operators close at its last step goes back as well.
 func TestRunWhoseTargetIsClosedGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		target := other(s.server)
 		s.halls(map[string]api.DomainName{s.server: "x", target: "y"}, s.server)
 		s.awaitStop()
@@ -161,7 +161,7 @@
 // A run whose server and target operators close at its last step goes on all the same.
 func TestRunWhoseServerAndTargetAreClosedGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		s.servers(map[string]bool{s.server: true, other(s.server): false})
 		s.awaitStop()
 		s.shut("x")
@@ -175,7 +175,7 @@
 // awaitStop waits until the stream's run was stopped, and its move has ended.
 func (s *streamTest) awaitStop() {
 	for stopped := false; !stopped; time.Sleep(5 * time.Millisecond) {
-		s.update(func(f *fake) { stopped = len(f.stoppedAt) > 0 })
+		s.update(func(f *fakeServers) { stopped = len(f.stoppedAt) > 0 })
 	}
 }
 
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -10,10 +10,10 @@
 // silence shows it.
 func TestRunGoesOnFromItsKeptCopyWhereItsServerIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups = true
 		s := startStream(t, f, 40, 5)
-		s.update(func(f *fake) { f.silent[s.server] = true })
+		s.update(func(f *fakeServers) { f.silent[s.server] = true })
 		began := time.Now()
 		s.checkWhole(t, s.server, other(s.server))
 		if got, want := time.Since(began), 35*eventGap+gapTarget; got > want {
@@ -27,12 +27,12 @@
 // that were alive were given up for copies that were gone.
 func TestRunIsNotGivenUpWhereNoServerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups = true
 		s := startStream(t, f, 40, 5)
-		s.update(func(f *fake) { f.silent["e1"], f.silent["e2"] = true, true })
+		s.update(func(f *fakeServers) { f.silent["e1"], f.silent["e2"] = true, true })
 		time.Sleep(time.Second)
-		s.update(func(f *fake) {
+		s.update(func(f *fakeServers) {
 			if f.closed != 0 {
 				t.Errorf("streams closed: got %d, want none", f.closed)
 			}
@@ -45,12 +45,12 @@
 // A VM that is slow itself, or wakes up, has not read what has arrived.
 func TestServerIsNotAskedWhileItsBytesWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups = true
 		s := startStream(t, f, 40, 5)
-		s.update(func(f *fake) { f.mute[s.server], f.ahead, f.waiting = true, 5, true })
+		s.update(func(f *fakeServers) { f.mute[s.server], f.ahead, f.waiting = true, 5, true })
 		time.Sleep(3 * time.Second)
-		s.update(func(f *fake) {
+		s.update(func(f *fakeServers) {
 			if f.reports != 0 {
 				t.Errorf("questions: got %d, want none", f.reports)
 			}
@@ -63,8 +63,8 @@
 // Without a copy nothing else can go on with the run; its server may come back.
 func TestSilentRunWithoutACopyIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 40, 5)
-		s.update(func(f *fake) { f.silent[s.server] = true })
+		s := startStream(t, newFakeServers(), 40, 5)
+		s.update(func(f *fakeServers) { f.silent[s.server] = true })
 		time.Sleep(5 * time.Second)
 		select {
 		case <-s.done:
@@ -74,7 +74,7 @@
 		if c := s.choose(t); c != other(s.server) {
 			t.Errorf("while it is silent: got new work at %s, want it at %s", c, other(s.server))
 		}
-		s.update(func(f *fake) {
+		s.update(func(f *fakeServers) {
 			// Each question goes out over two connections.
 			if n := f.reports; n > 2*8 {
 				t.Errorf("questions in 5 s: got %d, want fewer and fewer", n)
@@ -86,8 +86,8 @@
 // Connections may go silent for good while new ones work.
 func TestRunIsFetchedWhereItsConnectionIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 40, 5)
-		s.update(func(f *fake) { f.mute[s.server], f.ahead = true, 5 })
+		s := startStream(t, newFakeServers(), 40, 5)
+		s.update(func(f *fakeServers) { f.mute[s.server], f.ahead = true, 5 })
 		s.checkWhole(t, s.server, other(s.server))
 		if l := s.LocalLoads(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
@@ -99,10 +99,10 @@
 // come, as after lost packets.
 func TestRunThatCannotBeFetchedIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startStream(t, newFake(), 40, 5)
-		s.update(func(f *fake) { f.mute[s.server], f.ahead, f.notBegun = true, 5, 100 })
+		s := startStream(t, newFakeServers(), 40, 5)
+		s.update(func(f *fakeServers) { f.mute[s.server], f.ahead, f.notBegun = true, 5, 100 })
 		time.Sleep(3 * time.Second)
-		s.update(func(f *fake) { f.mute[s.server] = false })
+		s.update(func(f *fakeServers) { f.mute[s.server] = false })
 		s.checkWhole(t, s.server)
 	})
 }
@@ -110,7 +110,7 @@
 // A slow server answers and makes no more events than arrive.
 func TestSlowStreamIsLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups, f.gap = true, 2*time.Second
 		s := startStream(t, f, 6, 2)
 		s.checkWhole(t, s.server)
@@ -121,7 +121,7 @@
 func (s *streamTest) choose(t *testing.T) string {
 	t.Helper()
 	c := &caller{}
-	s.update(func(f *fake) { f.total = 1 })
+	s.update(func(f *fakeServers) { f.total = 1 })
 	r := request("/stream/2")
 	r.ID = "r2"
 	s.Handle(t.Context(), r, c)
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -10,7 +10,7 @@
 // there than its caller has left.
 func TestTimeLeftAfterASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.total = 60
 		b := newTestGateway(t, f, 0)
 		c := b.startRequest("r", time.Minute)
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -65,14 +65,14 @@
 // service of which no server accepts requests is not overloaded: its first servers are still to
 // start, or operators have closed the failure domains of all.
 func (g *Gateway) noCapacity(now time.Time, a *admission, d demand) *fault.Error {
-	if !g.hasAvailable(d.service.Name) {
+	if !g.hasAvailableServer(d.service.Name) {
 		return fault.New(fault.NoServer, "no server of the service takes requests").After(noServerRetryAfter)
 	}
 	return fault.New(fault.QueueFull, "no server is expected to have capacity in time").After(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
 }
 
-// hasAvailable reports whether a server of a service accepts requests; the mutex is held.
-func (g *Gateway) hasAvailable(n api.ServiceName) bool {
+// hasAvailableServer reports whether a server of a service accepts requests; the mutex is held.
+func (g *Gateway) hasAvailableServer(n api.ServiceName) bool {
 	return slices.ContainsFunc(g.roster.Service(n), roster.Member.AcceptsRequests)
 }
 
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -11,7 +11,7 @@
 )
 
 // fillEngines starts more long streams than both engines can hold, and returns their callers.
-func fillEngines(t *testing.T, f *fake) (*testGateway, []*caller) {
+func fillEngines(t *testing.T, f *fakeServers) (*testGateway, []*caller) {
 	t.Helper()
 	b := newTestGateway(t, f, 0)
 	var l []*caller
@@ -40,7 +40,7 @@
 // A request that finds the engines full is admitted as soon as a run ends.
 func TestRequestWaitsForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.total = 100
 		b, l := fillEngines(t, f)
 		full := 0
@@ -67,7 +67,7 @@
 // as not run and with a Retry-After.
 func TestRequestIsRefusedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.total = 1000
 		b, _ := fillEngines(t, f)
 		sends := f.sent()
@@ -93,7 +93,7 @@
 // servers can be expected.
 func TestNoServerIsNotRefusedAsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestGateway(t, newFake(), 0)
+		b := newTestGateway(t, newFakeServers(), 0)
 		b.servers(map[string]bool{"e1": true, "e2": true})
 		c := b.startRequest("first", time.Minute)
 		time.Sleep(latencyTarget / 8)
@@ -110,7 +110,7 @@
 // A prompt that fits into no engine's memory must not wait in the queue.
 func TestTooLongPromptIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestGateway(t, newFake(), 0)
+		b := newTestGateway(t, newFakeServers(), 0)
 		c := &caller{}
 		q := request("/stream/1")
 		q.Prompt.Tokens = 50000
@@ -129,7 +129,7 @@
 // goes to the next request.
 func TestCallerLeavesWhileItsRequestWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.total = 1000
 		b, l := fillEngines(t, f)
 		ctx, cancel := context.WithCancel(context.Background())
