--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -61,7 +61,7 @@
 func (s *streamTest) checkWhole(t *testing.T, servers ...string) {
 	t.Helper()
 	<-s.done
-	if !s.caller.complete(s.fake.total) {
+	if !s.complete(s.fake.total) {
 		t.Errorf("events: got %v and ended %v, want 1 to %d and ended true", s.ids, s.ended, s.fake.total)
 	}
 	if got := s.fake.sends; !slices.Equal(got, servers) {
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -140,8 +140,8 @@
 		began := time.Now()
 		s.rests("e9", time.Minute)
 		<-s.done
-		if got, want := time.Since(began), 60*eventGap; got > want || !s.caller.complete(s.fake.total) {
-			t.Errorf("got the stream whole: %v, after %v, want it within %v", s.caller.complete(s.fake.total), got, want)
+		if got, want := time.Since(began), 60*eventGap; got > want || !s.complete(s.fake.total) {
+			t.Errorf("got the stream whole: %v, after %v, want it within %v", s.complete(s.fake.total), got, want)
 		}
 	})
 }
@@ -166,7 +166,7 @@
 		s.awaitStop()
 		s.shut("x")
 		<-s.done
-		if !s.caller.complete(s.fake.total) {
+		if !s.complete(s.fake.total) {
 			t.Errorf("events: got %d of %d, want the whole stream", s.count(), s.fake.total)
 		}
 	})
