--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -48,7 +48,7 @@
 
 // fakeServers stands in for all backend servers.
 type fakeServers struct {
-	silentStreams sync.Mutex
+	mutex sync.Mutex
 	// answers scripts plain servers: the status or error of each send, in order.
 	answers map[string][]any
 	sends   []string
@@ -78,9 +78,9 @@
 	// silent servers send nothing, while their connections stay open. Servers with
 	// silentStreams answer queries and produce events, but nothing arrives over the streams
 	// that are open. ahead is how many more events a report counts than arrived.
-	silent map[string]bool
-	mute   map[string]bool
-	ahead  int
+	silent        map[string]bool
+	silentStreams map[string]bool
+	ahead         int
 	// gap is the time between two events; reports counts the queries.
 	gap     time.Duration
 	reports int
@@ -99,20 +99,20 @@
 func newFakeServers() *fakeServers {
 	return &fakeServers{
 		answers: map[string][]any{}, runs: map[string]*fakeRun{}, dead: map[string]bool{},
-		full: map[string]bool{}, handles: map[string]string{}, leaves: map[string]bool{}, signals: map[string]port.Signals{}, stoppedAt: map[string]string{}, refuses: map[string]bool{}, born: map[string]api.Birth{}, silent: map[string]bool{}, mute: map[string]bool{}, gap: eventGap, total: 20, log: event.Discard(),
+		full: map[string]bool{}, handles: map[string]string{}, leaves: map[string]bool{}, signals: map[string]port.Signals{}, stoppedAt: map[string]string{}, refuses: map[string]bool{}, born: map[string]api.Birth{}, silent: map[string]bool{}, silentStreams: map[string]bool{}, gap: eventGap, total: 20, log: event.Discard(),
 	}
 }
 
 // boot reads a clock that runs on while the VM is suspended.
 func (f *fakeServers) boot() time.Time {
-	f.silentStreams.Lock()
-	defer f.silentStreams.Unlock()
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	return time.Now().Add(f.bootAhead)
 }
 
 func (f *fakeServers) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
-	f.silentStreams.Lock()
-	defer f.silentStreams.Unlock()
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	n := string(a.Server.Name)
 	f.sends = append(f.sends, n)
 	f.timesLeft = append(f.timesLeft, a.Left)
@@ -134,8 +134,8 @@
 
 // sent counts the sends so far.
 func (f *fakeServers) sent() int {
-	f.silentStreams.Lock()
-	defer f.silentStreams.Unlock()
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	return len(f.sends)
 }
 
@@ -187,8 +187,8 @@
 			return port.Event{}, fault.New(fault.GenerationLost, "closed")
 		}
 	}
-	s.fake.silentStreams.Lock()
-	defer s.fake.silentStreams.Unlock()
+	s.fake.mutex.Lock()
+	defer s.fake.mutex.Unlock()
 	switch {
 	case s.run.stopped || s.fake.dead[s.server] || s.run.server != s.server:
 		return port.Event{}, fault.New(fault.GenerationLost, "connection broken")
@@ -202,37 +202,37 @@
 }
 
 func (s *fakeStream) Waiting() bool {
-	s.fake.silentStreams.Lock()
-	defer s.fake.silentStreams.Unlock()
+	s.fake.mutex.Lock()
+	defer s.fake.mutex.Unlock()
 	return s.fake.waiting
 }
 
 // silent reports whether nothing arrives over this connection any more.
 func (s *fakeStream) silent() bool {
-	s.fake.silentStreams.Lock()
-	defer s.fake.silentStreams.Unlock()
-	return s.fake.silent[s.server] || s.fake.mute[s.server]
+	s.fake.mutex.Lock()
+	defer s.fake.mutex.Unlock()
+	return s.fake.silent[s.server] || s.fake.silentStreams[s.server]
 }
 
 func (s *fakeStream) Close() {
 	s.once.Do(func() {
 		close(s.closed)
-		s.fake.silentStreams.Lock()
-		defer s.fake.silentStreams.Unlock()
+		s.fake.mutex.Lock()
+		defer s.fake.mutex.Unlock()
 		s.fake.closed++
 	})
 }
 
 func (f *fakeServers) Copy(_ context.Context, o port.CopyOrder) (port.Copy, error) {
-	f.silentStreams.Lock()
+	f.mutex.Lock()
 	first := f.copies == 0
 	if f.notBegun > 0 {
 		f.notBegun--
-		f.silentStreams.Unlock()
+		f.mutex.Unlock()
 		return port.Copy{}, fault.New(fault.NotFound, "run not started")
 	}
 	hangs := f.hangCopies
-	f.silentStreams.Unlock()
+	f.mutex.Unlock()
 	switch {
 	case hangs:
 		time.Sleep(3 * time.Second)
@@ -241,8 +241,8 @@
 	default:
 		time.Sleep(laterCopyTime)
 	}
-	f.silentStreams.Lock()
-	defer f.silentStreams.Unlock()
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	r := f.runs[string(o.Request)]
 	switch {
 	case f.dead[string(o.Source.Name)]:
@@ -264,16 +264,16 @@
 
 func (f *fakeServers) Report(ctx context.Context, s roster.Server, _ bool) (port.Report, error) {
 	n := string(s.Name)
-	f.silentStreams.Lock()
+	f.mutex.Lock()
 	dark := f.silent[n]
 	f.reports++
-	f.silentStreams.Unlock()
+	f.mutex.Unlock()
 	if dark {
 		<-ctx.Done()
 		return port.Report{}, fault.Wrap(fault.NotStarted, ctx.Err(), "server silent")
 	}
-	f.silentStreams.Lock()
-	defer f.silentStreams.Unlock()
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	p := port.Report{Leaving: f.leaves[n], Born: f.born[n], Made: map[api.RequestID]int{}, Signals: f.signals[n]}
 	for id, r := range f.runs {
 		if r.server == n {
@@ -284,8 +284,8 @@
 }
 
 func (f *fakeServers) Release(_ context.Context, _ roster.Server, handle string) (port.Signals, error) {
-	f.silentStreams.Lock()
-	defer f.silentStreams.Unlock()
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	f.released = append(f.released, handle)
 	return port.Signals{}, nil
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -51,8 +51,8 @@
 
 // update changes the behavior of the fake servers.
 func (s *streamTest) update(change func(f *fakeServers)) {
-	s.fake.silentStreams.Lock()
-	defer s.fake.silentStreams.Unlock()
+	s.fake.mutex.Lock()
+	defer s.fake.mutex.Unlock()
 	change(s.fake)
 }
 
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -37,9 +37,9 @@
 			}
 			at := f.sends[0]
 			o := other(at[:2])
-			f.silentStreams.Lock()
-			f.mute[at] = true
-			f.silentStreams.Unlock()
+			f.mutex.Lock()
+			f.silentStreams[at] = true
+			f.mutex.Unlock()
 			b.lives(map[string]api.Birth{at[:2]: 2, o: 1})
 			// Well before it would pass for silent.
 			time.Sleep(2 * time.Millisecond)
@@ -73,10 +73,10 @@
 			for c.count() < 9 {
 				time.Sleep(eventGap)
 			}
-			f.silentStreams.Lock()
-			f.mute["e1@1"], f.born["e1@1"] = true, 2
+			f.mutex.Lock()
+			f.silentStreams["e1@1"], f.born["e1@1"] = true, 2
 			delete(f.runs, "r")
-			f.silentStreams.Unlock()
+			f.mutex.Unlock()
 			began := time.Now()
 			if known {
 				// Its entry comes back late, as one that lapsed does.
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -35,12 +35,12 @@
 		b := newTestGateway(t, f, 9)
 		l := b.streams(10)
 		time.Sleep(10 * eventGap)
-		f.silentStreams.Lock()
+		f.mutex.Lock()
 		f.signals["e2"] = port.Signals{Answered: true, Resting: true, Rest: time.Minute}
-		f.silentStreams.Unlock()
+		f.mutex.Unlock()
 		b.QueryLeaving()
 		time.Sleep(eventGap)
-		f.silentStreams.Lock()
+		f.mutex.Lock()
 		before, here := len(f.sends), 0
 		for _, n := range f.sends {
 			if n == "e1" {
@@ -48,7 +48,7 @@
 			}
 		}
 		f.dead["e1"] = true
-		f.silentStreams.Unlock()
+		f.mutex.Unlock()
 		time.Sleep(5 * time.Second)
 		whole := 0
 		for _, k := range l {
@@ -70,9 +70,9 @@
 
 // rests lets a server ask this entry VM for rest, in the report that it is asked for.
 func (b *testGateway) rests(n string, d time.Duration) {
-	b.fake.silentStreams.Lock()
+	b.fake.mutex.Lock()
 	b.fake.signals[n] = port.Signals{Answered: true, Resting: true, Rest: d}
-	b.fake.silentStreams.Unlock()
+	b.fake.mutex.Unlock()
 	_, _ = b.Backends.Report(context.Background(), server(n, "x", false), false)
 }
 
@@ -99,9 +99,9 @@
 				f.backups = true
 				s := startStream(t, f, 60, 5)
 				s.three("")
-				f.silentStreams.Lock()
+				f.mutex.Lock()
 				holder := f.handles["r"]
-				f.silentStreams.Unlock()
+				f.mutex.Unlock()
 				c.do(s, holder)
 				s.checkWhole(t, s.server, "e3")
 			})
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -48,13 +48,13 @@
 		f := newFakeServers()
 		f.backups = true
 		s := startStream(t, f, 40, 5)
-		s.update(func(f *fakeServers) { f.mute[s.server], f.ahead, f.waiting = true, 5, true })
+		s.update(func(f *fakeServers) { f.silentStreams[s.server], f.ahead, f.waiting = true, 5, true })
 		time.Sleep(3 * time.Second)
 		s.update(func(f *fakeServers) {
 			if f.reports != 0 {
 				t.Errorf("questions: got %d, want none", f.reports)
 			}
-			f.mute[s.server] = false
+			f.silentStreams[s.server] = false
 		})
 		s.checkWhole(t, s.server)
 	})
@@ -87,7 +87,7 @@
 func TestRunIsFetchedWhereItsConnectionIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startStream(t, newFakeServers(), 40, 5)
-		s.update(func(f *fakeServers) { f.mute[s.server], f.ahead = true, 5 })
+		s.update(func(f *fakeServers) { f.silentStreams[s.server], f.ahead = true, 5 })
 		s.checkWhole(t, s.server, other(s.server))
 		if l := s.LocalLoads(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
@@ -100,9 +100,9 @@
 func TestRunThatCannotBeFetchedIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startStream(t, newFakeServers(), 40, 5)
-		s.update(func(f *fakeServers) { f.mute[s.server], f.ahead, f.notBegun = true, 5, 100 })
+		s.update(func(f *fakeServers) { f.silentStreams[s.server], f.ahead, f.notBegun = true, 5, 100 })
 		time.Sleep(3 * time.Second)
-		s.update(func(f *fakeServers) { f.mute[s.server] = false })
+		s.update(func(f *fakeServers) { f.silentStreams[s.server] = false })
 		s.checkWhole(t, s.server)
 	})
 }
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -18,10 +18,10 @@
 			time.Sleep(eventGap)
 		}
 		const suspended = 3 * time.Second
-		f.silentStreams.Lock()
+		f.mutex.Lock()
 		f.bootAhead = suspended
 		at := f.sends[0]
-		f.silentStreams.Unlock()
+		f.mutex.Unlock()
 		b.Deadlines.Check()
 		b.notice(at)
 		time.Sleep(time.Minute)
