--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -135,11 +135,11 @@
 		return demand{}, fault.New(fault.NotFound, "no engines of this service are configured")
 	}
 	return demand{
-		service: s, purpose: a.Purpose, domain: a.Domain, exact: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, mayWait: a.Waits, expectedLength: a.Expected, short: a.Brief,
+		service: s, purpose: a.Purpose, domain: a.Domain, exactLoads: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, mayWait: a.Waits, expectedLength: a.Expected, short: a.Brief,
 		need:     placement.Need{Tokens: a.Tokens, Unread: a.Unread},
 		request:  backlog.Request{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), LatencyTarget: a.AimMS.Duration(), Late: a.Late},
 		route:    a.Route,
-		wait:     a.WaitMS.Duration(),
+		timeout:  a.WaitMS.Duration(),
 		deadline: time.Now().Add(a.LeftMS.Duration()),
 		recipient: &placement.Recipient{
 			VM: a.Holding.VM, Incarnation: a.Holding.Incarnation, Ask: placement.Ask(a.Ask),
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -20,8 +20,8 @@
 	request backlog.Request
 	// route and wait are the route of a new run and the timeout of its caller, by which the
 	// backlog tells a retry of a refused request from a first try.
-	route string
-	wait  time.Duration
+	route   string
+	timeout time.Duration
 	// deadline is when the caller gives up.
 	deadline time.Time
 	// mayWait is set where the demand may wait in the queue, forwarded where another allocator
@@ -34,9 +34,9 @@
 	// short is set for a run that may use the memory reserved for the runs of servers that
 	// leave.
 	short bool
-	// exact is set where this entry VM allocates the engines of the domain, and so knows their
+	// exactLoads is set where this entry VM allocates the engines of the domain, and so knows their
 	// loads.
-	exact bool
+	exactLoads bool
 	// standby is set where the first choice of allocator does not answer.
 	standby bool
 	// recipient is the peer that will hold the place, nil for this entry VM.
@@ -49,7 +49,7 @@
 // latency target. The mutex is held.
 func (g *Gateway) enginePool(now time.Time, d demand) placement.Pool {
 	l := placement.Pool{
-		Domain: d.domain, Exact: d.exact, Rests: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmupBound(now, d.service),
+		Domain: d.domain, Exact: d.exactLoads, Rests: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmupBound(now, d.service),
 		Members: g.membersWhere(d.service.Name, func(m roster.Member) bool {
 			return m.Domain == d.domain || !g.domains.Known(now, d.service.Name, m.Domain)
 		}),
@@ -114,7 +114,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	d.request.Late = g.admission(d.service.Name).backlog.Late(d.route, d.wait, d.request.LatencyTarget)
+	d.request.Late = g.admission(d.service.Name).backlog.Late(d.route, d.timeout, d.request.LatencyTarget)
 }
 
 // load is the load that the place of a demand adds to its engine.
@@ -131,7 +131,7 @@
 func (d demand) backupDemand(at roster.Server) demand {
 	return demand{
 		service: d.service, purpose: api.PlaceAskPurposeCopy, domain: at.Domain, need: placement.Need{Tokens: d.need.Tokens},
-		deadline: d.deadline, tried: []api.ServerName{at.Name}, expectedLength: d.expectedLength, exact: d.exact, standby: d.standby, recipient: d.recipient,
+		deadline: d.deadline, tried: []api.ServerName{at.Name}, expectedLength: d.expectedLength, exactLoads: d.exactLoads, standby: d.standby, recipient: d.recipient,
 	}
 }
 
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -52,7 +52,7 @@
 			Workspace: q.workspace.Name, Rank: backlog.Rank(q.workspace.Priority, q.route.Priority),
 			Cost: float64(n.Tokens), LatencyTarget: q.latencyTarget(),
 		},
-		route: q.route.Name, wait: q.Wait,
+		route: q.route.Name, timeout: q.Wait,
 	}
 	d.short = placement.Brief(q.expected())
 	if q.wantsBackup() {
@@ -108,7 +108,7 @@
 	a := api.PlaceAsk{
 		Domain: d.domain, Service: d.service.Name, Purpose: d.purpose, Tokens: d.need.Tokens, Unread: d.need.Unread, Expected: d.expectedLength, Brief: d.short,
 		Workspace: d.request.Workspace, Rank: d.request.Rank, AimMS: api.ToMilliseconds(d.request.LatencyTarget), LeftMS: api.ToMilliseconds(time.Until(d.deadline)),
-		Route: d.route, WaitMS: api.ToMilliseconds(d.wait), Tried: d.tried, Waits: d.mayWait, Forwarded: d.forwarded, Standby: d.standby, Late: d.request.Late,
+		Route: d.route, WaitMS: api.ToMilliseconds(d.timeout), Tried: d.tried, Waits: d.mayWait, Forwarded: d.forwarded, Standby: d.standby, Late: d.request.Late,
 	}
 	if r := d.recipient; r != nil {
 		a.Ask = int(r.Ask)
@@ -123,7 +123,7 @@
 	for _, to := range g.allocators(d.domain) {
 		d.standby = to.standby
 		if to.address == "" {
-			d.exact = true
+			d.exactLoads = true
 			return g.allocate(ctx, d), true
 		}
 		if p, ok := g.queryAllocator(ctx, to.address, d); ok {
