--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -18,7 +18,7 @@
 	domain  api.DomainName
 	need    placement.Need
 	request backlog.Request
-	// route and wait are the route of a new run and the timeout of its caller, by which the
+	// route and timeout are the route of a new run and the timeout of its caller, by which the
 	// backlog tells a retry of a refused request from a first try.
 	route   string
 	timeout time.Duration
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -56,9 +56,10 @@
 	dead    map[string]bool
 	// full targets refuse copies; handles maps the handles of copies to the servers that hold
 	// them.
-	full     map[string]bool
-	handles  map[string]string
-	copies   int
+	full    map[string]bool
+	handles map[string]string
+	copies  int
+	// notBegun is how many more copies are refused because the run has not begun.
 	notBegun int
 	// hangCopies makes copies take longer than any notice of a leaving server.
 	hangCopies bool
