--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -34,8 +34,8 @@
 	// short is set for a run that may use the memory reserved for the runs of servers that
 	// leave.
 	short bool
-	// exactLoads is set where this entry VM allocates the engines of the domain, and so knows their
-	// loads.
+	// exactLoads is set where this entry VM allocates the engines of the domain, and so knows
+	// their loads.
 	exactLoads bool
 	// standby is set where the first choice of allocator does not answer.
 	standby bool
