--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -11,17 +11,17 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// admission is what lets the requests of one service in: those that wait, and
-// what was learned of its servers.
+// admission is the queue of one service, with what is learned of its servers.
 type admission struct {
 	backlog *backlog.Backlog[*waiter]
 	reading placement.PrefillRate
 	reserve placement.Reserve
-	// shortage keeps copies out of memory that runs lack.
+	// shortage keeps backup copies out of memory that runs need.
 	shortage placement.Shortage
 }
 
-// admission gives what lets the requests of a service in; the mutex is held.
+// admission returns the admission of a service, which it makes if there is none; the mutex is
+// held.
 func (g *Gateway) admission(n api.ServiceName) *admission {
 	a, ok := g.admissions[n]
 	if !ok {
@@ -31,9 +31,9 @@
 	return a
 }
 
-// keep forgets what was learned of routes and services that a configuration no
-// longer holds.
-func (g *Gateway) keep(d *directory.Directory) {
+// forgetUnconfigured drops what was learned of routes and services that a configuration no
+// longer has.
+func (g *Gateway) forgetUnconfigured(d *directory.Directory) {
 	routes := make(map[string]bool, len(d.Routes))
 	for i := range d.Routes {
 		routes[d.Routes[i].Name] = true
@@ -53,8 +53,8 @@
 	}
 }
 
-// noteLeaving learns how many servers leave at once.
-func (g *Gateway) noteLeaving(changed []roster.Member) {
+// recordDepartures records how many servers of a service leave at once.
+func (g *Gateway) recordDepartures(changed []roster.Member) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
@@ -65,22 +65,23 @@
 	}
 }
 
-// noteRead learns from a stream's first event.
-func (g *Gateway) noteRead(l *reservation, q *request) {
+// recordPrefill records the time to a stream's first event, from which the prefill rate of
+// engines is learned.
+func (g *Gateway) recordPrefill(l *reservation, q *request) {
 	if l == nil {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if n := l.load.Unread; n > 0 {
-		d := time.Since(l.at)
-		g.admission(q.service.Name).reading.Record(l.ahead+n, d)
-		g.observations.RecordPrefill(l.domain, q.service.Name, l.ahead+n, d)
+		d := time.Since(l.since)
+		g.admission(q.service.Name).reading.Record(l.unreadAhead+n, d)
+		g.observations.RecordPrefill(l.domain, q.service.Name, l.unreadAhead+n, d)
 	}
 }
 
-// waiting counts the requests that wait; the mutex is held.
-func (g *Gateway) waiting() int {
+// countWaiting counts the requests in all queues; the mutex is held.
+func (g *Gateway) countWaiting() int {
 	n := 0
 	for _, a := range g.admissions {
 		n += a.backlog.Len()
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -12,19 +12,19 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// allocate gives a demand an engine of this entry VM's failure domain, sends it on
-// to another domain that is less loaded, or lets it wait. While an ask is under way
-// elsewhere other demands are met, so that the choice at home is made anew after it.
-func (g *Gateway) allocate(ctx context.Context, d demand) placed {
+// allocate places a demand at an engine of this entry VM's failure domain, forwards it to
+// another domain that is less loaded, or lets it wait. Other demands are placed while it is
+// forwarded, so the choice at home is made again after that.
+func (g *Gateway) allocate(ctx context.Context, d demand) assignment {
 	if !d.forwarded {
 		g.markLate(&d)
 	}
 	g.mutex.Lock()
 	now := time.Now()
-	x, ok := g.pick(now, d)
-	to, better := g.better(now, d, x, ok)
+	x, ok := g.pickEngine(now, d)
+	to, better := g.betterDomain(now, d, x, ok)
 	if ok && !better {
-		p := g.take(now, d, x)
+		p := g.assign(now, d, x)
 		g.mutex.Unlock()
 		return p
 	}
@@ -34,35 +34,36 @@
 		if done {
 			return p
 		}
-		d.waits = d.waits && g.has(d)
+		d.mayWait = d.mayWait && g.hasEngine(d)
 	}
-	return g.placeHere(ctx, d)
+	return g.placeLocally(ctx, d)
 }
 
-// placeHere places a demand without asking anyone else.
-func (g *Gateway) placeHere(ctx context.Context, d demand) placed {
+// placeLocally places a demand without querying another entry VM.
+func (g *Gateway) placeLocally(ctx context.Context, d demand) assignment {
 	g.mutex.Lock()
 	now := time.Now()
-	if x, ok := g.pick(now, d); ok {
-		p := g.take(now, d, x)
+	if x, ok := g.pickEngine(now, d); ok {
+		p := g.assign(now, d, x)
 		g.mutex.Unlock()
 		return p
 	}
 	g.mutex.Unlock()
-	if !d.waits {
-		return placed{fault: fault.New(fault.NoServer, "no engine has room now")}
+	if !d.mayWait {
+		return assignment{fault: fault.New(fault.NoServer, "no engine has capacity now")}
 	}
-	return g.await(ctx, d)
+	return g.enqueue(ctx, d)
 }
 
-// better gives the failure domain that a demand is better sent on to; the mutex
-// is held. Copies stay near their run.
-func (g *Gateway) better(now time.Time, d demand, x placement.Choice, ok bool) (api.DomainName, bool) {
+// betterDomain returns the failure domain to which a demand had better be forwarded, if there
+// is one; the mutex is held. Backup copies stay in the domain of their run, and so do moves for
+// which there is an engine here.
+func (g *Gateway) betterDomain(now time.Time, d demand, x placement.Choice, ok bool) (api.DomainName, bool) {
 	if d.forwarded || d.purpose == api.PlaceAskPurposeCopy || ok && d.purpose == api.PlaceAskPurposeMove {
 		return "", false
 	}
 	m := d.service.Engine.Memory
-	if !ok && !g.offers(now, d) {
+	if !ok && !g.hasEngineLocked(now, d) {
 		return g.domains.Fallback(now, d.service.Name, m, d.need)
 	}
 	var home *placement.Choice
@@ -72,20 +73,20 @@
 	return g.domains.LessLoaded(now, d.service.Name, m, d.need, home)
 }
 
-// forward asks the allocator of another failure domain. There the demand waits
-// only where there is nothing to wait for here.
-func (g *Gateway) forward(ctx context.Context, d demand, to api.DomainName) (placed, bool) {
-	d.waits = d.waits && !g.has(d)
+// forward queries the allocator of another failure domain. The demand may wait there only if
+// there is no engine here that it could wait for.
+func (g *Gateway) forward(ctx context.Context, d demand, to api.DomainName) (assignment, bool) {
+	d.mayWait = d.mayWait && !g.hasEngine(d)
 	d.domain, d.forwarded = to, true
 	l := g.allocators(to)
 	if len(l) == 0 {
-		return placed{}, false
+		return assignment{}, false
 	}
 	d.standby = l[0].standby
-	p, ok := g.askAt(ctx, l[0].address, d)
+	p, ok := g.queryAllocator(ctx, l[0].address, d)
 	if !ok || p.fault != nil {
-		// A demand that was let wait there has its answer.
-		return p, ok && d.waits
+		// A refusal is final for a demand that could wait there.
+		return p, ok && d.mayWait
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -93,40 +94,40 @@
 	return p, true
 }
 
-// has reports whether there is an engine here for a demand to wait for.
-func (g *Gateway) has(d demand) bool {
+// hasEngine reports whether there is an engine here that a demand could wait for.
+func (g *Gateway) hasEngine(d demand) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.offers(time.Now(), d)
+	return g.hasEngineLocked(time.Now(), d)
 }
 
-// offers is has under the mutex.
-func (g *Gateway) offers(now time.Time, d demand) bool {
-	return slices.ContainsFunc(g.engines(now, d).Members, func(m roster.Member) bool {
+// hasEngineLocked is hasEngine; the mutex is held.
+func (g *Gateway) hasEngineLocked(now time.Time, d demand) bool {
+	return slices.ContainsFunc(g.enginePool(now, d).Members, func(m roster.Member) bool {
 		return m.AcceptsRequests() && !slices.Contains(d.tried, m.Name)
 	})
 }
 
-// Place answers another entry VM that asks for a place at an engine.
+// Place answers the request of another entry VM for a place at an engine.
 func (g *Gateway) Place(ctx context.Context, a api.PlaceAsk) (api.PlaceAnswer, error) {
-	d, f := g.demanded(a)
+	d, f := g.newRemoteDemand(a)
 	if f != nil {
 		return api.PlaceAnswer{}, f
 	}
 	if !a.Forwarded {
 		g.UpdateHolding(a.Holding)
 	}
-	return answer(g.allocate(ctx, d)), nil
+	return placeAnswer(g.allocate(ctx, d)), nil
 }
 
-// demanded is the demand in an ask of another entry VM.
-func (g *Gateway) demanded(a api.PlaceAsk) (demand, *fault.Error) {
+// newRemoteDemand makes the demand that another entry VM requests a place for.
+func (g *Gateway) newRemoteDemand(a api.PlaceAsk) (demand, *fault.Error) {
 	c := g.directory.Load()
 	if c == nil {
 		return demand{}, fault.New(fault.Starting, "this entry VM knows no configuration yet")
 	}
 	if a.Domain != g.Domain {
-		// What is held in another domain must not be taken for what is held in this one.
+		// The holding in the message is for another domain and must not count in this one.
 		return demand{}, fault.New(fault.NotFound, "this entry VM allocates the engines of another failure domain")
 	}
 	s, ok := c.Service(a.Service)
@@ -134,11 +135,11 @@
 		return demand{}, fault.New(fault.NotFound, "no engines of this service are configured")
 	}
 	return demand{
-		service: s, purpose: a.Purpose, domain: a.Domain, exact: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, waits: a.Waits, expected: a.Expected, brief: a.Brief,
+		service: s, purpose: a.Purpose, domain: a.Domain, exactLoads: true, standby: a.Standby, forwarded: a.Forwarded, tried: a.Tried, mayWait: a.Waits, expectedLength: a.Expected, short: a.Brief,
 		need:     placement.Requirements{Tokens: a.Tokens, Unread: a.Unread},
-		ask:      backlog.Request{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), LatencyTarget: a.AimMS.Duration(), Late: a.Late},
+		request:  backlog.Request{Workspace: a.Workspace, Rank: a.Rank, Cost: float64(a.Tokens), LatencyTarget: a.AimMS.Duration(), Late: a.Late},
 		route:    a.Route,
-		wait:     a.WaitMS.Duration(),
+		timeout:  a.WaitMS.Duration(),
 		deadline: time.Now().Add(a.LeftMS.Duration()),
 		recipient: &placement.Recipient{
 			VM: a.Holding.VM, Incarnation: a.Holding.Incarnation, Request: placement.RequestNumber(a.Ask),
@@ -146,18 +147,19 @@
 	}, nil
 }
 
-// answer is the message for what a demand was given.
-func answer(p placed) api.PlaceAnswer {
+// placeAnswer makes the message that tells another entry VM what its demand was assigned.
+func placeAnswer(p assignment) api.PlaceAnswer {
 	if f := p.fault; f != nil {
 		return api.PlaceAnswer{Refused: &api.PlaceRefusal{
 			Code: int(f.Code), Detail: f.Detail, RetryAfterMS: api.ToMilliseconds(f.RetryAfter), Waiting: p.forecast.Waiting,
 			ForecastMS: api.ToMilliseconds(p.forecast.Wait), PatienceMS: api.ToMilliseconds(p.forecast.MaxWait), Behind: p.forecast.LateInOverload,
 		}}
 	}
-	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Candidates, Copy: p.copy}
+	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Candidates, Copy: p.backupName}
 }
 
-// UpdateHolding takes what another entry VM holds at engines that this one allocates.
+// UpdateHolding takes another entry VM's report of what it holds at engines that this one
+// allocates.
 func (g *Gateway) UpdateHolding(h api.Holding) {
 	x := placement.Holding{
 		Incarnation: h.Incarnation, Sequence: int64(h.Sequence), Loads: make(placement.Loads, len(h.Loads)), LastRequest: placement.RequestNumber(h.Asked),
@@ -180,10 +182,10 @@
 	for n, x := range h.Met {
 		g.picker.Health.RecordAll(now, api.ServerName(n), x)
 	}
-	g.letIn(now)
+	g.admitWaiting(now)
 }
 
-// Pools sums up the engines that this entry VM allocates, by service.
+// Pools sums up the loads of the engines that this entry VM allocates, by service.
 func (g *Gateway) Pools() map[api.ServiceName]api.PoolLoad {
 	d := g.directory.Load()
 	if d == nil {
@@ -199,8 +201,8 @@
 			continue
 		}
 		x := g.picker.SumLoads(now, placement.Pool{
-			Domain: g.Domain, ExactLoads: true, Memory: s.Engine.Memory, Warmup: g.warmup(now, s),
-			Members: g.members(s.Name, func(m roster.Member) bool { return m.Domain == g.Domain }),
+			Domain: g.Domain, ExactLoads: true, Memory: s.Engine.Memory, Warmup: g.warmupBound(now, s),
+			Members: g.membersWhere(s.Name, func(m roster.Member) bool { return m.Domain == g.Domain }),
 		})
 		if a, ok := g.admissions[s.Name]; ok {
 			x.Waiting = a.backlog.Len()
@@ -210,7 +212,7 @@
 	return l
 }
 
-// UpdatePools takes what the allocator of another failure domain tells.
+// UpdatePools takes the sums that the allocator of another failure domain reports.
 func (g *Gateway) UpdatePools(d api.DomainName, l map[api.ServiceName]api.PoolLoad) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -18,150 +18,150 @@
 	"github.com/wardridge/wardridge/internal/port"
 )
 
-// hangAims is how many times its aim a safe request waits for one server
-// before another is asked: the slowest hundredth of answers takes less.
-const hangAims = 2.5
+// hangFactor is how many times its latency target a safe request waits for one server before it
+// tries another. The 99th percentile of answer times is below it.
+const hangFactor = 2.5
 
-// served is a backend server's answer with where it came from; the reservation is nil
-// for a failure of a server that was kept while others were tried.
-type served struct {
+// serverAnswer is the answer of a backend server. The reservation is nil for the failure of a server
+// that is passed on after other servers were tried.
+type serverAnswer struct {
 	answer      port.Answer
 	server      roster.Server
 	reservation *reservation
 	backup      *backup
 }
 
-// end takes the load of an answer away that needs no server any more.
-func (v served) end() {
-	v.reservation.end()
+// release removes the load of an answer that needs its server no longer.
+func (v serverAnswer) release() {
+	v.reservation.release()
 	v.backup.release()
 }
 
-// call serves a request that is answered whole.
+// call serves a request whose answer is not streamed.
 func (g *Gateway) call(ctx context.Context, q *request) {
-	v, f := g.try(ctx, q, placement.Requirements{})
+	v, f := g.sendWithRetries(ctx, q, placement.Requirements{})
 	if f != nil {
 		g.fail(q, f)
 		return
 	}
-	v.end()
-	g.whole(q, v.answer)
+	v.release()
+	g.answerWhole(q, v.answer)
 }
 
-// whole gives a caller an answer that is not streamed.
-func (g *Gateway) whole(q *request, a port.Answer) {
+// answerWhole passes on an answer that is not streamed.
+func (g *Gateway) answerWhole(q *request, a port.Answer) {
 	if a.Status/100 == 2 {
-		// A failure may have come before the server began to run the request.
+		// An error answer may have come before the server began to run the content.
 		g.Contents.RecordAnswer(q.content)
 	}
-	g.done(q, q.lateness())
+	g.finish(q, q.lateness())
 	q.sink.WriteAnswer(a)
 }
 
-// done logs a request that was answered whole. What went well is shown by a few
-// lines a second, what was late, retried or moved by all of its lines.
-func (g *Gateway) done(q *request, late lateness, figures ...zap.Field) {
+// finish counts and logs an answered request. The log shows a few lines a second of answers in
+// time; for one that was late or retried it also has the choices of servers.
+func (g *Gateway) finish(q *request, late lateness, fields ...zap.Field) {
 	g.Metrics.Add(metric.RequestsDone, 1)
 	took := time.Since(q.Arrived)
 	id := event.RequestDone
 	q.outcome = "done"
 	l := []zap.Field{zap.String("request", string(q.ID)), zap.String("route", q.route.Name), zap.Duration("took", took), zap.Duration("waited", q.waited)}
-	if late != inTime {
+	if late != onTime {
 		id = event.RequestLate
 		q.outcome = "late"
 		l = append(l, zap.String("cause", string(late)))
 	}
-	if late != inTime || q.retried {
-		g.tell(q)
+	if late != onTime || q.retried {
+		g.logChoices(q)
 	}
-	g.Log.Emit(id, append(l, figures...)...)
+	g.Log.Emit(id, append(l, fields...)...)
 }
 
-// lateness says what an answer missed of what its route aims for.
+// lateness is the latency target that an answer missed; its values are logged.
 type lateness string
 
 const (
-	inTime lateness = ""
-	// lateAnswer is a whole answer that took too long, lateFirst a stream's first
+	onTime lateness = ""
+	// lateAnswer is an unstreamed answer that took too long, lateFirstEvent a stream's first
 	// event.
-	lateAnswer lateness = "answer"
-	lateFirst  lateness = "first event"
-	// latePause is a long pause at one server, as when a run is preempted, and
-	// lateMoved one before the first event after the run went on elsewhere.
-	latePause lateness = "pause"
-	lateMoved lateness = "pause in a move"
+	lateAnswer     lateness = "answer"
+	lateFirstEvent lateness = "first event"
+	// longPause is a long gap between two events of one server, as when the server preempts the
+	// run; longMovePause is one before the first event after a move.
+	longPause     lateness = "pause"
+	longMovePause lateness = "pause in a move"
 )
 
-// lateness says whether a call took longer than its route aims for.
+// lateness reports whether a call took longer than the latency target of its route.
 func (q *request) lateness() lateness {
 	if q.route.LatencyTarget > 0 && time.Since(q.Arrived) > q.route.LatencyTarget {
 		return lateAnswer
 	}
-	return inTime
+	return onTime
 }
 
-// try sends a request to one server after the other while it may be repeated
-// or provably was not run, and gives the answer to take.
-func (g *Gateway) try(ctx context.Context, q *request, n placement.Requirements) (served, *fault.Error) {
+// sendWithRetries sends a request to one server after another, as long as it is safe to repeat
+// or provably did not run, and returns the answer to pass on.
+func (g *Gateway) sendWithRetries(ctx context.Context, q *request, n placement.Requirements) (serverAnswer, *fault.Error) {
 	c := call.New(q.route.Kind != directory.Safe)
-	again := func() bool { return g.again(q.service.Name) }
+	retry := func() bool { return g.allowRetry(q.service.Name) }
 	var failed *port.Answer
 	for {
-		p := g.next(ctx, q, n, c)
+		p := g.pickNext(ctx, q, n, c)
 		if p.fault != nil {
-			return settle(failed, p.fault)
+			return preferAnswer(failed, p.fault)
 		}
 		if f := g.Contents.Check(q.content); f != nil {
-			p.end()
-			return settle(failed, c.Refusal(f))
+			p.release()
+			return preferAnswer(failed, c.Refusal(f))
 		}
 		s, b := p.choice.Server, p.backup
-		q.choices = append(q.choices, chosen(q, p.choice))
+		q.choices = append(q.choices, choiceFields(q, p.choice))
 		q.tried = append(q.tried, s.Name)
-		a, err := g.attempt(ctx, q, s, b)
-		if err == nil && !worthAnother(q, a) {
-			g.note(s, placement.Served)
-			return served{answer: a, server: s, reservation: p.reservation, backup: b}, nil
+		a, err := g.sendAttempt(ctx, q, s, b)
+		if err == nil && !shouldRetry(q, a) {
+			g.recordOutcome(s, placement.Served)
+			return serverAnswer{answer: a, server: s, reservation: p.reservation, backup: b}, nil
 		}
-		p.end()
+		p.release()
 		if err == nil {
-			g.note(s, placement.Failed)
+			g.recordOutcome(s, placement.Failed)
 			failed = &a
 			err = fault.New(fault.OutcomeUnknown, "the server answered "+http.StatusText(a.Status))
 		} else {
-			g.note(s, met(err))
+			g.recordOutcome(s, serverOutcome(err))
 			g.noteBrokenRun(q, s, err)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(q.ID)), zap.String("server", string(s.Name)), zap.String("content", string(q.content())), zap.Error(err))
-		m, f := c.AttemptFailed(outcome(err), err, ctx.Err() != nil, again)
+		m, f := c.AttemptFailed(attemptOutcome(err), err, ctx.Err() != nil, retry)
 		if m == call.Fail {
 			if errors.Is(context.Cause(ctx), context.Canceled) {
 				f = fault.Wrap(fault.CallerGone, err, "the caller closed its connection")
 			}
-			return settle(failed, f)
+			return preferAnswer(failed, f)
 		}
 		g.Metrics.Add(metric.Retries, 1)
 		q.retried = true
 	}
 }
 
-// next chooses the server to send to now. Only the first of an engine's request
-// is waited for: what was sent before has used up its time to wait.
-func (g *Gateway) next(ctx context.Context, q *request, n placement.Requirements, c *call.Call) placed {
+// pickNext chooses the server of the next attempt. Only the first attempt at an engine may wait
+// in the queue: later ones have used up that time.
+func (g *Gateway) pickNext(ctx context.Context, q *request, n placement.Requirements, c *call.Call) assignment {
 	if f := g.refuseIfAllBackOff(q, c); f != nil {
-		return placed{fault: f}
+		return assignment{fault: f}
 	}
 	switch {
 	case q.service.Engine != nil && len(q.tried) == 0:
-		return g.place(ctx, q, n)
+		return g.placeFirst(ctx, q, n)
 	case q.service.Engine != nil:
-		return g.placeAgain(ctx, q, n, c)
+		return g.placeNext(ctx, q, n, c)
 	}
 	return g.placePlain(ctx, q, c)
 }
 
-// chosen gives the fields of the log line of a choice: the figures that decided.
-func chosen(q *request, x placement.Choice) []zap.Field {
+// choiceFields are the log fields of a chosen server, with the figures that decided for it.
+func choiceFields(q *request, x placement.Choice) []zap.Field {
 	return []zap.Field{
 		zap.Time("at", time.Now()),
 		zap.String("request", string(q.ID)),
@@ -175,39 +175,39 @@
 	}
 }
 
-// settle passes a server's own failure on where there is one.
-func settle(failed *port.Answer, f *fault.Error) (served, *fault.Error) {
+// preferAnswer returns the error answer of a server where there is one, or else the fault.
+func preferAnswer(failed *port.Answer, f *fault.Error) (serverAnswer, *fault.Error) {
 	if failed == nil {
-		return served{}, f
+		return serverAnswer{}, f
 	}
-	return served{answer: *failed}, nil
+	return serverAnswer{answer: *failed}, nil
 }
 
-// worthAnother reports whether a server's failure is to be tried elsewhere.
-func worthAnother(q *request, a port.Answer) bool {
+// shouldRetry reports whether an error answer is to be retried at another server.
+func shouldRetry(q *request, a port.Answer) bool {
 	return a.Status >= http.StatusInternalServerError && q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers
 }
 
-// attempt sends a request to one server.
-func (g *Gateway) attempt(ctx context.Context, q *request, s roster.Server, b *backup) (port.Answer, error) {
+// sendAttempt sends a request to one server.
+func (g *Gateway) sendAttempt(ctx context.Context, q *request, s roster.Server, b *backup) (port.Answer, error) {
 	left := q.deadline.Left()
 	if q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers && q.route.LatencyTarget > 0 {
-		left = min(left, time.Duration(hangAims*float64(q.route.LatencyTarget)))
+		left = min(left, time.Duration(hangFactor*float64(q.route.LatencyTarget)))
 		c, cancel := context.WithTimeout(ctx, left)
 		defer cancel()
 		ctx = c
 	}
 	if left <= 0 {
-		return port.Answer{}, fault.New(fault.NotStarted, "the deadline passed before the send")
+		return port.Answer{}, fault.New(fault.NotStarted, "the deadline passed before the request was sent")
 	}
-	a := q.attempt(s, b)
+	a := q.newAttempt(s, b)
 	a.Timeout, a.ConnectTimeout = left, call.ConnectTimeout(q.route.LatencyTarget)
 	return g.Backends.Send(ctx, a)
 }
 
-// attempt is the request on its way to a server, whose run another one may
-// protect, with all the time that is left.
-func (q *request) attempt(s roster.Server, b *backup) port.Attempt {
+// newAttempt makes an attempt at a server, with all the time that is left. The server of the
+// backup, if there is one, is to hold a backup copy of the run.
+func (q *request) newAttempt(s roster.Server, b *backup) port.Attempt {
 	a := port.Attempt{
 		Request: q.Request, Server: s, Workspace: q.workspace.Name, Timeout: q.deadline.Left(),
 		Stream: q.route.Kind == directory.Stream,
@@ -218,8 +218,8 @@
 	return a
 }
 
-// outcome types an attempt's failure for the decision on another one.
-func outcome(err error) call.Outcome {
+// attemptOutcome maps the error of an attempt to the outcome that decides on a retry.
+func attemptOutcome(err error) call.Outcome {
 	for _, c := range []fault.Code{fault.NotStarted, fault.ServerRefused, fault.Misdirected} {
 		if fault.Has(err, c) {
 			return call.Unsent
@@ -228,8 +228,8 @@
 	return call.Incomplete
 }
 
-// met types an attempt's failure for the server's record.
-func met(err error) placement.Outcome {
+// serverOutcome maps the error of an attempt to the outcome in the server's health record.
+func serverOutcome(err error) placement.Outcome {
 	if fault.Has(err, fault.ServerRefused) {
 		return placement.Full
 	}
--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -22,9 +22,9 @@
 	now := time.Now()
 	g.mutex.Lock()
 	closed, opened := g.roster.SetClosures(now, s.At.Era(), l, g.warmUpTime)
-	g.letIn(now)
+	g.admitWaiting(now)
 	g.mutex.Unlock()
-	g.closures.Store(true)
+	g.closuresKnown.Store(true)
 	g.closuresChanged(closed, opened, zap.Stringer("version", s.At))
 }
 
@@ -45,7 +45,7 @@
 	g.mutex.Lock()
 	closed, opened := g.roster.MergeRetainedClosures(now, l, g.warmUpTime)
 	if len(opened) > 0 {
-		g.letIn(now)
+		g.admitWaiting(now)
 	}
 	g.mutex.Unlock()
 	g.closuresChanged(closed, opened, zap.Bool("of_peer", true))
@@ -56,7 +56,7 @@
 	g.mutex.Lock()
 	closed, opened := g.roster.ExpireClosures(now, g.warmUpTime)
 	if len(opened) > 0 {
-		g.letIn(now)
+		g.admitWaiting(now)
 	}
 	g.mutex.Unlock()
 	g.closuresChanged(closed, opened, zap.Bool("kept", true))
@@ -76,9 +76,9 @@
 	if len(closed) == 0 {
 		return
 	}
-	for _, r := range g.all() {
-		r.dropBackup(g.unusable)
-		if g.leaving(r.currentServer().Name) {
+	for _, r := range g.allRuns() {
+		r.dropBackup(g.unavailable)
+		if g.departing(r.currentServer().Name) {
 			// The run has lost its backup copy, so that it has to be moved after all.
 			g.startMove(r)
 		}
--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -15,7 +15,7 @@
 )
 
 // declareDomains declares servers by name with their failure domains, some of them draining.
-func (b *bed) declareDomains(domains map[string]api.DomainName, draining ...string) {
+func (b *testGateway) declareDomains(domains map[string]api.DomainName, draining ...string) {
 	var l []roster.Server
 	for n, d := range domains {
 		l = append(l, server(n, d, slices.Contains(draining, n)))
@@ -24,7 +24,7 @@
 }
 
 // closeDomains declares which failure domains are closed.
-func (b *bed) closeDomains(l ...api.DomainName) {
+func (b *testGateway) closeDomains(l ...api.DomainName) {
 	b.version++
 	s := replica.Snapshot[roster.Closure]{At: b.version}
 	for _, d := range l {
@@ -40,7 +40,7 @@
 }
 
 // send handles a request to its end and returns its caller.
-func (b *bed) send(path string) *caller {
+func (b *testGateway) send(path string) *caller {
 	c := &caller{}
 	b.Handle(context.Background(), request(path), c)
 	return c
@@ -50,9 +50,9 @@
 // retry, until the domain is opened.
 func TestClosedDomainGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.total = 3
-		b := newBed(t, f, 9)
+		b := newTestGateway(t, f, 9)
 		b.declareDomains(twoDomains())
 		b.closeDomains("x")
 		for range 8 {
@@ -83,10 +83,10 @@
 // Runs in a failure domain that is closed must continue where they are.
 func TestRunsInClosedDomainContinue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
+		s := startStream(t, newFakeServers(), 40, 5)
 		s.declareDomains(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
 		s.closeDomains("x")
-		s.whole(t, s.server)
+		s.checkWhole(t, s.server)
 	})
 }
 
@@ -94,7 +94,7 @@
 // is willing to wait.
 func TestRequestsAreRefusedAtOnceWhenAllDomainsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 9)
+		b := newTestGateway(t, newFakeServers(), 9)
 		b.declareDomains(twoDomains())
 		b.closeDomains("x", "y")
 		for _, p := range []string{"/stream/1", "/safe/1", "/unsafe/1"} {
@@ -116,42 +116,42 @@
 // A run that has to leave its engine must move to one in an open domain, or wait for one.
 func TestMovesAvoidClosedDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		o := other(s.server)
 		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"})
 		s.closeDomains("x")
 		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
-		s.whole(t, s.server, "e3")
+		s.checkWhole(t, s.server, "e3")
 	})
 }
 
 // A target whose failure domain is closed during the move must be replaced by another one.
 func TestMoveChangesTargetWhenTargetDomainCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 80, 5)
+		s := startStream(t, newFakeServers(), 80, 5)
 		o := other(s.server)
 		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x"}, s.server)
-		time.Sleep(copyTime / 2)
+		time.Sleep(firstCopyTime / 2)
 		s.declareDomains(map[string]api.DomainName{s.server: "x", o: "x", "e3": "y"}, s.server)
 		s.closeDomains("x")
-		s.whole(t, s.server, "e3")
+		s.checkWhole(t, s.server, "e3")
 	})
 }
 
 // A resume from a copy is a new request, so that a copy in a closed domain must not be used.
 func TestCopyInClosedDomainIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups = true
-		s := play(t, f, 60, 5)
+		s := startStream(t, f, 60, 5)
 		s.declareDomains(map[string]api.DomainName{s.server: "x", other(s.server): "y"})
 		s.closeDomains("y")
-		s.set(func(f *fake) { f.dead[s.server] = true })
+		s.update(func(f *fakeServers) { f.dead[s.server] = true })
 		<-s.done
 		if !s.aborted || len(f.sends) != 1 {
 			t.Errorf("got aborted %v after sends %v, want it aborted and nothing sent to the backup server", s.aborted, f.sends)
 		}
-		if l := s.Held(); len(l) != 0 {
+		if l := s.LocalLoads(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
 		}
 	})
@@ -160,8 +160,8 @@
 // An entry VM that does not know yet which failure domains are closed must not be ready.
 func TestReadyWaitsForClosures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, newFake(), 0)
-		b.Closable = true
+		b := newTestGateway(t, newFakeServers(), 0)
+		b.WaitForClosures = true
 		if b.Ready() {
 			t.Error("before closures are known: got ready, want not ready")
 		}
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -10,54 +10,57 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// demand asks for a place at an engine, for this entry VM or for another one.
+// demand asks for a place at an engine, for this entry VM or for a peer.
 type demand struct {
 	service *directory.Service
 	purpose api.PlaceAskPurpose
-	// domain is the failure domain whose engines are wanted.
-	domain api.DomainName
-	need   placement.Requirements
-	ask    backlog.Request
-	// route and wait are the route of a new run and the time that its caller allowed,
-	// which tell whether it was refused before.
-	route string
-	wait  time.Duration
+	// domain is the failure domain whose engines are asked for.
+	domain  api.DomainName
+	need    placement.Requirements
+	request backlog.Request
+	// route and timeout are the route of a new run and the timeout of its caller, by which the
+	// backlog tells a retry of a refused request from a first try.
+	route   string
+	timeout time.Duration
 	// deadline is when the caller gives up.
 	deadline time.Time
-	// waits is set where the demand may wait for room, forwarded where another
-	// allocator has sent it on.
-	waits, forwarded bool
-	tried            []api.ServerName
-	// expected is the length of an answer whose run may have a copy; zero for none.
-	expected api.Tokens
-	// brief runs may use memory that is kept for the runs of servers that leave.
-	brief bool
-	// exact is set where this entry VM allocates the domain's engines.
-	exact bool
-	// standby is set where the first choice to allocate them does not answer.
+	// mayWait is set where the demand may wait in the queue, forwarded where another allocator
+	// has passed it on.
+	mayWait, forwarded bool
+	tried              []api.ServerName
+	// expectedLength is the expected length of the answer of a run that may have a backup copy;
+	// zero where it may not.
+	expectedLength api.Tokens
+	// short is set for a run that may use the memory reserved for the runs of servers that
+	// leave.
+	short bool
+	// exactLoads is set where this entry VM allocates the engines of the domain, and so knows
+	// their loads.
+	exactLoads bool
+	// standby is set where the first choice of allocator does not answer.
 	standby bool
-	// recipient is the holder of the place, nil for this entry VM.
+	// recipient is the peer that will hold the place, nil for this entry VM.
 	recipient *placement.Recipient
 }
 
-// engines is the pool that a demand is met from: the engines of its failure
-// domain, and those of domains that nobody is known to allocate. For new runs
-// memory is kept free for the runs of servers that leave, and prompts are read in
-// time. The mutex is held.
-func (g *Gateway) engines(now time.Time, d demand) placement.Pool {
+// enginePool is the pool that a demand is placed in: the engines of its failure domain, and
+// those of domains without a known allocator. For a new run, memory is reserved for the runs of
+// servers that leave, and the prompts that an engine has to read before it are bounded by the
+// latency target. The mutex is held.
+func (g *Gateway) enginePool(now time.Time, d demand) placement.Pool {
 	l := placement.Pool{
-		Domain: d.domain, ExactLoads: d.exact, ExcludeBackingOff: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmup(now, d.service),
-		Members: g.members(d.service.Name, func(m roster.Member) bool {
+		Domain: d.domain, ExactLoads: d.exactLoads, ExcludeBackingOff: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmupBound(now, d.service),
+		Members: g.membersWhere(d.service.Name, func(m roster.Member) bool {
 			return m.Domain == d.domain || !g.domains.HasAllocator(now, d.service.Name, m.Domain)
 		}),
 	}
 	switch d.purpose {
 	case api.PlaceAskPurposeRun:
 		a := g.admission(d.service.Name)
-		if !d.brief {
+		if !d.short {
 			l.MaxMemoryShare = a.reserve.MaxMemoryShare(now)
 		}
-		l.MaxUnread = a.reading.MaxTokens(d.ask.LatencyTarget)
+		l.MaxUnread = a.reading.MaxTokens(d.request.LatencyTarget)
 	case api.PlaceAskPurposeMove:
 		l.PreferDomain = true
 	case api.PlaceAskPurposeCopy:
@@ -66,30 +69,30 @@
 	return l
 }
 
-// members lists the servers of a service that are kept; the mutex is held.
-func (g *Gateway) members(n api.ServiceName, keep func(m roster.Member) bool) []roster.Member {
+// membersWhere lists the servers of a service that satisfy a condition; the mutex is held.
+func (g *Gateway) membersWhere(n api.ServiceName, want func(m roster.Member) bool) []roster.Member {
 	all := g.roster.Service(n)
 	l := make([]roster.Member, 0, len(all))
 	for _, m := range all {
-		if keep(m) {
+		if want(m) {
 			l = append(l, m)
 		}
 	}
 	return l
 }
 
-// pick chooses an engine for a demand at once, unless others wait for it; the
-// mutex is held.
-func (g *Gateway) pick(now time.Time, d demand) (placement.Choice, bool) {
-	l := g.engines(now, d)
+// pickEngine chooses an engine for a demand without waiting. A new run gets none while others
+// are ahead of it in the queue. The mutex is held.
+func (g *Gateway) pickEngine(now time.Time, d demand) (placement.Choice, bool) {
+	l := g.enginePool(now, d)
 	a := g.admission(d.service.Name)
 	if d.purpose == api.PlaceAskPurposeCopy {
 		if a.shortage.Recent(now) {
 			return placement.Choice{}, false
 		}
-		return g.picker.PickBackup(now, l, d.need, d.expected, d.tried)
+		return g.picker.PickBackup(now, l, d.need, d.expectedLength, d.tried)
 	}
-	if d.purpose == api.PlaceAskPurposeRun && a.backlog.MustWait(now, d.ask) {
+	if d.purpose == api.PlaceAskPurposeRun && a.backlog.MustWait(now, d.request) {
 		return placement.Choice{}, false
 	}
 	x, ok := g.picker.Pick(now, l, d.need, d.tried)
@@ -102,18 +105,19 @@
 	return x, ok
 }
 
-// markLate notes whether a new run comes too late for its aim: the entry VM that
-// places it sees most callers of a route, whose usual times tell.
+// markLate notes whether a new run comes too late for its latency target. That is decided by
+// the entry VM that places the run: it sees most requests of a route and so knows the usual
+// timeouts of its callers.
 func (g *Gateway) markLate(d *demand) {
 	if d.purpose != api.PlaceAskPurposeRun {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	d.ask.Late = g.admission(d.service.Name).backlog.Late(d.route, d.wait, d.ask.LatencyTarget)
+	d.request.Late = g.admission(d.service.Name).backlog.Late(d.route, d.timeout, d.request.LatencyTarget)
 }
 
-// load is what the place of a demand counts for.
+// load is the load that the place of a demand adds to its engine.
 func (d demand) load() api.ServerLoad {
 	l := api.ServerLoad{Requests: 1, Tokens: d.need.Tokens, Unread: d.need.Unread}
 	if d.purpose == api.PlaceAskPurposeCopy {
@@ -122,37 +126,37 @@
 	return l
 }
 
-// copied is the demand for a place that keeps a copy of a run as it grows, beside
-// the server that runs it.
-func (d demand) copied(at roster.Server) demand {
+// backupDemand asks for a place for a backup copy of a run, at another server than the one that
+// runs it.
+func (d demand) backupDemand(at roster.Server) demand {
 	return demand{
 		service: d.service, purpose: api.PlaceAskPurposeCopy, domain: at.Domain, need: placement.Requirements{Tokens: d.need.Tokens},
-		deadline: d.deadline, tried: []api.ServerName{at.Name}, expected: d.expected, exact: d.exact, standby: d.standby, recipient: d.recipient,
+		deadline: d.deadline, tried: []api.ServerName{at.Name}, expectedLength: d.expectedLength, exactLoads: d.exactLoads, standby: d.standby, recipient: d.recipient,
 	}
 }
 
-// take counts the place that was chosen for a demand, and one for a copy of its
-// run where that is worth it; the mutex is held.
-func (g *Gateway) take(now time.Time, d demand, x placement.Choice) placed {
-	p := placed{choice: x, reservation: g.assign(now, d, x.Server)}
-	if d.expected == 0 || d.purpose != api.PlaceAskPurposeRun {
+// assign counts the place chosen for a demand, and one for a backup copy of its run where a
+// copy is wanted and an engine is free for it; the mutex is held.
+func (g *Gateway) assign(now time.Time, d demand, x placement.Choice) assignment {
+	p := assignment{choice: x, reservation: g.reserveOrGrant(now, d, x.Server)}
+	if d.expectedLength == 0 || d.purpose != api.PlaceAskPurposeRun {
 		return p
 	}
-	c := d.copied(x.Server)
-	y, ok := g.pick(now, c)
+	c := d.backupDemand(x.Server)
+	y, ok := g.pickEngine(now, c)
 	if !ok {
 		return p
 	}
-	p.copy = y.Name
-	if r := g.assign(now, c, y.Server); r != nil {
+	p.backupName = y.Name
+	if r := g.reserveOrGrant(now, c, y.Server); r != nil {
 		p.backup = &backup{server: y.Server, reservation: r}
 	}
 	return p
 }
 
-// assign counts a demand's load for its holder: as an own reservation, or as a
-// grant, for which there is none. The mutex is held.
-func (g *Gateway) assign(now time.Time, d demand, s roster.Server) *reservation {
+// reserveOrGrant counts the load of a demand: as a reservation of this entry VM, or as a grant
+// to a peer, where the result is nil. The mutex is held.
+func (g *Gateway) reserveOrGrant(now time.Time, d demand, s roster.Server) *reservation {
 	if d.recipient != nil {
 		g.picker.EngineLoads.Grant(now, *d.recipient, s.Name, d.load())
 		if d.load().Requests > 0 {
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -26,94 +26,97 @@
 // eventGap is the time between two events of a fake engine.
 const eventGap = 30 * time.Millisecond
 
-// routeAim is the time in which an answer is good.
-const routeAim = 100 * time.Millisecond
+// latencyTarget is the latency target of the test routes.
+const latencyTarget = 100 * time.Millisecond
 
-// gapAim is the longest good pause of a stream.
-const gapAim = 180 * time.Millisecond
+// gapTarget is the longest gap between two events that is in time.
+const gapTarget = 180 * time.Millisecond
 
-// copyTime is what the first copy of a run takes, and restTime a later one.
+// firstCopyTime is what the first copy of a run takes, and laterCopyTime a later one.
 const (
-	copyTime = 300 * time.Millisecond
-	restTime = 10 * time.Millisecond
+	firstCopyTime = 300 * time.Millisecond
+	laterCopyTime = 10 * time.Millisecond
 )
 
-// fakeRun is one generation, wherever it runs.
+// fakeRun is one generation, at whichever server it runs.
 type fakeRun struct {
-	total   int
-	made    int
-	server  string
-	stopped bool
+	total    int
+	produced int
+	server   string
+	stopped  bool
 }
 
-// fake stands for all backend servers.
-type fake struct {
+// fakeServers stands in for all backend servers.
+type fakeServers struct {
 	mutex sync.Mutex
-	// answers scripts plain servers: what each send gets, in order.
+	// answers scripts plain servers: the status or error of each send, in order.
 	answers map[string][]any
 	sends   []string
 	runs    map[string]*fakeRun
 	dead    map[string]bool
-	// full targets refuse copies; handles names the copies that are held.
+	// full targets refuse copies; handles maps the handles of copies to the servers that hold
+	// them.
 	full    map[string]bool
 	handles map[string]string
 	copies  int
-	missing int
-	// hang makes copies take longer than any notice.
-	hang     bool
-	released []string
-	closed   int
-	total    int
-	leaves   map[string]bool
-	// stops names the servers that stopped runs, by handle: they keep the memory too.
-	stops map[string]string
-	// turnsAway servers turn each request away and ask for rest.
-	turnsAway map[string]bool
-	// signals are what servers say of themselves in their reports.
+	// notBegun is how many more copies are refused because the run has not begun.
+	notBegun int
+	// hangCopies makes copies take longer than any notice of a leaving server.
+	hangCopies bool
+	released   []string
+	closed     int
+	total      int
+	leaves     map[string]bool
+	// stoppedAt maps the handles of stopped runs to their source servers, which hold the memory
+	// as well.
+	stoppedAt map[string]string
+	// refuses names the servers that refuse each request and ask for a backoff.
+	refuses map[string]bool
+	// signals are sent by servers in their reports.
 	signals map[string]port.Signals
-	// born is when the life that answers at a server began.
+	// born is the start of the incarnation that answers at a server.
 	born map[string]api.Birth
-	// dark servers say nothing, while their connections stay open; mute ones go
-	// on and are asked in vain over the connections that are open, which lack the
-	// newest events, ahead of them.
-	dark  map[string]bool
-	mute  map[string]bool
-	ahead int
-	// gap is the time between two events, reports counts the questions.
+	// silent servers send nothing, while their connections stay open. Servers with
+	// silentStreams answer queries and produce events, but nothing arrives over the streams
+	// that are open. ahead is how many more events a report counts than arrived.
+	silent        map[string]bool
+	silentStreams map[string]bool
+	ahead         int
+	// gap is the time between two events; reports counts the queries.
 	gap     time.Duration
 	reports int
-	// waiting lets bytes wait on connections that nothing is read from.
+	// waiting makes a stream report unread bytes.
 	waiting bool
-	// log takes the gateway's lines.
+	// log takes the gateway's log lines.
 	log *event.Log
-	// backups lets servers keep copies of runs as they grow.
+	// backups lets servers hold backup copies of runs.
 	backups bool
-	// lefts are the times that servers were given, in order; lead is by how much the
-	// boot clock is ahead.
-	lefts []time.Duration
-	lead  time.Duration
+	// timesLeft are the times left that were sent to servers, in order. bootAhead is by how
+	// much the boot clock is ahead of the ordinary clock.
+	timesLeft []time.Duration
+	bootAhead time.Duration
 }
 
-func newFake() *fake {
-	return &fake{
+func newFakeServers() *fakeServers {
+	return &fakeServers{
 		answers: map[string][]any{}, runs: map[string]*fakeRun{}, dead: map[string]bool{},
-		full: map[string]bool{}, handles: map[string]string{}, leaves: map[string]bool{}, signals: map[string]port.Signals{}, stops: map[string]string{}, turnsAway: map[string]bool{}, born: map[string]api.Birth{}, dark: map[string]bool{}, mute: map[string]bool{}, gap: eventGap, total: 20, log: event.Discard(),
+		full: map[string]bool{}, handles: map[string]string{}, leaves: map[string]bool{}, signals: map[string]port.Signals{}, stoppedAt: map[string]string{}, refuses: map[string]bool{}, born: map[string]api.Birth{}, silent: map[string]bool{}, silentStreams: map[string]bool{}, gap: eventGap, total: 20, log: event.Discard(),
 	}
 }
 
-// boot reads the clock that goes on while the VM is suspended.
-func (f *fake) boot() time.Time {
+// boot reads a clock that runs on while the VM is suspended.
+func (f *fakeServers) boot() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return time.Now().Add(f.lead)
+	return time.Now().Add(f.bootAhead)
 }
 
-func (f *fake) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
+func (f *fakeServers) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	n := string(a.Server.Name)
 	f.sends = append(f.sends, n)
-	f.lefts = append(f.lefts, a.Timeout)
+	f.timesLeft = append(f.timesLeft, a.Timeout)
 	if l := f.answers[n]; len(l) > 0 {
 		f.answers[n] = l[1:]
 		if err, ok := l[0].(error); ok {
@@ -122,28 +125,28 @@
 		return port.Answer{Head: port.Head{Status: l[0].(int)}, Body: []byte(n)}, nil
 	}
 	if f.dead[n] {
-		return port.Answer{}, fault.New(fault.NotStarted, "dead")
+		return port.Answer{}, fault.New(fault.NotStarted, "server crashed")
 	}
-	if f.turnsAway[n] {
-		return port.Answer{Signals: port.Signals{Answered: true, BackoffRequested: true, Backoff: time.Minute}}, fault.New(fault.ServerRefused, "shed")
+	if f.refuses[n] {
+		return port.Answer{Signals: port.Signals{Answered: true, BackoffRequested: true, Backoff: time.Minute}}, fault.New(fault.ServerRefused, "load shed")
 	}
 	return f.open(ctx, a)
 }
 
 // sent counts the sends so far.
-func (f *fake) sent() int {
+func (f *fakeServers) sent() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return len(f.sends)
 }
 
 // open starts or resumes a run; the mutex is held.
-func (f *fake) open(ctx context.Context, a port.Attempt) (port.Answer, error) {
+func (f *fakeServers) open(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	n, id := string(a.Server.Name), string(a.Request.ID)
 	r := f.runs[id]
 	after := 0
 	if x := a.Resume; x != nil {
-		if f.handles[x.Handle] != n && f.stops[x.Handle] != n {
+		if f.handles[x.Handle] != n && f.stoppedAt[x.Handle] != n {
 			return port.Answer{}, fault.New(fault.ServerRefused, "no such copy")
 		}
 		after, _ = strconv.Atoi(x.LastEventID)
@@ -162,7 +165,7 @@
 }
 
 type fakeStream struct {
-	fake   *fake
+	fake   *fakeServers
 	run    *fakeRun
 	server string
 	next   int
@@ -189,12 +192,12 @@
 	defer s.fake.mutex.Unlock()
 	switch {
 	case s.run.stopped || s.fake.dead[s.server] || s.run.server != s.server:
-		return port.Event{}, fault.New(fault.GenerationLost, "broke off")
+		return port.Event{}, fault.New(fault.GenerationLost, "connection broken")
 	case s.next > s.run.total:
 		return port.Event{}, io.EOF
 	}
 	id := strconv.Itoa(s.next)
-	s.run.made = max(s.run.made, s.next)
+	s.run.produced = max(s.run.produced, s.next)
 	s.next++
 	return port.Event{ID: id, Bytes: []byte("id: " + id + "\n\n")}, nil
 }
@@ -205,11 +208,11 @@
 	return s.fake.waiting
 }
 
-// silent reports whether nothing comes over this connection any more.
+// silent reports whether nothing arrives over this connection any more.
 func (s *fakeStream) silent() bool {
 	s.fake.mutex.Lock()
 	defer s.fake.mutex.Unlock()
-	return s.fake.dark[s.server] || s.fake.mute[s.server]
+	return s.fake.silent[s.server] || s.fake.silentStreams[s.server]
 }
 
 func (s *fakeStream) Close() {
@@ -221,74 +224,74 @@
 	})
 }
 
-func (f *fake) Copy(_ context.Context, o port.CopyRequest) (port.Copy, error) {
+func (f *fakeServers) Copy(_ context.Context, o port.CopyRequest) (port.Copy, error) {
 	f.mutex.Lock()
 	first := f.copies == 0
-	if f.missing > 0 {
-		f.missing--
+	if f.notBegun > 0 {
+		f.notBegun--
 		f.mutex.Unlock()
-		return port.Copy{}, fault.New(fault.NotFound, "not begun")
+		return port.Copy{}, fault.New(fault.NotFound, "run not started")
 	}
-	hang := f.hang
+	hangs := f.hangCopies
 	f.mutex.Unlock()
 	switch {
-	case hang:
+	case hangs:
 		time.Sleep(3 * time.Second)
 	case first:
-		time.Sleep(copyTime)
+		time.Sleep(firstCopyTime)
 	default:
-		time.Sleep(restTime)
+		time.Sleep(laterCopyTime)
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	r := f.runs[string(o.Request)]
 	switch {
 	case f.dead[string(o.Source.Name)]:
-		return port.Copy{}, fault.New(fault.OutcomeUnknown, "dead")
+		return port.Copy{}, fault.New(fault.OutcomeUnknown, "server crashed")
 	case r == nil || r.server != string(o.Source.Name) || r.stopped:
 		return port.Copy{}, fault.New(fault.NotFound, "no such run")
 	case f.full[string(o.Target.Name)]:
-		return port.Copy{}, fault.New(fault.ServerRefused, "no room")
+		return port.Copy{}, fault.New(fault.ServerRefused, "no capacity")
 	}
 	f.copies++
 	h := "h-" + string(o.Target.Name)
 	f.handles[h] = string(o.Target.Name)
 	if o.StopSource {
 		r.stopped = true
-		f.stops[h] = string(o.Source.Name)
+		f.stoppedAt[h] = string(o.Source.Name)
 	}
 	return port.Copy{Handle: h}, nil
 }
 
-func (f *fake) Report(ctx context.Context, s roster.Server, _ bool) (port.Report, error) {
+func (f *fakeServers) Report(ctx context.Context, s roster.Server, _ bool) (port.Report, error) {
 	n := string(s.Name)
 	f.mutex.Lock()
-	dark := f.dark[n]
+	dark := f.silent[n]
 	f.reports++
 	f.mutex.Unlock()
 	if dark {
 		<-ctx.Done()
-		return port.Report{}, fault.Wrap(fault.NotStarted, ctx.Err(), "dark")
+		return port.Report{}, fault.Wrap(fault.NotStarted, ctx.Err(), "server silent")
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	p := port.Report{Leaving: f.leaves[n], Birth: f.born[n], EventCounts: map[api.RequestID]int{}, Signals: f.signals[n]}
 	for id, r := range f.runs {
 		if r.server == n {
-			p.EventCounts[api.RequestID(id)] = r.made + f.ahead
+			p.EventCounts[api.RequestID(id)] = r.produced + f.ahead
 		}
 	}
 	return p, nil
 }
 
-func (f *fake) ReleaseCopy(_ context.Context, _ roster.Server, handle string) (port.Signals, error) {
+func (f *fakeServers) ReleaseCopy(_ context.Context, _ roster.Server, handle string) (port.Signals, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.released = append(f.released, handle)
 	return port.Signals{}, nil
 }
 
-// caller collects one answer.
+// caller collects the answer of one request.
 type caller struct {
 	mutex   sync.Mutex
 	status  int
@@ -315,8 +318,8 @@
 	c.aborted = true
 }
 
-// broken reports whether the answer was broken off.
-func (c *caller) broken() bool {
+// wasAborted reports whether the answer was aborted.
+func (c *caller) wasAborted() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.aborted
@@ -328,7 +331,7 @@
 	c.fault = f
 }
 
-// refused gives the refusal so far, nil for none.
+// refused returns the refusal so far, nil for none.
 func (c *caller) refused() *fault.Error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -345,8 +348,8 @@
 	return nil
 }
 
-// leave makes the caller go away before its next event.
-func (c *caller) leave() {
+// disconnect makes the next event fail as if the caller had closed its connection.
+func (c *caller) disconnect() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.gone = true
@@ -358,8 +361,9 @@
 	return len(c.ids)
 }
 
-// whole reports whether the caller has events 1 to n, once each and in order.
-func (c *caller) whole(n int) bool {
+// complete reports whether the caller got the events 1 to n once each and in order, and the
+// end.
+func (c *caller) complete(n int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.ids) != n || !c.ended || c.aborted {
@@ -373,27 +377,27 @@
 	return true
 }
 
-// bed is a gateway over fake servers.
-type bed struct {
+// testGateway is a gateway in front of fake servers.
+type testGateway struct {
 	*gateway.Gateway
-	fake    *fake
+	fake    *fakeServers
 	version api.Version
 }
 
-// newBed makes a gateway that knows a stream route and plain ones, and two
-// engines and two plain servers.
-func newBed(t *testing.T, f *fake, slack float64) *bed {
+// newTestGateway makes a gateway with a stream route and plain routes, two engines and two
+// plain servers.
+func newTestGateway(t *testing.T, f *fakeServers, slack float64) *testGateway {
 	t.Helper()
 	g, closer := duty.New(context.Background())
 	t.Cleanup(closer)
-	b := &bed{fake: f, Gateway: gateway.New(gateway.Parts{
+	b := &testGateway{fake: f, Gateway: gateway.New(gateway.Options{
 		Deadlines: clock.NewDeadlines(f.boot),
 		Domain:    "x", Backends: f, Group: g, Log: f.log, Metrics: metric.New(),
 		Retries: retry.NewWindows(10*time.Second, 0, slack),
 	})}
 	e := &directory.Engine{Slots: 24, Memory: 34000, SupportsMoves: true, SupportsBackups: f.backups, TokensPerEvent: 4}
 	route := func(p string, k directory.Kind, s api.ServiceName) directory.Route {
-		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, LatencyTarget: routeAim, GapTarget: gapAim, MaxServers: 2, Targets: []directory.Target{{Service: s, Weight: 1}}}
+		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, LatencyTarget: latencyTarget, GapTarget: gapTarget, MaxServers: 2, Targets: []directory.Target{{Service: s, Weight: 1}}}
 	}
 	timeless := route("/timeless/", directory.Unsafe, "plain")
 	timeless.Timeout = 0
@@ -408,8 +412,8 @@
 	return b
 }
 
-// servers declares servers by name and whether they are draining.
-func (b *bed) servers(m map[string]bool) {
+// servers declares servers by name; the value tells whether a server is draining.
+func (b *testGateway) servers(m map[string]bool) {
 	var l []roster.Server
 	for n, d := range m {
 		l = append(l, server(n, "x", d))
@@ -417,7 +421,7 @@
 	b.serve(l)
 }
 
-// server is one in a failure domain; an engine's name begins with e.
+// server makes a server in a failure domain. It is an engine if its name begins with e.
 func server(n string, d api.DomainName, draining bool) roster.Server {
 	v := api.ServiceName("plain")
 	if n[0] == 'e' {
@@ -427,17 +431,17 @@
 }
 
 // serve declares servers.
-func (b *bed) serve(l []roster.Server) {
+func (b *testGateway) serve(l []roster.Server) {
 	b.version++
 	s := replica.Snapshot[roster.Server]{At: b.version}
 	for _, x := range l {
 		s.Items = append(s.Items, replica.Object[roster.Server]{Name: string(x.Name), Value: x})
 	}
-	b.Serve(s)
+	b.UpdateServers(s)
 }
 
 // notice declares that one of the two engines is leaving.
-func (b *bed) notice(engine string) {
+func (b *testGateway) notice(engine string) {
 	b.servers(map[string]bool{engine: true, other(engine): false})
 }
 
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -15,27 +15,27 @@
 	"github.com/wardridge/wardridge/internal/gateway"
 )
 
-// elsewhere is the entry VM that allocates the engines of another failure domain.
-const elsewhere = "elsewhere"
+// remoteAllocator is the entry VM that allocates the engines of another failure domain.
+const remoteAllocator = "elsewhere"
 
-// way is the time of a message between two entry VMs.
-const way = time.Millisecond
+// messageDelay is the time of a message between two entry VMs.
+const messageDelay = time.Millisecond
 
-// fleetLoad is many entry VMs, of which the first two may allocate the engines.
+// fleetLoad is a load on many entry VMs, of which the first two may allocate the engines.
 type fleetLoad struct {
 	*load
 
 	mutex sync.Mutex
-	// silent VMs answer nobody.
+	// silent VMs answer no messages.
 	silent map[string]bool
-	// asked counts the asks to each VM.
-	asked map[string]int
+	// placeRequests counts the place requests to each VM.
+	placeRequests map[string]int
 }
 
-// newFleet makes so many entry VMs.
+// newFleet makes a number of entry VMs.
 func newFleet(t *testing.T, seed uint64, vms int) *fleetLoad {
 	t.Helper()
-	f := &fleetLoad{silent: map[string]bool{}, asked: map[string]int{}}
+	f := &fleetLoad{silent: map[string]bool{}, placeRequests: map[string]int{}}
 	var l []gateway.Peers
 	for i := range vms {
 		l = append(l, fleetPeers{fleet: f, self: strconv.Itoa(i)})
@@ -44,18 +44,17 @@
 	return f
 }
 
-func (f *fleetLoad) silence(vm string, silent bool) {
+func (f *fleetLoad) setSilent(vm string, silent bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.silent[vm] = silent
 }
 
-// reach is the way to a VM; it takes until the caller gives up where that is
-// silent.
+// reach sends a message to a VM. To a silent one it blocks until the sender's timeout.
 func (f *fleetLoad) reach(ctx context.Context, vm string) (*gateway.Gateway, error) {
-	duty.Sleep(ctx, way)
+	duty.Sleep(ctx, messageDelay)
 	f.mutex.Lock()
-	s := f.silent[vm] || strings.HasPrefix(vm, elsewhere)
+	s := f.silent[vm] || strings.HasPrefix(vm, remoteAllocator)
 	f.mutex.Unlock()
 	if s {
 		<-ctx.Done()
@@ -68,7 +67,7 @@
 	return f.vms[i], nil
 }
 
-// fleetPeers are what one VM sees of the others.
+// fleetPeers are the peers of one VM.
 type fleetPeers struct {
 	fleet *fleetLoad
 	self  string
@@ -76,8 +75,8 @@
 
 func (p fleetPeers) Allocators(d api.DomainName) []string {
 	if d != "x" {
-		// The allocators of other failure domains are VMs that answer nobody.
-		return []string{elsewhere, elsewhere + "-2"}
+		// The allocators of other failure domains never answer.
+		return []string{remoteAllocator, remoteAllocator + "-2"}
 	}
 	l := []string{"0", "1"}
 	for i := range l {
@@ -88,9 +87,9 @@
 	return l
 }
 
-func (p fleetPeers) Ask(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
+func (p fleetPeers) Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	p.fleet.mutex.Lock()
-	p.fleet.asked[address]++
+	p.fleet.placeRequests[address]++
 	p.fleet.mutex.Unlock()
 	g, err := p.fleet.reach(ctx, address)
 	if err != nil {
@@ -98,7 +97,7 @@
 	}
 	x, err := g.Place(ctx, a)
 	if ctx.Err() != nil {
-		// Who has given up gets no answer.
+		// The client has given up, so no answer reaches it.
 		return api.PlaceAnswer{}, fault.New(fault.OutcomeUnknown, "no answer in time")
 	}
 	return x, err
@@ -121,8 +120,8 @@
 	return nil
 }
 
-// playFleet plays a load against so many entry VMs in virtual time; during plays
-// beside it.
+// playFleet plays a load against a number of entry VMs in virtual time, while during runs
+// alongside.
 func playFleet(t *testing.T, seed uint64, vms int, x float64, during func(f *fleetLoad)) []tally {
 	t.Helper()
 	var got []tally
@@ -138,88 +137,92 @@
 	return got
 }
 
-func calm(*fleetLoad) {}
+// undisturbed is for a load without faults.
+func undisturbed(*fleetLoad) {}
 
-// sum adds up what callers of both kinds got.
-func sum(l []tally) (inAim, late, asked int) {
+// sum adds up the results of all kinds.
+func sum(l []tally) (inTime, late, requests int) {
 	for _, t := range l {
-		inAim += t.inAim
+		inTime += t.inTime
 		late += t.late
-		asked += t.asked
+		requests += t.requests
 	}
-	return inAim, late, asked
+	return inTime, late, requests
 }
 
-// Many entry VMs that each see a few requests give callers what one that sees all would.
-func TestManyEntryVMsPlaceAsOne(t *testing.T) {
+// Many entry VMs that see few requests each must serve callers about as well as one that sees
+// all.
+func TestManyEntryVMsPlaceAsWellAsOne(t *testing.T) {
 	for _, x := range []float64{1, 2.2} {
 		var one, many []tally
 		for seed := range uint64(3) {
 			one = append(one, playLoad(t, 3+seed, x)...)
-			many = append(many, playFleet(t, 3+seed, 40, x, calm)...)
+			many = append(many, playFleet(t, 3+seed, 40, x, undisturbed)...)
 		}
-		wantInAim, wantLate, asked := sum(one)
-		gotInAim, gotLate, _ := sum(many)
-		if want := wantInAim * 9 / 10; gotInAim < want {
-			t.Errorf("at %.1f: got %d answers in time, want at least %d, nine tenths of what one entry VM gives", x, gotInAim, want)
+		wantInTime, wantLate, requests := sum(one)
+		gotInTime, gotLate, _ := sum(many)
+		if want := wantInTime * 9 / 10; gotInTime < want {
+			t.Errorf("at %.1f times the load: got %d answers in time, want at least %d, nine tenths of those of one entry VM", x, gotInTime, want)
 		}
-		if want := wantLate + asked/20; gotLate > want {
-			t.Errorf("at %.1f: got %d late, want at most %d", x, gotLate, want)
+		if want := wantLate + requests/20; gotLate > want {
+			t.Errorf("at %.1f times the load: got %d late answers, want at most %d", x, gotLate, want)
 		}
 	}
 }
 
-// While the VM that allocates is silent, as when it is frozen, the next one does.
-func TestAllocatorFallsSilentAndWakes(t *testing.T) {
+// While the allocating VM is silent, as when it is frozen, the standby allocates.
+func TestStandbyAllocatesWhileAllocatorIsSilent(t *testing.T) {
 	got := playFleet(t, 4, 40, 1, func(f *fleetLoad) {
 		time.Sleep(8 * time.Second)
-		f.silence("0", true)
+		f.setSilent("0", true)
 		time.Sleep(8 * time.Second)
-		f.silence("0", false)
+		f.setSilent("0", false)
 	})
 	for i, k := range kinds {
-		if n := got[i].failed + got[i].refused; n > got[i].asked/50 {
-			t.Errorf("%s: got %d failed or refused of %d, want at most a fiftieth", k.path, n, got[i].asked)
+		if n := got[i].failed + got[i].refused; n > got[i].requests/50 {
+			t.Errorf("%s: got %d failed or refused of %d, want at most a fiftieth", k.path, n, got[i].requests)
 		}
-		if n := got[i].late; n > got[i].asked/8 {
-			t.Errorf("%s: got %d late of %d, want at most an eighth", k.path, n, got[i].asked)
+		if n := got[i].late; n > got[i].requests/8 {
+			t.Errorf("%s: got %d late of %d, want at most an eighth", k.path, n, got[i].requests)
 		}
 	}
 }
 
-// Where no VM that allocates answers, each places by what it knows.
-func TestEntryVMsPlaceAloneWhereNobodyAllocates(t *testing.T) {
+// When no allocator answers, each VM places requests by the loads that it knows itself.
+func TestEntryVMsPlaceAloneWhenNoAllocatorAnswers(t *testing.T) {
 	got := playFleet(t, 5, 10, 0.5, func(f *fleetLoad) {
-		f.silence("0", true)
-		f.silence("1", true)
+		f.setSilent("0", true)
+		f.setSilent("1", true)
 	})
 	for i, k := range kinds {
 		if n := got[i].failed + got[i].refused; n > 0 {
-			t.Errorf("%s: got %d failed or refused of %d, want none", k.path, n, got[i].asked)
+			t.Errorf("%s: got %d failed or refused of %d, want none", k.path, n, got[i].requests)
 		}
 	}
 }
 
-// An engine that takes no connection is empty, and must not be chosen for it.
-func TestEngineThatDiesIsLeftAlone(t *testing.T) {
+// An engine that accepts no connections has no load, and must not be chosen for that.
+func TestUnreachableEngineIsAvoided(t *testing.T) {
 	got := playFleet(t, 6, 40, 1, func(f *fleetLoad) {
 		time.Sleep(8 * time.Second)
-		f.engines.kill("e0", true)
+		f.engines.setDead("e0", true)
 		time.Sleep(8 * time.Second)
-		f.engines.kill("e0", false)
+		f.engines.setDead("e0", false)
 	})
 	n := 0
 	for _, x := range got {
 		n += x.refused + x.failed
 	}
-	// The pauses after losses in a row add up to 8 s after six of them; some more
+	// The cooldowns after losses in a row add up to 8 s after six of them; some more
 	// requests are under way before the first loss is known.
 	if want := 12; n > want {
 		t.Errorf("got %d requests refused or failed, want at most %d", n, want)
 	}
 }
 
-func TestSilentDomainDoesNotSilenceItsNeighbour(t *testing.T) {
+// An allocator that forwards requests to a silent failure domain must still answer in time, or
+// its peers would take it for silent too and go to the standby.
+func TestForwardToSilentDomainKeepsAllocatorInUse(t *testing.T) {
 	var first, second int
 	playFleet(t, 7, 40, 4, func(f *fleetLoad) {
 		for range 60 {
@@ -230,9 +233,9 @@
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		first, second = f.asked["0"], f.asked["1"]
+		first, second = f.placeRequests["0"], f.placeRequests["1"]
 	})
 	if first == 0 || second > 0 {
-		t.Errorf("asks to the first and second hub: got %d and %d, want all to the first", first, second)
+		t.Errorf("place requests to the first and second allocator: got %d and %d, want all to the first", first, second)
 	}
 }
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -10,7 +10,7 @@
 )
 
 // declareIncarnations declares engines by id and by the birth of their current incarnation.
-func (b *bed) declareIncarnations(born map[string]api.Birth) {
+func (b *testGateway) declareIncarnations(born map[string]api.Birth) {
 	var l []roster.Server
 	for n, at := range born {
 		x := server(n, "x", false)
@@ -27,18 +27,18 @@
 func TestRunsOfARestartedServerResumeOrEndAtOnce(t *testing.T) {
 	for _, copied := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFake()
+			f := newFakeServers()
 			f.backups, f.total = copied, 40
-			b := newBed(t, f, 0)
+			b := newTestGateway(t, f, 0)
 			b.declareIncarnations(map[string]api.Birth{"e1": 1, "e2": 1})
-			c := b.begin("r", time.Minute)
+			c := b.startRequest("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
 			}
 			at := f.sends[0]
 			o := other(at[:2])
 			f.mutex.Lock()
-			f.mute[at] = true
+			f.silentStreams[at] = true
 			f.mutex.Unlock()
 			b.declareIncarnations(map[string]api.Birth{at[:2]: 2, o: 1})
 			// Well before the stream counts as silent.
@@ -46,14 +46,14 @@
 			if got, want := f.sent() == 2, copied; got != want {
 				t.Errorf("backup copy %v: got resumed %v, want %v", copied, got, want)
 			}
-			if c.broken() == copied {
-				t.Errorf("backup copy %v: got broken off %v, want %v", copied, c.broken(), !copied)
+			if c.wasAborted() == copied {
+				t.Errorf("backup copy %v: got broken off %v, want %v", copied, c.wasAborted(), !copied)
 			}
 			time.Sleep(time.Minute)
-			if copied && !c.whole(f.total) {
+			if copied && !c.complete(f.total) {
 				t.Errorf("events: got %v ended %v, want all events and an end", c.ids, c.ended)
 			}
-			if l := b.Held(); len(l) != 0 {
+			if l := b.LocalLoads(); len(l) != 0 {
 				t.Errorf("loads at the end: got %v, want none", l)
 			}
 		})
@@ -65,16 +65,16 @@
 func TestSilentServerReportsItsRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFake()
+			f := newFakeServers()
 			f.total = 40
-			b := newBed(t, f, 0)
+			b := newTestGateway(t, f, 0)
 			b.declareIncarnations(map[string]api.Birth{"e1": 1})
-			c := b.begin("r", time.Minute)
+			c := b.startRequest("r", time.Minute)
 			for c.count() < 9 {
 				time.Sleep(eventGap)
 			}
 			f.mutex.Lock()
-			f.mute["e1@1"], f.born["e1@1"] = true, 2
+			f.silentStreams["e1@1"], f.born["e1@1"] = true, 2
 			delete(f.runs, "r")
 			f.mutex.Unlock()
 			began := time.Now()
@@ -83,11 +83,11 @@
 				b.declareIncarnations(map[string]api.Birth{"e1": 2})
 				b.declareIncarnations(map[string]api.Birth{"e1": 1})
 			}
-			for !c.broken() && time.Since(began) < 10*time.Second {
+			for !c.wasAborted() && time.Since(began) < 10*time.Second {
 				time.Sleep(time.Millisecond)
 			}
-			if got := time.Since(began); got > 2*gapAim {
-				t.Errorf("restart known %v: got the stream broken off after %v, want it within %v", known, got, 2*gapAim)
+			if got := time.Since(began); got > 2*gapTarget {
+				t.Errorf("restart known %v: got the stream broken off after %v, want it within %v", known, got, 2*gapTarget)
 			}
 		})
 	}
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -70,8 +70,8 @@
 	}
 	l.mutex.Unlock()
 	for _, v := range l.vms {
-		v.Away(false)
-		v.Serve(s)
+		v.SetStoreDown(false)
+		v.UpdateServers(s)
 	}
 }
 
@@ -83,8 +83,8 @@
 			l := newLoad(t, seed)
 			l.group.Go(l.reclaimEngines)
 			for i, k := range l.play(t, x) {
-				got[i].asked += k.asked
-				got[i].inAim += k.inAim
+				got[i].requests += k.requests
+				got[i].inTime += k.inTime
 				got[i].late += k.late
 				got[i].refused += k.refused
 				got[i].failed += k.failed
@@ -105,7 +105,7 @@
 	}{{1.2, 20}, {1.4, 50}} {
 		got := playWithReclaims(t, c.x)[0]
 		if n := got.late + got.refused; n > c.maxMissed {
-			t.Errorf("at %.1f times the load: got %d of %d long answers late or refused, want at most %d", c.x, n, got.asked, c.maxMissed)
+			t.Errorf("at %.1f times the load: got %d of %d long answers late or refused, want at most %d", c.x, n, got.requests, c.maxMissed)
 		}
 	}
 }
--- /dev/null
+++ b/internal/gateway/leaving.go
@@ -0,0 +1,100 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/wardridge/wardridge/internal/api"
+	"github.com/wardridge/wardridge/internal/decide/roster"
+	"github.com/wardridge/wardridge/internal/event"
+	"github.com/wardridge/wardridge/internal/port"
+)
+
+// queryTimeout bounds one query of a server. It equals the interval between queries.
+const queryTimeout = 250 * time.Millisecond
+
+// QueryLeaving asks the servers that run streams of this entry VM whether they are leaving. It
+// is for an entry VM that learns of it neither from the platform nor from peers.
+func (g *Gateway) QueryLeaving() {
+	for _, s := range g.serversWithRuns() {
+		g.Group.Go(func(ctx context.Context) error {
+			g.queryServer(ctx, s)
+			return nil
+		})
+	}
+}
+
+// serversWithRuns lists the servers that run streams of this entry VM and are not known to
+// leave.
+func (g *Gateway) serversWithRuns() []roster.Server {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	var l []roster.Server
+	for n := range g.runs {
+		if m, ok := g.roster.Find(n); ok && !m.State.Departing() {
+			l = append(l, m.Server)
+		}
+	}
+	return l
+}
+
+func (g *Gateway) queryServer(ctx context.Context, s roster.Server) {
+	c, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	p, err := g.Backends.Report(c, s, false)
+	g.handleReport(s, p, err)
+}
+
+// handleReport takes what a server reports of itself, or logs that it did not answer.
+func (g *Gateway) handleReport(s roster.Server, p port.Report, err error) {
+	if err != nil {
+		g.Log.Emit(event.ServerUnreachable, zap.String("server", string(s.Name)), zap.Error(err))
+		return
+	}
+	if s.SupersededBy(p.Birth) {
+		g.handleRestart(s.Name)
+		return
+	}
+	if p.Leaving {
+		g.NoteLeaving([]api.ServerName{s.Name})
+	}
+}
+
+// handleRestart ends the runs of a server that has started again. Runs that were sent to its
+// old incarnation after the restart was known are ended as well.
+func (g *Gateway) handleRestart(n api.ServerName) {
+	g.mutex.Lock()
+	m, ok := g.roster.End(time.Now(), n)
+	g.mutex.Unlock()
+	if ok {
+		g.applyChanges([]roster.Member{m})
+		return
+	}
+	for _, r := range g.allRuns() {
+		if r.currentServer().Name == n {
+			g.watchdog.closeStreams(r)
+		}
+	}
+}
+
+// NoteLeaving marks servers as leaving that announced it to this entry VM or a peer.
+func (g *Gateway) NoteLeaving(l []api.ServerName) {
+	var c []roster.Member
+	g.mutex.Lock()
+	for _, n := range l {
+		if m, ok := g.roster.MarkLeaving(time.Now(), n); ok {
+			c = append(c, m)
+		}
+	}
+	g.mutex.Unlock()
+	g.applyChanges(c)
+}
+
+// Leaving lists the servers that announced themselves that they are leaving.
+func (g *Gateway) Leaving() []api.ServerName {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.roster.AnnouncedLeaving()
+}
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -27,8 +27,8 @@
 	"github.com/wardridge/wardridge/internal/standin/batch"
 )
 
-// engineOptions size an engine whose steps read a piece of one prompt and write
-// a token of every run.
+// engineOptions configure an engine whose steps read a chunk of one prompt and write one token
+// of every run.
 func engineOptions() batch.Options {
 	return batch.Options{
 		KVTokens: 34000, MaxBatch: 24, PrefillChunk: 112, StepBase: 7 * time.Millisecond,
@@ -36,10 +36,10 @@
 	}
 }
 
-// stride is the number of tokens in one event.
+// stride is the number of tokens per event.
 const stride = 4
 
-// engine steps one model in virtual time.
+// engine runs the steps of one model in virtual time.
 type engine struct {
 	mutex   sync.Mutex
 	model   *batch.Model
@@ -47,7 +47,7 @@
 	wake    chan struct{}
 }
 
-// loop steps while there is work.
+// loop runs steps while there is work.
 func (e *engine) loop(ctx context.Context) error {
 	for {
 		e.mutex.Lock()
@@ -89,18 +89,18 @@
 	}
 }
 
-// engines stand for all model servers.
+// engines stand in for all model servers.
 type engines struct {
 	all   map[string]*engine
 	mutex sync.Mutex
-	// length is the true length of each answer, in tokens.
+	// length is the true length of the answer of each request, in tokens.
 	length map[api.RequestID]api.Tokens
-	// dead engines take no connection.
+	// dead engines refuse connections.
 	dead map[string]bool
 }
 
-// kill lets an engine take no connection, or take them again.
-func (e *engines) kill(n string, dead bool) {
+// setDead makes an engine refuse connections, or accept them again.
+func (e *engines) setDead(n string, dead bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.dead[n] = dead
@@ -130,7 +130,7 @@
 }
 
 func (e *engines) Copy(context.Context, port.CopyRequest) (port.Copy, error) {
-	return port.Copy{}, fault.New(fault.NotFound, "no copies here")
+	return port.Copy{}, fault.New(fault.NotFound, "the engines make no copies")
 }
 
 func (e *engines) Report(context.Context, roster.Server, bool) (port.Report, error) {
@@ -173,31 +173,31 @@
 	})
 }
 
-// kind is one kind of request of the load.
-type kind struct {
-	path    string
-	prompt  api.Tokens
-	answer  float64
-	perS    float64
-	aim     time.Duration
-	patient time.Duration
+// requestKind is one kind of request in the load.
+type requestKind struct {
+	path      string
+	prompt    api.Tokens
+	answer    float64
+	perSecond float64
+	target    time.Duration
+	timeout   time.Duration
 }
 
-// kinds are long and short answers of one service, the short ones first in rank,
-// at a load that the engines carry with ease.
-var kinds = []kind{
+// kinds are requests for long and for short answers of one service, the short ones of higher
+// rank. The engines carry this load with ease.
+var kinds = []requestKind{
 	{"/long/", 3000, 900, 3.3, 1800 * time.Millisecond, 39 * time.Second},
 	{"/short/", 2500, 12, 4.6, 1500 * time.Millisecond, 6 * time.Second},
 }
 
-// tally counts what callers of one kind got.
+// tally counts the results of the callers of one kind.
 type tally struct {
-	asked, inAim, late, refused, failed int
-	// slowRefusals were answered later than an eighth of the aim.
+	requests, inTime, late, refused, failed int
+	// slowRefusals arrived later than an eighth of the latency target.
 	slowRefusals int
 }
 
-// load plays callers against the gateways of some entry VMs.
+// load sends the requests of callers to the gateways of some entry VMs.
 type load struct {
 	vms     []*gateway.Gateway
 	metrics *metric.Set
@@ -215,13 +215,13 @@
 	loadTime    = 30 * time.Second
 )
 
-// newLoad makes a gateway before engines that no request has reached.
+// newLoad makes a gateway in front of engines without load.
 func newLoad(t *testing.T, seed uint64) *load {
 	t.Helper()
 	return newFleetLoad(t, seed, []gateway.Peers{nil})
 }
 
-// newFleetLoad makes a gateway for each of some peers before the same engines.
+// newFleetLoad makes one gateway for each element of peers, all in front of the same engines.
 func newFleetLoad(t *testing.T, seed uint64, peers []gateway.Peers) *load {
 	t.Helper()
 	g, closer := duty.New(context.Background())
@@ -239,14 +239,14 @@
 		s.Items = append(s.Items, replica.Object[roster.Server]{Name: n, Value: roster.Server{Name: api.ServerName(n), Service: "engines", Address: n, Domain: "x", Slots: 24}})
 	}
 	for i, p := range peers {
-		v := gateway.New(gateway.Parts{
+		v := gateway.New(gateway.Options{
 			VM: api.VMName(strconv.Itoa(i)), Domain: "x", Seed: seed + uint64(i), Backends: l.engines, Peers: p, Group: g, Log: event.Discard(), Metrics: l.metrics,
 			Retries: retry.NewWindows(10*time.Second, 0, 0),
 		})
 		v.Configure(replica.Snapshot[directory.Config]{Items: []replica.Object[directory.Config]{{Value: loadConfig()}}})
-		v.Serve(s)
-		g.Every(60*time.Millisecond, func(context.Context) { v.Tick() })
-		g.Every(240*time.Millisecond, func(context.Context) { v.Step() })
+		v.UpdateServers(s)
+		g.Every(60*time.Millisecond, func(context.Context) { v.AdmitWaiting() })
+		g.Every(240*time.Millisecond, func(context.Context) { v.Maintain() })
 		l.vms = append(l.vms, v)
 	}
 	return l
@@ -258,38 +258,38 @@
 	}}}
 	for i, k := range kinds {
 		c.Routes = append(c.Routes, directory.Route{
-			Name: k.path, Host: "h", Prefix: k.path, Kind: directory.Stream, Timeout: k.patient, LatencyTarget: k.aim, GapTarget: gapAim,
+			Name: k.path, Host: "h", Prefix: k.path, Kind: directory.Stream, Timeout: k.timeout, LatencyTarget: k.target, GapTarget: gapTarget,
 			Priority: len(kinds) - 1 - i, MaxServers: 1, Targets: []directory.Target{{Service: "engines", Weight: 1}},
 		})
 	}
 	return c
 }
 
-// arrival is one request of the load: all that is drawn of it.
+// arrival is one request of the load, with all that is random about it.
 type arrival struct {
 	kind         int
 	at           time.Duration
 	length, hint api.Tokens
 }
 
-// plan draws a multiple of every kind's load for a time.
+// plan draws the requests of a multiple of every kind's load.
 func (l *load) plan(x float64) []arrival {
 	var all []arrival
 	for i, k := range kinds {
 		gap := func() time.Duration {
-			return time.Duration(l.random.ExpFloat64() / (k.perS * x) * float64(time.Second))
+			return time.Duration(l.random.ExpFloat64() / (k.perSecond * x) * float64(time.Second))
 		}
 		for at := gap(); at < loadTime; at += gap() {
 			n := k.answer * math.Exp(0.8*l.random.NormFloat64()-0.32)
 			hint := n * math.Exp(0.5*l.random.NormFloat64())
-			all = append(all, arrival{i, at, min(max(api.Tokens(n), 1), answerMost), api.Tokens(hint)})
+			all = append(all, arrival{i, at, min(max(api.Tokens(n), 1), maxAnswer), api.Tokens(hint)})
 		}
 	}
 	return all
 }
 
-// answerMost is the longest answer, in tokens.
-const answerMost = 2200
+// maxAnswer is the length of the longest answer, in tokens.
+const maxAnswer = 2200
 
 // play sends a multiple of every kind's load and waits for all answers.
 func (l *load) play(t *testing.T, x float64) []tally {
@@ -308,33 +308,33 @@
 	return l.tallies
 }
 
-// call is one caller, who comes back once after a refusal.
+// call is one caller, who retries once after a refusal.
 func (l *load) call(ctx context.Context, a arrival) {
 	k := kinds[a.kind]
 	began := time.Now()
-	c := l.try(ctx, a, k.patient)
+	c := l.try(ctx, a, k.timeout)
 	first := c
 	if c.fault != nil {
-		left := k.patient - time.Since(began)
+		left := k.timeout - time.Since(began)
 		duty.Sleep(ctx, min(c.fault.RetryAfter, left/3))
-		c = l.try(ctx, a, k.patient-time.Since(began))
+		c = l.try(ctx, a, k.timeout-time.Since(began))
 	}
-	l.note(a.kind, began, first, c)
+	l.record(a.kind, began, first, c)
 }
 
-// timed is a caller that notes when events came.
-type timed struct {
+// timedCaller is a caller that records the times of events.
+type timedCaller struct {
 	caller
 	refused, first, last time.Time
 	pause                time.Duration
 }
 
-func (c *timed) Refuse(f *fault.Error) {
+func (c *timedCaller) Refuse(f *fault.Error) {
 	c.refused = time.Now()
 	c.caller.Refuse(f)
 }
 
-func (c *timed) WriteEvent(e port.Event) error {
+func (c *timedCaller) WriteEvent(e port.Event) error {
 	now := time.Now()
 	if c.first.IsZero() {
 		c.first = now
@@ -345,7 +345,7 @@
 	return c.caller.WriteEvent(e)
 }
 
-func (l *load) try(ctx context.Context, a arrival, wait time.Duration) *timed {
+func (l *load) try(ctx context.Context, a arrival, wait time.Duration) *timedCaller {
 	k := kinds[a.kind]
 	l.mutex.Lock()
 	l.count++
@@ -355,21 +355,21 @@
 	l.engines.mutex.Lock()
 	l.engines.length[id] = a.length
 	l.engines.mutex.Unlock()
-	c := &timed{}
+	c := &timedCaller{}
 	v.Handle(ctx, &port.Request{
 		ID: id, Method: http.MethodPost, Host: "h", Path: k.path + "1", Target: k.path + "1", Header: http.Header{},
-		Arrived: time.Now(), MaxWait: wait, Prompt: port.Prompt{Tokens: k.prompt, MaxTokens: answerMost, ExpectedTokens: a.hint},
+		Arrived: time.Now(), MaxWait: wait, Prompt: port.Prompt{Tokens: k.prompt, MaxTokens: maxAnswer, ExpectedTokens: a.hint},
 	}, c)
 	return c
 }
 
-// note counts what a caller got, from its first try on.
-func (l *load) note(i int, began time.Time, first, c *timed) {
+// record counts the result of a caller, with times from its first try on.
+func (l *load) record(i int, began time.Time, first, c *timedCaller) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	t, k := &l.tallies[i], kinds[i]
-	t.asked++
-	if first.fault != nil && first.refused.Sub(began) > k.aim/8 {
+	t.requests++
+	if first.fault != nil && first.refused.Sub(began) > k.target/8 {
 		t.slowRefusals++
 	}
 	switch {
@@ -377,14 +377,14 @@
 		t.refused++
 	case !c.ended:
 		t.failed++
-	case c.first.Sub(began) > k.aim || c.pause > gapAim:
+	case c.first.Sub(began) > k.target || c.pause > gapTarget:
 		t.late++
 	default:
-		t.inAim++
+		t.inTime++
 	}
 }
 
-// playLoad plays a load in virtual time.
+// playLoad plays a load against one gateway in virtual time.
 func playLoad(t *testing.T, seed uint64, x float64) []tally {
 	t.Helper()
 	var got []tally
@@ -395,16 +395,18 @@
 	return got
 }
 
+// Under overload the engines must still give at least a fifth more answers in time than at the
+// usual load, and refusals must come early.
 func TestOverloadDoesNotCollapse(t *testing.T) {
 	calm := playLoad(t, 1, 1)
 	for _, x := range []float64{1.6, 2.2, 4} {
 		got := playLoad(t, 1, x)
 		for i, k := range kinds {
-			if want := calm[i].inAim * 6 / 5; got[i].inAim < want {
-				t.Errorf("%s at %.1f: got %d answers in time, want at least %d, a fifth more than at the usual load", k.path, x, got[i].inAim, want)
+			if want := calm[i].inTime * 6 / 5; got[i].inTime < want {
+				t.Errorf("%s at %.1f times the load: got %d answers in time, want at least %d, a fifth more than at the usual load", k.path, x, got[i].inTime, want)
 			}
-			if n := got[i].asked / 10; got[i].slowRefusals > n {
-				t.Errorf("%s at %.1f: got %d refusals later than an eighth of the aim, want at most %d of %d", k.path, x, got[i].slowRefusals, n, got[i].asked)
+			if n := got[i].requests / 10; got[i].slowRefusals > n {
+				t.Errorf("%s at %.1f times the load: got %d refusals later than an eighth of the latency target, want at most %d of %d", k.path, x, got[i].slowRefusals, n, got[i].requests)
 			}
 		}
 	}
--- a/internal/gateway/monitor.go
+++ b/internal/gateway/monitor.go
@@ -107,7 +107,7 @@
 		m.scheduleQuery(wait)
 		return
 	}
-	a := m.gateway.inquire(ctx, m.server, bound)
+	a := m.gateway.queryRuns(ctx, m.server, bound)
 	hasBackup := a.Unresponsive() && m.backupAnswers(ctx)
 	s, ok := m.streamState(wait)
 	if !ok {
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -175,7 +175,7 @@
 	q := m.run.request
 	_, n := m.run.progress()
 	x := q.service.Engine
-	p := m.gateway.obtain(ctx, demand{
+	p := m.gateway.obtainPlace(ctx, demand{
 		service: q.service, purpose: api.PlaceAskPurposeMove, domain: m.source.Domain, deadline: q.deadline.At(),
 		need:  placement.Requirements{Tokens: streamNeed(q).Tokens + api.Tokens(n*x.TokensPerEvent/2), Unread: moveUnreadTokens},
 		tried: append(slices.Clone(m.tried), m.source.Name),
@@ -191,7 +191,7 @@
 
 // releaseTarget ends the load reservation at the target.
 func (m *mover) releaseTarget() {
-	m.reservation.end()
+	m.reservation.release()
 	m.reservation = nil
 }
 
@@ -262,7 +262,7 @@
 // releaseCopy ends the load reservation of a copy that is not needed, and frees its memory in
 // the background.
 func (g *Gateway) releaseCopy(c *kvCopy) {
-	c.reservation.end()
+	c.reservation.release()
 	g.Group.Go(func(ctx context.Context) error {
 		x, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -19,94 +19,96 @@
 )
 
 const (
-	// allocatorTime bounds an ask beyond the time that it may wait at the allocator: a
-	// round trip takes a few ms, and one of a VM short of processor time some
-	// tens. A request that asked in vain has most of its aim left.
-	allocatorTime = 100 * time.Millisecond
-	// allocatorBrief bounds an ask for a run that is under way, whose caller waits
-	// between two events.
-	allocatorBrief = 50 * time.Millisecond
-	// forwardTime bounds an ask that an allocator sends on to another one. It is
-	// shorter than any ask: who asked must hear from the allocator here, be the other
-	// one silent or not.
-	forwardTime = 30 * time.Millisecond
+	// allocatorTimeout bounds a request to an allocator, beyond the time that it may wait in
+	// the queue there. A round trip takes a few ms, and some tens of ms where a VM is short of
+	// CPU time. After a time-out most of the request's latency target is left.
+	allocatorTimeout = 100 * time.Millisecond
+	// resumeAllocatorTimeout bounds a request for a run that is under way: its caller is
+	// waiting for the next event.
+	resumeAllocatorTimeout = 50 * time.Millisecond
+	// forwardTimeout bounds a request that an allocator forwards to another one. It is shorter
+	// than the other timeouts, so that the first allocator answers its own client in time even
+	// if the second one is silent.
+	forwardTimeout = 30 * time.Millisecond
 )
 
-// aimDefault stands for the aim of a route that names none.
-const aimDefault = 2 * time.Second
+// defaultLatencyTarget is the latency target of a route that sets none.
+const defaultLatencyTarget = 2 * time.Second
 
-// aim is the time in which a request's answer, or its first event, is good.
-func (q *request) aim() time.Duration {
+// latencyTarget is the time within which the request's answer, or its first event, should
+// arrive.
+func (q *request) latencyTarget() time.Duration {
 	if q.route.LatencyTarget <= 0 {
-		return aimDefault
+		return defaultLatencyTarget
 	}
 	return q.route.LatencyTarget
 }
 
-// demand is what a new run of a request asks for.
-func (g *Gateway) demand(q *request, n placement.Requirements, waits bool) demand {
+// newDemand makes the demand of a new run.
+func (g *Gateway) newDemand(q *request, n placement.Requirements, waits bool) demand {
 	d := demand{
-		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), waits: waits, tried: q.tried,
-		ask: backlog.Request{
+		service: q.service, purpose: api.PlaceAskPurposeRun, domain: g.Domain, need: n, deadline: q.deadline.At(), mayWait: waits, tried: q.tried,
+		request: backlog.Request{
 			Workspace: q.workspace.Name, Rank: backlog.Rank(q.workspace.Priority, q.route.Priority),
-			Cost: float64(n.Tokens), LatencyTarget: q.aim(),
+			Cost: float64(n.Tokens), LatencyTarget: q.latencyTarget(),
 		},
-		route: q.route.Name, wait: q.MaxWait,
+		route: q.route.Name, timeout: q.MaxWait,
 	}
-	d.brief = placement.IsShortAnswer(q.expectedTokens())
-	if q.protects() {
-		d.expected = q.expectedTokens()
+	d.short = placement.IsShortAnswer(q.expectedTokens())
+	if q.wantsBackup() {
+		d.expectedLength = q.expectedTokens()
 	}
 	return d
 }
 
-// protects reports whether a run of a request may be copied as it grows.
-func (q *request) protects() bool {
+// wantsBackup reports whether a run of the request may have a backup copy.
+func (q *request) wantsBackup() bool {
 	e := q.service.Engine
 	return e != nil && e.SupportsBackups && q.route.Kind == directory.Stream && placement.WorthBackup(q.expectedTokens())
 }
 
-// place gives a stream its first server, for which it may have to wait.
-func (g *Gateway) place(ctx context.Context, q *request, n placement.Requirements) placed {
+// placeFirst places the first attempt of a stream, which may have to wait in the queue.
+func (g *Gateway) placeFirst(ctx context.Context, q *request, n placement.Requirements) assignment {
 	if q.Prompt.Tokens > q.service.Engine.Memory {
-		return placed{fault: fault.New(fault.NoServer, "no engine has memory for the prompt")}
+		return assignment{fault: fault.New(fault.NoServer, "no engine has enough memory for the prompt")}
 	}
 	began := time.Now()
-	p := g.obtain(ctx, g.demand(q, n, true))
+	p := g.obtainPlace(ctx, g.newDemand(q, n, true))
 	q.waited, q.forecast = time.Since(began), p.forecast
 	return p
 }
 
-// placeAgain gives a stream that a server turned away another one.
-func (g *Gateway) placeAgain(ctx context.Context, q *request, n placement.Requirements, c *call.Call) placed {
-	p := g.obtain(ctx, g.demand(q, n, false))
+// placeNext places another attempt after a server failed or refused one; it does not wait.
+func (g *Gateway) placeNext(ctx context.Context, q *request, n placement.Requirements, c *call.Call) assignment {
+	p := g.obtainPlace(ctx, g.newDemand(q, n, false))
 	if p.fault != nil {
-		return placed{fault: c.NoServer()}
+		return assignment{fault: c.NoServer()}
 	}
 	return p
 }
 
-// obtain asks the allocator of a demand's failure domain for a place. Where none
-// answers, this entry VM chooses by what it holds itself.
-func (g *Gateway) obtain(ctx context.Context, d demand) placed {
-	p, ok := g.askAllocators(ctx, d)
+// obtainPlace obtains a place from the allocator of a demand's failure domain. Where no
+// allocator answers, this entry VM chooses an engine by the loads that it knows itself.
+func (g *Gateway) obtainPlace(ctx context.Context, d demand) assignment {
+	p, ok := g.queryAllocators(ctx, d)
 	if ok {
 		return p
 	}
 	if ctx.Err() != nil {
-		return placed{fault: overdue(ctx)}
+		return assignment{fault: waitFault(ctx)}
 	}
 	g.Metrics.Add(metric.PlacedAlone, 1)
 	g.markLate(&d)
-	return g.placeHere(ctx, d)
+	return g.placeLocally(ctx, d)
 }
 
-// message is the ask for a demand. That of another holder is sent on in its name.
-func (d demand) message() api.PlaceAsk {
+// placeAsk makes the message that requests a place for a demand. The demand of a peer is passed
+// on in the peer's name.
+func (d demand) placeAsk() api.PlaceAsk {
 	a := api.PlaceAsk{
-		Domain: d.domain, Service: d.service.Name, Purpose: d.purpose, Tokens: d.need.Tokens, Unread: d.need.Unread, Expected: d.expected, Brief: d.brief,
-		Workspace: d.ask.Workspace, Rank: d.ask.Rank, AimMS: api.ToMilliseconds(d.ask.LatencyTarget), LeftMS: api.ToMilliseconds(time.Until(d.deadline)),
-		Route: d.route, WaitMS: api.ToMilliseconds(d.wait), Tried: d.tried, Waits: d.waits, Forwarded: d.forwarded, Standby: d.standby, Late: d.ask.Late,
+		Domain: d.domain, Service: d.service.Name, Purpose: d.purpose, Tokens: d.need.Tokens, Unread: d.need.Unread, Expected: d.expectedLength, Brief: d.short,
+		Workspace: d.request.Workspace, Rank: d.request.Rank, AimMS: api.ToMilliseconds(d.request.LatencyTarget), LeftMS: api.ToMilliseconds(time.Until(d.deadline)),
+		Route: d.route, WaitMS: api.ToMilliseconds(d.timeout), Tried: d.tried, Waits: d.mayWait, Forwarded: d.forwarded, Standby: d.standby, Late: d.request.Late,
 	}
 	if r := d.recipient; r != nil {
 		a.Ask = int(r.Request)
@@ -115,35 +117,35 @@
 	return a
 }
 
-// askAllocators asks those that may allocate a domain's engines, one after the
-// other; it reports false where none of them answered.
-func (g *Gateway) askAllocators(ctx context.Context, d demand) (placed, bool) {
+// queryAllocators tries the allocators of a domain one after the other; it reports false if
+// none of them answered.
+func (g *Gateway) queryAllocators(ctx context.Context, d demand) (assignment, bool) {
 	for _, to := range g.allocators(d.domain) {
 		d.standby = to.standby
 		if to.address == "" {
-			d.exact = true
+			d.exactLoads = true
 			return g.allocate(ctx, d), true
 		}
-		if p, ok := g.askAt(ctx, to.address, d); ok {
+		if p, ok := g.queryAllocator(ctx, to.address, d); ok {
 			return p, true
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return placed{}, false
+	return assignment{}, false
 }
 
 // allocator is an entry VM that may allocate the servers of a failure domain.
 type allocator struct {
 	// address is empty for this entry VM.
 	address string
-	// standby is set where another one is the first choice.
+	// standby is set where another entry VM is the first choice.
 	standby bool
 }
 
-// allocators lists those that may allocate a domain's servers and did not lately
-// fail to answer.
+// allocators lists the entry VMs that may allocate a domain's servers, without those that
+// recently failed to answer.
 func (g *Gateway) allocators(d api.DomainName) []allocator {
 	all := g.Peers.Allocators(d)
 	g.mutex.Lock()
@@ -155,14 +157,14 @@
 	return l
 }
 
-// allowed bounds an ask, with the time that it may wait.
-func allowed(a api.PlaceAsk) time.Duration {
-	limit := allocatorBrief
+// placeTimeout bounds a request for a place, the time in the allocator's queue included.
+func placeTimeout(a api.PlaceAsk) time.Duration {
+	limit := resumeAllocatorTimeout
 	switch {
 	case a.Forwarded:
-		limit = forwardTime
+		limit = forwardTimeout
 	case a.Purpose == api.PlaceAskPurposeRun:
-		limit = allocatorTime
+		limit = allocatorTimeout
 	}
 	if a.Waits {
 		limit += backlog.MaxWait(a.AimMS.Duration())
@@ -170,60 +172,63 @@
 	return limit
 }
 
-// askAt asks one entry VM.
-func (g *Gateway) askAt(ctx context.Context, to string, d demand) (placed, bool) {
-	a := d.message()
-	c, cancel := context.WithTimeout(ctx, allowed(a))
+// queryAllocator requests a place from one allocator; it reports false where there is no usable
+// answer.
+func (g *Gateway) queryAllocator(ctx context.Context, to string, d demand) (assignment, bool) {
+	a := d.placeAsk()
+	c, cancel := context.WithTimeout(ctx, placeTimeout(a))
 	defer cancel()
-	own := d.recipient == nil
-	if own {
-		a.Ask, a.Holding = g.beginAsk(d.domain)
+	local := d.recipient == nil
+	if local {
+		a.Ask, a.Holding = g.beginQuery(d.domain)
 		l, _ := g.backingOff(d.service.Name)
 		a.Tried = append(slices.Clone(a.Tried), l...)
 	}
-	r, err := g.Peers.Ask(c, to, a)
+	r, err := g.Peers.Place(c, to, a)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if own {
-		g.asks.End(placement.RequestNumber(a.Ask))
+	if local {
+		g.placeRequests.End(placement.RequestNumber(a.Ask))
 	}
 	if err != nil {
 		if ctx.Err() == nil {
-			g.noteSilent(to, err)
+			g.markUnreachable(to, err)
 		}
-		return placed{}, false
+		return assignment{}, false
 	}
-	return g.accept(d, r)
+	return g.acceptAnswer(d, r)
 }
 
-// noteSilent passes an allocator over for a while; the mutex is held.
-func (g *Gateway) noteSilent(address string, err error) {
+// markUnreachable leaves an allocator out for a while; the mutex is held.
+func (g *Gateway) markUnreachable(address string, err error) {
 	g.contacts.RecordFailure(time.Now(), address)
 	g.Log.Emit(event.AllocatorSilent, zap.String("address", address), zap.Error(err))
 }
 
-// beginAsk numbers an ask and gives the report that goes with it.
-func (g *Gateway) beginAsk(d api.DomainName) (int, api.Holding) {
+// beginQuery numbers a request to an allocator, and makes the report of local loads that goes
+// with it.
+func (g *Gateway) beginQuery(d api.DomainName) (int, api.Holding) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	n := g.asks.Begin()
-	return int(n), g.holding(d)
+	n := g.placeRequests.Begin()
+	return int(n), g.localHolding(d)
 }
 
-// accept takes an allocator's answer; it reports false for a server that this
-// entry VM does not know, or knows to take no new requests. The mutex is held.
-func (g *Gateway) accept(d demand, r api.PlaceAnswer) (placed, bool) {
+// acceptAnswer turns an allocator's answer into an assignment. It reports false if this entry
+// VM does not know the assigned server, or knows that it accepts no requests. The mutex is
+// held.
+func (g *Gateway) acceptAnswer(d demand, r api.PlaceAnswer) (assignment, bool) {
 	if x := r.Refused; x != nil {
-		return placed{
+		return assignment{
 			fault:    fault.New(fault.Code(x.Code), x.Detail).After(x.RetryAfterMS.Duration()),
 			forecast: backlog.Forecast{Waiting: x.Waiting, Wait: x.ForecastMS.Duration(), MaxWait: x.PatienceMS.Duration(), LateInOverload: x.Behind},
 		}, true
 	}
 	m, ok := g.roster.Find(r.Server)
 	if !ok || !m.AcceptsRequests() || d.recipient == nil && g.picker.Backoffs.Active(time.Now(), m.Name) {
-		return placed{}, false
+		return assignment{}, false
 	}
-	p := placed{choice: placement.Choice{Server: m.Server, Score: r.Score, Candidates: r.Of}, copy: r.Copy}
+	p := assignment{choice: placement.Choice{Server: m.Server, Score: r.Score, Candidates: r.Of}, backupName: r.Copy}
 	if r.Load != nil {
 		p.choice.Load = *r.Load
 	}
@@ -232,9 +237,9 @@
 	}
 	now := time.Now()
 	p.reservation = g.reserve(now, m.Server, true, d.load())
-	p.reservation.ahead = p.choice.Load.Unread
+	p.reservation.unreadAhead = p.choice.Load.Unread
 	if c, ok := g.roster.Find(r.Copy); ok && c.AcceptsRequests() {
-		p.backup = &backup{server: c.Server, reservation: g.reserve(now, c.Server, true, d.copied(m.Server).load())}
+		p.backup = &backup{server: c.Server, reservation: g.reserve(now, c.Server, true, d.backupDemand(m.Server).load())}
 	}
 	return p, true
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -9,28 +9,28 @@
 
 // Peers reaches the entry VMs that allocate engines.
 type Peers interface {
-	// Allocators lists the addresses of those that may allocate the engines of a
-	// failure domain, the first choice first; empty stands for this entry VM.
+	// Allocators lists the addresses of the entry VMs that may allocate the engines of a
+	// failure domain, the first choice first. An empty address stands for this entry VM.
 	Allocators(d api.DomainName) []string
-	// Ask asks one of them for a place.
-	Ask(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error)
-	// Permit asks one of them for the turn of a request at a server with a limit.
+	// Place requests a place at an engine from one of them.
+	Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error)
+	// Permit requests a send slot at a server with a rate limit from one of them.
 	Permit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error)
-	// Report tells one of them what this entry VM holds there.
+	// Report reports to one of them what this entry VM holds there.
 	Report(ctx context.Context, address string, h api.Holding) error
 }
 
-// alone stands for the peers of an entry VM without any.
-type alone struct{}
+// noPeers is the Peers of an entry VM that runs alone.
+type noPeers struct{}
 
-func (alone) Allocators(api.DomainName) []string { return []string{""} }
+func (noPeers) Allocators(api.DomainName) []string { return []string{""} }
 
-func (alone) Ask(context.Context, string, api.PlaceAsk) (api.PlaceAnswer, error) {
+func (noPeers) Place(context.Context, string, api.PlaceAsk) (api.PlaceAnswer, error) {
 	return api.PlaceAnswer{}, fault.New(fault.NotStarted, "there are no other entry VMs")
 }
 
-func (alone) Permit(context.Context, string, api.PermitAsk) (api.PermitAnswer, error) {
+func (noPeers) Permit(context.Context, string, api.PermitAsk) (api.PermitAnswer, error) {
 	return api.PermitAnswer{}, fault.New(fault.NotStarted, "there are no other entry VMs")
 }
 
-func (alone) Report(context.Context, string, api.Holding) error { return nil }
+func (noPeers) Report(context.Context, string, api.Holding) error { return nil }
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -17,95 +17,96 @@
 )
 
 const (
-	// permitTime bounds one ask for a permit; a request that asks in vain has most of its aim
-	// left.
-	permitTime = 30 * time.Millisecond
-	// permitShare is the part of its aim that a request may wait for its turn at a server.
-	permitShare = 0.5
-	// patienceMost bounds the turns that are given ahead of their time, whatever is asked for.
-	patienceMost = 2 * time.Second
-	// unknownWait is when it is worth asking again for a server that the one asked has not
-	// heard of yet.
-	unknownWait = 250 * time.Millisecond
+	// permitTimeout bounds one request for a permit. After a time-out most of the latency
+	// target is left.
+	permitTimeout = 30 * time.Millisecond
+	// maxWaitShare is the share of its latency target that a request may wait for a send slot.
+	maxWaitShare = 0.5
+	// maxSlotWait bounds how far ahead send slots are reserved, whatever wait a peer asks for.
+	maxSlotWait = 2 * time.Second
+	// unknownServerRetryAfter is the time until another request for a permit, where the
+	// allocator does not know the server yet.
+	unknownServerRetryAfter = 250 * time.Millisecond
 )
 
-// permit is when a request may be sent to a server, or is worth another ask.
+// permit is a send slot at a server and its time; where none was granted, it is the time to try
+// again.
 type permit struct {
 	granted bool
 	at      time.Time
 }
 
-// denied is a server at its limit, and when its next turn is.
-type denied struct {
+// busyServer is a server at its rate limit, with the time of its next send slot.
+type busyServer struct {
 	server placement.Choice
 	at     time.Time
 }
 
-// placePlain gives a request a plain server. One that has named a limit is used in its turn;
-// while others can be had no request waits for that.
-func (g *Gateway) placePlain(ctx context.Context, q *request, c *call.Call) placed {
-	var full []denied
+// placePlain gives a request a plain server. One with a rate limit is used if it has a send
+// slot now; the request waits for a slot only where there is no other server.
+func (g *Gateway) placePlain(ctx context.Context, q *request, c *call.Call) assignment {
+	var busy []busyServer
 	tried := slices.Clone(q.tried)
 	for {
 		x, ok := g.pickPlain(q.service, tried)
 		if !ok {
 			break
 		}
-		if _, limited := g.limit(x.Name); !limited {
-			return g.takePlain(x)
+		if _, limited := g.serverLimit(x.Name); !limited {
+			return g.reservePlain(x)
 		}
-		p := g.turn(ctx, x)
+		p := g.trySendSlot(ctx, x)
 		if p.granted {
-			return g.takePlain(x)
+			return g.reservePlain(x)
 		}
 		tried = append(tried, x.Name)
-		full = append(full, denied{server: x, at: p.at})
+		busy = append(busy, busyServer{server: x, at: p.at})
 	}
-	if len(full) == 0 {
-		return placed{fault: c.NoServer()}
+	if len(busy) == 0 {
+		return assignment{fault: c.NoServer()}
 	}
-	return g.awaitTurn(ctx, q, c, full)
+	return g.awaitSendSlot(ctx, q, c, busy)
 }
 
-// awaitTurn lets a request wait for its turn at one of some servers that are all at their
-// limits, or refuses it at once where none comes in time.
-func (g *Gateway) awaitTurn(ctx context.Context, q *request, c *call.Call, full []denied) placed {
-	first := slices.MinFunc(full, func(a, b denied) int { return a.at.Compare(b.at) })
-	patience := time.Duration(permitShare*float64(q.aim())) - time.Since(q.Arrived)
-	if time.Until(first.at) > patience {
-		return placed{fault: g.noneYet(c, time.Until(first.at))}
+// awaitSendSlot waits for the earliest send slot of servers that are all at their rate limits,
+// or refuses the request at once where no slot comes in time.
+func (g *Gateway) awaitSendSlot(ctx context.Context, q *request, c *call.Call, busy []busyServer) assignment {
+	first := slices.MinFunc(busy, func(a, b busyServer) int { return a.at.Compare(b.at) })
+	maxWait := time.Duration(maxWaitShare*float64(q.latencyTarget())) - time.Since(q.Arrived)
+	if time.Until(first.at) > maxWait {
+		return assignment{fault: g.refuseAllBusy(c, time.Until(first.at))}
 	}
-	p := g.permit(ctx, first.server, patience)
+	p := g.obtainPermit(ctx, first.server, maxWait)
 	if !p.granted {
-		return placed{fault: g.noneYet(c, time.Until(p.at))}
+		return assignment{fault: g.refuseAllBusy(c, time.Until(p.at))}
 	}
 	began := time.Now()
 	if !duty.Sleep(ctx, p.at.Sub(began)) {
-		return placed{fault: overdue(ctx)}
+		return assignment{fault: waitFault(ctx)}
 	}
 	q.waited += time.Since(began)
-	if !g.takes(first.server.Name) {
-		return placed{fault: c.NoServer()}
+	if !g.acceptsRequests(first.server.Name) {
+		return assignment{fault: c.NoServer()}
 	}
-	return g.takePlain(first.server)
+	return g.reservePlain(first.server)
 }
 
-// takes reports whether a server still takes requests of this entry VM.
-func (g *Gateway) takes(n api.ServerName) bool {
+// acceptsRequests reports whether a server still accepts requests of this entry VM.
+func (g *Gateway) acceptsRequests(n api.ServerName) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.roster.Find(n)
 	return ok && m.AcceptsRequests() && !g.picker.Backoffs.Active(time.Now(), n)
 }
 
-// noneYet is the refusal of a request that no server takes for so long.
-func (g *Gateway) noneYet(c *call.Call, wait time.Duration) *fault.Error {
+// refuseAllBusy is the refusal of a request that no server can take for a time.
+func (g *Gateway) refuseAllBusy(c *call.Call, wait time.Duration) *fault.Error {
 	g.Metrics.Add(metric.ServersBusy, 1)
 	return c.AllBusy(wait)
 }
 
-// limit is what a server has named.
-func (g *Gateway) limit(n api.ServerName) (throttle.Rate, bool) {
+// serverLimit is the rate limit that a server announced, if it announced one.
+func (g *Gateway) serverLimit(n api.ServerName) (throttle.Rate, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.Limits.Find(n)
@@ -116,26 +117,26 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	l := placement.Pool{Members: g.roster.Service(s.Name), Domain: g.Domain, Warmup: g.warmup(now, s), ExcludeBackingOff: true}
+	l := placement.Pool{Members: g.roster.Service(s.Name), Domain: g.Domain, Warmup: g.warmupBound(now, s), ExcludeBackingOff: true}
 	return g.picker.Pick(now, l, placement.Requirements{}, tried)
 }
 
-// takePlain reserves the load at a plain server.
-func (g *Gateway) takePlain(x placement.Choice) placed {
+// reservePlain counts a request at a plain server.
+func (g *Gateway) reservePlain(x placement.Choice) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return placed{choice: x, reservation: g.reserve(time.Now(), x.Server, false, api.ServerLoad{Requests: 1})}
+	return assignment{choice: x, reservation: g.reserve(time.Now(), x.Server, false, api.ServerLoad{Requests: 1})}
 }
 
-// turn asks for a turn at once, unless it is known that there is none yet.
-func (g *Gateway) turn(ctx context.Context, x placement.Choice) permit {
+// trySendSlot requests a send slot for now, unless it is known that there is none yet.
+func (g *Gateway) trySendSlot(ctx context.Context, x placement.Choice) permit {
 	g.mutex.Lock()
 	until, ok := g.picker.Pacer.DeniedUntil(time.Now(), x.Name)
 	g.mutex.Unlock()
 	if ok {
 		return permit{at: until}
 	}
-	p := g.permit(ctx, x, 0)
+	p := g.obtainPermit(ctx, x, 0)
 	if !p.granted {
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
@@ -144,18 +145,18 @@
 	return p
 }
 
-// permit asks who paces a server for the turn of one request: the entry VM that allocates the
-// servers of its failure domain, or the next one. Where neither answers, this entry VM keeps
-// to its own part.
-func (g *Gateway) permit(ctx context.Context, x placement.Choice, patience time.Duration) permit {
-	r, _ := g.limit(x.Name)
-	a := api.PermitAsk{Protocol: gossip.Protocol, VM: g.VM, Server: x.Name, PerSecond: float64(r), PatienceMS: api.ToMilliseconds(patience)}
+// obtainPermit obtains a send slot at a server from the allocator of the server's failure
+// domain, or from the standby. Where neither answers, this entry VM stays within its own share
+// of the server's limit.
+func (g *Gateway) obtainPermit(ctx context.Context, x placement.Choice, maxWait time.Duration) permit {
+	r, _ := g.serverLimit(x.Name)
+	a := api.PermitAsk{Protocol: gossip.Protocol, VM: g.VM, Server: x.Name, PerSecond: float64(r), PatienceMS: api.ToMilliseconds(maxWait)}
 	for _, to := range g.allocators(x.Domain) {
 		a.Standby = to.standby
 		if to.address == "" {
-			return g.pace(a, patience)
+			return g.reserveSendSlot(a, maxWait)
 		}
-		if p, ok := g.askPermit(ctx, to.address, a); ok {
+		if p, ok := g.queryPermit(ctx, to.address, a); ok {
 			return p
 		}
 	}
@@ -163,34 +164,34 @@
 	defer g.mutex.Unlock()
 	now := time.Now()
 	t := throttle.Quota{Rate: r, Share: throttle.Alone, Members: g.picker.PlainLoads.EntryVMs(now)}
-	at, ok := g.picker.Pacer.Reserve(now, x.Name, t, patience)
+	at, ok := g.picker.Pacer.Reserve(now, x.Name, t, maxWait)
 	return permit{granted: ok, at: at}
 }
 
-// askPermit asks another entry VM.
-func (g *Gateway) askPermit(ctx context.Context, to string, a api.PermitAsk) (permit, bool) {
-	c, cancel := context.WithTimeout(ctx, permitTime)
+// queryPermit requests a permit from another entry VM.
+func (g *Gateway) queryPermit(ctx context.Context, to string, a api.PermitAsk) (permit, bool) {
+	c, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	x, err := g.Peers.Permit(c, to, a)
 	if err != nil {
 		if ctx.Err() == nil {
 			g.mutex.Lock()
 			defer g.mutex.Unlock()
-			g.noteSilent(to, err)
+			g.markUnreachable(to, err)
 		}
 		return permit{}, false
 	}
 	return permit{granted: x.Granted, at: time.Now().Add(x.WaitMS.Duration())}, true
 }
 
-// pace gives the turn of one request at a server that this entry VM paces, by the lower of the
-// limits that it and the asker know.
-func (g *Gateway) pace(a api.PermitAsk, patience time.Duration) permit {
+// reserveSendSlot reserves a send slot at a server for which this entry VM allocates them. It
+// applies the lower of the limits known here and to the requester.
+func (g *Gateway) reserveSendSlot(a api.PermitAsk, maxWait time.Duration) permit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if _, ok := g.roster.Find(a.Server); !ok {
-		// What is sent to a server is remembered only while it is known.
-		return permit{at: time.Now().Add(unknownWait)}
+		// Send slots are recorded for known servers alone.
+		return permit{at: time.Now().Add(unknownServerRetryAfter)}
 	}
 	t := throttle.Quota{Rate: throttle.Rate(a.PerSecond), Share: throttle.Whole}
 	if r, ok := g.picker.Limits.Find(a.Server); ok {
@@ -199,14 +200,14 @@
 	if a.Standby || g.fleet.Partitioned() {
 		t.Share = throttle.Standby
 	}
-	at, ok := g.picker.Pacer.Reserve(time.Now(), a.Server, t, min(patience, patienceMost))
+	at, ok := g.picker.Pacer.Reserve(time.Now(), a.Server, t, min(maxWait, maxSlotWait))
 	return permit{granted: ok, at: at}
 }
 
-// Permit answers another entry VM that asks for the turn of one request.
+// Permit answers the request of another entry VM for a send slot.
 func (g *Gateway) Permit(a api.PermitAsk) api.PermitAnswer {
-	p := g.pace(a, a.PatienceMS.Duration())
-	// What is left of a ms counts as one: a turn must not come early.
+	p := g.reserveSendSlot(a, a.PatienceMS.Duration())
+	// Rounded up to a full ms, so that no request is sent before its slot.
 	wait := max(0, time.Until(p.at)+time.Millisecond-1)
 	return api.PermitAnswer{Granted: p.granted, WaitMS: api.ToMilliseconds(wait)}
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -26,7 +26,7 @@
 // noteBrokenRun records a failed run against its content, as the possible cause of a crash of
 // the server. A server that is leaving has not crashed.
 func (g *Gateway) noteBrokenRun(q *request, s roster.Server, err error) {
-	if !g.leaving(s.Name) {
+	if !g.departing(s.Name) {
 		g.Contents.RecordFailure(q.content, s.Name, err)
 	}
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -39,7 +39,7 @@
 	}
 	from := r.currentServer()
 	if !stopped {
-		g.note(from, placement.Lost)
+		g.recordOutcome(from, placement.Lost)
 		if r.startedRecently(began) {
 			g.noteBrokenRun(r.request, from, cause)
 		}
@@ -61,7 +61,7 @@
 		s, c, err = g.returnToSource(ctx, r, from, c, err)
 	}
 	if err != nil {
-		c.reservation.end()
+		c.reservation.release()
 		g.recordLost(r, from, err)
 		return nil, false
 	}
@@ -111,8 +111,8 @@
 	q := r.request
 	x := c.resume
 	x.LastEventID, _ = r.progress()
-	b := g.protect(ctx, q, c.server)
-	t := q.attempt(c.server, b)
+	b := g.placeBackup(ctx, q, c.server)
+	t := q.newAttempt(c.server, b)
 	t.ConnectTimeout, t.Resume = call.ConnectTimeout(q.route.GapTarget), &x
 	g.countSent(c.server)
 	a, err := g.sendUntilConnected(ctx, t)
@@ -126,7 +126,7 @@
 	}
 	g.detach(r)
 	g.attach(r, c.server, c.reservation, b)
-	c.reservation.read()
+	c.reservation.recordPromptRead()
 	return a.Stream, nil
 }
 
@@ -178,7 +178,7 @@
 func (g *Gateway) recordLost(r *run, from roster.Server, err error) {
 	_, n := r.progress()
 	r.request.outcome = "generation_lost"
-	g.tell(r.request)
+	g.logChoices(r.request)
 	g.Metrics.Add(metric.RequestsFailed, 1)
 	g.Log.Emit(event.GenerationLost, zap.String("request", string(r.request.ID)), zap.String("content", string(r.request.content())), zap.String("route", r.request.route.Name), zap.String("server", string(from.Name)), zap.Int("events", n), zap.Error(err))
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -32,7 +32,7 @@
 // release ends the load reservation of the backup copy. A nil backup has none.
 func (b *backup) release() {
 	if b != nil {
-		b.reservation.end()
+		b.reservation.release()
 	}
 }
 
@@ -145,13 +145,13 @@
 	x := r.request.route
 	switch {
 	case x.LatencyTarget > 0 && r.timing.firstEvent > x.LatencyTarget:
-		return lateFirst
+		return lateFirstEvent
 	case x.GapTarget <= 0 || r.timing.longestPause <= x.GapTarget:
-		return inTime
+		return onTime
 	case r.timing.pauseInMove:
-		return lateMoved
+		return longMovePause
 	default:
-		return latePause
+		return longPause
 	}
 }
 
@@ -196,9 +196,9 @@
 	}
 	m[r] = true
 	g.mutex.Unlock()
-	r.dropBackup(g.unusable)
-	if g.leaving(s.Name) {
-		g.takeOff(r)
+	r.dropBackup(g.unavailable)
+	if g.departing(s.Name) {
+		g.evacuate(r)
 	}
 }
 
@@ -209,7 +209,7 @@
 	l, b := r.reservation, r.backup
 	r.reservation, r.backup = nil, nil
 	r.mutex.Unlock()
-	l.end()
+	l.release()
 	b.release()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -15,8 +15,8 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Serve takes the backend servers as the platform has them.
-func (g *Gateway) Serve(s replica.Snapshot[roster.Server]) {
+// UpdateServers takes the backend servers that the platform lists.
+func (g *Gateway) UpdateServers(s replica.Snapshot[roster.Server]) {
 	l := make([]roster.Server, 0, len(s.Items))
 	for _, o := range s.Items {
 		l = append(l, o.Value)
@@ -26,18 +26,19 @@
 	g.roster.SetEra(now, s.At.Era())
 	c := g.roster.Update(now, l, s.Settled)
 	g.mutex.Unlock()
-	g.changed(c)
+	g.applyChanges(c)
 }
 
-// Away notes whether the platform is lost.
-func (g *Gateway) Away(away bool) {
+// SetStoreDown notes whether the platform's store is down.
+func (g *Gateway) SetStoreDown(away bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.roster.SetStoreDown(time.Now(), away)
 }
 
-// Step lets lapses end, and shares the bound on repeated sends anew.
-func (g *Gateway) Step() {
+// Maintain does the periodic work: it expires servers, closures and grants, drops the records
+// of servers that are gone, and divides the bound on retries by the number of entry VMs.
+func (g *Gateway) Maintain() {
 	now := time.Now()
 	g.mutex.Lock()
 	c := g.roster.Expire(now)
@@ -46,7 +47,7 @@
 		return ok
 	}
 	g.picker.Forget(known)
-	g.answers.Forget(known)
+	g.queryResults.Forget(known)
 	g.Metrics.Retain(metric.ByServer, func(n string) bool { return known(api.ServerName(n)) })
 	g.picker.EngineLoads.Expire(now)
 	n := g.picker.PlainLoads.EntryVMs(now)
@@ -56,34 +57,35 @@
 	g.expireClosures(now)
 	g.quarantineConfirmed()
 	g.watchdog.sweep()
-	g.changed(c)
+	g.applyChanges(c)
 }
 
-// changed moves runs off servers that have begun to leave.
-func (g *Gateway) changed(l []roster.Member) {
+// applyChanges logs the new states of servers, moves runs off servers that begin to leave, and
+// ends the runs of servers that have ended.
+func (g *Gateway) applyChanges(l []roster.Member) {
 	if len(l) == 0 {
 		return
 	}
-	g.noteLeaving(l)
+	g.recordDepartures(l)
 	for _, m := range l {
 		if m.Unannounced() {
 			g.Contents.RecordServerEnd(m.Name)
 		}
 		g.Log.Emit(event.ServerState, zap.String("server", string(m.Name)), zap.String("address", m.Address), zap.String("state", m.State.String()))
 	}
-	for _, r := range g.all() {
-		r.dropBackup(g.unusable)
-		switch s, ok := g.member(r.currentServer().Name); {
+	for _, r := range g.allRuns() {
+		r.dropBackup(g.unavailable)
+		switch s, ok := g.findMember(r.currentServer().Name); {
 		case ok && s.State == roster.Ended:
 			g.watchdog.closeStreams(r)
 		case !ok || s.State.Departing():
-			g.takeOff(r)
+			g.evacuate(r)
 		}
 	}
 }
 
-// all lists the runs that are under way.
-func (g *Gateway) all() []*run {
+// allRuns lists the running streams.
+func (g *Gateway) allRuns() []*run {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var l []*run
@@ -95,48 +97,49 @@
 	return l
 }
 
-// member gives what is known of a server.
-func (g *Gateway) member(n api.ServerName) (roster.Member, bool) {
+// findMember returns the state of a server.
+func (g *Gateway) findMember(n api.ServerName) (roster.Member, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.roster.Find(n)
 }
 
-// Address gives the address of a server that is known.
-func (g *Gateway) Address(n api.ServerName) (string, bool) {
-	m, ok := g.member(n)
+// ServerAddress returns the address of a server, if the server is known.
+func (g *Gateway) ServerAddress(n api.ServerName) (string, bool) {
+	m, ok := g.findMember(n)
 	return m.Address, ok
 }
 
-// leaving reports whether a server takes no new requests for good.
-func (g *Gateway) leaving(n api.ServerName) bool {
-	m, ok := g.member(n)
+// departing reports whether a server will never accept new requests again, or is unknown.
+func (g *Gateway) departing(n api.ServerName) bool {
+	m, ok := g.findMember(n)
 	return !ok || m.State.Departing()
 }
 
-// takeOff moves a run off its server. A copy of it is no use while its holder takes nothing.
-func (g *Gateway) takeOff(r *run) {
-	r.dropBackup(func(s roster.Server) bool { return !g.takes(s.Name) })
+// evacuate moves a run off its server. A backup copy at a server that accepts no requests now
+// is given up first: the run could not be resumed from it.
+func (g *Gateway) evacuate(r *run) {
+	r.dropBackup(func(s roster.Server) bool { return !g.acceptsRequests(s.Name) })
 	g.startMove(r)
 }
 
-// unusable reports whether a run may not go on at a server that it is not at yet.
-func (g *Gateway) unusable(s roster.Server) bool {
-	m, ok := g.member(s.Name)
+// unavailable reports whether a server is unknown or accepts no requests, so that a run can't
+// be resumed there.
+func (g *Gateway) unavailable(s roster.Server) bool {
+	m, ok := g.findMember(s.Name)
 	return !ok || !m.AcceptsRequests()
 }
 
-// warmup is what the cold servers of a service bear; the mutex is held.
-func (g *Gateway) warmup(now time.Time, s *directory.Service) placement.Warmup {
+// warmupBound is the bound on requests to the cold servers of a service; the mutex is held.
+func (g *Gateway) warmupBound(now time.Time, s *directory.Service) placement.Warmup {
 	return placement.Warmup{Rate: s.ColdRate, EntryVMs: g.picker.PlainLoads.EntryVMs(now)}
 }
 
-// reserve counts a load at a server until the reservation ends; the mutex is
-// held.
+// reserve counts a load at a server until the reservation ends; the mutex is held.
 func (g *Gateway) reserve(now time.Time, s roster.Server, engine bool, x api.ServerLoad) *reservation {
-	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, at: now}
+	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, since: now}
 	if engine {
-		l.ahead = g.picker.EngineLoads.Total(s.Name).Unread
+		l.unreadAhead = g.picker.EngineLoads.Total(s.Name).Unread
 		g.reports.GrantReceived(now, s.Domain)
 	}
 	l.add(x)
@@ -146,34 +149,34 @@
 	return l
 }
 
-// protect chooses the server that is to keep a copy of a run that goes on at
-// another one, and counts the copy there; nil for none.
-func (g *Gateway) protect(ctx context.Context, q *request, source roster.Server) *backup {
-	if !q.protects() {
+// placeBackup chooses the server for a backup copy of a run that is resumed at another server,
+// and counts the copy there; nil for none.
+func (g *Gateway) placeBackup(ctx context.Context, q *request, source roster.Server) *backup {
+	if !q.wantsBackup() {
 		return nil
 	}
-	p := g.obtain(ctx, g.demand(q, streamNeed(q), false).copied(source))
+	p := g.obtainPlace(ctx, g.newDemand(q, streamNeed(q), false).backupDemand(source))
 	if p.fault != nil {
 		return nil
 	}
 	return &backup{server: p.choice.Server, reservation: p.reservation}
 }
 
-// reservation is the load of one request counted at one server.
+// reservation is the load of one request at one server.
 type reservation struct {
 	gateway *Gateway
 	server  api.ServerName
 	domain  api.DomainName
-	// engine is set for the place at an engine, which allocators are told of.
+	// engine is set for a place at an engine, which is reported to the allocator.
 	engine bool
 	load   api.ServerLoad
-	// at is when it was made, and ahead the prompts that the server had to read
-	// then.
-	at    time.Time
-	ahead api.Tokens
+	// since is the time of the reservation, and unreadAhead the prompt tokens that the engine
+	// had to read before it.
+	since       time.Time
+	unreadAhead api.Tokens
 }
 
-// add adds to the load of the reservation's server; the mutex is held.
+// add adds to the load of the server; the mutex is held.
 func (l *reservation) add(x api.ServerLoad) {
 	if l.engine {
 		l.gateway.picker.EngineLoads.Add(l.server, x)
@@ -182,28 +185,29 @@
 	l.gateway.picker.PlainLoads.Add(l.server, x)
 }
 
-// read notes that the prompt was read.
-func (l *reservation) read() {
+// recordPromptRead removes the prompt from the load, once the engine has read it.
+func (l *reservation) recordPromptRead() {
 	if l == nil {
 		return
 	}
 	l.gateway.mutex.Lock()
 	defer l.gateway.mutex.Unlock()
-	l.change(api.ServerLoad{Unread: -l.load.Unread})
+	l.adjust(api.ServerLoad{Unread: -l.load.Unread})
 }
 
-// end takes the load away; further calls do nothing.
-func (l *reservation) end() {
+// release removes the load; further calls do nothing.
+func (l *reservation) release() {
 	if l == nil {
 		return
 	}
 	l.gateway.mutex.Lock()
 	defer l.gateway.mutex.Unlock()
-	l.change(placement.Negate(l.load))
+	l.adjust(placement.Negate(l.load))
 }
 
-// change adds to the load, which may let others in; the mutex is held.
-func (l *reservation) change(x api.ServerLoad) {
+// adjust adds to the load. A smaller load may make capacity for waiting requests, which are
+// admitted. The mutex is held.
+func (l *reservation) adjust(x api.ServerLoad) {
 	if x == (api.ServerLoad{}) {
 		return
 	}
@@ -214,14 +218,14 @@
 	l.load.Unread += x.Unread
 	if l.engine {
 		l.gateway.reports.ScheduleReport(now, l.domain)
-		l.gateway.letIn(now)
+		l.gateway.admitWaiting(now)
 	}
 }
 
-// note records what a request met at a server. The allocator of an engine is told,
-// at once of what is not good: an engine that takes no connection is empty, and
-// looks best of all to who does not know.
-func (g *Gateway) note(s roster.Server, o placement.Outcome) {
+// recordOutcome records the outcome of a request at a server. For an engine it is also reported
+// to the allocator, and a bad outcome at once: an engine that accepts no connection has no
+// load, and looks best to an allocator that does not know.
+func (g *Gateway) recordOutcome(s roster.Server, o placement.Outcome) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
@@ -246,7 +250,7 @@
 	return ok && v.Engine != nil
 }
 
-// ReportLoads gives the report on the loads of plain servers for a peer.
+// ReportLoads makes the report on the loads of plain servers for a peer.
 func (g *Gateway) ReportLoads(vm api.VMName, r placement.Relation) placement.Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -113,7 +113,7 @@
 
 // recordLeaving records a server's notice in an answer that it is leaving.
 func (g *Gateway) recordLeaving(s roster.Server) {
-	if !g.leaving(s.Name) {
+	if !g.departing(s.Name) {
 		g.Log.Emit(event.ServerNotice, zap.String("server", string(s.Name)))
 	}
 	g.NoteLeaving([]api.ServerName{s.Name})
@@ -126,9 +126,9 @@
 	g.mutex.Lock()
 	g.picker.Backoffs.Add(time.Now(), s.Name, d)
 	g.mutex.Unlock()
-	for _, r := range g.all() {
-		if g.leaving(r.currentServer().Name) {
-			g.takeOff(r)
+	for _, r := range g.allRuns() {
+		if g.departing(r.currentServer().Name) {
+			g.evacuate(r)
 		}
 	}
 }
@@ -152,5 +152,5 @@
 	if d == 0 {
 		return nil
 	}
-	return g.noneYet(c, d+time.Duration(rand.Float64()*float64(retrySpread)))
+	return g.refuseAllBusy(c, d+time.Duration(rand.Float64()*float64(retrySpread)))
 }
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -12,7 +12,7 @@
 )
 
 // startStreams starts n streams, each with a backup copy, and returns their callers.
-func (b *bed) startStreams(n int) []*caller {
+func (b *testGateway) startStreams(n int) []*caller {
 	var l []*caller
 	for i := range n {
 		r, k := request("/stream/1"), &caller{}
@@ -32,15 +32,15 @@
 // resume: those that have their backup copies there.
 func TestFewRunsResumeAtServerInBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups, f.total = true, 60
-		b := newBed(t, f, 9)
+		b := newTestGateway(t, f, 9)
 		l := b.startStreams(10)
 		time.Sleep(10 * eventGap)
 		f.mutex.Lock()
 		f.signals["e2"] = port.Signals{Answered: true, BackoffRequested: true, Backoff: time.Minute}
 		f.mutex.Unlock()
-		b.Ask()
+		b.QueryLeaving()
 		time.Sleep(eventGap)
 		f.mutex.Lock()
 		before, here := len(f.sends), 0
@@ -54,7 +54,7 @@
 		time.Sleep(5 * time.Second)
 		whole := 0
 		for _, k := range l {
-			if k.whole(f.total) {
+			if k.complete(f.total) {
 				whole++
 			}
 		}
@@ -72,7 +72,7 @@
 
 // reportBackoff lets a server ask this entry VM for a backoff in its next report, and requests
 // the report.
-func (b *bed) reportBackoff(n string, d time.Duration) {
+func (b *testGateway) reportBackoff(n string, d time.Duration) {
 	b.fake.mutex.Lock()
 	b.fake.signals[n] = port.Signals{Answered: true, BackoffRequested: true, Backoff: d}
 	b.fake.mutex.Unlock()
@@ -83,13 +83,13 @@
 func TestRunIsMovedWhenItsBackupServerBacksOff(t *testing.T) {
 	tests := []struct {
 		name string
-		do   func(s *scene, backupServer string)
+		do   func(s *streamTest, backupServer string)
 	}{
-		{"backoff before the notice", func(s *scene, backupServer string) {
+		{"backoff before the notice", func(s *streamTest, backupServer string) {
 			s.reportBackoff(backupServer, time.Minute)
 			s.declareThreeEngines(s.server)
 		}},
-		{"backoff after the notice", func(s *scene, backupServer string) {
+		{"backoff after the notice", func(s *streamTest, backupServer string) {
 			s.declareThreeEngines(s.server)
 			time.Sleep(eventGap)
 			s.reportBackoff(backupServer, time.Minute)
@@ -98,22 +98,22 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFake()
+				f := newFakeServers()
 				f.backups = true
-				s := play(t, f, 60, 5)
+				s := startStream(t, f, 60, 5)
 				s.declareThreeEngines("")
 				f.mutex.Lock()
 				backupServer := f.handles["r"]
 				f.mutex.Unlock()
 				c.do(s, backupServer)
-				s.whole(t, s.server, "e3")
+				s.checkWhole(t, s.server, "e3")
 			})
 		})
 	}
 }
 
 // declareThreeEngines declares three engines, one of which may be leaving; empty for none.
-func (b *bed) declareThreeEngines(leaving string) {
+func (b *testGateway) declareThreeEngines(leaving string) {
 	m := map[string]bool{"e1": false, "e2": false, "e3": false}
 	if leaving != "" {
 		m[leaving] = true
@@ -124,15 +124,15 @@
 // A run that its target refuses at the end of a move must resume at its source.
 func TestRunRefusedByTargetReturnsToSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		target := other(s.server)
-		s.set(func(f *fake) { f.turnsAway[target] = true })
+		s.update(func(f *fakeServers) { f.refuses[target] = true })
 		s.servers(map[string]bool{s.server: true, target: false})
 		for s.fake.sent() < 3 && !s.streamEnded() {
 			time.Sleep(eventGap)
 		}
 		s.declareThreeEngines(s.server)
-		s.whole(t, s.server, target, s.server, "e3")
+		s.checkWhole(t, s.server, target, s.server, "e3")
 	})
 }
 
@@ -140,14 +140,14 @@
 // about to resume.
 func TestStoppedRunIsNotMovedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		s.declareThreeEngines(s.server)
 		s.awaitStop()
 		began := time.Now()
 		s.reportBackoff("e9", time.Minute)
 		<-s.done
-		if got, want := time.Since(began), 60*eventGap; got > want || !s.caller.whole(s.fake.total) {
-			t.Errorf("got the stream complete: %v, after %v, want it within %v", s.caller.whole(s.fake.total), got, want)
+		if got, want := time.Since(began), 60*eventGap; got > want || !s.complete(s.fake.total) {
+			t.Errorf("got the stream complete: %v, after %v, want it within %v", s.complete(s.fake.total), got, want)
 		}
 	})
 }
@@ -156,12 +156,12 @@
 // of the move.
 func TestRunReturnsToSourceWhenTargetDomainCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		target := other(s.server)
 		s.declareDomains(map[string]api.DomainName{s.server: "x", target: "y"}, s.server)
 		s.awaitStop()
 		s.closeDomains("y")
-		s.whole(t, s.server, s.server)
+		s.checkWhole(t, s.server, s.server)
 	})
 }
 
@@ -169,26 +169,26 @@
 // during the last step of the move.
 func TestStoppedRunResumesWhenSourceAndTargetDomainsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 60, 5)
+		s := startStream(t, newFakeServers(), 60, 5)
 		s.servers(map[string]bool{s.server: true, other(s.server): false})
 		s.awaitStop()
 		s.closeDomains("x")
 		<-s.done
-		if !s.caller.whole(s.fake.total) {
+		if !s.complete(s.fake.total) {
 			t.Errorf("events: got %d of %d, want the whole stream", s.count(), s.fake.total)
 		}
 	})
 }
 
 // awaitStop waits until the stream's run is stopped for the last step of its move.
-func (s *scene) awaitStop() {
+func (s *streamTest) awaitStop() {
 	for stopped := false; !stopped; time.Sleep(5 * time.Millisecond) {
-		s.set(func(f *fake) { stopped = len(f.stops) > 0 })
+		s.update(func(f *fakeServers) { stopped = len(f.stoppedAt) > 0 })
 	}
 }
 
 // streamEnded reports whether the stream has ended.
-func (s *scene) streamEnded() bool {
+func (s *streamTest) streamEnded() bool {
 	select {
 	case <-s.done:
 		return true
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -10,14 +10,14 @@
 // runs must resume from their backup copies within an acceptable pause.
 func TestRunResumesFromBackupCopyWhenServerIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups = true
-		s := play(t, f, 40, 5)
-		s.set(func(f *fake) { f.dark[s.server] = true })
+		s := startStream(t, f, 40, 5)
+		s.update(func(f *fakeServers) { f.silent[s.server] = true })
 		began := time.Now()
-		s.whole(t, s.server, other(s.server))
-		if got, want := time.Since(began), 35*eventGap+gapAim; got > want {
-			t.Errorf("remaining events: got them after %v, want no pause above %v", got, gapAim)
+		s.checkWhole(t, s.server, other(s.server))
+		if got, want := time.Since(began), 35*eventGap+gapTarget; got > want {
+			t.Errorf("remaining events: got them after %v, want no pause above %v", got, gapTarget)
 		}
 	})
 }
@@ -26,18 +26,18 @@
 // 300 VMs on one machine (seed 2001), live runs were abandoned for copies that no longer existed.
 func TestRunIsNotAbandonedWhenNoServerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups = true
-		s := play(t, f, 40, 5)
-		s.set(func(f *fake) { f.dark["e1"], f.dark["e2"] = true, true })
+		s := startStream(t, f, 40, 5)
+		s.update(func(f *fakeServers) { f.silent["e1"], f.silent["e2"] = true, true })
 		time.Sleep(time.Second)
-		s.set(func(f *fake) {
+		s.update(func(f *fakeServers) {
 			if f.closed != 0 {
 				t.Errorf("streams closed: got %d, want none", f.closed)
 			}
-			f.dark[other(s.server)] = false
+			f.silent[other(s.server)] = false
 		})
-		s.whole(t, s.server, other(s.server))
+		s.checkWhole(t, s.server, other(s.server))
 	})
 }
 
@@ -45,18 +45,18 @@
 // take that for the silence of a server.
 func TestServerIsNotQueriedWhileItsBytesAreUnread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups = true
-		s := play(t, f, 40, 5)
-		s.set(func(f *fake) { f.mute[s.server], f.ahead, f.waiting = true, 5, true })
+		s := startStream(t, f, 40, 5)
+		s.update(func(f *fakeServers) { f.silentStreams[s.server], f.ahead, f.waiting = true, 5, true })
 		time.Sleep(3 * time.Second)
-		s.set(func(f *fake) {
+		s.update(func(f *fakeServers) {
 			if f.reports != 0 {
 				t.Errorf("queries: got %d, want none", f.reports)
 			}
-			f.mute[s.server] = false
+			f.silentStreams[s.server] = false
 		})
-		s.whole(t, s.server)
+		s.checkWhole(t, s.server)
 	})
 }
 
@@ -64,8 +64,8 @@
 // the run must not be ended, while new requests go to other servers.
 func TestSilentRunWithoutCopyIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
-		s.set(func(f *fake) { f.dark[s.server] = true })
+		s := startStream(t, newFakeServers(), 40, 5)
+		s.update(func(f *fakeServers) { f.silent[s.server] = true })
 		time.Sleep(5 * time.Second)
 		select {
 		case <-s.done:
@@ -75,7 +75,7 @@
 		if c := s.serverOfNewStream(t); c != other(s.server) {
 			t.Errorf("new stream while the server is silent: got it at %s, want it at %s", c, other(s.server))
 		}
-		s.set(func(f *fake) {
+		s.update(func(f *fakeServers) {
 			// Each query is sent over two connections.
 			if n := f.reports; n > 2*8 {
 				t.Errorf("queries in 5 s: got %d, want at most 16, at growing intervals", n)
@@ -87,10 +87,10 @@
 // A connection may stay silent for good while new connections to the same server work.
 func TestRunIsFetchedWhenOnlyItsConnectionIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
-		s.set(func(f *fake) { f.mute[s.server], f.ahead = true, 5 })
-		s.whole(t, s.server, other(s.server))
-		if l := s.Held(); len(l) != 0 {
+		s := startStream(t, newFakeServers(), 40, 5)
+		s.update(func(f *fakeServers) { f.silentStreams[s.server], f.ahead = true, 5 })
+		s.checkWhole(t, s.server, other(s.server))
+		if l := s.LocalLoads(); len(l) != 0 {
 			t.Errorf("loads at the end: got %v, want none", l)
 		}
 	})
@@ -100,11 +100,11 @@
 // arrive, as after lost packets, so that the stream must not be closed.
 func TestRunThatCannotBeFetchedIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, newFake(), 40, 5)
-		s.set(func(f *fake) { f.mute[s.server], f.ahead, f.missing = true, 5, 100 })
+		s := startStream(t, newFakeServers(), 40, 5)
+		s.update(func(f *fakeServers) { f.silentStreams[s.server], f.ahead, f.notBegun = true, 5, 100 })
 		time.Sleep(3 * time.Second)
-		s.set(func(f *fake) { f.mute[s.server] = false })
-		s.whole(t, s.server)
+		s.update(func(f *fakeServers) { f.silentStreams[s.server] = false })
+		s.checkWhole(t, s.server)
 	})
 }
 
@@ -112,18 +112,18 @@
 // be moved.
 func TestSlowStreamIsNotMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeServers()
 		f.backups, f.gap = true, 2*time.Second
-		s := play(t, f, 6, 2)
-		s.whole(t, s.server)
+		s := startStream(t, f, 6, 2)
+		s.checkWhole(t, s.server)
 	})
 }
 
 // serverOfNewStream starts a short stream and returns the server that it was sent to.
-func (s *scene) serverOfNewStream(t *testing.T) string {
+func (s *streamTest) serverOfNewStream(t *testing.T) string {
 	t.Helper()
 	c := &caller{}
-	s.set(func(f *fake) { f.total = 1 })
+	s.update(func(f *fakeServers) { f.total = 1 })
 	r := request("/stream/2")
 	r.ID = "r2"
 	s.Handle(t.Context(), r, c)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -40,13 +40,13 @@
 
 // stream serves a request on a stream route. A server may still give a whole answer.
 func (g *Gateway) stream(ctx context.Context, q *request) {
-	v, f := g.try(ctx, q, streamNeed(q))
+	v, f := g.sendWithRetries(ctx, q, streamNeed(q))
 	switch {
 	case f != nil:
 		g.fail(q, f)
 	case v.answer.Stream == nil:
-		v.end()
-		g.whole(q, v.answer)
+		v.release()
+		g.answerWhole(q, v.answer)
 	default:
 		r := &run{request: q}
 		g.attach(r, v.server, v.reservation, v.backup)
@@ -80,12 +80,12 @@
 		case err == nil:
 			q.sink.EndStream()
 			g.Contents.RecordAnswer(q.content)
-			g.done(q, r.lateness(), r.logFields()...)
+			g.finish(q, r.lateness(), r.logFields()...)
 			return
 		case ctx.Err() != nil || fault.Has(err, fault.CallerGone):
 			g.Metrics.Add(metric.CallersGone, 1)
 			q.outcome = "caller_gone"
-			g.tell(q)
+			g.logChoices(q)
 			g.Log.Emit(event.CallerLeft, zap.String("request", string(q.ID)), zap.Error(err))
 			q.sink.Abort()
 			return
@@ -138,8 +138,8 @@
 	r.mutex.Lock()
 	l := r.reservation
 	r.mutex.Unlock()
-	g.noteRead(l, r.request)
-	l.read()
+	g.recordPrefill(l, r.request)
+	l.recordPromptRead()
 	g.Metrics.Add(metric.FirstTokens, 1)
 	g.Metrics.Add(metric.FirstTokenMS, time.Since(r.request.Arrived).Milliseconds())
 }
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -16,73 +16,73 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// waiter is a demand that waits for an engine.
+// waiter is a demand that waits in the queue.
 type waiter struct {
-	demand demand
-	placed chan placed
+	demand   demand
+	assigned chan assignment
 }
 
-// placed is the server that a request was given, or why it was given none.
-type placed struct {
+// assignment is the server that a demand was given, or the fault with which it was refused.
+type assignment struct {
 	choice      placement.Choice
 	reservation *reservation
-	// copy is the engine that keeps a copy of the run as it grows, empty for none;
-	// backup counts it where this entry VM holds the run.
-	copy   api.ServerName
-	backup *backup
-	fault  *fault.Error
-	// forecast decided that the request could not wait.
+	// backupName is the engine that is to hold a backup copy of the run, empty for none. backup
+	// is its reservation, set where this entry VM holds the run.
+	backupName api.ServerName
+	backup     *backup
+	fault      *fault.Error
+	// forecast is the estimate of the wait by which the demand was refused.
 	forecast backlog.Forecast
 }
 
-// await lets a demand wait for room, or refuses it at once where none is expected
-// in time.
-func (g *Gateway) await(ctx context.Context, d demand) placed {
+// enqueue queues a demand until an engine has capacity for it, or refuses it at once where none
+// is expected to in time.
+func (g *Gateway) enqueue(ctx context.Context, d demand) assignment {
 	g.mutex.Lock()
 	now := time.Now()
 	a := g.admission(d.service.Name)
-	f := a.backlog.Forecast(now, d.ask)
-	if !f.MayWait() || g.roster.Closed(d.domain) && !g.offers(now, d) {
-		p := placed{fault: g.noRoom(now, a, d), forecast: f}
+	f := a.backlog.Forecast(now, d.request)
+	if !f.MayWait() || g.roster.Closed(d.domain) && !g.hasEngineLocked(now, d) {
+		p := assignment{fault: g.noCapacity(now, a, d), forecast: f}
 		g.mutex.Unlock()
 		return p
 	}
-	w := &waiter{demand: d, placed: make(chan placed, 1)}
-	if out, over := a.backlog.Push(now, d.ask, w); over {
-		out.placed <- placed{fault: g.noRoom(now, a, out.demand)}
+	w := &waiter{demand: d, assigned: make(chan assignment, 1)}
+	if out, over := a.backlog.Push(now, d.request, w); over {
+		out.assigned <- assignment{fault: g.noCapacity(now, a, out.demand)}
 	}
-	g.letIn(now)
+	g.admitWaiting(now)
 	g.mutex.Unlock()
-	return g.wait(ctx, a, w)
+	return g.awaitAssignment(ctx, a, w)
 }
 
-// serverWait is when a caller may come back to an entry VM that knows no server:
-// servers whose entries lapsed write them again within about two seconds of the
-// store's return.
-const serverWait = 2 * time.Second
-
-// noRoom is the refusal of a request that can't be let in in time; the mutex is
-// held. Where no server takes requests, it is not that there are too many of them: the
-// first servers are expected soon, or operators have closed the domains of all.
-func (g *Gateway) noRoom(now time.Time, a *admission, d demand) *fault.Error {
-	if !g.serves(d.service.Name) {
-		return fault.New(fault.NoServer, "no server of the service takes requests").After(serverWait)
+// noServerRetryAfter is the Retry-After of an entry VM that knows no server of a service.
+// Servers whose entries have expired write them again within about two seconds of the store's
+// return.
+const noServerRetryAfter = 2 * time.Second
+
+// noCapacity is the refusal of a demand that can't be admitted in time; the mutex is held. A
+// service of which no server accepts requests is not overloaded: its first servers are still to
+// start, or operators have closed the failure domains of all.
+func (g *Gateway) noCapacity(now time.Time, a *admission, d demand) *fault.Error {
+	if !g.hasAvailableServer(d.service.Name) {
+		return fault.New(fault.NoServer, "no server of the service takes requests").After(noServerRetryAfter)
 	}
-	return fault.New(fault.QueueFull, "no server is expected to have room in time").After(a.backlog.Refuse(now, d.ask.Late, d.deadline.Sub(now)))
+	return fault.New(fault.QueueFull, "no server is expected to have capacity in time").After(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
 }
 
-// serves reports whether a service has a server that takes requests; the mutex
-// is held.
-func (g *Gateway) serves(n api.ServiceName) bool {
+// hasAvailableServer reports whether a server of a service accepts requests; the mutex is held.
+func (g *Gateway) hasAvailableServer(n api.ServiceName) bool {
 	return slices.ContainsFunc(g.roster.Service(n), roster.Member.AcceptsRequests)
 }
 
-// wait waits until a demand was given a server or refused, or its caller left.
-func (g *Gateway) wait(ctx context.Context, a *admission, w *waiter) placed {
-	t := time.NewTimer(backlog.MaxWait(w.demand.ask.LatencyTarget))
+// awaitAssignment waits until a queued demand is given a server or refused, or until its caller
+// leaves.
+func (g *Gateway) awaitAssignment(ctx context.Context, a *admission, w *waiter) assignment {
+	t := time.NewTimer(backlog.MaxWait(w.demand.request.LatencyTarget))
 	defer t.Stop()
 	select {
-	case p := <-w.placed:
+	case p := <-w.assigned:
 		return p
 	case <-t.C:
 	case <-ctx.Done():
@@ -91,71 +91,73 @@
 	if ctx.Err() == nil {
 		return p
 	}
-	p.end()
-	return placed{fault: overdue(ctx)}
+	p.release()
+	return assignment{fault: waitFault(ctx)}
 }
 
-// overdue types the end of a request that waited for a server.
-func overdue(ctx context.Context) *fault.Error {
+// waitFault is the fault of a request whose context ended while it waited for a server.
+func waitFault(ctx context.Context) *fault.Error {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return fault.New(fault.CallerGone, "the caller closed its connection")
 	}
 	return fault.New(fault.DeadlinePassed, "the deadline passed while the request waited for a server")
 }
 
-// end takes the load of a place away that nobody needs.
-func (p placed) end() {
-	p.reservation.end()
+// release removes the load of an assignment that is not used.
+func (p assignment) release() {
+	p.reservation.release()
 	p.backup.release()
 }
 
-// withdraw ends a demand's wait. Unless it was given a server just before it is
-// refused, or given nothing where its caller is gone.
-func (g *Gateway) withdraw(a *admission, w *waiter, gone bool) placed {
+// withdraw takes a demand out of the queue. Its result is the server that it was given at the
+// last moment, or else a refusal, which is left out where the caller is gone.
+func (g *Gateway) withdraw(a *admission, w *waiter, gone bool) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	a.backlog.Remove(func(x *waiter) bool { return x == w })
 	select {
-	case p := <-w.placed:
+	case p := <-w.assigned:
 		return p
 	default:
 	}
 	if gone {
-		return placed{}
+		return assignment{}
 	}
-	return placed{fault: g.noRoom(time.Now(), a, w.demand)}
+	return assignment{fault: g.noCapacity(time.Now(), a, w.demand)}
 }
 
-// letIn gives servers to demands that wait, as far as there is room; the mutex
-// is held.
-func (g *Gateway) letIn(now time.Time) {
+// admitWaiting gives servers to waiting demands, as far as there is capacity; the mutex is
+// held.
+func (g *Gateway) admitWaiting(now time.Time) {
 	for _, a := range g.admissions {
 		for a.backlog.Len() > 0 {
 			var x placement.Choice
 			w, ok := a.backlog.Pop(now, func(w *waiter) bool {
 				var fits bool
-				x, fits = g.picker.Pick(now, g.engines(now, w.demand), w.demand.need, w.demand.tried)
+				x, fits = g.picker.Pick(now, g.enginePool(now, w.demand), w.demand.need, w.demand.tried)
 				return fits
 			})
 			if !ok {
 				break
 			}
-			w.placed <- g.take(now, w.demand, x)
+			w.assigned <- g.assign(now, w.demand, x)
 		}
 	}
 }
 
-// Tick lets requests in that find room as time passes, as at the end of a cooldown.
-func (g *Gateway) Tick() {
+// AdmitWaiting admits the requests for which there is capacity as time passes, as at the end of
+// a cooldown, and sends the reports to allocators that are due.
+func (g *Gateway) AdmitWaiting() {
 	g.mutex.Lock()
-	g.letIn(time.Now())
-	g.Metrics.Put(metric.RequestsWaiting, int64(g.waiting()))
+	g.admitWaiting(time.Now())
+	g.Metrics.Put(metric.RequestsWaiting, int64(g.countWaiting()))
 	g.mutex.Unlock()
-	g.tellAllocators()
+	g.reportDue()
 }
 
-// figures gives the fields of the log line of a refusal: what decided it.
-func (q *request) figures() []zap.Field {
+// waitFields are the log fields of a refusal that tell how long the request waited and by which
+// forecast it was refused.
+func (q *request) waitFields() []zap.Field {
 	l := []zap.Field{zap.Duration("waited", q.waited)}
 	if f := q.forecast; f.MaxWait > 0 {
 		l = append(l, zap.Int("waiting", f.Waiting), zap.Duration("forecast", f.Wait), zap.Duration("patience", f.MaxWait), zap.Bool("behind", f.LateInOverload))
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -74,12 +74,12 @@
 func (hostedDecisions) Run(h *Hosted) error {
 	s := h.Settings.Gateway
 	h.deadlines = clock.NewDeadlines(h.Machine.Now)
-	h.gateway = gateway.New(gateway.Parts{
+	h.gateway = gateway.New(gateway.Options{
 		Deadlines: h.deadlines,
 		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: allocators{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
-		Closable:    s.CloseMS > 0,
-		Quarantines: h.adapter.Quarantines,
-		Retries:     retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
+		WaitForClosures: s.CloseMS > 0,
+		Quarantines:     h.adapter.Quarantines,
+		Retries:         retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
 	})
 	apply := s.ApplyMS.Duration()
 	timing := func(share float64) mirror.Timing {
@@ -144,7 +144,7 @@
 	return a.hosted.mesh.Allocators(d)
 }
 
-func (a allocators) Ask(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
+func (a allocators) Place(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
 	return a.hosted.mesh.RequestPlace(ctx, address, x)
 }
 
@@ -174,7 +174,7 @@
 
 // serve takes servers, and tells peers that hear of them from here.
 func (h *Hosted) serve(s replica.Snapshot[roster.Server]) {
-	h.gateway.Serve(s)
+	h.gateway.UpdateServers(s)
 	h.tell()
 }
 
@@ -196,9 +196,9 @@
 // the first moment on, before it is known whether peers still hear of them, so
 // that the servers are asked at once.
 func (h *Hosted) away(lost bool) {
-	h.gateway.Away(lost)
+	h.gateway.SetStoreDown(lost)
 	if lost {
-		h.gateway.Ask()
+		h.gateway.QueryLeaving()
 	}
 }
 
@@ -308,7 +308,7 @@
 // tick lets requests in and tells allocators what changed.
 func (h *Hosted) tick(context.Context) {
 	h.ticks++
-	h.gateway.Tick()
+	h.gateway.AdmitWaiting()
 	if h.ticks%roundTicks == 0 {
 		h.mesh.Round()
 		h.round()
@@ -319,11 +319,11 @@
 func (h *Hosted) round() {
 	h.rounds++
 	h.awake()
-	h.gateway.Step()
-	h.gateway.Contents.ProbeServers(h.group, connects(h.Machine.Dial, h.gateway.Address))
+	h.gateway.Maintain()
+	h.gateway.Contents.ProbeServers(h.group, connects(h.Machine.Dial, h.gateway.ServerAddress))
 	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
 	if h.dark() {
-		h.gateway.Ask()
+		h.gateway.QueryLeaving()
 	}
 	if h.rounds%sweepRounds == 0 {
 		h.pool.Sweep()
@@ -377,7 +377,7 @@
 			continue
 		}
 		h.grace.Store(int64(seconds(s.Gateway.GraceS)))
-		h.gateway.Bound(seconds(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
+		h.gateway.SetRetryBounds(seconds(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
 		h.Log.Emit(event.SettingsTaken, zap.Bool("restart_needed", s.Node != h.Settings.Node || s.Platform != h.Settings.Platform))
 	}
 }
