--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -85,7 +85,7 @@
 	timing := func(share float64) mirror.Timing {
 		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(mirrorSlack * float64(apply))}
 	}
-	d := h.deferList()
+	d := h.listDelay()
 	h.config = mirror.New(mirror.Parts[directory.Config]{
 		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configShare), Defer: d,
 		Take: h.configure, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
@@ -103,7 +103,7 @@
 	}
 	if h.adapter.Quarantined != nil {
 		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
-			Name: "quarantines", Source: h.adapter.Quarantined, Log: h.Log, Metrics: h.Metrics, Defer: firstDefer,
+			Name: "quarantines", Source: h.adapter.Quarantined, Log: h.Log, Metrics: h.Metrics, Defer: firstListDelay,
 			Timing: mirror.Timing{Wait: quarantineWait, Slack: time.Duration(mirrorSlack * float64(quarantineWait))},
 			Take:   h.quarantine, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
 		})
@@ -119,20 +119,20 @@
 	return nil
 }
 
-// firstDefer is how long an entry VM leaves the platform to others at the first
+// firstListDelay is how long an entry VM leaves the platform to others at the first
 // start of the whole system: the VMs that the settings name ask it at once, the
 // hubs of each failure domain are known after 1.5 s, and have told their members a
 // second later.
-const firstDefer = 3 * time.Second
+const firstListDelay = 3 * time.Second
 
-// deferList is how long the first list of the platform is left to peers. After any
+// listDelay is how long the first list of the platform is left to peers. After any
 // other start callers may be waiting.
-func (h *Hosted) deferList() time.Duration {
+func (h *Hosted) listDelay() time.Duration {
 	l := split(h.Settings.Gateway.Seeds)
 	if !h.Settings.Gateway.FirstStart || len(l) == 0 || slices.Contains(l, h.Settings.Node.Control) {
 		return 0
 	}
-	return firstDefer
+	return firstListDelay
 }
 
 // allocators are the peers of the gateway, which is made before the mesh.
