--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -37,21 +37,21 @@
 	Machine  Machine
 	Log      *event.Log
 	Metrics  *metric.Set
-	Life     *lifecycle.Life
+	Lifecycle     *lifecycle.Life
 	Owner    lease.Owner
 	Explain  *explain.Recorder
 
 	Platform *objectapi.Client
 	Engines  *engine.Client
 	Peers    *peer.Client
-	Reused   *http.Client
-	Single   *http.Client
+	KeepAliveClient   *http.Client
+	SingleUseClient   *http.Client
 
 	Group     *duty.Group
 	Broker    *broker.Broker
-	Follow    *follow.Follower
-	Poll      *poll.Poller
-	Beat      *heartbeat.Keeper
+	Follower    *follow.Follower
+	Poller      *poll.Poller
+	Heartbeats      *heartbeat.Keeper
 	Claims    *claims.Keeper
 	Deadlines *clock.Deadlines
 	Contents  *contents.Guard
@@ -67,8 +67,8 @@
 	cleanups cleanups
 }
 
-// New makes the context of a start on a machine.
-func New(ctx context.Context, m Machine, s api.Settings, l *event.Log) *Context {
+// NewContext makes the context of a start on a machine.
+func NewContext(ctx context.Context, m Machine, s api.Settings, l *event.Log) *Context {
 	return &Context{
 		Context:  ctx,
 		Settings: s,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,7 +17,7 @@
 // Run runs an entry VM on a machine until its context ends, and then stops it
 // as planned.
 func Run(ctx context.Context, m Machine, s api.Settings, l *event.Log) error {
-	c := New(ctx, m, s, l)
+	c := NewContext(ctx, m, s, l)
 	defer c.Close()
 	if err := step.Run(c, l, starting); err != nil {
 		if ctx.Err() != nil {
@@ -38,11 +38,11 @@
 		VM:            c.Owner.VM,
 		Incarnation:   c.Owner.Incarnation,
 		Domain:        c.Settings.Node.Domain,
-		State:         c.Life.State(),
-		ConfigVersion: c.Follow.View().Version,
-		ConfigKept:    c.Follow.Kept(),
+		State:         c.Lifecycle.State(),
+		ConfigVersion: c.Follower.View().Version,
+		ConfigKept:    c.Follower.Kept(),
 		ClaimsEra:     c.Claims.Rewritten(),
-		InFlight:      c.Life.InFlight(),
+		InFlight:      c.Lifecycle.InFlight(),
 		Contents:      c.Contents.All(),
 		Limits:        c.Entry.Limits(),
 		Leaving:       c.Entry.Leaving(),
@@ -62,13 +62,13 @@
 // catchUp takes the configuration of a peer that has a newer one in force, if
 // the own watch does not bring it.
 func (c *Context) catchUp(ctx context.Context, address string) {
-	before := c.Follow.View().Version
-	if !duty.Sleep(ctx, grace) || c.Follow.View().Version > before {
+	before := c.Follower.View().Version
+	if !duty.Sleep(ctx, grace) || c.Follower.View().Version > before {
 		return
 	}
-	sent := c.Life.Now()
+	sent := c.Lifecycle.Now()
 	if l, err := c.Peers.Config(ctx, address); err == nil {
-		c.Follow.Offer(l, sent)
+		c.Follower.Offer(l, sent)
 	}
 }
 
@@ -80,7 +80,7 @@
 		c.Metrics.Add(metric.PlatformFailures, 1)
 		return
 	}
-	c.Beat.Listed(l)
+	c.Heartbeats.Listed(l)
 	for _, v := range l {
 		if v.Role == api.VMRoleBackend {
 			leaving := v.State == api.VMStateLeaving
@@ -94,18 +94,18 @@
 func (c *Context) tick(context.Context) {
 	c.Broker.Tick()
 	c.Metrics.Put(metric.RequestsWaiting, int64(c.Broker.Waiting()))
-	c.Metrics.Put(metric.RequestsInFlight, int64(c.Life.InFlight()))
+	c.Metrics.Put(metric.RequestsInFlight, int64(c.Lifecycle.InFlight()))
 }
 
 // address gives the address of a declared server.
 func (c *Context) address(n api.ServerName) (string, bool) {
-	s, ok := c.Follow.View().Servers[n]
+	s, ok := c.Follower.View().Servers[n]
 	return s.Address, ok
 }
 
 // beat notices a suspension and keeps shares and duties in step with members.
 func (c *Context) beat(ctx context.Context) {
-	if c.Life.Beat() {
+	if c.Lifecycle.Beat() {
 		c.Metrics.Add(metric.ClockJumps, 1)
 		c.Log.Emit(event.ClockJump)
 		c.confirm(ctx)
@@ -113,9 +113,9 @@
 	c.Deadlines.Check()
 	c.Contents.Step()
 	c.Contents.Verify(c.Group, connects(c.Machine.Dial, c.address))
-	c.Entry.Members(c.Beat.Serving())
+	c.Entry.Members(c.Heartbeats.Serving())
 	for _, l := range c.Leaders {
-		l.Want(c.Life.State() == api.PeerStateServing && c.Beat.Candidate(l.Duty()))
+		l.Want(c.Lifecycle.State() == api.PeerStateServing && c.Heartbeats.Candidate(l.Duty()))
 	}
 }
 
@@ -123,13 +123,13 @@
 // suspension; the pending watch was sent before it and proves nothing.
 func (c *Context) confirm(ctx context.Context) {
 	c.Group.Go(func(context.Context) error {
-		c.Follow.Refresh(ctx)
+		c.Follower.Refresh(ctx)
 		return nil
 	})
-	for _, a := range c.Beat.Addresses() {
-		sent := c.Life.Now()
+	for _, a := range c.Heartbeats.Addresses() {
+		sent := c.Lifecycle.Now()
 		if l, err := c.Peers.Config(ctx, a); err == nil {
-			c.Follow.Offer(l, sent)
+			c.Follower.Offer(l, sent)
 			return
 		}
 	}
@@ -139,11 +139,11 @@
 func (c *Context) Status() api.NodeStatus {
 	s := api.NodeStatus{
 		VM:            c.Owner.VM,
-		State:         c.Life.State(),
-		ConfigVersion: c.Follow.View().Version,
-		PlatformAgeMS: api.ToMilliseconds(c.Follow.Age()),
+		State:         c.Lifecycle.State(),
+		ConfigVersion: c.Follower.View().Version,
+		PlatformAgeMS: api.ToMilliseconds(c.Follower.Age()),
 		Leases:        []string{},
-		Members:       c.Beat.Status(),
+		Members:       c.Heartbeats.Status(),
 		Servers:       c.Broker.Status(),
 	}
 	for _, l := range c.Leaders {
@@ -156,5 +156,5 @@
 
 // stopped logs the end of a planned stop.
 func (c *Context) stopped(id event.ID) {
-	c.Log.Emit(id, zap.Int("in_flight", c.Life.InFlight()))
+	c.Log.Emit(id, zap.Int("in_flight", c.Lifecycle.InFlight()))
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -49,7 +49,7 @@
 func (state) String() string { return "state" }
 
 func (state) Run(c *Context) error {
-	c.Life = lifecycle.New(c.Machine.Now)
+	c.Lifecycle = lifecycle.New(c.Machine.Now)
 	c.Explain = explain.New(c.Settings.Node.Name, c.Settings.Entry.ExplainRecords)
 	return nil
 }
@@ -64,13 +64,13 @@
 
 func (clients) Run(c *Context) error {
 	var closer func()
-	c.Reused, closer = wire.NewClientOver(c.Machine.Dial, true)
+	c.KeepAliveClient, closer = wire.NewClientOver(c.Machine.Dial, true)
 	c.cleanup(closer)
-	c.Single, closer = wire.NewClientOver(c.Machine.Dial, false)
+	c.SingleUseClient, closer = wire.NewClientOver(c.Machine.Dial, false)
 	c.cleanup(closer)
-	c.Platform = objectapi.Over(c.Reused, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
-	c.Engines = engine.Over(c.Reused, dialTime)
-	c.Peers = peer.Over(c.Reused, peerTime)
+	c.Platform = objectapi.Over(c.KeepAliveClient, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
+	c.Engines = engine.Over(c.KeepAliveClient, dialTime)
+	c.Peers = peer.Over(c.KeepAliveClient, peerTime)
 	return nil
 }
 
@@ -131,7 +131,7 @@
 
 // Release asks the entry VM that made a claim.
 func (r release) Release(ctx context.Context, n api.VMName, q api.AttemptQuery) (bool, error) {
-	a, ok := r.node.Beat.Find(n)
+	a, ok := r.node.Heartbeats.Find(n)
 	if !ok {
 		return false, fault.New(fault.PeerUnreachable, "the owner of the claim is not listed")
 	}
@@ -140,7 +140,7 @@
 
 // Rewritten reports whether all other entry VMs have written their claims again in an era.
 func (r release) Rewritten(e api.Era) bool {
-	return r.node.Beat.Rewritten(e)
+	return r.node.Heartbeats.Rewritten(e)
 }
 
 // duties makes and starts the duties.
@@ -153,15 +153,15 @@
 	// Duties outlive the signal to stop: they end with the clean-up.
 	c.Group, closer = duty.New(context.WithoutCancel(c.Context))
 	c.cleanup(closer)
-	c.Poll = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.lost)
+	c.Poller = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.lost)
 	c.Entry = entry.New(entry.Parts{
-		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Life: c.Life,
-		View: func() *config.View { return c.Follow.View() }, Broker: c.Broker,
+		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Life: c.Lifecycle,
+		View: func() *config.View { return c.Follower.View() }, Broker: c.Broker,
 		Engines: c.Engines, Claims: c.Claims, Explain: c.Explain, Group: c.Group, Contents: c.Contents, Deadlines: c.Deadlines,
-		Reused: c.Reused, Single: c.Single,
+		Reused: c.KeepAliveClient, Single: c.SingleUseClient,
 	})
-	c.Follow = follow.New(c.Platform, c.Life, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poll.Declare, c.Entry.Declare)
-	c.Beat = heartbeat.New(c.heartbeat, c.catchUp, c.merge, c.Peers, c.Log, c.Metrics)
+	c.Follower = follow.New(c.Platform, c.Lifecycle, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poller.Declare, c.Entry.Declare)
+	c.Heartbeats = heartbeat.New(c.heartbeat, c.catchUp, c.merge, c.Peers, c.Log, c.Metrics)
 	c.lead()
 	c.startDuties()
 	return nil
@@ -181,8 +181,8 @@
 	o := leader.New(orders.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	u := leader.New(upkeep.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	c.Leaders = []*leader.Leader{o, u}
-	c.Orders = orders.New(o, c.Engines, c.Follow.View, c.Poll.Last, c.Settings.Order.WeightsMBPerSecond, c.Log, c.Metrics)
-	c.Upkeep = upkeep.New(u, c.Platform, c.Follow.View, c.Broker.Status, c.Poll.Last, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
+	c.Orders = orders.New(o, c.Engines, c.Follower.View, c.Poller.Last, c.Settings.Order.WeightsMBPerSecond, c.Log, c.Metrics)
+	c.Upkeep = upkeep.New(u, c.Platform, c.Follower.View, c.Broker.Status, c.Poller.Last, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
 }
 
 // Times between the rounds of small duties.
@@ -193,10 +193,10 @@
 
 func (c *Context) startDuties() {
 	g := c.Group
-	g.Go(c.Follow.Watch)
-	g.Go(c.Follow.Apply)
-	g.Go(c.Beat.Run)
-	g.Go(func(ctx context.Context) error { return c.Poll.Deliver(ctx, c.Broker.Report) })
+	g.Go(c.Follower.Watch)
+	g.Go(c.Follower.Apply)
+	g.Go(c.Heartbeats.Run)
+	g.Go(func(ctx context.Context) error { return c.Poller.Deliver(ctx, c.Broker.Report) })
 	g.Every(c.Settings.Platform.VMPollMS.Duration(), c.readVMs)
 	g.Every(tickEvery, c.tick)
 	g.Every(beatEvery, c.beat)
@@ -205,7 +205,7 @@
 		g.Go(c.Orders.Work)
 	}
 	g.Go(c.Upkeep.Run)
-	g.Go(c.Claims.Run(c.Follow.Answered))
+	g.Go(c.Claims.Run(c.Follower.Answered))
 	for _, l := range c.Leaders {
 		g.Go(l.Run)
 	}
@@ -228,8 +228,8 @@
 
 func (servers) Run(c *Context) error {
 	c.Control = control.New(control.Parts{
-		Beat: c.Beat, Peers: c.Peers, Claims: c.Claims, Explain: c.Explain, Metrics: c.Metrics,
-		Config: c.Follow.List, Status: c.Status,
+		Beat: c.Heartbeats, Peers: c.Peers, Claims: c.Claims, Explain: c.Explain, Metrics: c.Metrics,
+		Config: c.Follower.List, Status: c.Status,
 	})
 	w := c.Settings.Entry.HeaderWaitMS.Duration()
 	var err error
@@ -259,21 +259,21 @@
 
 func (opening) Run(c *Context) error {
 	select {
-	case <-c.Follow.Ready():
+	case <-c.Follower.Ready():
 	case <-c.Done():
 		return c.Err()
 	}
 	c.readVMs(c)
-	c.Beat.Round(c)
+	c.Heartbeats.Round(c)
 	// A stale replica of the platform must not take the fleet back: what any
 	// peer has in force is waited for.
 	end := time.Now().Add(peersWait)
-	for c.Beat.Newest() > c.Follow.View().Version && time.Now().Before(end) {
+	for c.Heartbeats.Newest() > c.Follower.View().Version && time.Now().Before(end) {
 		if !duty.Sleep(c, tickEvery) {
 			return c.Err()
 		}
 	}
-	c.Life.Serve()
+	c.Lifecycle.Serve()
 	c.Log.Emit(event.Started, zap.String("listen", c.Settings.Node.Listen), zap.String("control", c.Settings.Node.Control))
 	return nil
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -21,7 +21,7 @@
 
 func (turning) Run(c *Context) error {
 	c.Log.Emit(event.StopBegun)
-	c.Life.Turn()
+	c.Lifecycle.Turn()
 	duty.Sleep(c, c.Settings.Node.StopWaitMS.Duration())
 	return nil
 }
@@ -32,10 +32,10 @@
 func (draining) String() string { return "draining" }
 
 func (draining) Run(c *Context) error {
-	c.Life.Stop()
+	c.Lifecycle.Stop()
 	x, cancel := context.WithTimeout(c, c.Settings.Node.StopLimitMS.Duration())
 	defer cancel()
-	if err := c.Life.Idle(x); err != nil {
+	if err := c.Lifecycle.Idle(x); err != nil {
 		c.stopped(event.StopLimit)
 		return nil
 	}
