--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -12,7 +12,7 @@
 )
 
 // hosted makes the adapter of the platform that the system runs on.
-func hosted(l node.Links) node.Adapter {
+func hosted(l node.AdapterDeps) node.Adapter {
 	o := platform.NewObjects(l.Platform, l.Address)
 	bad := func(kind, name string, err error) {
 		l.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
@@ -21,8 +21,8 @@
 		Config:      platform.Config(o, bad),
 		Servers:     platform.Servers(o, bad),
 		Closures:    platform.Closures(o, bad),
-		Quarantined: platform.Quarantined(o, bad),
-		Quarantines: platform.NewQuarantines(o),
+		QuarantineSource: platform.Quarantined(o, bad),
+		QuarantineStore: platform.NewQuarantines(o),
 		Backends:    platform.NewBackends(l.Pool),
 		Ingress:     func(g *gateway.Gateway) http.Handler { return platform.Ingress(g) },
 		Readiness:   func(g *gateway.Gateway) http.Handler { return platform.Readiness(g) },
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -59,10 +59,10 @@
 	}
 	defer end()
 	if s.Platform.Wire == api.PlatformSettingsWireHosted {
-		r := node.Reloads{Signal: reload, Load: func() (api.Settings, error) { return settings.Load(l.Settings) }}
-		return node.RunHosted(ctx, node.Real(), s, e, r, hosted)
+		r := node.SettingsReload{Signal: reload, Load: func() (api.Settings, error) { return settings.Load(l.Settings) }}
+		return node.RunHosted(ctx, node.RealMachine(), s, e, r, hosted)
 	}
-	return node.Run(ctx, node.Real(), s, e)
+	return node.Run(ctx, node.RealMachine(), s, e)
 }
 
 // fail writes a failure and gives the exit status.
--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -220,7 +220,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	v.cancel = cancel
 	b.group.Go(func(context.Context) error {
-		v.done <- node.Run(ctx, node.Real(), s, event.Discard())
+		v.done <- node.Run(ctx, node.RealMachine(), s, event.Discard())
 		close(v.done)
 		return nil
 	})
--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -33,7 +33,7 @@
 
 	// over makes the wire of an entry VM in place of adapt, and settings are added to those
 	// of its gateway.
-	over     func(i int, l node.Links) node.Adapter
+	over     func(i int, l node.AdapterDeps) node.Adapter
 	settings string
 
 	mutex sync.Mutex
@@ -87,7 +87,7 @@
 	m := machine{b.net, h}
 	b.group.Go(func(context.Context) error {
 		defer close(done)
-		return node.RunHosted(ctx, node.Machine{Dial: m.dial, Listen: m.listen, Now: time.Now}, s, event.Discard(), node.Reloads{}, func(l node.Links) node.Adapter { return b.wire(i, l) })
+		return node.RunHosted(ctx, node.Machine{Dial: m.dial, Listen: m.listen, Now: time.Now}, s, event.Discard(), node.SettingsReload{}, func(l node.AdapterDeps) node.Adapter { return b.wire(i, l) })
 	})
 	stop := func() {
 		cancel()
@@ -98,7 +98,7 @@
 }
 
 // wire is that of entry VM i.
-func (b *hostedBed) wire(i int, l node.Links) node.Adapter {
+func (b *hostedBed) wire(i int, l node.AdapterDeps) node.Adapter {
 	if b.over != nil {
 		return b.over(i, l)
 	}
@@ -110,7 +110,7 @@
 func (b *hostedBed) adapt(i int) node.Adapter {
 	return node.Adapter{
 		Config: b.pool.config, Servers: b.pool.entries, Backends: b.pool,
-		Quarantined: b.kept, Quarantines: keeper{b.kept},
+		QuarantineSource: b.kept, QuarantineStore: keeper{b.kept},
 		Ingress:   func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) },
 		Readiness: func(*gateway.Gateway) http.Handler { return http.NotFoundHandler() },
 	}
--- a/fleet/restored_test.go
+++ b/fleet/restored_test.go
@@ -131,12 +131,12 @@
 }
 
 // adapt is the platform's own adapter for entry VM i, over servers that record.
-func (b *storeBed) adapt(i int, l node.Links) node.Adapter {
+func (b *storeBed) adapt(i int, l node.AdapterDeps) node.Adapter {
 	o := platform.NewObjects(l.Platform, l.Address)
 	bad := func(kind, name string, err error) { b.t.Errorf("%s/%s: %v", kind, name, err) }
 	return node.Adapter{
 		Config: platform.Config(o, bad), Servers: platform.Servers(o, bad), Closures: platform.Closures(o, bad),
-		Quarantined: platform.Quarantined(o, bad), Quarantines: platform.NewQuarantines(o),
+		QuarantineSource: platform.Quarantined(o, bad), QuarantineStore: platform.NewQuarantines(o),
 		Backends:  recording{b.pool, b.sent},
 		Ingress:   func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) },
 		Readiness: func(*gateway.Gateway) http.Handler { return http.NotFoundHandler() },
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -107,7 +107,7 @@
 	b.pool.entries.put(string(s.ID), s)
 }
 
-func (b *signalBed) adapt(i int, l node.Links) node.Adapter {
+func (b *signalBed) adapt(i int, l node.AdapterDeps) node.Adapter {
 	a := b.hostedBed.adapt(i)
 	a.Backends = watched{platform.NewBackends(l.Pool), b, i}
 	a.Ingress = func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) }
--- a/internal/dev/up.go
+++ b/internal/dev/up.go
@@ -80,7 +80,7 @@
 		if err != nil {
 			return err
 		}
-		g.Go(func(context.Context) error { return node.Run(x, node.Real(), s, l) })
+		g.Go(func(context.Context) error { return node.Run(x, node.RealMachine(), s, l) })
 	}
 	if err := wait(ctx, y.entries); err != nil {
 		return g.Wait()
--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -28,18 +28,18 @@
 	Config   port.Source[directory.Config]
 	Servers  port.Source[roster.Server]
 	Closures port.Source[roster.Closure]
-	// Quarantined reads the refused contents and Quarantines writes them; both are nil
+	// QuarantineSource reads the refused contents and Quarantines writes them; both are nil
 	// where the platform keeps none.
-	Quarantined port.Source[quarantine.Entry]
-	Quarantines port.Quarantines
+	QuarantineSource port.Source[quarantine.Entry]
+	QuarantineStore port.Quarantines
 	Backends    port.Backends
 	// Ingress serves callers and Readiness the balancer.
 	Ingress   func(g *gateway.Gateway) http.Handler
 	Readiness func(g *gateway.Gateway) http.Handler
 }
 
-// Links are what an adapter is made over.
-type Links struct {
+// AdapterDeps are what an adapter is made over.
+type AdapterDeps struct {
 	// Platform sends calls to the platform's store at its address.
 	Platform *http.Client
 	Address  string
@@ -47,16 +47,16 @@
 	Log      *event.Log
 }
 
-// Hosted is carried through the steps of a hosted entry VM.
-type Hosted struct {
+// HostedContext is carried through the steps of a hosted entry VM.
+type HostedContext struct {
 	context.Context
 
 	Settings api.Settings
 	Machine  Machine
 	Log      *event.Log
 	Metrics  *metric.Set
-	Reloads  Reloads
-	Adapt    func(l Links) Adapter
+	Reload  SettingsReload
+	NewAdapter    func(l AdapterDeps) Adapter
 
 	adapter Adapter
 	group   *duty.Group
@@ -82,8 +82,8 @@
 	cleanups cleanups
 }
 
-// Reloads tell of changed settings.
-type Reloads struct {
+// SettingsReload tell of changed settings.
+type SettingsReload struct {
 	// Signal says that the settings may have changed.
 	Signal <-chan os.Signal
 	// Load reads and checks them.
@@ -92,8 +92,8 @@
 
 // RunHosted runs an entry VM behind a hosting platform's wire until its
 // context ends, and then stops it as planned.
-func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r Reloads, adapt func(l Links) Adapter) error {
-	h := &Hosted{Context: ctx, Settings: s, Machine: m, Log: l, Metrics: metric.New(), Reloads: r, Adapt: adapt}
+func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, adapt func(l AdapterDeps) Adapter) error {
+	h := &HostedContext{Context: ctx, Settings: s, Machine: m, Log: l, Metrics: metric.New(), Reload: r, NewAdapter: adapt}
 	defer h.cleanups.run()
 	if err := step.Run(h, l, hostedStart); err != nil {
 		return err
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -30,14 +30,14 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-var hostedStart = []step.Step[*Hosted]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedDuties{}}
+var hostedStart = []step.Step[*HostedContext]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedDuties{}}
 
 // hostedClients makes the connections to other processes.
 type hostedClients struct{}
 
 func (hostedClients) String() string { return "clients" }
 
-func (hostedClients) Run(h *Hosted) error {
+func (hostedClients) Run(h *HostedContext) error {
 	var closer func()
 	h.grace.Store(int64(seconds(h.Settings.Gateway.GraceS)))
 	h.group, closer = duty.New(context.WithoutCancel(h.Context))
@@ -48,7 +48,7 @@
 	h.cleanups.add(closer)
 	h.pool, closer = upstream.New(h.Machine.Dial)
 	h.cleanups.add(closer)
-	h.adapter = h.Adapt(Links{Platform: p, Address: h.Settings.Platform.Address, Pool: h.pool, Log: h.Log})
+	h.adapter = h.NewAdapter(AdapterDeps{Platform: p, Address: h.Settings.Platform.Address, Pool: h.pool, Log: h.Log})
 	return nil
 }
 
@@ -71,14 +71,14 @@
 // what leads to them within a second or two, so that a silent watch does no harm.
 const quarantineWait = 10 * time.Second
 
-func (hostedDecisions) Run(h *Hosted) error {
+func (hostedDecisions) Run(h *HostedContext) error {
 	s := h.Settings.Gateway
 	h.deadlines = clock.NewDeadlines(h.Machine.Now)
 	h.gateway = gateway.New(gateway.Parts{
 		Deadlines: h.deadlines,
 		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: allocators{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
 		Closable:    s.CloseMS > 0,
-		Quarantines: h.adapter.Quarantines,
+		Quarantines: h.adapter.QuarantineStore,
 		Retries:     retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
 	})
 	apply := s.ApplyMS.Duration()
@@ -101,9 +101,9 @@
 			Take:   h.close, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
 		})
 	}
-	if h.adapter.Quarantined != nil {
+	if h.adapter.QuarantineSource != nil {
 		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
-			Name: "quarantines", Source: h.adapter.Quarantined, Log: h.Log, Metrics: h.Metrics, Defer: firstListDelay,
+			Name: "quarantines", Source: h.adapter.QuarantineSource, Log: h.Log, Metrics: h.Metrics, Defer: firstListDelay,
 			Timing: mirror.Timing{Wait: quarantineWait, Slack: time.Duration(mirrorSlack * float64(quarantineWait))},
 			Take:   h.quarantine, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
 		})
@@ -127,7 +127,7 @@
 
 // listDelay is how long the first list of the platform is left to peers. After any
 // other start callers may be waiting.
-func (h *Hosted) listDelay() time.Duration {
+func (h *HostedContext) listDelay() time.Duration {
 	l := split(h.Settings.Gateway.Seeds)
 	if !h.Settings.Gateway.FirstStart || len(l) == 0 || slices.Contains(l, h.Settings.Node.Control) {
 		return 0
@@ -137,7 +137,7 @@
 
 // allocators are the peers of the gateway, which is made before the mesh.
 type allocators struct {
-	hosted *Hosted
+	hosted *HostedContext
 }
 
 func (a allocators) Allocators(d api.DomainName) []string {
@@ -157,37 +157,37 @@
 }
 
 // guided reports whether a hub brings what changes.
-func (h *Hosted) guided() bool {
+func (h *HostedContext) guided() bool {
 	return h.mesh.Guided()
 }
 
 // patient reports whether a hub asks the platform as well.
-func (h *Hosted) patient(failures int) bool {
+func (h *HostedContext) patient(failures int) bool {
 	return h.mesh.Patient(failures)
 }
 
 // configure takes a configuration, and tells peers that hear of it from here.
-func (h *Hosted) configure(s replica.Snapshot[directory.Config]) {
+func (h *HostedContext) configure(s replica.Snapshot[directory.Config]) {
 	h.gateway.Configure(s)
 	h.tell()
 }
 
 // serve takes servers, and tells peers that hear of them from here.
-func (h *Hosted) serve(s replica.Snapshot[roster.Server]) {
+func (h *HostedContext) serve(s replica.Snapshot[roster.Server]) {
 	h.gateway.Serve(s)
 	h.tell()
 }
 
 // close takes the failure domains that are closed to new work, and tells peers that
 // hear of them from here.
-func (h *Hosted) close(s replica.Snapshot[roster.Closure]) {
+func (h *HostedContext) close(s replica.Snapshot[roster.Closure]) {
 	h.gateway.Close(s)
 	h.tell()
 }
 
 // quarantine takes the contents that the platform keeps as refused, and tells peers that
 // hear of them from here.
-func (h *Hosted) quarantine(s replica.Snapshot[quarantine.Entry]) {
+func (h *HostedContext) quarantine(s replica.Snapshot[quarantine.Entry]) {
 	h.gateway.Quarantine(s)
 	h.tell()
 }
@@ -195,7 +195,7 @@
 // away notes whether the platform is lost. Notices of servers may be missed from
 // the first moment on, before it is known whether peers still hear of them, so
 // that the servers are asked at once.
-func (h *Hosted) away(lost bool) {
+func (h *HostedContext) away(lost bool) {
 	h.gateway.Away(lost)
 	if lost {
 		h.gateway.Ask()
@@ -206,7 +206,7 @@
 // that leave together say so within a few ms.
 const tellTime = 15 * time.Millisecond
 
-func (h *Hosted) tell() {
+func (h *HostedContext) tell() {
 	if h.telling.Swap(true) {
 		return
 	}
@@ -241,7 +241,7 @@
 // callers 3 s.
 const headerWait = 5 * time.Second
 
-func (hostedServers) Run(h *Hosted) error {
+func (hostedServers) Run(h *HostedContext) error {
 	r := chi.NewRouter()
 	h.mesh.Routes(r)
 	r.Get(peer.PathMetrics, h.Metrics.ServeHTTP)
@@ -284,7 +284,7 @@
 	leftRounds = 40
 )
 
-func (hostedDuties) Run(h *Hosted) error {
+func (hostedDuties) Run(h *HostedContext) error {
 	h.group.Go(h.config.Run)
 	h.group.Go(h.servers.Run)
 	if h.closures != nil {
@@ -301,12 +301,12 @@
 
 // dark reports whether nobody heard of has word from the platform, so that only
 // the servers themselves tell that they are leaving.
-func (h *Hosted) dark() bool {
+func (h *HostedContext) dark() bool {
 	return !h.servers.Direct() && h.mesh.Alone()
 }
 
 // tick lets requests in and tells allocators what changed.
-func (h *Hosted) tick(context.Context) {
+func (h *HostedContext) tick(context.Context) {
 	h.ticks++
 	h.gateway.Tick()
 	if h.ticks%roundTicks == 0 {
@@ -316,7 +316,7 @@
 }
 
 // round is one round of the small duties.
-func (h *Hosted) round() {
+func (h *HostedContext) round() {
 	h.rounds++
 	h.awake()
 	h.gateway.Step()
@@ -344,7 +344,7 @@
 
 // awake notices that the VM was suspended: what it follows is asked for at once, since
 // nothing that was on its way before says how things stand.
-func (h *Hosted) awake() {
+func (h *HostedContext) awake() {
 	d := h.deadlines.Check()
 	if d == 0 {
 		return
@@ -364,14 +364,14 @@
 // reload is the duty that takes changed settings. Bounds and the time to stop
 // change at once; addresses need a restart, and settings that are wrong change
 // nothing.
-func (h *Hosted) reload(ctx context.Context) error {
+func (h *HostedContext) reload(ctx context.Context) error {
 	for {
 		select {
-		case <-h.Reloads.Signal:
+		case <-h.Reload.Signal:
 		case <-ctx.Done():
 			return nil
 		}
-		s, err := h.Reloads.Load()
+		s, err := h.Reload.Load()
 		if err != nil {
 			h.Log.Emit(event.SettingsRefused, zap.Error(err))
 			continue
@@ -383,7 +383,7 @@
 }
 
 // leftOut logs how many lines were left out since the last time.
-func (h *Hosted) leftOut() {
+func (h *HostedContext) leftOut() {
 	b, o := h.Log.Left()
 	if b == h.leftBound && o == h.leftOutput {
 		return
--- a/internal/node/hosted_stop.go
+++ b/internal/node/hosted_stop.go
@@ -10,14 +10,14 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-var hostedStop = []step.Step[*Hosted]{hostedTurning{}, hostedDraining{}}
+var hostedStop = []step.Step[*HostedContext]{hostedTurning{}, hostedDraining{}}
 
 // hostedTurning says not ready, so that new callers go elsewhere.
 type hostedTurning struct{}
 
 func (hostedTurning) String() string { return "turning the readiness" }
 
-func (hostedTurning) Run(h *Hosted) error {
+func (hostedTurning) Run(h *HostedContext) error {
 	h.Log.Emit(event.StopBegun, zap.Int("in_flight", h.gateway.InFlight()))
 	h.end = time.Now().Add(time.Duration(h.grace.Load()) - endMargin)
 	h.gateway.Stop(h.end)
@@ -40,7 +40,7 @@
 	drainEvery = 50 * time.Millisecond
 )
 
-func (hostedDraining) Run(h *Hosted) error {
+func (hostedDraining) Run(h *HostedContext) error {
 	began := time.Now()
 	for time.Now().Before(h.end) {
 		if h.gateway.InFlight() == 0 && time.Since(began) > turnTime {
--- a/internal/node/hosted_test.go
+++ b/internal/node/hosted_test.go
@@ -64,7 +64,7 @@
 }
 
 // newBedOver is newBed with a wire of its own.
-func newBedOver(t *testing.T, adapt func(l node.Links) node.Adapter) *bed {
+func newBedOver(t *testing.T, adapt func(l node.AdapterDeps) node.Adapter) *bed {
 	t.Helper()
 	listeners := map[string]net.Listener{}
 	for _, a := range []string{"10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3"} {
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := node.Real()
+	m := node.RealMachine()
 	m.Listen = func(_ context.Context, a string) (net.Listener, error) { return listeners[a], nil }
 	ctx, stop := context.WithCancel(context.Background())
 	b := &bed{
@@ -100,14 +100,14 @@
 		return s, nil
 	}
 	g.Go(func(context.Context) error {
-		b.done <- node.RunHosted(ctx, m, s, event.Discard(), node.Reloads{Signal: b.signals, Load: load}, adapt)
+		b.done <- node.RunHosted(ctx, m, s, event.Discard(), node.SettingsReload{Signal: b.signals, Load: load}, adapt)
 		return nil
 	})
 	return b
 }
 
 // adapt is a wire whose readiness is that of the gateway.
-func adapt(node.Links) node.Adapter {
+func adapt(node.AdapterDeps) node.Adapter {
 	c := replica.Snapshot[directory.Config]{At: 1, Items: []replica.Object[directory.Config]{{Name: "main", Version: 1, Value: directory.Config{Version: 1}}}}
 	return node.Adapter{
 		Config:  source[directory.Config]{c},
@@ -185,7 +185,7 @@
 // 501).
 func TestStopWhileThePlatformIsLost(t *testing.T) {
 	var listed atomic.Int64
-	b := newBedOver(t, func(l node.Links) node.Adapter {
+	b := newBedOver(t, func(l node.AdapterDeps) node.Adapter {
 		a := adapt(l)
 		a.Servers = failing{source[roster.Server]{replica.Snapshot[roster.Server]{At: 1}}, &listed}
 		return a
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -28,8 +28,8 @@
 // sendBuffer bounds what the kernel holds for a caller that reads slowly.
 const sendBuffer = 128 << 10
 
-// Real is the machine that the process runs on.
-func Real() Machine {
+// RealMachine is the machine that the process runs on.
+func RealMachine() Machine {
 	d := &net.Dialer{Timeout: dialTime, KeepAlive: 15 * time.Second}
 	l := &net.ListenConfig{Control: bounded}
 	return Machine{
