--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -72,13 +72,13 @@
 	mesh                  *mesh.Mesh
 	deadlines             *clock.Deadlines
 	ticks, rounds         int
-	leftBound, leftOutput int64
-	// telling is set while changes are gathered for peers.
-	telling atomic.Bool
-	// grace is the time from the signal to stop to the end, in ns.
-	grace atomic.Int64
-	// end is when a planned stop has to be over.
-	end      time.Time
+	droppedOverLimit, droppedByOutput int64
+	// notifyPending is set while changes are gathered for peers.
+	notifyPending atomic.Bool
+	// gracePeriod is the time from the signal to stop to the end, in ns.
+	gracePeriod atomic.Int64
+	// stopDeadline is when a planned stop has to be over.
+	stopDeadline      time.Time
 	cleanups cleanups
 }
 
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -39,7 +39,7 @@
 
 func (hostedClients) Run(h *HostedContext) error {
 	var closer func()
-	h.grace.Store(int64(seconds(h.Settings.Gateway.GraceS)))
+	h.gracePeriod.Store(int64(seconds(h.Settings.Gateway.GraceS)))
 	h.group, closer = duty.New(context.WithoutCancel(h.Context))
 	h.cleanups.add(closer)
 	h.peers, closer = wire.NewCompressedClientOver(h.Machine.Dial)
@@ -62,50 +62,50 @@
 // beyond. A silent platform is noticed when a watch does not end; servers leave
 // on short notice, so that theirs is shorter.
 const (
-	configShare = 0.5
-	serverShare = 0.25
-	mirrorSlack = 0.2
+	configWaitShare = 0.5
+	serverWaitShare = 0.25
+	answerShare = 0.2
 )
 
-// quarantineWait is how long one watch of the refused contents may wait. Peers tell of
+// quarantineWatchWait is how long one watch of the refused contents may wait. Peers tell of
 // what leads to them within a second or two, so that a silent watch does no harm.
-const quarantineWait = 10 * time.Second
+const quarantineWatchWait = 10 * time.Second
 
 func (hostedDecisions) Run(h *HostedContext) error {
 	s := h.Settings.Gateway
 	h.deadlines = clock.NewDeadlines(h.Machine.Now)
 	h.gateway = gateway.New(gateway.Parts{
 		Deadlines: h.deadlines,
-		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: allocators{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
+		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: meshPeers{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
 		Closable:    s.CloseMS > 0,
 		Quarantines: h.adapter.QuarantineStore,
 		Retries:     retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
 	})
 	apply := s.ApplyMS.Duration()
 	timing := func(share float64) mirror.Timing {
-		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(mirrorSlack * float64(apply))}
+		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(answerShare * float64(apply))}
 	}
 	d := h.listDelay()
 	h.config = mirror.New(mirror.Parts[directory.Config]{
-		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configShare), Defer: d,
-		Take: h.configure, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configWaitShare), Defer: d,
+		Take: h.applyConfig, Guided: h.hubRelays, Patient: h.hubQueriesPlatform, Away: func(bool) {},
 	})
 	h.servers = mirror.New(mirror.Parts[roster.Server]{
-		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverShare), Defer: d,
-		Take: h.serve, Guided: h.guided, Patient: h.patient, Away: h.away,
+		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverWaitShare), Defer: d,
+		Take: h.applyServers, Guided: h.hubRelays, Patient: h.hubQueriesPlatform, Away: h.setPlatformLost,
 	})
 	if c := s.CloseMS.Duration(); c > 0 {
 		h.closures = mirror.New(mirror.Parts[roster.Closure]{
 			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, Defer: d,
-			Timing: mirror.Timing{Wait: time.Duration(configShare * float64(c)), Slack: time.Duration(mirrorSlack * float64(c))},
-			Take:   h.close, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+			Timing: mirror.Timing{Wait: time.Duration(configWaitShare * float64(c)), Slack: time.Duration(answerShare * float64(c))},
+			Take:   h.applyClosures, Guided: h.hubRelays, Patient: h.hubQueriesPlatform, Away: func(bool) {},
 		})
 	}
 	if h.adapter.QuarantineSource != nil {
 		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
 			Name: "quarantines", Source: h.adapter.QuarantineSource, Log: h.Log, Metrics: h.Metrics, Defer: firstListDelay,
-			Timing: mirror.Timing{Wait: quarantineWait, Slack: time.Duration(mirrorSlack * float64(quarantineWait))},
-			Take:   h.quarantine, Guided: h.guided, Patient: h.patient, Away: func(bool) {},
+			Timing: mirror.Timing{Wait: quarantineWatchWait, Slack: time.Duration(answerShare * float64(quarantineWatchWait))},
+			Take:   h.applyQuarantines, Guided: h.hubRelays, Patient: h.hubQueriesPlatform, Away: func(bool) {},
 		})
 	}
 	h.mesh = mesh.New(mesh.Parts{
@@ -135,84 +135,84 @@
 	return firstListDelay
 }
 
-// allocators are the peers of the gateway, which is made before the mesh.
-type allocators struct {
+// meshPeers are the peers of the gateway, which is made before the mesh.
+type meshPeers struct {
 	hosted *HostedContext
 }
 
-func (a allocators) Allocators(d api.DomainName) []string {
+func (a meshPeers) Allocators(d api.DomainName) []string {
 	return a.hosted.mesh.Allocators(d)
 }
 
-func (a allocators) Ask(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
+func (a meshPeers) Ask(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
 	return a.hosted.mesh.Ask(ctx, address, x)
 }
 
-func (a allocators) Permit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
+func (a meshPeers) Permit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
 	return a.hosted.mesh.Permit(ctx, address, x)
 }
 
-func (a allocators) Report(ctx context.Context, address string, x api.Holding) error {
+func (a meshPeers) Report(ctx context.Context, address string, x api.Holding) error {
 	return a.hosted.mesh.Report(ctx, address, x)
 }
 
-// guided reports whether a hub brings what changes.
-func (h *HostedContext) guided() bool {
+// hubRelays reports whether a hub brings what changes.
+func (h *HostedContext) hubRelays() bool {
 	return h.mesh.Guided()
 }
 
-// patient reports whether a hub asks the platform as well.
-func (h *HostedContext) patient(failures int) bool {
+// hubQueriesPlatform reports whether a hub asks the platform as well.
+func (h *HostedContext) hubQueriesPlatform(failures int) bool {
 	return h.mesh.Patient(failures)
 }
 
-// configure takes a configuration, and tells peers that hear of it from here.
-func (h *HostedContext) configure(s replica.Snapshot[directory.Config]) {
+// applyConfig takes a configuration, and tells peers that hear of it from here.
+func (h *HostedContext) applyConfig(s replica.Snapshot[directory.Config]) {
 	h.gateway.Configure(s)
-	h.tell()
+	h.notifyPeers()
 }
 
-// serve takes servers, and tells peers that hear of them from here.
-func (h *HostedContext) serve(s replica.Snapshot[roster.Server]) {
+// applyServers takes servers, and tells peers that hear of them from here.
+func (h *HostedContext) applyServers(s replica.Snapshot[roster.Server]) {
 	h.gateway.Serve(s)
-	h.tell()
+	h.notifyPeers()
 }
 
-// close takes the failure domains that are closed to new work, and tells peers that
+// applyClosures takes the failure domains that are closed to new work, and tells peers that
 // hear of them from here.
-func (h *HostedContext) close(s replica.Snapshot[roster.Closure]) {
+func (h *HostedContext) applyClosures(s replica.Snapshot[roster.Closure]) {
 	h.gateway.Close(s)
-	h.tell()
+	h.notifyPeers()
 }
 
-// quarantine takes the contents that the platform keeps as refused, and tells peers that
+// applyQuarantines takes the contents that the platform keeps as refused, and tells peers that
 // hear of them from here.
-func (h *HostedContext) quarantine(s replica.Snapshot[quarantine.Entry]) {
+func (h *HostedContext) applyQuarantines(s replica.Snapshot[quarantine.Entry]) {
 	h.gateway.Quarantine(s)
-	h.tell()
+	h.notifyPeers()
 }
 
-// away notes whether the platform is lost. Notices of servers may be missed from
+// setPlatformLost notes whether the platform is lost. Notices of servers may be missed from
 // the first moment on, before it is known whether peers still hear of them, so
 // that the servers are asked at once.
-func (h *HostedContext) away(lost bool) {
+func (h *HostedContext) setPlatformLost(lost bool) {
 	h.gateway.Away(lost)
 	if lost {
 		h.gateway.Ask()
 	}
 }
 
-// tellTime is how long changes are gathered before peers are told: servers
+// notifyDelay is how long changes are gathered before peers are told: servers
 // that leave together say so within a few ms.
-const tellTime = 15 * time.Millisecond
+const notifyDelay = 15 * time.Millisecond
 
-func (h *HostedContext) tell() {
-	if h.telling.Swap(true) {
+func (h *HostedContext) notifyPeers() {
+	if h.notifyPending.Swap(true) {
 		return
 	}
 	h.group.Go(func(ctx context.Context) error {
-		duty.Sleep(ctx, tellTime)
-		h.telling.Store(false)
+		duty.Sleep(ctx, notifyDelay)
+		h.notifyPending.Store(false)
 		h.mesh.Tell()
 		return nil
 	})
@@ -294,14 +294,14 @@
 		h.group.Go(h.quarantines.Run)
 	}
 	h.group.Every(lookEvery, h.tick)
-	h.group.Go(h.reload)
+	h.group.Go(h.reloadSettings)
 	h.Log.Emit(event.Started, zap.String("listen", h.Settings.Node.Listen), zap.String("control", h.Settings.Node.Control))
 	return nil
 }
 
-// dark reports whether nobody heard of has word from the platform, so that only
+// platformSilent reports whether nobody heard of has word from the platform, so that only
 // the servers themselves tell that they are leaving.
-func (h *HostedContext) dark() bool {
+func (h *HostedContext) platformSilent() bool {
 	return !h.servers.Direct() && h.mesh.Alone()
 }
 
@@ -318,11 +318,11 @@
 // round is one round of the small duties.
 func (h *HostedContext) round() {
 	h.rounds++
-	h.awake()
+	h.detectSuspension()
 	h.gateway.Step()
 	h.gateway.Contents.Verify(h.group, connects(h.Machine.Dial, h.gateway.Address))
 	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
-	if h.dark() {
+	if h.platformSilent() {
 		h.gateway.Ask()
 	}
 	if h.rounds%sweepRounds == 0 {
@@ -338,13 +338,13 @@
 		})
 	}
 	if h.rounds%leftRounds == 0 {
-		h.leftOut()
+		h.reportDroppedLines()
 	}
 }
 
-// awake notices that the VM was suspended: what it follows is asked for at once, since
+// detectSuspension notices that the VM was suspended: what it follows is asked for at once, since
 // nothing that was on its way before says how things stand.
-func (h *HostedContext) awake() {
+func (h *HostedContext) detectSuspension() {
 	d := h.deadlines.Check()
 	if d == 0 {
 		return
@@ -361,10 +361,10 @@
 	}
 }
 
-// reload is the duty that takes changed settings. Bounds and the time to stop
+// reloadSettings is the duty that takes changed settings. Bounds and the time to stop
 // change at once; addresses need a restart, and settings that are wrong change
 // nothing.
-func (h *HostedContext) reload(ctx context.Context) error {
+func (h *HostedContext) reloadSettings(ctx context.Context) error {
 	for {
 		select {
 		case <-h.Reload.Signal:
@@ -376,18 +376,18 @@
 			h.Log.Emit(event.SettingsRefused, zap.Error(err))
 			continue
 		}
-		h.grace.Store(int64(seconds(s.Gateway.GraceS)))
+		h.gracePeriod.Store(int64(seconds(s.Gateway.GraceS)))
 		h.gateway.Bound(seconds(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
 		h.Log.Emit(event.SettingsTaken, zap.Bool("restart_needed", s.Node != h.Settings.Node || s.Platform != h.Settings.Platform))
 	}
 }
 
-// leftOut logs how many lines were left out since the last time.
-func (h *HostedContext) leftOut() {
+// reportDroppedLines logs how many lines were left out since the last time.
+func (h *HostedContext) reportDroppedLines() {
 	b, o := h.Log.Left()
-	if b == h.leftBound && o == h.leftOutput {
+	if b == h.droppedOverLimit && o == h.droppedByOutput {
 		return
 	}
-	h.Log.Emit(event.LinesLeftOut, zap.Int64("beyond_bound", b-h.leftBound), zap.Int64("output", o-h.leftOutput))
-	h.leftBound, h.leftOutput = b, o
+	h.Log.Emit(event.LinesLeftOut, zap.Int64("beyond_bound", b-h.droppedOverLimit), zap.Int64("output", o-h.droppedByOutput))
+	h.droppedOverLimit, h.droppedByOutput = b, o
 }
--- a/internal/node/hosted_stop.go
+++ b/internal/node/hosted_stop.go
@@ -19,8 +19,8 @@
 
 func (hostedTurning) Run(h *HostedContext) error {
 	h.Log.Emit(event.StopBegun, zap.Int("in_flight", h.gateway.InFlight()))
-	h.end = time.Now().Add(time.Duration(h.grace.Load()) - endMargin)
-	h.gateway.Stop(h.end)
+	h.stopDeadline = time.Now().Add(time.Duration(h.gracePeriod.Load()) - endMargin)
+	h.gateway.Stop(h.stopDeadline)
 	return nil
 }
 
@@ -42,7 +42,7 @@
 
 func (hostedDraining) Run(h *HostedContext) error {
 	began := time.Now()
-	for time.Now().Before(h.end) {
+	for time.Now().Before(h.stopDeadline) {
 		if h.gateway.InFlight() == 0 && time.Since(began) > turnTime {
 			break
 		}
