--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -95,10 +95,10 @@
 func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, adapt func(l AdapterDeps) Adapter) error {
 	h := &HostedContext{Context: ctx, Settings: s, Machine: m, Log: l, Metrics: metric.New(), Reload: r, NewAdapter: adapt}
 	defer h.cleanups.run()
-	if err := step.Run(h, l, hostedStart); err != nil {
+	if err := step.Run(h, l, hostedStartSteps); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	h.Context = context.WithoutCancel(ctx)
-	return step.Run(h, l, hostedStop)
+	return step.Run(h, l, hostedStopSteps)
 }
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -30,7 +30,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-var hostedStart = []step.Step[*HostedContext]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedDuties{}}
+var hostedStartSteps = []step.Step[*HostedContext]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedDuties{}}
 
 // hostedClients makes the connections to other processes.
 type hostedClients struct{}
@@ -39,7 +39,7 @@
 
 func (hostedClients) Run(h *HostedContext) error {
 	var closer func()
-	h.gracePeriod.Store(int64(seconds(h.Settings.Gateway.GraceS)))
+	h.gracePeriod.Store(int64(secondsToDuration(h.Settings.Gateway.GraceS)))
 	h.group, closer = duty.New(context.WithoutCancel(h.Context))
 	h.cleanups.add(closer)
 	h.peers, closer = wire.NewCompressedClientOver(h.Machine.Dial)
@@ -79,7 +79,7 @@
 		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: meshPeers{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
 		Closable:    s.CloseMS > 0,
 		Quarantines: h.adapter.QuarantineStore,
-		Retries:     retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
+		Retries:     retry.NewWindows(secondsToDuration(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
 	})
 	apply := s.ApplyMS.Duration()
 	timing := func(share float64) mirror.Timing {
@@ -109,7 +109,7 @@
 		})
 	}
 	h.mesh = mesh.New(mesh.Parts{
-		VM: h.Settings.Node.Name, Hubs: s.Hubs, Seeds: split(s.Seeds),
+		VM: h.Settings.Node.Name, Hubs: s.Hubs, Seeds: splitAddresses(s.Seeds),
 		Self: gossip.Member{
 			Address: h.Settings.Node.Control, Domain: h.Settings.Node.Domain, Capacity: gossip.Capacity(s.CpuShare, s.LinkMbps),
 		},
@@ -128,7 +128,7 @@
 // listDelay is how long the first list of the platform is left to peers. After any
 // other start callers may be waiting.
 func (h *HostedContext) listDelay() time.Duration {
-	l := split(h.Settings.Gateway.Seeds)
+	l := splitAddresses(h.Settings.Gateway.Seeds)
 	if !h.Settings.Gateway.FirstStart || len(l) == 0 || slices.Contains(l, h.Settings.Node.Control) {
 		return 0
 	}
@@ -218,11 +218,11 @@
 	})
 }
 
-func seconds(n float64) time.Duration {
+func secondsToDuration(n float64) time.Duration {
 	return time.Duration(n * float64(time.Second))
 }
 
-func split(s string) []string {
+func splitAddresses(s string) []string {
 	var l []string
 	for _, a := range strings.Split(s, ",") {
 		if a = strings.TrimSpace(a); a != "" {
@@ -237,9 +237,9 @@
 
 func (hostedServers) String() string { return "servers" }
 
-// headerWait bounds the time that a caller's head may take; operators allow
+// headerTimeout bounds the time that a caller's head may take; operators allow
 // callers 3 s.
-const headerWait = 5 * time.Second
+const headerTimeout = 5 * time.Second
 
 func (hostedServers) Run(h *HostedContext) error {
 	r := chi.NewRouter()
@@ -253,7 +253,7 @@
 		{h.Settings.Gateway.Ready, h.adapter.Readiness(h.gateway)},
 		{h.Settings.Node.Listen, h.adapter.Ingress(h.gateway)},
 	} {
-		_, closer, err := listen(h, h.Machine, h.group, x.address, x.handler, headerWait)
+		_, closer, err := listen(h, h.Machine, h.group, x.address, x.handler, headerTimeout)
 		if err != nil {
 			return err
 		}
@@ -268,20 +268,20 @@
 func (hostedDuties) String() string { return "duties" }
 
 const (
-	// lookEvery is the pause between looks at the requests that wait, and between
+	// hostedTickInterval is the pause between looks at the requests that wait, and between
 	// reports to allocators of what ended since: room that is told of late is room
 	// that nobody uses, and an answer writes a few tokens in that time.
-	lookEvery = 60 * time.Millisecond
-	// roundTicks is the number of ticks between rounds of the small duties, a
+	hostedTickInterval = 60 * time.Millisecond
+	// ticksPerRound is the number of ticks between rounds of the small duties, a
 	// sixth of the shortest notice of servers that leave.
-	roundTicks = 4
-	// sweepRounds is the number of rounds between closings of idle connections.
-	sweepRounds = 4
-	// releaseRounds is the number of rounds, a minute, between looks for refused contents
+	ticksPerRound = 4
+	// roundsPerSweep is the number of rounds between closings of idle connections.
+	roundsPerSweep = 4
+	// roundsPerRelease is the number of rounds, a minute, between looks for refused contents
 	// whose time is over.
-	releaseRounds = 250
-	// leftRounds is the number of rounds between counts of lines left out.
-	leftRounds = 40
+	roundsPerRelease = 250
+	// roundsPerDropReport is the number of rounds between counts of lines left out.
+	roundsPerDropReport = 40
 )
 
 func (hostedDuties) Run(h *HostedContext) error {
@@ -293,7 +293,7 @@
 	if h.quarantines != nil {
 		h.group.Go(h.quarantines.Run)
 	}
-	h.group.Every(lookEvery, h.tick)
+	h.group.Every(hostedTickInterval, h.tick)
 	h.group.Go(h.reloadSettings)
 	h.Log.Emit(event.Started, zap.String("listen", h.Settings.Node.Listen), zap.String("control", h.Settings.Node.Control))
 	return nil
@@ -309,7 +309,7 @@
 func (h *HostedContext) tick(context.Context) {
 	h.ticks++
 	h.gateway.Tick()
-	if h.ticks%roundTicks == 0 {
+	if h.ticks%ticksPerRound == 0 {
 		h.mesh.Round()
 		h.round()
 	}
@@ -325,19 +325,19 @@
 	if h.platformSilent() {
 		h.gateway.Ask()
 	}
-	if h.rounds%sweepRounds == 0 {
+	if h.rounds%roundsPerSweep == 0 {
 		h.pool.Sweep()
 	}
 	if h.quarantines != nil && h.quarantines.Direct() {
 		h.gateway.Correct()
 	}
-	if h.rounds%releaseRounds == 0 && h.quarantines != nil && h.quarantines.Direct() {
+	if h.rounds%roundsPerRelease == 0 && h.quarantines != nil && h.quarantines.Direct() {
 		h.group.Go(func(ctx context.Context) error {
 			h.gateway.ReleaseExpired(ctx)
 			return nil
 		})
 	}
-	if h.rounds%leftRounds == 0 {
+	if h.rounds%roundsPerDropReport == 0 {
 		h.reportDroppedLines()
 	}
 }
@@ -376,8 +376,8 @@
 			h.Log.Emit(event.SettingsRefused, zap.Error(err))
 			continue
 		}
-		h.gracePeriod.Store(int64(seconds(s.Gateway.GraceS)))
-		h.gateway.Bound(seconds(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
+		h.gracePeriod.Store(int64(secondsToDuration(s.Gateway.GraceS)))
+		h.gateway.Bound(secondsToDuration(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
 		h.Log.Emit(event.SettingsTaken, zap.Bool("restart_needed", s.Node != h.Settings.Node || s.Platform != h.Settings.Platform))
 	}
 }
--- a/internal/node/hosted_stop.go
+++ b/internal/node/hosted_stop.go
@@ -10,16 +10,16 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-var hostedStop = []step.Step[*HostedContext]{hostedTurning{}, hostedDraining{}}
+var hostedStopSteps = []step.Step[*HostedContext]{hostedUnready{}, hostedDraining{}}
 
-// hostedTurning says not ready, so that new callers go elsewhere.
-type hostedTurning struct{}
+// hostedUnready says not ready, so that new callers go elsewhere.
+type hostedUnready struct{}
 
-func (hostedTurning) String() string { return "turning the readiness" }
+func (hostedUnready) String() string { return "turning the readiness" }
 
-func (hostedTurning) Run(h *HostedContext) error {
+func (hostedUnready) Run(h *HostedContext) error {
 	h.Log.Emit(event.StopBegun, zap.Int("in_flight", h.gateway.InFlight()))
-	h.stopDeadline = time.Now().Add(time.Duration(h.gracePeriod.Load()) - endMargin)
+	h.stopDeadline = time.Now().Add(time.Duration(h.gracePeriod.Load()) - shutdownMargin)
 	h.gateway.Stop(h.stopDeadline)
 	return nil
 }
@@ -31,22 +31,22 @@
 func (hostedDraining) String() string { return "draining" }
 
 const (
-	// turnTime is how long the balancer may take to notice, and callers to
+	// balancerDelay is how long the balancer may take to notice, and callers to
 	// use their open connections once more.
-	turnTime = 2500 * time.Millisecond
-	// endMargin is kept of the time to stop for the end itself.
-	endMargin = 400 * time.Millisecond
-	// drainEvery is the pause between looks at what is in flight.
-	drainEvery = 50 * time.Millisecond
+	balancerDelay = 2500 * time.Millisecond
+	// shutdownMargin is kept of the time to stop for the end itself.
+	shutdownMargin = 400 * time.Millisecond
+	// drainPollInterval is the pause between looks at what is in flight.
+	drainPollInterval = 50 * time.Millisecond
 )
 
 func (hostedDraining) Run(h *HostedContext) error {
 	began := time.Now()
 	for time.Now().Before(h.stopDeadline) {
-		if h.gateway.InFlight() == 0 && time.Since(began) > turnTime {
+		if h.gateway.InFlight() == 0 && time.Since(began) > balancerDelay {
 			break
 		}
-		if !duty.Sleep(h, drainEvery) {
+		if !duty.Sleep(h, drainPollInterval) {
 			break
 		}
 	}
