--- a/internal/node/verify.go
+++ b/internal/node/connect.go
@@ -8,8 +8,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// connects makes the question whether a server still listens at its address.
-func connects(dial wire.Dial, address func(n api.ServerName) (string, bool)) contents.Connect {
+// connectCheck makes the question whether a server still listens at its address.
+func connectCheck(dial wire.Dial, address func(n api.ServerName) (string, bool)) contents.Connect {
 	return func(ctx context.Context, n api.ServerName) error {
 		a, ok := address(n)
 		if !ok {
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -320,7 +320,7 @@
 	h.rounds++
 	h.detectSuspension()
 	h.gateway.Step()
-	h.gateway.Contents.Verify(h.group, connects(h.Machine.Dial, h.gateway.Address))
+	h.gateway.Contents.Verify(h.group, connectCheck(h.Machine.Dial, h.gateway.Address))
 	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
 	if h.platformSilent() {
 		h.gateway.Ask()
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -21,17 +21,17 @@
 	Now    clock.Now
 }
 
-// dialTime bounds the time to connect to a backend server, a peer or the
+// dialTimeout bounds the time to connect to a backend server, a peer or the
 // platform.
-const dialTime = time.Second
+const dialTimeout = time.Second
 
-// sendBuffer bounds what the kernel holds for a caller that reads slowly.
-const sendBuffer = 128 << 10
+// sendBufferSize bounds what the kernel holds for a caller that reads slowly.
+const sendBufferSize = 128 << 10
 
 // RealMachine is the machine that the process runs on.
 func RealMachine() Machine {
-	d := &net.Dialer{Timeout: dialTime, KeepAlive: 15 * time.Second}
-	l := &net.ListenConfig{Control: bounded}
+	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}
+	l := &net.ListenConfig{Control: limitSendBuffer}
 	return Machine{
 		Dial: d.DialContext,
 		Listen: func(ctx context.Context, address string) (net.Listener, error) {
@@ -41,11 +41,11 @@
 	}
 }
 
-// bounded sets the bound on a listening socket, whose connections inherit it.
-func bounded(_, _ string, r syscall.RawConn) error {
+// limitSendBuffer sets the bound on a listening socket, whose connections inherit it.
+func limitSendBuffer(_, _ string, r syscall.RawConn) error {
 	var err error
 	e := r.Control(func(f uintptr) {
-		err = unix.SetsockoptInt(int(f), unix.SOL_SOCKET, unix.SO_SNDBUF, sendBuffer)
+		err = unix.SetsockoptInt(int(f), unix.SOL_SOCKET, unix.SO_SNDBUF, sendBufferSize)
 	})
 	return errors.Join(e, err)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,7 +19,7 @@
 func Run(ctx context.Context, m Machine, s api.Settings, l *event.Log) error {
 	c := NewContext(ctx, m, s, l)
 	defer c.Close()
-	if err := step.Run(c, l, starting); err != nil {
+	if err := step.Run(c, l, startSteps); err != nil {
 		if ctx.Err() != nil {
 			// Stopped before it served: nothing is in flight.
 			return nil
@@ -28,11 +28,11 @@
 	}
 	<-ctx.Done()
 	c.Context = context.WithoutCancel(ctx)
-	return step.Run(c, l, stopping)
+	return step.Run(c, l, stopSteps)
 }
 
-// heartbeat is this entry VM's own heartbeat.
-func (c *Context) heartbeat() api.Heartbeat {
+// localHeartbeat is this entry VM's own localHeartbeat.
+func (c *Context) localHeartbeat() api.Heartbeat {
 	return api.Heartbeat{
 		Protocol:      member.Protocol,
 		VM:            c.Owner.VM,
@@ -49,21 +49,21 @@
 	}
 }
 
-// merge takes what a peer knows of backend servers and of contents that end them.
-func (c *Context) merge(b api.Heartbeat) {
+// mergeHeartbeat takes what a peer knows of backend servers and of contents that end them.
+func (c *Context) mergeHeartbeat(b api.Heartbeat) {
 	c.Contents.Merge(b.Contents)
 	c.Entry.MergeLimits(b.Limits)
 	c.Entry.MergeLeaving(b.Leaving)
 }
 
-// grace is the time that the own watch is given before a peer is asked.
-const grace = 500 * time.Millisecond
+// watchGrace is the time that the own watch is given before a peer is asked.
+const watchGrace = 500 * time.Millisecond
 
 // catchUp takes the configuration of a peer that has a newer one in force, if
 // the own watch does not bring it.
 func (c *Context) catchUp(ctx context.Context, address string) {
 	before := c.Follower.View().Version
-	if !duty.Sleep(ctx, grace) || c.Follower.View().Version > before {
+	if !duty.Sleep(ctx, watchGrace) || c.Follower.View().Version > before {
 		return
 	}
 	sent := c.Lifecycle.Now()
@@ -97,31 +97,31 @@
 	c.Metrics.Put(metric.RequestsInFlight, int64(c.Lifecycle.InFlight()))
 }
 
-// address gives the address of a declared server.
-func (c *Context) address(n api.ServerName) (string, bool) {
+// serverAddress gives the serverAddress of a declared server.
+func (c *Context) serverAddress(n api.ServerName) (string, bool) {
 	s, ok := c.Follower.View().Servers[n]
 	return s.Address, ok
 }
 
-// beat notices a suspension and keeps shares and duties in step with members.
-func (c *Context) beat(ctx context.Context) {
+// updateMembership notices a suspension and keeps shares and duties in step with members.
+func (c *Context) updateMembership(ctx context.Context) {
 	if c.Lifecycle.Beat() {
 		c.Metrics.Add(metric.ClockJumps, 1)
 		c.Log.Emit(event.ClockJump)
-		c.confirm(ctx)
+		c.confirmConfig(ctx)
 	}
 	c.Deadlines.Check()
 	c.Contents.Step()
-	c.Contents.Verify(c.Group, connects(c.Machine.Dial, c.address))
+	c.Contents.Verify(c.Group, connectCheck(c.Machine.Dial, c.serverAddress))
 	c.Entry.Members(c.Heartbeats.Serving())
 	for _, l := range c.Leaders {
 		l.Want(c.Lifecycle.State() == api.PeerStateServing && c.Heartbeats.Candidate(l.Duty()))
 	}
 }
 
-// confirm asks the platform and a peer for what is in force, after a
+// confirmConfig asks the platform and a peer for what is in force, after a
 // suspension; the pending watch was sent before it and proves nothing.
-func (c *Context) confirm(ctx context.Context) {
+func (c *Context) confirmConfig(ctx context.Context) {
 	c.Group.Go(func(context.Context) error {
 		c.Follower.Refresh(ctx)
 		return nil
@@ -154,7 +154,7 @@
 	return s
 }
 
-// stopped logs the end of a planned stop.
-func (c *Context) stopped(id event.ID) {
+// logStopped logs the end of a planned stop.
+func (c *Context) logStopped(id event.ID) {
 	c.Log.Emit(id, zap.Int("in_flight", c.Lifecycle.InFlight()))
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -38,8 +38,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// starting lists the steps of a start in order.
-var starting = []step.Step[*Context]{
+// startSteps lists the steps of a start in order.
+var startSteps = []step.Step[*Context]{
 	state{}, clients{}, decisions{}, duties{}, servers{}, opening{},
 }
 
@@ -59,8 +59,8 @@
 
 func (clients) String() string { return "clients" }
 
-// peerTime bounds one call to a peer.
-const peerTime = 1500 * time.Millisecond
+// peerTimeout bounds one call to a peer.
+const peerTimeout = 1500 * time.Millisecond
 
 func (clients) Run(c *Context) error {
 	var closer func()
@@ -69,8 +69,8 @@
 	c.SingleUseClient, closer = wire.NewClientOver(c.Machine.Dial, false)
 	c.cleanup(closer)
 	c.Platform = objectapi.Over(c.KeepAliveClient, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
-	c.Engines = engine.Over(c.KeepAliveClient, dialTime)
-	c.Peers = peer.Over(c.KeepAliveClient, peerTime)
+	c.Engines = engine.Over(c.KeepAliveClient, dialTimeout)
+	c.Peers = peer.Over(c.KeepAliveClient, peerTimeout)
 	return nil
 }
 
@@ -93,7 +93,7 @@
 	const kilo = 1024
 	c.Contents = contents.New(c.Log, c.Metrics)
 	c.Deadlines = clock.NewDeadlines(c.Machine.Now)
-	c.Claims = claims.New(c.Owner, c.Platform, release{c}, s.Claim.AnswerLimitKB*kilo, c.Machine.Now, c.Log, c.Metrics)
+	c.Claims = claims.New(c.Owner, c.Platform, claimReleaser{c}, s.Claim.AnswerLimitKB*kilo, c.Machine.Now, c.Log, c.Metrics)
 	return nil
 }
 
@@ -124,13 +124,13 @@
 	}
 }
 
-// release asks peers to give claims up.
-type release struct {
+// claimReleaser asks peers to give claims up.
+type claimReleaser struct {
 	node *Context
 }
 
 // Release asks the entry VM that made a claim.
-func (r release) Release(ctx context.Context, n api.VMName, q api.AttemptQuery) (bool, error) {
+func (r claimReleaser) Release(ctx context.Context, n api.VMName, q api.AttemptQuery) (bool, error) {
 	a, ok := r.node.Heartbeats.Find(n)
 	if !ok {
 		return false, fault.New(fault.PeerUnreachable, "the owner of the claim is not listed")
@@ -139,7 +139,7 @@
 }
 
 // Rewritten reports whether all other entry VMs have written their claims again in an era.
-func (r release) Rewritten(e api.Era) bool {
+func (r claimReleaser) Rewritten(e api.Era) bool {
 	return r.node.Heartbeats.Rewritten(e)
 }
 
@@ -153,30 +153,30 @@
 	// Duties outlive the signal to stop: they end with the clean-up.
 	c.Group, closer = duty.New(context.WithoutCancel(c.Context))
 	c.cleanup(closer)
-	c.Poller = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.lost)
+	c.Poller = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.handleEngineLost)
 	c.Entry = entry.New(entry.Parts{
 		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Life: c.Lifecycle,
 		View: func() *config.View { return c.Follower.View() }, Broker: c.Broker,
 		Engines: c.Engines, Claims: c.Claims, Explain: c.Explain, Group: c.Group, Contents: c.Contents, Deadlines: c.Deadlines,
 		Reused: c.KeepAliveClient, Single: c.SingleUseClient,
 	})
-	c.Follower = follow.New(c.Platform, c.Lifecycle, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poller.Declare, c.Entry.Declare)
-	c.Heartbeats = heartbeat.New(c.heartbeat, c.catchUp, c.merge, c.Peers, c.Log, c.Metrics)
-	c.lead()
+	c.Follower = follow.New(c.Platform, c.Lifecycle, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.applyView, c.Poller.Declare, c.Entry.Declare)
+	c.Heartbeats = heartbeat.New(c.localHeartbeat, c.catchUp, c.mergeHeartbeat, c.Peers, c.Log, c.Metrics)
+	c.createLeaders()
 	c.startDuties()
 	return nil
 }
 
-// lost notes an engine that can't be connected to.
-func (c *Context) lost(n api.ServerName, err error) {
+// handleEngineLost notes an engine that can't be connected to.
+func (c *Context) handleEngineLost(n api.ServerName, err error) {
 	c.Broker.Lost(n)
 	if port.Refused(err) {
 		c.Contents.Ended(n)
 	}
 }
 
-// lead makes the leases and what is done under them.
-func (c *Context) lead() {
+// createLeaders makes the leases and what is done under them.
+func (c *Context) createLeaders() {
 	t := lease.Timing{Duration: c.Settings.Lease.DurationMS.Duration(), Skew: c.Settings.Lease.SkewMS.Duration()}
 	o := leader.New(orders.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	u := leader.New(upkeep.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
@@ -187,8 +187,8 @@
 
 // Times between the rounds of small duties.
 const (
-	tickEvery = 50 * time.Millisecond
-	beatEvery = 250 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
+	membershipInterval = 250 * time.Millisecond
 )
 
 func (c *Context) startDuties() {
@@ -198,8 +198,8 @@
 	g.Go(c.Heartbeats.Run)
 	g.Go(func(ctx context.Context) error { return c.Poller.Deliver(ctx, c.Broker.Report) })
 	g.Every(c.Settings.Platform.VMPollMS.Duration(), c.readVMs)
-	g.Every(tickEvery, c.tick)
-	g.Every(beatEvery, c.beat)
+	g.Every(tickInterval, c.tick)
+	g.Every(membershipInterval, c.updateMembership)
 	g.Go(c.Orders.Plan)
 	for range orders.Workers {
 		g.Go(c.Orders.Work)
@@ -211,8 +211,8 @@
 	}
 }
 
-// declare tells the dispatcher of the engines in a view, and claims of the platform's era.
-func (c *Context) declare(v *config.View) {
+// applyView tells the dispatcher of the engines in a view, and claims of the platform's era.
+func (c *Context) applyView(v *config.View) {
 	c.Claims.Enter(v.Version.Era())
 	var l []dispatch.Server
 	for _, s := range v.Engines() {
@@ -254,8 +254,8 @@
 
 func (opening) String() string { return "opening" }
 
-// peersWait bounds the wait for a configuration that a peer says is newer.
-const peersWait = 5 * time.Second
+// maxPeerConfigWait bounds the wait for a configuration that a peer says is newer.
+const maxPeerConfigWait = 5 * time.Second
 
 func (opening) Run(c *Context) error {
 	select {
@@ -267,9 +267,9 @@
 	c.Heartbeats.Round(c)
 	// A stale replica of the platform must not take the fleet back: what any
 	// peer has in force is waited for.
-	end := time.Now().Add(peersWait)
+	end := time.Now().Add(maxPeerConfigWait)
 	for c.Heartbeats.Newest() > c.Follower.View().Version && time.Now().Before(end) {
-		if !duty.Sleep(c, tickEvery) {
+		if !duty.Sleep(c, tickInterval) {
 			return c.Err()
 		}
 	}
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -8,18 +8,18 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-// stopping lists the steps of a planned stop in order.
-var stopping = []step.Step[*Context]{
-	turning{}, draining{}, releasing{}, closing{},
+// stopSteps lists the steps of a planned stop in order.
+var stopSteps = []step.Step[*Context]{
+	failingHealthCheck{}, draining{}, releasing{}, closing{},
 }
 
-// turning turns the health check, so that the balancer sends callers
+// failingHealthCheck turns the health check, so that the balancer sends callers
 // elsewhere, while requests on their way are still served.
-type turning struct{}
+type failingHealthCheck struct{}
 
-func (turning) String() string { return "turning the health check" }
+func (failingHealthCheck) String() string { return "turning the health check" }
 
-func (turning) Run(c *Context) error {
+func (failingHealthCheck) Run(c *Context) error {
 	c.Log.Emit(event.StopBegun)
 	c.Lifecycle.Turn()
 	duty.Sleep(c, c.Settings.Node.StopWaitMS.Duration())
@@ -36,10 +36,10 @@
 	x, cancel := context.WithTimeout(c, c.Settings.Node.StopLimitMS.Duration())
 	defer cancel()
 	if err := c.Lifecycle.Idle(x); err != nil {
-		c.stopped(event.StopLimit)
+		c.logStopped(event.StopLimit)
 		return nil
 	}
-	c.stopped(event.StopDone)
+	c.logStopped(event.StopDone)
 	return nil
 }
 
@@ -61,7 +61,7 @@
 func (closing) String() string { return "closing listeners" }
 
 func (closing) Run(c *Context) error {
-	x, cancel := context.WithTimeout(c, dialTime)
+	x, cancel := context.WithTimeout(c, dialTimeout)
 	defer cancel()
 	// Kept connections without a request are closed with the process.
 	_ = c.CallerServer.Shutdown(x)
