--- a/internal/node/hosted_test.go
+++ b/internal/node/hosted_test.go
@@ -22,22 +22,22 @@
 	"github.com/wardridge/wardridge/internal/settings"
 )
 
-// source is a kind that never changes.
-type source[T any] struct {
+// staticSource is a kind that never changes.
+type staticSource[T any] struct {
 	snapshot replica.Snapshot[T]
 }
 
-func (s source[T]) List(context.Context) (replica.Snapshot[T], error) {
+func (s staticSource[T]) List(context.Context) (replica.Snapshot[T], error) {
 	return s.snapshot, nil
 }
 
-func (s source[T]) Watch(ctx context.Context, from api.Version, wait time.Duration) (replica.Changes[T], error) {
+func (s staticSource[T]) Watch(ctx context.Context, from api.Version, wait time.Duration) (replica.Changes[T], error) {
 	duty.Sleep(ctx, wait)
 	return replica.Changes[T]{At: from}, ctx.Err()
 }
 
-// bed is a hosted entry VM on listeners of its own.
-type bed struct {
+// testVM is a hosted entry VM on listeners of its own.
+type testVM struct {
 	signals chan os.Signal
 	loaded  chan bool
 	ready   string
@@ -45,7 +45,7 @@
 	done    chan error
 }
 
-const text = `[node]
+const settingsText = `[node]
 name = vm-1
 domain = hall-a
 listen = 10.0.0.1:1
@@ -58,13 +58,13 @@
 grace_s = 1
 `
 
-func newBed(t *testing.T) *bed {
+func newTestVM(t *testing.T) *testVM {
 	t.Helper()
-	return newBedOver(t, adapt)
+	return newTestVMWithAdapter(t, testAdapter)
 }
 
-// newBedOver is newBed with a wire of its own.
-func newBedOver(t *testing.T, adapt func(l node.AdapterDeps) node.Adapter) *bed {
+// newTestVMWithAdapter is newBed with a wire of its own.
+func newTestVMWithAdapter(t *testing.T, adapt func(l node.AdapterDeps) node.Adapter) *testVM {
 	t.Helper()
 	listeners := map[string]net.Listener{}
 	for _, a := range []string{"10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3"} {
@@ -74,14 +74,14 @@
 		}
 		listeners[a] = l
 	}
-	s, err := settings.Parse("test", []byte(text))
+	s, err := settings.Parse("test", []byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := node.RealMachine()
 	m.Listen = func(_ context.Context, a string) (net.Listener, error) { return listeners[a], nil }
 	ctx, stop := context.WithCancel(context.Background())
-	b := &bed{
+	b := &testVM{
 		signals: make(chan os.Signal, 1), loaded: make(chan bool, 4), stop: stop, done: make(chan error, 1),
 		ready: "http://" + listeners["10.0.0.1:3"].Addr().String(),
 	}
@@ -106,12 +106,12 @@
 	return b
 }
 
-// adapt is a wire whose readiness is that of the gateway.
-func adapt(node.AdapterDeps) node.Adapter {
+// testAdapter is a wire whose readiness is that of the gateway.
+func testAdapter(node.AdapterDeps) node.Adapter {
 	c := replica.Snapshot[directory.Config]{At: 1, Items: []replica.Object[directory.Config]{{Name: "main", Version: 1, Value: directory.Config{Version: 1}}}}
 	return node.Adapter{
-		Config:  source[directory.Config]{c},
-		Servers: source[roster.Server]{replica.Snapshot[roster.Server]{At: 1}},
+		Config:  staticSource[directory.Config]{c},
+		Servers: staticSource[roster.Server]{replica.Snapshot[roster.Server]{At: 1}},
 		Ingress: func(*gateway.Gateway) http.Handler { return http.NotFoundHandler() },
 		Readiness: func(g *gateway.Gateway) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// await asks for the readiness until it is as wanted.
-func (b *bed) await(t *testing.T, want bool) {
+// awaitReady asks for the readiness until it is as wanted.
+func (b *testVM) awaitReady(t *testing.T, want bool) {
 	t.Helper()
 	for range 1000 {
 		r, err := http.Get(b.ready)
@@ -141,53 +141,53 @@
 
 // SIGHUP ended the process: settings that change, and wrong ones, must leave it
 // serving.
-func TestChangedSettingsLeaveTheVMServing(t *testing.T) {
-	b := newBed(t)
-	b.await(t, true)
+func TestVMKeepsServingWhenSettingsChange(t *testing.T) {
+	b := newTestVM(t)
+	b.awaitReady(t, true)
 	for _, want := range []bool{false, true} {
 		b.signals <- syscall.SIGHUP
 		if got := <-b.loaded; got != want {
 			t.Fatalf("good settings: got %v, want %v", got, want)
 		}
-		b.await(t, true)
+		b.awaitReady(t, true)
 	}
 }
 
-func TestPlannedStopTurnsReadinessFirst(t *testing.T) {
-	b := newBed(t)
-	b.await(t, true)
+func TestPlannedStopReportsNotReadyFirst(t *testing.T) {
+	b := newTestVM(t)
+	b.awaitReady(t, true)
 	b.stop()
-	b.await(t, false)
+	b.awaitReady(t, false)
 	if err := <-b.done; err != nil {
 		t.Errorf("stop: got %v, want no failure", err)
 	}
 }
 
-// failing is a kind whose platform is lost after the first list.
-type failing struct {
-	source[roster.Server]
+// failingSource is a kind whose platform is lost after the first list.
+type failingSource struct {
+	staticSource[roster.Server]
 	listed *atomic.Int64
 }
 
-func (f failing) List(ctx context.Context) (replica.Snapshot[roster.Server], error) {
+func (f failingSource) List(ctx context.Context) (replica.Snapshot[roster.Server], error) {
 	if f.listed.Add(1) > 1 {
 		return replica.Snapshot[roster.Server]{}, fault.New(fault.PlatformDown, "down")
 	}
-	return f.source.List(ctx)
+	return f.staticSource.List(ctx)
 }
 
-func (failing) Watch(context.Context, api.Version, time.Duration) (replica.Changes[roster.Server], error) {
+func (failingSource) Watch(context.Context, api.Version, time.Duration) (replica.Changes[roster.Server], error) {
 	return replica.Changes[roster.Server]{}, fault.New(fault.PlatformDown, "down")
 }
 
 // A planned stop while the platform is being lost ends in order; the race
 // detector sees whether duties share anything with the stop (soak, seeds 500 and
 // 501).
-func TestStopWhileThePlatformIsLost(t *testing.T) {
+func TestStopEndsWhilePlatformIsUnreachable(t *testing.T) {
 	var listed atomic.Int64
-	b := newBedOver(t, func(l node.AdapterDeps) node.Adapter {
-		a := adapt(l)
-		a.Servers = failing{source[roster.Server]{replica.Snapshot[roster.Server]{At: 1}}, &listed}
+	b := newTestVMWithAdapter(t, func(l node.AdapterDeps) node.Adapter {
+		a := testAdapter(l)
+		a.Servers = failingSource{staticSource[roster.Server]{replica.Snapshot[roster.Server]{At: 1}}, &listed}
 		return a
 	})
 	for listed.Load() < 2 {
