--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -89,8 +89,8 @@
 	SoakPlayed          ID = 905
 )
 
-// Kind describes one event in the catalogue.
-type Kind struct {
+// Definition describes one event in the catalogue.
+type Definition struct {
 	ID    ID
 	Name  string
 	Level zapcore.Level
@@ -98,7 +98,7 @@
 }
 
 // Catalogue lists all events in order.
-var Catalogue = []Kind{
+var Catalogue = []Definition{
 	{StepDone, "step_done", zapcore.DebugLevel, "A step of the start ended."},
 	{StepSkipped, "step_skipped", zapcore.DebugLevel, "A step of the start had nothing to do."},
 	{Started, "started", zapcore.InfoLevel, "The process serves."},
@@ -171,8 +171,8 @@
 	{StandInOrderApplied, "stand_in_order_applied", zapcore.InfoLevel, "A stand-in engine carried an order out."},
 }
 
-var kinds = func() map[ID]Kind {
-	m := make(map[ID]Kind, len(Catalogue))
+var definitions = func() map[ID]Definition {
+	m := make(map[ID]Definition, len(Catalogue))
 	for _, k := range Catalogue {
 		m[k.ID] = k
 	}
@@ -180,30 +180,30 @@
 }()
 
 const (
-	// routineLines and otherLines bound the lines of one event in a second: what
+	// maxRoutineLines and otherLines bound the lines of one event in a second: what
 	// went well is shown by a few, what did not by as many as can be read.
-	routineLines = 10
-	otherLines   = 200
+	maxRoutineLines = 10
+	maxOtherLines   = 200
 )
 
-// routine are the events of requests that went well.
-var routine = map[ID]bool{RequestDone: true}
+// routineEvents are the events of requests that went well.
+var routineEvents = map[ID]bool{RequestDone: true}
 
 // Log writes numbered events.
 type Log struct {
 	routine *zap.Logger
 	other   *zap.Logger
-	left    *atomic.Int64
+	overLimit    *atomic.Int64
 	writer  *writer
 }
 
 // New makes a log on standard output; the clean-up flushes it.
 func New(s api.LogSettings) (*Log, func(), error) {
-	return Over(s, os.Stdout)
+	return NewWithOutput(s, os.Stdout)
 }
 
-// Over makes a log on any output; the clean-up flushes it.
-func Over(s api.LogSettings, out io.Writer) (*Log, func(), error) {
+// NewWithOutput makes a log on any output; the clean-up flushes it.
+func NewWithOutput(s api.LogSettings, out io.Writer) (*Log, func(), error) {
 	v, err := zapcore.ParseLevel(string(s.Level))
 	if err != nil {
 		return nil, nil, err
@@ -215,18 +215,18 @@
 		e = zapcore.NewConsoleEncoder(c)
 	}
 	w, closer := newWriter(out)
-	l := &Log{left: &atomic.Int64{}, writer: w}
+	l := &Log{overLimit: &atomic.Int64{}, writer: w}
 	z := zapcore.NewCore(e, w, v)
-	l.routine = l.bounded(z, routineLines)
-	l.other = l.bounded(z, otherLines)
+	l.routine = l.limited(z, maxRoutineLines)
+	l.other = l.limited(z, maxOtherLines)
 	return l, closer, nil
 }
 
-// bounded makes a logger that writes so many lines of one event in a second.
-func (l *Log) bounded(c zapcore.Core, n int) *zap.Logger {
+// limited makes a logger that writes so many lines of one event in a second.
+func (l *Log) limited(c zapcore.Core, n int) *zap.Logger {
 	left := zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
 		if d&zapcore.LogDropped != 0 {
-			l.left.Add(1)
+			l.overLimit.Add(1)
 		}
 	})
 	return zap.New(zapcore.NewSamplerWithOptions(c, time.Second, n, 0, left))
@@ -234,7 +234,7 @@
 
 // Discard makes a log that writes nothing.
 func Discard() *Log {
-	return &Log{routine: zap.NewNop(), other: zap.NewNop(), left: &atomic.Int64{}, writer: &writer{}}
+	return &Log{routine: zap.NewNop(), other: zap.NewNop(), overLimit: &atomic.Int64{}, writer: &writer{}}
 }
 
 // With returns a log that adds the fields to each event.
@@ -247,9 +247,9 @@
 
 // Emit writes one event with its number, name and fields; it never blocks.
 func (l *Log) Emit(id ID, f ...zap.Field) {
-	k := kinds[id]
+	k := definitions[id]
 	z := l.other
-	if routine[id] {
+	if routineEvents[id] {
 		z = l.routine
 	}
 	if c := z.Check(k.Level, k.Name); c != nil {
@@ -257,8 +257,8 @@
 	}
 }
 
-// Left gives the numbers of lines left out so far: beyond the bounds of a
+// DroppedLines gives the numbers of lines left out so far: beyond the bounds of a
 // second, and because the output did not take them.
-func (l *Log) Left() (bound, output int64) {
-	return l.left.Load(), l.writer.dropped.Load()
+func (l *Log) DroppedLines() (bound, output int64) {
+	return l.overLimit.Load(), l.writer.dropped.Load()
 }
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -13,14 +13,14 @@
 
 // output collects what was written; it takes nothing while it is held.
 type output struct {
-	hold  sync.Mutex
+	blocked  sync.Mutex
 	mutex sync.Mutex
 	text  bytes.Buffer
 }
 
 func (o *output) Write(b []byte) (int, error) {
-	o.hold.Lock()
-	defer o.hold.Unlock()
+	o.blocked.Lock()
+	defer o.blocked.Unlock()
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.text.Write(b)
@@ -32,9 +32,9 @@
 	return strings.Count(o.text.String(), `"msg":"`+name+`"`)
 }
 
-func testLog(t *testing.T, o *output) (*Log, func()) {
+func newTestLog(t *testing.T, o *output) (*Log, func()) {
 	t.Helper()
-	l, closer, err := Over(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, o)
+	l, closer, err := NewWithOutput(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,11 +42,11 @@
 }
 
 // A reader who takes nothing holds nobody up: this test would not end.
-func TestStalledOutputHoldsNobodyUp(t *testing.T) {
+func TestStalledOutputDoesNotBlockEmit(t *testing.T) {
 	var o output
-	l, closer := testLog(t, &o)
-	o.hold.Lock()
-	const lines = linesWaiting * 2
+	l, closer := newTestLog(t, &o)
+	o.blocked.Lock()
+	const lines = maxQueuedLines * 2
 	for range lines {
 		// Warnings of many events, so that no bound of a second is met first.
 		for _, id := range []ID{PeerLost, PlatformLost, GenerationLost, RequestFailed} {
@@ -54,38 +54,38 @@
 		}
 	}
 	closer()
-	_, out := l.Left()
-	b, _ := l.Left()
-	if out+b < lines*4-linesWaiting-2 {
+	_, out := l.DroppedLines()
+	b, _ := l.DroppedLines()
+	if out+b < lines*4-maxQueuedLines-2 {
 		t.Errorf("left out: got %d and %d of %d, want all but what waits", b, out, lines*4)
 	}
-	o.hold.Unlock()
+	o.blocked.Unlock()
 }
 
-func TestVolumeIsBounded(t *testing.T) {
+func TestLinesPerSecondAreLimited(t *testing.T) {
 	var o output
-	l, closer := testLog(t, &o)
+	l, closer := newTestLog(t, &o)
 	for i := range 1000 {
 		l.Emit(RequestDone, zap.Int("i", i))
 		l.Emit(RequestLate, zap.Int("i", i))
 	}
 	closer()
 	// The thousand may fall into two seconds.
-	if got := o.lines("request_done"); got < routineLines || got > 2*routineLines {
-		t.Errorf("lines of what went well: got %d, want %d", got, routineLines)
+	if got := o.lines("request_done"); got < maxRoutineLines || got > 2*maxRoutineLines {
+		t.Errorf("lines of what went well: got %d, want %d", got, maxRoutineLines)
 	}
-	if got := o.lines("request_late"); got < otherLines || got > 2*otherLines {
-		t.Errorf("lines of what did not: got %d, want %d", got, otherLines)
+	if got := o.lines("request_late"); got < maxOtherLines || got > 2*maxOtherLines {
+		t.Errorf("lines of what did not: got %d, want %d", got, maxOtherLines)
 	}
-	b, out := l.Left()
+	b, out := l.DroppedLines()
 	if want := int64(2000 - o.lines("request_done") - o.lines("request_late")); b != want || out != 0 {
 		t.Errorf("left out: got %d and %d, want %d and 0", b, out, want)
 	}
 }
 
-func TestLastLinesAreFlushed(t *testing.T) {
+func TestCloseFlushesLastLines(t *testing.T) {
 	var o output
-	l, closer := testLog(t, &o)
+	l, closer := newTestLog(t, &o)
 	l.Emit(StopDone)
 	closer()
 	if got := o.lines("stop_done"); got != 1 {
--- a/internal/event/writer.go
+++ b/internal/event/writer.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// linesWaiting bounds the lines that wait to be written: a second of a VM
+	// maxQueuedLines bounds the lines that wait to be written: a second of a VM
 	// that logs all it may.
-	linesWaiting = 4096
-	// flushTime bounds the wait for the last lines at the end.
-	flushTime = 500 * time.Millisecond
+	maxQueuedLines = 4096
+	// flushTimeout bounds the wait for the last lines at the end.
+	flushTimeout = 500 * time.Millisecond
 )
 
 // writer hands lines to a duty that writes them, so that a reader who does not
@@ -29,7 +29,7 @@
 // newWriter makes a writer before an output; the clean-up waits a while for
 // what is left.
 func newWriter(out io.Writer) (*writer, func()) {
-	w := &writer{lines: ring.New[[]byte](linesWaiting)}
+	w := &writer{lines: ring.New[[]byte](maxQueuedLines)}
 	g, end := duty.New(context.Background())
 	g.Go(func(ctx context.Context) error { return w.run(ctx, out) })
 	return w, func() {
@@ -44,7 +44,7 @@
 		})
 		select {
 		case <-done:
-		case <-time.After(flushTime):
+		case <-time.After(flushTimeout):
 		}
 	}
 }
@@ -65,7 +65,7 @@
 // drain waits until every line was handed to the output, or for too long.
 func (w *writer) drain() {
 	const pause = time.Millisecond
-	for end := time.Now().Add(flushTime); time.Now().Before(end); time.Sleep(pause) {
+	for end := time.Now().Add(flushTimeout); time.Now().Before(end); time.Sleep(pause) {
 		if w.lines.Len() == 0 && w.idle.Load() {
 			return
 		}
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -16,7 +16,7 @@
 // of the failure alone; on call it could not.
 func TestFailureTellsTheTimeThatWasAllowed(t *testing.T) {
 	var out bytes.Buffer
-	l, flush, err := event.Over(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, &out)
+	l, flush, err := event.NewWithOutput(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -384,7 +384,7 @@
 
 // reportDroppedLines logs how many lines were left out since the last time.
 func (h *HostedContext) reportDroppedLines() {
-	b, o := h.Log.Left()
+	b, o := h.Log.DroppedLines()
 	if b == h.droppedOverLimit && o == h.droppedByOutput {
 		return
 	}
