--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	l := story.Tell(all, c.Request)
+	l := story.Timeline(all, c.Request)
 	if len(l) == 0 {
 		return fault.New(fault.UnknownRequest, "no line of these logs tells of request "+c.Request)
 	}
--- a/cmd/summary.go
+++ b/cmd/summary.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return err
 	}
-	s := story.Sum(all)
+	s := story.Summarize(all)
 	if e.json() {
 		return e.write(s)
 	}
--- a/internal/story/cause.go
+++ b/internal/story/cause.go
@@ -4,20 +4,20 @@
 	"github.com/wardridge/wardridge/internal/event"
 )
 
-// cause gives the route of a request that was not answered in time, and why, from
+// missCause gives the route of a request that was not answered in time, and why, from
 // the line of its end. Requests in flight at the end of their entry VM leave no
 // line.
-func (s *sums) cause(l Line) string {
+func (s *aggregator) missCause(l Line) string {
 	var why string
 	switch l.Event {
 	case event.RequestLate:
 		why = "late: " + l.text("cause")
 	case event.RequestRefused:
-		why = "refused: " + l.text("type") + refusal(l)
+		why = "refused: " + l.text("type") + refusalDetail(l)
 	case event.RequestFailed:
 		why = "failed: " + l.text("type")
 	case event.GenerationLost:
-		why = "lost: " + s.fate(l)
+		why = "lost: " + s.lossCause(l)
 	default:
 		why = "caller left"
 	}
@@ -29,8 +29,8 @@
 	return r + " " + why
 }
 
-// refusal tells how a request was refused for want of room.
-func refusal(l Line) string {
+// refusalDetail tells how a request was refused for want of room.
+func refusalDetail(l Line) string {
 	switch {
 	case l.Fields["behind"] == true:
 		return ", late already while others were refused"
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -24,16 +24,16 @@
 }
 
 const (
-	// lineMost bounds one line, in bytes.
-	lineMost = 1 << 20
-	// before and after are how far around a request's own lines the beliefs of
+	// maxLineBytes bounds one line, in bytes.
+	maxLineBytes = 1 << 20
+	// stateBefore and after are how far around a request's own lines the beliefs of
 	// its entry VM are shown: a server's notice, and an outage found late.
-	before = 4 * time.Second
-	after  = time.Second
+	stateBefore = 4 * time.Second
+	stateAfter  = time.Second
 )
 
-// beliefs are the events that change what an entry VM believes.
-var beliefs = map[event.ID]bool{
+// stateEvents are the events that change what an entry VM believes.
+var stateEvents = map[event.ID]bool{
 	event.ConfigApplied: true, event.PlatformLost: true, event.PlatformBack: true, event.WatchRestarted: true,
 	event.PeerLost: true, event.PeerJoined: true, event.ServerState: true, event.ClockJump: true,
 	event.StopBegun: true, event.Started: true, event.LinesLeftOut: true,
@@ -43,9 +43,9 @@
 func Read(name string, r io.Reader) ([]Line, error) {
 	var l []Line
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		if x, ok := parse(name, s.Text()); ok {
+		if x, ok := parseLine(name, s.Text()); ok {
 			l = append(l, x)
 		}
 	}
@@ -55,8 +55,8 @@
 	return l, nil
 }
 
-// parse reads one line; a collector may have put the VM's name before it.
-func parse(name, text string) (Line, bool) {
+// parseLine reads one line; a collector may have put the VM's name before it.
+func parseLine(name, text string) (Line, bool) {
 	i := strings.IndexByte(text, '{')
 	if i < 0 {
 		return Line{}, false
@@ -85,10 +85,10 @@
 	return Line{At: at, Source: source, Event: event.ID(id), Name: n, Fields: f}, true
 }
 
-// Tell gives the lines of a request in order of time, with what its entry VM
+// Timeline gives the lines of a request in order of time, with what its entry VM
 // came to believe around them: of the platform, of peers, and of the servers
 // that the request met.
-func Tell(all []Line, request string) []Line {
+func Timeline(all []Line, request string) []Line {
 	var own []Line
 	servers := map[any]bool{}
 	for _, l := range all {
@@ -106,10 +106,10 @@
 		return nil
 	}
 	sortLines(own)
-	from, to := own[0].At.Add(-before), own[len(own)-1].At.Add(after)
+	from, to := own[0].At.Add(-stateBefore), own[len(own)-1].At.Add(stateAfter)
 	story := own
 	for _, l := range all {
-		if l.Source != own[0].Source || !beliefs[l.Event] || l.At.Before(from) || l.At.After(to) {
+		if l.Source != own[0].Source || !stateEvents[l.Event] || l.At.Before(from) || l.At.After(to) {
 			continue
 		}
 		if l.Event == event.ServerState && !servers[l.Fields["server"]] {
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -7,7 +7,7 @@
 	"github.com/wardridge/wardridge/internal/story"
 )
 
-const log = `   1.2 vm-1 {"level":"info","ts":"2026-03-09T15:44:00.0Z","msg":"platform_lost","event":204,"kind":"servers"}
+const requestLog = `   1.2 vm-1 {"level":"info","ts":"2026-03-09T15:44:00.0Z","msg":"platform_lost","event":204,"kind":"servers"}
    1.3 vm-2 {"level":"info","ts":"2026-03-09T15:44:01.0Z","msg":"server_state","event":407,"server":"i-1","state":"leaving"}
    1.4 vm-1 {"level":"info","ts":"2026-03-09T15:44:01.1Z","msg":"server_state","event":407,"server":"i-1","state":"lapsed"}
    1.4 vm-1 {"level":"info","ts":"2026-03-09T15:44:01.1Z","msg":"server_state","event":407,"server":"i-9","state":"leaving"}
@@ -18,13 +18,13 @@
    9.9 vm-1 {"level":"info","ts":"2026-03-09T15:44:09.9Z","msg":"platform_back","event":205,"kind":"servers"}
 `
 
-func TestTell(t *testing.T) {
-	all, err := story.Read("day.log", strings.NewReader(log))
+func TestTimeline(t *testing.T) {
+	all, err := story.Read("day.log", strings.NewReader(requestLog))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range story.Tell(all, "q") {
+	for _, l := range story.Timeline(all, "q") {
 		got = append(got, l.String())
 	}
 	want := []string{
@@ -38,12 +38,12 @@
 	}
 }
 
-func TestUnknownRequestHasNoStory(t *testing.T) {
-	all, err := story.Read("day.log", strings.NewReader(log))
+func TestTimelineOfUnknownRequestIsEmpty(t *testing.T) {
+	all, err := story.Read("day.log", strings.NewReader(requestLog))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := story.Tell(all, "none"); len(got) != 0 {
+	if got := story.Timeline(all, "none"); len(got) != 0 {
 		t.Errorf("got %v, want nothing", got)
 	}
 }
--- a/internal/story/summary.go
+++ b/internal/story/summary.go
@@ -21,34 +21,34 @@
 // Summary is what logs of several entry VMs show together. Of requests that
 // went well some lines are left out, which LeftOut counts.
 type Summary struct {
-	// Ends are how requests ended, by event and type of failure.
-	Ends []Count `json:"ends"`
+	// Outcomes are how requests ended, by event and type of failure.
+	Outcomes []Count `json:"ends"`
 	// Causes are why requests were not answered in time, by route.
 	Causes []Count `json:"causes"`
-	// First and Pause are the time to the first event and the longest pause of
+	// FirstEvent and Pause are the time to the first event and the longest pause of
 	// streams that were answered whole.
-	First quantile.Summary `json:"first_event"`
-	Pause quantile.Summary `json:"longest_pause"`
+	FirstEvent quantile.Summary `json:"first_event"`
+	LongestPause quantile.Summary `json:"longest_pause"`
 	// Moves are the moves of runs by the last step that was logged.
 	Moves []Count `json:"moves"`
 	// Resumes are runs that went on elsewhere, by what from, and the time that
 	// took.
-	Resumes []Resumed `json:"resumes"`
+	Resumes []ResumeTimes `json:"resumes"`
 	// Lost are generations that could not go on, by what was known of the server.
 	Lost []Count `json:"lost"`
-	// Silent are verdicts on silent streams.
-	Silent  []Count `json:"silent"`
-	LeftOut int     `json:"left_out"`
+	// SilentStreams are verdicts on silent streams.
+	SilentStreams  []Count `json:"silent"`
+	DroppedLines int     `json:"left_out"`
 }
 
-// Resumed are the runs that went on from one kind of copy.
-type Resumed struct {
+// ResumeTimes are the runs that went on from one kind of copy.
+type ResumeTimes struct {
 	From string           `json:"from"`
-	Took quantile.Summary `json:"took"`
+	Duration quantile.Summary `json:"took"`
 }
 
-// ends are the events with which a request ends.
-var ends = map[event.ID]bool{
+// endEvents are the events with which a request endEvents.
+var endEvents = map[event.ID]bool{
 	event.RequestDone: true, event.RequestLate: true, event.RequestRefused: true, event.RequestFailed: true,
 	event.GenerationLost: true, event.CallerLeft: true,
 }
@@ -65,31 +65,31 @@
 	return l
 }
 
-// place is a server as one entry VM saw it.
-type place struct{ source, server string }
+// serverKey is a server as one entry VM saw it.
+type serverKey struct{ scope, server string }
 
-// sums gathers a summary.
-type sums struct {
+// aggregator gathers a summary.
+type aggregator struct {
 	ends, silent counts
 	first, pause *quantile.Times
 	resumes      map[string]*quantile.Times
 	// moves are the last steps by request and source, leaving the servers that an
 	// entry VM knew to leave.
-	moves   map[place]string
-	leaving map[place]bool
+	moves   map[serverKey]string
+	leaving map[serverKey]bool
 	// lost are the lines of lost generations: the step of a move that was under
 	// way is logged after them.
 	lost []Line
 	// missed are the lines of requests that were not answered in time.
 	missed  []Line
-	leftOut int
+	droppedLines int
 }
 
-// Sum gives the summary of all lines.
-func Sum(all []Line) Summary {
-	s := &sums{
+// Summarize gives the summary of all lines.
+func Summarize(all []Line) Summary {
+	s := &aggregator{
 		ends: counts{}, silent: counts{}, first: quantile.New(), pause: quantile.New(),
-		resumes: map[string]*quantile.Times{}, moves: map[place]string{}, leaving: map[place]bool{},
+		resumes: map[string]*quantile.Times{}, moves: map[serverKey]string{}, leaving: map[serverKey]bool{},
 	}
 	l := slices.Clone(all)
 	sortLines(l)
@@ -99,11 +99,11 @@
 	return s.summary()
 }
 
-func (s *sums) add(l Line) {
-	if ends[l.Event] {
+func (s *aggregator) add(l Line) {
+	if endEvents[l.Event] {
 		s.ends[strings.TrimSpace(l.Name+" "+l.text("type"))]++
 	}
-	if l.Event != event.RequestDone && ends[l.Event] {
+	if l.Event != event.RequestDone && endEvents[l.Event] {
 		s.missed = append(s.missed, l)
 	}
 	switch l.Event {
@@ -113,37 +113,37 @@
 			s.pause.Record(l.duration("pause"))
 		}
 	case event.ServerState:
-		s.leaving[place{l.Source, l.text("server")}] = l.text("state") == leavingState
+		s.leaving[serverKey{l.Source, l.text("server")}] = l.text("state") == stateLeaving
 	case event.MoveStep:
-		s.moves[place{l.text("request"), l.text("from")}] = l.text("next") + " after " + l.text("outcome")
+		s.moves[serverKey{l.text("request"), l.text("from")}] = l.text("next") + " after " + l.text("outcome")
 	case event.GenerationResumed:
-		s.resumed(l)
+		s.addResume(l)
 	case event.GenerationLost:
 		s.lost = append(s.lost, l)
 	case event.StreamSilent:
 		s.silent[l.text("verdict")]++
 	case event.LinesLeftOut:
-		s.leftOut += int(l.number("beyond_bound") + l.number("output"))
+		s.droppedLines += int(l.number("beyond_bound") + l.number("output"))
 	}
 }
 
-// leavingState is the state of a server that is about to end.
-const leavingState = "leaving"
+// stateLeaving is the state of a server that is about to end.
+const stateLeaving = "leaving"
 
-// fate says what an entry VM knew of the server of a lost generation.
-func (s *sums) fate(l Line) string {
-	p := place{l.text("request"), l.text("server")}
+// lossCause says what an entry VM knew of the server of a lost generation.
+func (s *aggregator) lossCause(l Line) string {
+	p := serverKey{l.text("request"), l.text("server")}
 	switch m, moved := s.moves[p]; {
 	case moved:
 		return "at a notice: " + m
-	case s.leaving[place{l.Source, l.text("server")}]:
+	case s.leaving[serverKey{l.Source, l.text("server")}]:
 		return "at a notice: no step of a move"
 	default:
 		return "without a notice"
 	}
 }
 
-func (s *sums) resumed(l Line) {
+func (s *aggregator) addResume(l Line) {
 	n := "a copy in hand"
 	switch {
 	case l.Fields["stopped"] == true:
@@ -157,25 +157,25 @@
 	s.resumes[n].Record(l.duration("took"))
 }
 
-func (s *sums) summary() Summary {
+func (s *aggregator) summary() Summary {
 	moves := counts{}
 	for _, m := range s.moves {
 		moves[m]++
 	}
 	lost := counts{}
 	for _, l := range s.lost {
-		lost[s.fate(l)]++
+		lost[s.lossCause(l)]++
 	}
 	causes := counts{}
 	for _, l := range s.missed {
-		causes[s.cause(l)]++
+		causes[s.missCause(l)]++
 	}
 	x := Summary{
-		Ends: s.ends.list(), Causes: causes.list(), First: s.first.Summary(), Pause: s.pause.Summary(), Moves: moves.list(), Lost: lost.list(),
-		Silent: s.silent.list(), LeftOut: s.leftOut, Resumes: []Resumed{},
+		Outcomes: s.ends.list(), Causes: causes.list(), FirstEvent: s.first.Summary(), LongestPause: s.pause.Summary(), Moves: moves.list(), Lost: lost.list(),
+		SilentStreams: s.silent.list(), DroppedLines: s.droppedLines, Resumes: []ResumeTimes{},
 	}
 	for _, n := range slices.Sorted(maps.Keys(s.resumes)) {
-		x.Resumes = append(x.Resumes, Resumed{n, s.resumes[n].Summary()})
+		x.Resumes = append(x.Resumes, ResumeTimes{n, s.resumes[n].Summary()})
 	}
 	return x
 }
@@ -208,17 +208,17 @@
 			fmt.Fprintf(&b, "%-8s %6d  p50 %.0f, p95 %.0f, p99 %.0f, most %.0f ms\n", title, q.Count, q.P50, q.P95, q.P99, q.Max)
 		}
 	}
-	list("ended", s.Ends)
+	list("ended", s.Outcomes)
 	list("missed", s.Causes)
-	times("first", s.First)
-	times("pause", s.Pause)
+	times("first", s.FirstEvent)
+	times("pause", s.LongestPause)
 	list("moved", s.Moves)
 	for _, r := range s.Resumes {
-		times("resumed", r.Took)
+		times("resumed", r.Duration)
 		fmt.Fprintf(&b, "%-16s  from %s\n", "", r.From)
 	}
 	list("lost", s.Lost)
-	list("silent", s.Silent)
-	fmt.Fprintf(&b, "%-8s %6d  lines\n", "left out", s.LeftOut)
+	list("silent", s.SilentStreams)
+	fmt.Fprintf(&b, "%-8s %6d  lines\n", "left out", s.DroppedLines)
 	return b.String()
 }
--- a/internal/story/summary_test.go
+++ b/internal/story/summary_test.go
@@ -7,7 +7,7 @@
 	"github.com/wardridge/wardridge/internal/story"
 )
 
-const day = `1 vm-1 {"ts":"2026-03-09T15:44:00Z","msg":"request_done","event":302,"request":"a","took":0.02}
+const summaryLog = `1 vm-1 {"ts":"2026-03-09T15:44:00Z","msg":"request_done","event":302,"request":"a","took":0.02}
 1 vm-1 {"ts":"2026-03-09T15:44:01Z","msg":"request_done","event":302,"request":"b","events":20,"first":0.5,"pause":0.06}
 1 vm-2 {"ts":"2026-03-09T15:44:01Z","msg":"request_late","event":313,"request":"c","route":"r1","cause":"pause","events":20,"first":1,"pause":0.3}
 1 vm-2 {"ts":"2026-03-09T15:44:02Z","msg":"request_refused","event":301,"request":"d","type":"no_server"}
@@ -27,12 +27,12 @@
 1 vm-2 {"ts":"2026-03-09T15:44:06Z","msg":"lines_left_out","event":108,"beyond_bound":7,"output":1}
 `
 
-func TestSum(t *testing.T) {
-	all, err := story.Read("day.log", strings.NewReader(day))
+func TestSummarize(t *testing.T) {
+	all, err := story.Read("day.log", strings.NewReader(summaryLog))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := story.Sum(all).Text()
+	got := story.Summarize(all).Text()
 	for _, want := range []string{
 		"ended         3  generation_lost\n", "ended         2  request_done\n", "ended         1  request_late\n",
 		"ended         1  request_refused no_server\n",
@@ -51,8 +51,8 @@
 	}
 }
 
-func TestSumOfNothing(t *testing.T) {
-	if got, want := story.Sum(nil).Text(), "left out      0  lines\n"; got != want {
+func TestSummarizeNoLines(t *testing.T) {
+	if got, want := story.Summarize(nil).Text(), "left out      0  lines\n"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
