--- a/internal/catalogue/pages.go
+++ b/internal/catalogue/pages.go
@@ -103,7 +103,7 @@
 		if p.Default != nil {
 			d = fmt.Sprintf("`%v`", p.Default)
 		}
-		row(b, "`"+p.Name+"`", d, strings.TrimPrefix(strings.TrimPrefix(settings.Allowed(p), "allowed are "), "allowed is "), p.Help)
+		row(b, "`"+p.Name+"`", d, strings.TrimPrefix(strings.TrimPrefix(settings.DescribeAllowed(p), "allowed are "), "allowed is "), p.Help)
 	}
 	b.WriteString("\n")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,8 +15,8 @@
 	"github.com/wardridge/wardridge/schema"
 )
 
-// root is the definition of the whole file.
-const root = "Settings"
+// rootDefinition is the definition of the whole file.
+const rootDefinition = "Settings"
 
 // Load reads and checks a file.
 func Load(path string) (api.Settings, error) {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return s, fault.Wrap(fault.InvalidSettings, err, name)
 	}
-	d, err := document(name, string(b), f)
+	d, err := typedSections(name, string(b), f)
 	if err != nil {
 		return s, err
 	}
@@ -43,10 +43,10 @@
 	if err != nil {
 		return s, fault.Wrap(fault.Internal, err, "encoding the settings")
 	}
-	err = schema.Decode(schema.SettingsFile, root, j, &s)
+	err = schema.Decode(schema.SettingsFile, rootDefinition, j, &s)
 	var e *schema.Error
 	if errors.As(err, &e) {
-		return s, explain(name, string(b), e)
+		return s, schemaError(name, string(b), e)
 	}
 	return s, err
 }
@@ -54,29 +54,29 @@
 // section is the keys of one section with their typed values.
 type section map[string]any
 
-func document(name, text string, f *ini.File) (map[string]section, error) {
+func typedSections(name, text string, f *ini.File) (map[string]section, error) {
 	d := map[string]section{}
-	types := sections()
+	types := sectionProperties()
 	for _, s := range f.Sections() {
 		if s.Name() == ini.DefaultSection {
 			if k := s.Keys(); len(k) > 0 {
-				return nil, problem(name, text, "", k[0].Name(), "a key has to stand in a section")
+				return nil, errorAt(name, text, "", k[0].Name(), "a key has to stand in a section")
 			}
 			continue
 		}
 		p, ok := types[s.Name()]
 		if !ok {
-			return nil, problem(name, text, s.Name(), "", "unknown section; allowed are "+names(schema.Properties(schema.SettingsFile, root)))
+			return nil, errorAt(name, text, s.Name(), "", "unknown section; allowed are "+joinNames(schema.Properties(schema.SettingsFile, rootDefinition)))
 		}
 		m := section{}
 		for _, k := range s.Keys() {
-			q, ok := find(p, k.Name())
+			q, ok := findProperty(p, k.Name())
 			if !ok {
-				return nil, problem(name, text, s.Name(), k.Name(), "unknown key; allowed are "+names(p))
+				return nil, errorAt(name, text, s.Name(), k.Name(), "unknown key; allowed are "+joinNames(p))
 			}
-			v, err := value(q, k.Value())
+			v, err := parseValue(q, k.Value())
 			if err != nil {
-				return nil, problem(name, text, s.Name(), k.Name(), err.Error()+"; "+Allowed(q))
+				return nil, errorAt(name, text, s.Name(), k.Name(), err.Error()+"; "+DescribeAllowed(q))
 			}
 			m[k.Name()] = v
 		}
@@ -85,16 +85,16 @@
 	return d, nil
 }
 
-// sections gives the keys of each section.
-func sections() map[string][]schema.Property {
+// sectionProperties gives the keys of each section.
+func sectionProperties() map[string][]schema.Property {
 	m := map[string][]schema.Property{}
-	for _, p := range schema.Properties(schema.SettingsFile, root) {
+	for _, p := range schema.Properties(schema.SettingsFile, rootDefinition) {
 		m[p.Name] = schema.Properties(schema.SettingsFile, p.Ref)
 	}
 	return m
 }
 
-func find(l []schema.Property, n string) (schema.Property, bool) {
+func findProperty(l []schema.Property, n string) (schema.Property, bool) {
 	for _, p := range l {
 		if p.Name == n {
 			return p, true
@@ -103,7 +103,7 @@
 	return schema.Property{}, false
 }
 
-func names(l []schema.Property) string {
+func joinNames(l []schema.Property) string {
 	n := make([]string, 0, len(l))
 	for _, p := range l {
 		n = append(n, p.Name)
@@ -111,8 +111,8 @@
 	return strings.Join(n, ", ")
 }
 
-// value types a key's text as the schema wants it.
-func value(p schema.Property, s string) (any, error) {
+// parseValue types a key's text as the schema wants it.
+func parseValue(p schema.Property, s string) (any, error) {
 	switch p.Type {
 	case "integer":
 		n, err := strconv.Atoi(s)
@@ -139,8 +139,8 @@
 	}
 }
 
-// Allowed tells in words what a key may hold.
-func Allowed(p schema.Property) string {
+// DescribeAllowed tells in words what a key may hold.
+func DescribeAllowed(p schema.Property) string {
 	switch {
 	case len(p.Allowed) > 0:
 		l := make([]string, 0, len(p.Allowed))
@@ -163,7 +163,7 @@
 	}
 }
 
-func explain(name, text string, e *schema.Error) error {
+func schemaError(name, text string, e *schema.Error) error {
 	p := e.Problems[0]
 	var s, k string
 	if len(p.Path) > 0 {
@@ -172,28 +172,28 @@
 	detail := p.Detail
 	if len(p.Path) > 1 {
 		k = p.Path[1]
-		if q, ok := find(sections()[s], k); ok {
-			detail += "; " + Allowed(q)
+		if q, ok := findProperty(sectionProperties()[s], k); ok {
+			detail += "; " + DescribeAllowed(q)
 		}
 	}
-	return problem(name, text, s, k, detail)
+	return errorAt(name, text, s, k, detail)
 }
 
-func problem(name, text, section, key, detail string) error {
+func errorAt(name, text, section, key, detail string) error {
 	at := section
 	if key != "" {
 		at = strings.TrimPrefix(section+"."+key, ".")
 	}
-	where := fmt.Sprintf("%s:%d", name, line(text, section, key))
+	where := fmt.Sprintf("%s:%d", name, findLine(text, section, key))
 	if at != "" {
 		where += ": " + at
 	}
 	return fault.New(fault.InvalidSettings, where+": "+detail)
 }
 
-// line finds where a key or a section stands, for messages only; a key that
+// findLine finds where a key or a section stands, for messages only; a key that
 // is missing is shown at its section.
-func line(text, section, key string) int {
+func findLine(text, section, key string) int {
 	at, in := 1, ""
 	for i, l := range strings.Split(text, "\n") {
 		l = strings.TrimSpace(l)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/settings"
 )
 
-const good = `[node]
+const validSettings = `[node]
 name = entry-1
 domain = hall-a
 listen = 127.0.0.1:8001
@@ -21,7 +21,7 @@
 `
 
 func TestDefaultsAreFilledIn(t *testing.T) {
-	s, err := settings.Parse("a.ini", []byte(good+"[engine]\nrouting = round-robin\n"))
+	s, err := settings.Parse("a.ini", []byte(validSettings+"[engine]\nrouting = round-robin\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 
 func TestBooleans(t *testing.T) {
 	for _, want := range []bool{true, false} {
-		s, err := settings.Parse("a.ini", fmt.Appendf(nil, "%s[gateway]\nfirst_start = %v\n", good, want))
+		s, err := settings.Parse("a.ini", fmt.Appendf(nil, "%s[gateway]\nfirst_start = %v\n", validSettings, want))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,22 +51,22 @@
 	}
 }
 
-func TestMistakesNameLineAndAllowedValues(t *testing.T) {
+func TestErrorsNameLineAndAllowedValues(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
 		want []string
 	}{
-		{"unknown section", good + "[nodes]\n", []string{"a.ini:9", "unknown section", "platform"}},
-		{"unknown key", good + "[log]\nlevels = info\n", []string{"a.ini:10", "log.levels", "unknown key", "format, level"}},
-		{"value not listed", good + "[log]\nlevel = loud\n", []string{"a.ini:10", "log.level", "debug, info, warn, error"}},
-		{"not a number", good + "[entry]\n\nqueue_limit = many\n", []string{"a.ini:11", "entry.queue_limit", "not a whole number", "1 to 100000"}},
-		{"not true or false", good + "[gateway]\nfirst_start = yes\n", []string{"a.ini:10", "gateway.first_start", "neither true nor false", "true and false"}},
-		{"out of range", good + "[entry]\nqueue_limit = 0\n", []string{"a.ini:10", "entry.queue_limit", "1 to 100000"}},
-		{"missing key", strings.Replace(good, "name = entry-1\n", "", 1), []string{"a.ini:1", "node", "name"}},
+		{"unknown section", validSettings + "[nodes]\n", []string{"a.ini:9", "unknown section", "platform"}},
+		{"unknown key", validSettings + "[log]\nlevels = info\n", []string{"a.ini:10", "log.levels", "unknown key", "format, level"}},
+		{"value not listed", validSettings + "[log]\nlevel = loud\n", []string{"a.ini:10", "log.level", "debug, info, warn, error"}},
+		{"not a number", validSettings + "[entry]\n\nqueue_limit = many\n", []string{"a.ini:11", "entry.queue_limit", "not a whole number", "1 to 100000"}},
+		{"not true or false", validSettings + "[gateway]\nfirst_start = yes\n", []string{"a.ini:10", "gateway.first_start", "neither true nor false", "true and false"}},
+		{"out of range", validSettings + "[entry]\nqueue_limit = 0\n", []string{"a.ini:10", "entry.queue_limit", "1 to 100000"}},
+		{"missing key", strings.Replace(validSettings, "name = entry-1\n", "", 1), []string{"a.ini:1", "node", "name"}},
 		{"missing section", "[node]\n", []string{"a.ini:1"}},
-		{"wrong address", strings.Replace(good, "127.0.0.1:8000", "platform:8000", 1), []string{"a.ini:8", "platform.address"}},
-		{"key outside a section", "x = 1\n" + good, []string{"a.ini:1", "x", "section"}},
+		{"wrong address", strings.Replace(validSettings, "127.0.0.1:8000", "platform:8000", 1), []string{"a.ini:8", "platform.address"}},
+		{"key outside a section", "x = 1\n" + validSettings, []string{"a.ini:1", "x", "section"}},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("[node\nx")
 	f.Fuzz(func(t *testing.T, s string) {
 		if _, err := settings.Parse("f.ini", []byte(s)); err != nil && err.Error() == "" {
