--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -18,13 +18,13 @@
 		l.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
 	}
 	return node.Adapter{
-		Config:      platform.Config(o, bad),
-		Servers:     platform.Servers(o, bad),
-		Closures:    platform.Closures(o, bad),
+		Config:           platform.Config(o, bad),
+		Servers:          platform.Servers(o, bad),
+		Closures:         platform.Closures(o, bad),
 		QuarantineSource: platform.Quarantined(o, bad),
-		QuarantineStore: platform.NewQuarantines(o),
-		Backends:    platform.NewBackends(l.Pool),
-		Ingress:     func(g *gateway.Gateway) http.Handler { return platform.Ingress(g) },
-		Readiness:   func(g *gateway.Gateway) http.Handler { return platform.Readiness(g) },
+		QuarantineStore:  platform.NewQuarantines(o),
+		Backends:         platform.NewBackends(l.Pool),
+		Ingress:          func(g *gateway.Gateway) http.Handler { return platform.Ingress(g) },
+		Readiness:        func(g *gateway.Gateway) http.Handler { return platform.Readiness(g) },
 	}
 }
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -6,7 +6,7 @@
 
 	"github.com/wardridge/wardridge/internal/api"
 	"github.com/wardridge/wardridge/internal/fault"
-	"github.com/wardridge/wardridge/internal/story"
+	"github.com/wardridge/wardridge/internal/loganalysis"
 )
 
 // standardInput names standard input among log files.
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	l := story.Timeline(all, c.Request)
+	l := loganalysis.Timeline(all, c.Request)
 	if len(l) == 0 {
 		return fault.New(fault.UnknownRequest, "no line of these logs tells of request "+c.Request)
 	}
@@ -67,8 +67,8 @@
 }
 
 // readLogs reads the lines of several logs.
-func readLogs(names []string) ([]story.Line, error) {
-	var all []story.Line
+func readLogs(names []string) ([]loganalysis.Line, error) {
+	var all []loganalysis.Line
 	for _, n := range names {
 		l, err := readLog(n)
 		if err != nil {
@@ -79,9 +79,9 @@
 	return all, nil
 }
 
-func readLog(name string) ([]story.Line, error) {
+func readLog(name string) ([]loganalysis.Line, error) {
 	if name == standardInput {
-		return story.Read("standard input", os.Stdin)
+		return loganalysis.Read("standard input", os.Stdin)
 	}
 	f, err := os.Open(name)
 	if err != nil {
@@ -89,5 +89,5 @@
 	}
 	// Closing a file that was only read loses nothing.
 	defer func() { _ = f.Close() }()
-	return story.Read(name, f)
+	return loganalysis.Read(name, f)
 }
--- a/cmd/summary.go
+++ b/cmd/summary.go
@@ -1,6 +1,6 @@
 package cmd
 
-import "github.com/wardridge/wardridge/internal/story"
+import "github.com/wardridge/wardridge/internal/loganalysis"
 
 // summaryCommand sums up logs.
 type summaryCommand struct {
@@ -14,7 +14,7 @@
 	if err != nil {
 		return err
 	}
-	s := story.Summarize(all)
+	s := loganalysis.Summarize(all)
 	if e.json() {
 		return e.write(s)
 	}
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -191,10 +191,10 @@
 
 // Log writes numbered events.
 type Log struct {
-	routine *zap.Logger
-	other   *zap.Logger
-	overLimit    *atomic.Int64
-	writer  *writer
+	routine   *zap.Logger
+	other     *zap.Logger
+	overLimit *atomic.Int64
+	writer    *writer
 }
 
 // New makes a log on standard output; the clean-up flushes it.
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -13,9 +13,9 @@
 
 // output collects what was written; it takes nothing while it is held.
 type output struct {
-	blocked  sync.Mutex
-	mutex sync.Mutex
-	text  bytes.Buffer
+	blocked sync.Mutex
+	mutex   sync.Mutex
+	text    bytes.Buffer
 }
 
 func (o *output) Write(b []byte) (int, error) {
--- a/internal/story/cause.go
+++ b/internal/loganalysis/cause.go
@@ -1,4 +1,4 @@
-package story
+package loganalysis
 
 import (
 	"github.com/wardridge/wardridge/internal/event"
--- a/internal/story/summary.go
+++ b/internal/loganalysis/summary.go
@@ -1,4 +1,4 @@
-package story
+package loganalysis
 
 import (
 	"cmp"
@@ -27,7 +27,7 @@
 	Causes []Count `json:"causes"`
 	// FirstEvent and Pause are the time to the first event and the longest pause of
 	// streams that were answered whole.
-	FirstEvent quantile.Summary `json:"first_event"`
+	FirstEvent   quantile.Summary `json:"first_event"`
 	LongestPause quantile.Summary `json:"longest_pause"`
 	// Moves are the moves of runs by the last step that was logged.
 	Moves []Count `json:"moves"`
@@ -37,13 +37,13 @@
 	// Lost are generations that could not go on, by what was known of the server.
 	Lost []Count `json:"lost"`
 	// SilentStreams are verdicts on silent streams.
-	SilentStreams  []Count `json:"silent"`
-	DroppedLines int     `json:"left_out"`
+	SilentStreams []Count `json:"silent"`
+	DroppedLines  int     `json:"left_out"`
 }
 
 // ResumeTimes are the runs that went on from one kind of copy.
 type ResumeTimes struct {
-	From string           `json:"from"`
+	From     string           `json:"from"`
 	Duration quantile.Summary `json:"took"`
 }
 
@@ -81,7 +81,7 @@
 	// way is logged after them.
 	lost []Line
 	// missed are the lines of requests that were not answered in time.
-	missed  []Line
+	missed       []Line
 	droppedLines int
 }
 
--- a/internal/story/summary_test.go
+++ b/internal/loganalysis/summary_test.go
@@ -1,10 +1,10 @@
-package story_test
+package loganalysis_test
 
 import (
 	"strings"
 	"testing"
 
-	"github.com/wardridge/wardridge/internal/story"
+	"github.com/wardridge/wardridge/internal/loganalysis"
 )
 
 const summaryLog = `1 vm-1 {"ts":"2026-03-09T15:44:00Z","msg":"request_done","event":302,"request":"a","took":0.02}
@@ -28,11 +28,11 @@
 `
 
 func TestSummarize(t *testing.T) {
-	all, err := story.Read("day.log", strings.NewReader(summaryLog))
+	all, err := loganalysis.Read("day.log", strings.NewReader(summaryLog))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := story.Summarize(all).Text()
+	got := loganalysis.Summarize(all).Text()
 	for _, want := range []string{
 		"ended         3  generation_lost\n", "ended         2  request_done\n", "ended         1  request_late\n",
 		"ended         1  request_refused no_server\n",
@@ -52,7 +52,7 @@
 }
 
 func TestSummarizeNoLines(t *testing.T) {
-	if got, want := story.Summarize(nil).Text(), "left out      0  lines\n"; got != want {
+	if got, want := loganalysis.Summarize(nil).Text(), "left out      0  lines\n"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/internal/story/story.go
+++ b/internal/loganalysis/timeline.go
@@ -1,4 +1,4 @@
-package story
+package loganalysis
 
 import (
 	"bufio"
@@ -107,7 +107,7 @@
 	}
 	sortLines(own)
 	from, to := own[0].At.Add(-stateBefore), own[len(own)-1].At.Add(stateAfter)
-	story := own
+	timeline := own
 	for _, l := range all {
 		if l.Source != own[0].Source || !stateEvents[l.Event] || l.At.Before(from) || l.At.After(to) {
 			continue
@@ -115,10 +115,10 @@
 		if l.Event == event.ServerState && !servers[l.Fields["server"]] {
 			continue
 		}
-		story = append(story, l)
+		timeline = append(timeline, l)
 	}
-	sortLines(story)
-	return story
+	sortLines(timeline)
+	return timeline
 }
 
 func sortLines(l []Line) {
--- a/internal/story/story_test.go
+++ b/internal/loganalysis/timeline_test.go
@@ -1,10 +1,10 @@
-package story_test
+package loganalysis_test
 
 import (
 	"strings"
 	"testing"
 
-	"github.com/wardridge/wardridge/internal/story"
+	"github.com/wardridge/wardridge/internal/loganalysis"
 )
 
 const requestLog = `   1.2 vm-1 {"level":"info","ts":"2026-03-09T15:44:00.0Z","msg":"platform_lost","event":204,"kind":"servers"}
@@ -19,12 +19,12 @@
 `
 
 func TestTimeline(t *testing.T) {
-	all, err := story.Read("day.log", strings.NewReader(requestLog))
+	all, err := loganalysis.Read("day.log", strings.NewReader(requestLog))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range story.Timeline(all, "q") {
+	for _, l := range loganalysis.Timeline(all, "q") {
 		got = append(got, l.String())
 	}
 	want := []string{
@@ -39,11 +39,11 @@
 }
 
 func TestTimelineOfUnknownRequestIsEmpty(t *testing.T) {
-	all, err := story.Read("day.log", strings.NewReader(requestLog))
+	all, err := loganalysis.Read("day.log", strings.NewReader(requestLog))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := story.Timeline(all, "none"); len(got) != 0 {
+	if got := loganalysis.Timeline(all, "none"); len(got) != 0 {
 		t.Errorf("got %v, want nothing", got)
 	}
 }
--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -33,33 +33,33 @@
 type Context struct {
 	context.Context
 
-	Settings api.Settings
-	Machine  Machine
-	Log      *event.Log
-	Metrics  *metric.Set
-	Lifecycle     *lifecycle.Life
-	Owner    lease.Owner
-	Explain  *explain.Recorder
+	Settings  api.Settings
+	Machine   Machine
+	Log       *event.Log
+	Metrics   *metric.Set
+	Lifecycle *lifecycle.Life
+	Owner     lease.Owner
+	Explain   *explain.Recorder
 
-	Platform *objectapi.Client
-	Engines  *engine.Client
-	Peers    *peer.Client
-	KeepAliveClient   *http.Client
-	SingleUseClient   *http.Client
+	Platform        *objectapi.Client
+	Engines         *engine.Client
+	Peers           *peer.Client
+	KeepAliveClient *http.Client
+	SingleUseClient *http.Client
 
-	Group     *duty.Group
-	Broker    *broker.Broker
-	Follower    *follow.Follower
-	Poller      *poll.Poller
-	Heartbeats      *heartbeat.Keeper
-	Claims    *claims.Keeper
-	Deadlines *clock.Deadlines
-	Contents  *contents.Guard
-	Leaders   []*leader.Leader
-	Orders    *orders.Sender
-	Upkeep    *upkeep.Keeper
-	Entry     *entry.Server
-	Control   *control.Server
+	Group      *duty.Group
+	Broker     *broker.Broker
+	Follower   *follow.Follower
+	Poller     *poll.Poller
+	Heartbeats *heartbeat.Keeper
+	Claims     *claims.Keeper
+	Deadlines  *clock.Deadlines
+	Contents   *contents.Guard
+	Leaders    []*leader.Leader
+	Orders     *orders.Sender
+	Upkeep     *upkeep.Keeper
+	Entry      *entry.Server
+	Control    *control.Server
 
 	CallerServer  *http.Server
 	ControlServer *http.Server
--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -31,8 +31,8 @@
 	// QuarantineSource reads the refused contents and Quarantines writes them; both are nil
 	// where the platform keeps none.
 	QuarantineSource port.Source[quarantine.Entry]
-	QuarantineStore port.Quarantines
-	Backends    port.Backends
+	QuarantineStore  port.Quarantines
+	Backends         port.Backends
 	// Ingress serves callers and Readiness the balancer.
 	Ingress   func(g *gateway.Gateway) http.Handler
 	Readiness func(g *gateway.Gateway) http.Handler
@@ -51,12 +51,12 @@
 type HostedContext struct {
 	context.Context
 
-	Settings api.Settings
-	Machine  Machine
-	Log      *event.Log
-	Metrics  *metric.Set
-	Reload  SettingsReload
-	NewAdapter    func(l AdapterDeps) Adapter
+	Settings   api.Settings
+	Machine    Machine
+	Log        *event.Log
+	Metrics    *metric.Set
+	Reload     SettingsReload
+	NewAdapter func(l AdapterDeps) Adapter
 
 	adapter Adapter
 	group   *duty.Group
@@ -68,18 +68,18 @@
 	// closures is nil where no failure domain can be closed.
 	closures *mirror.Mirror[roster.Closure]
 	// quarantines is nil where the platform keeps no refused contents.
-	quarantines           *mirror.Mirror[quarantine.Entry]
-	mesh                  *mesh.Mesh
-	deadlines             *clock.Deadlines
-	ticks, rounds         int
+	quarantines                       *mirror.Mirror[quarantine.Entry]
+	mesh                              *mesh.Mesh
+	deadlines                         *clock.Deadlines
+	ticks, rounds                     int
 	droppedOverLimit, droppedByOutput int64
 	// notifyPending is set while changes are gathered for peers.
 	notifyPending atomic.Bool
 	// gracePeriod is the time from the signal to stop to the end, in ns.
 	gracePeriod atomic.Int64
 	// stopDeadline is when a planned stop has to be over.
-	stopDeadline      time.Time
-	cleanups cleanups
+	stopDeadline time.Time
+	cleanups     cleanups
 }
 
 // SettingsReload tell of changed settings.
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -64,7 +64,7 @@
 const (
 	configWaitShare = 0.5
 	serverWaitShare = 0.25
-	answerShare = 0.2
+	answerShare     = 0.2
 )
 
 // quarantineWatchWait is how long one watch of the refused contents may wait. Peers tell of
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -187,7 +187,7 @@
 
 // Times between the rounds of small duties.
 const (
-	tickInterval = 50 * time.Millisecond
+	tickInterval       = 50 * time.Millisecond
 	membershipInterval = 250 * time.Millisecond
 )
 
