--- a/internal/node/cleanup.go
+++ b/internal/node/cleanup.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// cleanups are what is to be done at the end, last first.
+// cleanups lists functions that run at the end of the process, last added first.
 type cleanups []func()
 
 func (l *cleanups) add(f func()) {
@@ -24,8 +24,8 @@
 	*l = nil
 }
 
-// listen serves an address of a machine by a duty of the group; the clean-up
-// closes the server.
+// listen starts an HTTP server on an address in a goroutine of the group. The returned
+// function closes the server.
 func listen(ctx context.Context, m Machine, g *duty.Group, address string, h http.Handler, wait time.Duration) (*http.Server, func(), error) {
 	l, err := m.Listen(ctx, address)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	s := wire.NewServer(h, wait)
 	g.Go(func(context.Context) error {
-		// The end of the server is part of the stop.
+		// The server ends with the planned stop, so the error of Serve is no failure.
 		_ = s.Serve(l)
 		return nil
 	})
--- a/internal/node/connect.go
+++ b/internal/node/connect.go
@@ -8,7 +8,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// connectCheck makes the question whether a server still listens at its address.
+// connectCheck returns a function that checks whether a server still accepts connections
+// at its address. A server without a known address passes the check.
 func connectCheck(dial wire.Dial, address func(n api.ServerName) (string, bool)) contents.Connect {
 	return func(ctx context.Context, n api.ServerName) error {
 		a, ok := address(n)
--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -29,7 +29,8 @@
 	"github.com/wardridge/wardridge/internal/upkeep"
 )
 
-// Context is carried through the steps of a start and a stop.
+// Context holds the parts of a standalone entry VM. Each step of its start and stop gets
+// it as its argument.
 type Context struct {
 	context.Context
 
@@ -67,7 +68,8 @@
 	cleanups cleanups
 }
 
-// NewContext makes the context of a start on a machine.
+// NewContext creates the context of a start. The steps of the start create the parts
+// that it does not set.
 func NewContext(ctx context.Context, m Machine, s api.Settings, l *event.Log) *Context {
 	return &Context{
 		Context:  ctx,
@@ -82,12 +84,12 @@
 	}
 }
 
-// cleanup notes what is to be done at the end, last first.
+// cleanup adds a function that Close runs, last added first.
 func (c *Context) cleanup(f func()) {
 	c.cleanups.add(f)
 }
 
-// Close does all clean-ups.
+// Close runs all clean-ups.
 func (c *Context) Close() {
 	c.cleanups.run()
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,3 +1,3 @@
-// Package node puts one entry VM's process together and runs it from start to
+// Package node assembles the process of one entry VM and runs it from its start to its
 // planned stop.
 package node
--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -23,31 +23,34 @@
 	"github.com/wardridge/wardridge/internal/upstream"
 )
 
-// Adapter is a hosting platform's wire. Its parts only translate.
+// Adapter connects an entry VM to a hosting platform. Its parts only translate between
+// the platform's formats and those of this module.
 type Adapter struct {
 	Config   port.Source[directory.Config]
 	Servers  port.Source[roster.Server]
 	Closures port.Source[roster.Closure]
-	// QuarantineSource reads the refused contents and Quarantines writes them; both are nil
-	// where the platform keeps none.
+	// QuarantineSource reads the quarantined contents and QuarantineStore writes them.
+	// Both are nil if the platform does not store quarantines.
 	QuarantineSource port.Source[quarantine.Entry]
 	QuarantineStore  port.Quarantines
 	Backends         port.Backends
-	// Ingress serves callers and Readiness the balancer.
+	// Ingress creates the handler for callers, and Readiness that for the readiness
+	// checks of the load balancer.
 	Ingress   func(g *gateway.Gateway) http.Handler
 	Readiness func(g *gateway.Gateway) http.Handler
 }
 
-// AdapterDeps are what an adapter is made over.
+// AdapterDeps holds what an adapter needs to reach the platform and the backend servers.
 type AdapterDeps struct {
-	// Platform sends calls to the platform's store at its address.
+	// Platform is the HTTP client for the platform's store, which listens at Address.
 	Platform *http.Client
 	Address  string
 	Pool     *upstream.Pool
 	Log      *event.Log
 }
 
-// HostedContext is carried through the steps of a hosted entry VM.
+// HostedContext holds the parts of an entry VM behind a hosting platform. Each step of
+// its start and stop gets it as its argument.
 type HostedContext struct {
 	context.Context
 
@@ -65,33 +68,33 @@
 	gateway *gateway.Gateway
 	config  *mirror.Mirror[directory.Config]
 	servers *mirror.Mirror[roster.Server]
-	// closures is nil where no failure domain can be closed.
+	// closures is nil if failure domains can't be closed.
 	closures *mirror.Mirror[roster.Closure]
-	// quarantines is nil where the platform keeps no refused contents.
+	// quarantines is nil if the platform does not store quarantined contents.
 	quarantines                       *mirror.Mirror[quarantine.Entry]
 	mesh                              *mesh.Mesh
 	deadlines                         *clock.Deadlines
 	ticks, rounds                     int
 	droppedOverLimit, droppedByOutput int64
-	// notifyPending is set while changes are gathered for peers.
+	// notifyPending is set while changes are batched before peers are notified.
 	notifyPending atomic.Bool
-	// gracePeriod is the time from the signal to stop to the end, in ns.
+	// gracePeriod is the time from the stop signal to the end of the process, in ns.
 	gracePeriod atomic.Int64
-	// stopDeadline is when a planned stop has to be over.
+	// stopDeadline is the time by which a planned stop has to end.
 	stopDeadline time.Time
 	cleanups     cleanups
 }
 
-// SettingsReload tell of changed settings.
+// SettingsReload tells how changed settings are noticed and read.
 type SettingsReload struct {
-	// Signal says that the settings may have changed.
+	// Signal delivers a signal when the settings may have changed.
 	Signal <-chan os.Signal
-	// Load reads and checks them.
+	// Load reads the settings and validates them.
 	Load func() (api.Settings, error)
 }
 
-// RunHosted runs an entry VM behind a hosting platform's wire until its
-// context ends, and then stops it as planned.
+// RunHosted runs an entry VM behind a hosting platform until ctx ends, and then performs
+// a planned stop.
 func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, adapt func(l AdapterDeps) Adapter) error {
 	h := &HostedContext{Context: ctx, Settings: s, Machine: m, Log: l, Metrics: metric.New(), Reload: r, NewAdapter: adapt}
 	defer h.cleanups.run()
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -32,7 +32,7 @@
 
 var hostedStartSteps = []step.Step[*HostedContext]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedDuties{}}
 
-// hostedClients makes the connections to other processes.
+// hostedClients creates the clients for other processes, and the adapter.
 type hostedClients struct{}
 
 func (hostedClients) String() string { return "clients" }
@@ -52,23 +52,25 @@
 	return nil
 }
 
-// hostedDecisions makes the parts that decide and remember.
+// hostedDecisions creates the gateway, the mirrors of the platform's objects and the mesh.
 type hostedDecisions struct{}
 
 func (hostedDecisions) String() string { return "decisions" }
 
-// Shares of the time in which a change has to be in force: what one watch of
-// the configuration and of the servers may wait, and what its answer may take
-// beyond. A silent platform is noticed when a watch does not end; servers leave
-// on short notice, so that theirs is shorter.
+// Shares of the time within which a change has to be in force: configWaitShare and
+// serverWaitShare bound the wait of one watch of the configuration and of the servers,
+// and answerShare bounds the time that its answer takes beyond the wait. A platform that
+// does not respond is detected when a watch does not end. The wait for servers is the
+// shorter one because they leave at short notice.
 const (
 	configWaitShare = 0.5
 	serverWaitShare = 0.25
 	answerShare     = 0.2
 )
 
-// quarantineWatchWait is how long one watch of the refused contents may wait. Peers tell of
-// what leads to them within a second or two, so that a silent watch does no harm.
+// quarantineWatchWait bounds the wait of one watch of the quarantined contents. It may be
+// long: peers report the failures that lead to a quarantine within a second or two, so a
+// watch that gets no answer does no harm.
 const quarantineWatchWait = 10 * time.Second
 
 func (hostedDecisions) Run(h *HostedContext) error {
@@ -119,14 +121,15 @@
 	return nil
 }
 
-// firstListDelay is how long an entry VM leaves the platform to others at the first
-// start of the whole system: the VMs that the settings name ask it at once, the
-// hubs of each failure domain are known after 1.5 s, and have told their members a
-// second later.
+// firstListDelay is how long an entry VM waits for peers before it lists the platform's
+// objects itself, at the first start of the whole system. The seed VMs in the settings
+// list at once; the hubs of each failure domain are known after 1.5 s and have relayed
+// the objects to the VMs of their domain a second later.
 const firstListDelay = 3 * time.Second
 
-// listDelay is how long the first list of the platform is left to peers. After any
-// other start callers may be waiting.
+// listDelay returns how long to wait for peers before the first list of the platform's
+// objects. It is 0 on any start but the first of the whole system, since callers may be
+// waiting, and 0 for seed VMs.
 func (h *HostedContext) listDelay() time.Duration {
 	l := splitAddresses(h.Settings.Gateway.Seeds)
 	if !h.Settings.Gateway.FirstStart || len(l) == 0 || slices.Contains(l, h.Settings.Node.Control) {
@@ -135,7 +138,8 @@
 	return firstListDelay
 }
 
-// meshPeers are the peers of the gateway, which is made before the mesh.
+// meshPeers gives the gateway access to peers through the mesh, which is created after
+// the gateway.
 type meshPeers struct {
 	hosted *HostedContext
 }
@@ -156,45 +160,48 @@
 	return a.hosted.mesh.Report(ctx, address, x)
 }
 
-// hubRelays reports whether a hub brings what changes.
+// hubRelays reports whether a hub relays the platform's changes to this entry VM.
 func (h *HostedContext) hubRelays() bool {
 	return h.mesh.Guided()
 }
 
-// hubQueriesPlatform reports whether a hub asks the platform as well.
+// hubQueriesPlatform reports whether a hub queries the platform for this entry VM, so
+// that after this number of failures in a row it may query less often.
 func (h *HostedContext) hubQueriesPlatform(failures int) bool {
 	return h.mesh.Patient(failures)
 }
 
-// applyConfig takes a configuration, and tells peers that hear of it from here.
+// applyConfig passes a configuration to the gateway and notifies the peers that get
+// updates from this entry VM.
 func (h *HostedContext) applyConfig(s replica.Snapshot[directory.Config]) {
 	h.gateway.Configure(s)
 	h.notifyPeers()
 }
 
-// applyServers takes servers, and tells peers that hear of them from here.
+// applyServers passes the backend servers to the gateway and notifies the peers that get
+// updates from this entry VM.
 func (h *HostedContext) applyServers(s replica.Snapshot[roster.Server]) {
 	h.gateway.Serve(s)
 	h.notifyPeers()
 }
 
-// applyClosures takes the failure domains that are closed to new work, and tells peers that
-// hear of them from here.
+// applyClosures passes the failure domains that are closed to new work to the gateway
+// and notifies the peers that get updates from this entry VM.
 func (h *HostedContext) applyClosures(s replica.Snapshot[roster.Closure]) {
 	h.gateway.Close(s)
 	h.notifyPeers()
 }
 
-// applyQuarantines takes the contents that the platform keeps as refused, and tells peers that
-// hear of them from here.
+// applyQuarantines passes the quarantined contents in the platform's store to the
+// gateway and notifies the peers that get updates from this entry VM.
 func (h *HostedContext) applyQuarantines(s replica.Snapshot[quarantine.Entry]) {
 	h.gateway.Quarantine(s)
 	h.notifyPeers()
 }
 
-// setPlatformLost notes whether the platform is lost. Notices of servers may be missed from
-// the first moment on, before it is known whether peers still hear of them, so
-// that the servers are asked at once.
+// setPlatformLost records whether the platform is unreachable. Once it is, notices of
+// servers that leave may be missed, and it is not known yet whether peers still get
+// them. So the servers are queried at once.
 func (h *HostedContext) setPlatformLost(lost bool) {
 	h.gateway.Away(lost)
 	if lost {
@@ -202,8 +209,8 @@
 	}
 }
 
-// notifyDelay is how long changes are gathered before peers are told: servers
-// that leave together say so within a few ms.
+// notifyDelay is how long changes are batched before peers are notified. Servers that
+// leave together announce it within a few ms of each other.
 const notifyDelay = 15 * time.Millisecond
 
 func (h *HostedContext) notifyPeers() {
@@ -232,13 +239,13 @@
 	return l
 }
 
-// hostedServers listens.
+// hostedServers listens for peers, readiness checks and callers.
 type hostedServers struct{}
 
 func (hostedServers) String() string { return "servers" }
 
-// headerTimeout bounds the time that a caller's head may take; operators allow
-// callers 3 s.
+// headerTimeout bounds the time in which a caller sends its request header; operators
+// allow callers 3 s.
 const headerTimeout = 5 * time.Second
 
 func (hostedServers) Run(h *HostedContext) error {
@@ -262,25 +269,25 @@
 	return nil
 }
 
-// hostedDuties starts what runs until the end.
+// hostedDuties starts the goroutines that run until the process ends.
 type hostedDuties struct{}
 
 func (hostedDuties) String() string { return "duties" }
 
 const (
-	// hostedTickInterval is the pause between looks at the requests that wait, and between
-	// reports to allocators of what ended since: room that is told of late is room
-	// that nobody uses, and an answer writes a few tokens in that time.
+	// hostedTickInterval is the pause between checks of the waiting requests, and between
+	// reports to allocators of the runs that ended. Capacity that is reported late stays
+	// unused; a run generates a few tokens in this time.
 	hostedTickInterval = 60 * time.Millisecond
-	// ticksPerRound is the number of ticks between rounds of the small duties, a
-	// sixth of the shortest notice of servers that leave.
+	// ticksPerRound is the number of ticks between rounds of periodic work. A round is due
+	// every sixth of the shortest notice that leaving servers give.
 	ticksPerRound = 4
-	// roundsPerSweep is the number of rounds between closings of idle connections.
+	// roundsPerSweep is the number of rounds between sweeps that close idle connections.
 	roundsPerSweep = 4
-	// roundsPerRelease is the number of rounds, a minute, between looks for refused contents
-	// whose time is over.
+	// roundsPerRelease is the number of rounds, about a minute, between releases of
+	// contents whose quarantine has expired.
 	roundsPerRelease = 250
-	// roundsPerDropReport is the number of rounds between counts of lines left out.
+	// roundsPerDropReport is the number of rounds between reports of dropped log lines.
 	roundsPerDropReport = 40
 )
 
@@ -299,13 +306,13 @@
 	return nil
 }
 
-// platformSilent reports whether nobody heard of has word from the platform, so that only
-// the servers themselves tell that they are leaving.
+// platformSilent reports whether neither this entry VM nor any reachable peer gets
+// answers from the platform. Only the servers themselves then announce that they leave.
 func (h *HostedContext) platformSilent() bool {
 	return !h.servers.Direct() && h.mesh.Alone()
 }
 
-// tick lets requests in and tells allocators what changed.
+// tick admits waiting requests, reports changes to allocators and starts due rounds.
 func (h *HostedContext) tick(context.Context) {
 	h.ticks++
 	h.gateway.Tick()
@@ -315,7 +322,7 @@
 	}
 }
 
-// round is one round of the small duties.
+// round does the periodic work of the VM once.
 func (h *HostedContext) round() {
 	h.rounds++
 	h.detectSuspension()
@@ -342,8 +349,8 @@
 	}
 }
 
-// detectSuspension notices that the VM was suspended: what it follows is asked for at once, since
-// nothing that was on its way before says how things stand.
+// detectSuspension checks whether the VM was suspended. If so, it refreshes all mirrors
+// at once, since answers to calls from before the suspension may be outdated.
 func (h *HostedContext) detectSuspension() {
 	d := h.deadlines.Check()
 	if d == 0 {
@@ -361,9 +368,8 @@
 	}
 }
 
-// reloadSettings is the duty that takes changed settings. Bounds and the time to stop
-// change at once; addresses need a restart, and settings that are wrong change
-// nothing.
+// reloadSettings applies changed settings until ctx ends. Retry limits and the grace
+// period change at once, addresses need a restart, and invalid settings change nothing.
 func (h *HostedContext) reloadSettings(ctx context.Context) error {
 	for {
 		select {
@@ -382,7 +388,7 @@
 	}
 }
 
-// reportDroppedLines logs how many lines were left out since the last time.
+// reportDroppedLines logs how many log lines were dropped since the last report.
 func (h *HostedContext) reportDroppedLines() {
 	b, o := h.Log.DroppedLines()
 	if b == h.droppedOverLimit && o == h.droppedByOutput {
--- a/internal/node/hosted_stop.go
+++ b/internal/node/hosted_stop.go
@@ -12,7 +12,8 @@
 
 var hostedStopSteps = []step.Step[*HostedContext]{hostedUnready{}, hostedDraining{}}
 
-// hostedUnready says not ready, so that new callers go elsewhere.
+// hostedUnready reports not ready to the load balancer, so that it sends new callers to
+// other entry VMs.
 type hostedUnready struct{}
 
 func (hostedUnready) String() string { return "turning the readiness" }
@@ -24,19 +25,19 @@
 	return nil
 }
 
-// hostedDraining serves on until callers had time to go elsewhere and their
-// requests are answered, or the time to stop is over.
+// hostedDraining keeps serving until the load balancer had time to redirect callers and
+// their requests are answered, or until the grace period ends.
 type hostedDraining struct{}
 
 func (hostedDraining) String() string { return "draining" }
 
 const (
-	// balancerDelay is how long the balancer may take to notice, and callers to
-	// use their open connections once more.
+	// balancerDelay is how long the load balancer may take to notice that the VM is not
+	// ready, and callers to use their open connections once more.
 	balancerDelay = 2500 * time.Millisecond
-	// shutdownMargin is kept of the time to stop for the end itself.
+	// shutdownMargin is the part of the grace period reserved for the shutdown itself.
 	shutdownMargin = 400 * time.Millisecond
-	// drainPollInterval is the pause between looks at what is in flight.
+	// drainPollInterval is the pause between checks for requests in flight.
 	drainPollInterval = 50 * time.Millisecond
 )
 
--- a/internal/node/hosted_test.go
+++ b/internal/node/hosted_test.go
@@ -22,7 +22,7 @@
 	"github.com/wardridge/wardridge/internal/settings"
 )
 
-// staticSource is a kind that never changes.
+// staticSource is a source of objects that never change.
 type staticSource[T any] struct {
 	snapshot replica.Snapshot[T]
 }
@@ -36,7 +36,7 @@
 	return replica.Changes[T]{At: from}, ctx.Err()
 }
 
-// testVM is a hosted entry VM on listeners of its own.
+// testVM is a hosted entry VM that listens on loopback addresses.
 type testVM struct {
 	signals chan os.Signal
 	loaded  chan bool
@@ -63,7 +63,7 @@
 	return newTestVMWithAdapter(t, testAdapter)
 }
 
-// newTestVMWithAdapter is newBed with a wire of its own.
+// newTestVMWithAdapter starts a VM whose adapter is created by the given function.
 func newTestVMWithAdapter(t *testing.T, adapt func(l node.AdapterDeps) node.Adapter) *testVM {
 	t.Helper()
 	listeners := map[string]net.Listener{}
@@ -106,7 +106,7 @@
 	return b
 }
 
-// testAdapter is a wire whose readiness is that of the gateway.
+// testAdapter returns an adapter without servers that reports the gateway's readiness.
 func testAdapter(node.AdapterDeps) node.Adapter {
 	c := replica.Snapshot[directory.Config]{At: 1, Items: []replica.Object[directory.Config]{{Name: "main", Version: 1, Value: directory.Config{Version: 1}}}}
 	return node.Adapter{
@@ -123,7 +123,7 @@
 	}
 }
 
-// awaitReady asks for the readiness until it is as wanted.
+// awaitReady polls the readiness check until it gives the wanted answer.
 func (b *testVM) awaitReady(t *testing.T, want bool) {
 	t.Helper()
 	for range 1000 {
@@ -136,18 +136,18 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("ready: got never %v", want)
+	t.Fatalf("ready: never got %v, want it within 5 s", want)
 }
 
-// SIGHUP ended the process: settings that change, and wrong ones, must leave it
-// serving.
+// SIGHUP ends a process that does not handle it. The VM has to keep serving when SIGHUP
+// announces changed settings, valid or not.
 func TestVMKeepsServingWhenSettingsChange(t *testing.T) {
 	b := newTestVM(t)
 	b.awaitReady(t, true)
 	for _, want := range []bool{false, true} {
 		b.signals <- syscall.SIGHUP
 		if got := <-b.loaded; got != want {
-			t.Fatalf("good settings: got %v, want %v", got, want)
+			t.Fatalf("settings loaded on SIGHUP are valid: got %v, want %v", got, want)
 		}
 		b.awaitReady(t, true)
 	}
@@ -163,7 +163,7 @@
 	}
 }
 
-// failingSource is a kind whose platform is lost after the first list.
+// failingSource is a source whose platform is unreachable after the first list.
 type failingSource struct {
 	staticSource[roster.Server]
 	listed *atomic.Int64
@@ -180,9 +180,8 @@
 	return replica.Changes[roster.Server]{}, fault.New(fault.PlatformDown, "down")
 }
 
-// A planned stop while the platform is being lost ends in order; the race
-// detector sees whether duties share anything with the stop (soak, seeds 500 and
-// 501).
+// A planned stop has to end without an error while the VM loses its platform. The race
+// detector finds data shared between the stop and goroutines that still run.
 func TestStopEndsWhilePlatformIsUnreachable(t *testing.T) {
 	var listed atomic.Int64
 	b := newTestVMWithAdapter(t, func(l node.AdapterDeps) node.Adapter {
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -13,22 +13,22 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Machine is what a process works on: connections, listeners and a clock that
-// goes on while the VM is suspended.
+// Machine gives a process its connections, its listeners and a clock that also advances
+// while the VM is suspended.
 type Machine struct {
 	Dial   wire.Dial
 	Listen func(ctx context.Context, address string) (net.Listener, error)
 	Now    clock.Now
 }
 
-// dialTimeout bounds the time to connect to a backend server, a peer or the
-// platform.
+// dialTimeout bounds the time to connect to a backend server, a peer or the platform, one
+// call to an engine, and the closing of the caller listener at a planned stop.
 const dialTimeout = time.Second
 
-// sendBufferSize bounds what the kernel holds for a caller that reads slowly.
+// sendBufferSize bounds the bytes that the kernel buffers for a caller that reads slowly.
 const sendBufferSize = 128 << 10
 
-// RealMachine is the machine that the process runs on.
+// RealMachine returns the network and the clock of the operating system.
 func RealMachine() Machine {
 	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}
 	l := &net.ListenConfig{Control: limitSendBuffer}
@@ -41,7 +41,7 @@
 	}
 }
 
-// limitSendBuffer sets the bound on a listening socket, whose connections inherit it.
+// limitSendBuffer sets sendBufferSize on a listening socket. Its connections inherit it.
 func limitSendBuffer(_, _ string, r syscall.RawConn) error {
 	var err error
 	e := r.Control(func(f uintptr) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,8 +14,7 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-// Run runs an entry VM on a machine until its context ends, and then stops it
-// as planned.
+// Run runs a standalone entry VM until ctx ends, and then performs a planned stop.
 func Run(ctx context.Context, m Machine, s api.Settings, l *event.Log) error {
 	c := NewContext(ctx, m, s, l)
 	defer c.Close()
@@ -31,7 +30,7 @@
 	return step.Run(c, l, stopSteps)
 }
 
-// localHeartbeat is this entry VM's own localHeartbeat.
+// localHeartbeat returns the heartbeat that this entry VM sends to peers.
 func (c *Context) localHeartbeat() api.Heartbeat {
 	return api.Heartbeat{
 		Protocol:      member.Protocol,
@@ -49,18 +48,20 @@
 	}
 }
 
-// mergeHeartbeat takes what a peer knows of backend servers and of contents that end them.
+// mergeHeartbeat merges a peer's reports of backend servers, and of contents that crash
+// them, into the local state.
 func (c *Context) mergeHeartbeat(b api.Heartbeat) {
 	c.Contents.Merge(b.Contents)
 	c.Entry.MergeLimits(b.Limits)
 	c.Entry.MergeLeaving(b.Leaving)
 }
 
-// watchGrace is the time that the own watch is given before a peer is asked.
+// watchGrace is how long the local watch may take to deliver a newer configuration
+// before a peer is queried for it.
 const watchGrace = 500 * time.Millisecond
 
-// catchUp takes the configuration of a peer that has a newer one in force, if
-// the own watch does not bring it.
+// catchUp fetches the configuration from a peer that has a newer one in force, unless
+// the local watch delivers a newer one within watchGrace.
 func (c *Context) catchUp(ctx context.Context, address string) {
 	before := c.Follower.View().Version
 	if !duty.Sleep(ctx, watchGrace) || c.Follower.View().Version > before {
@@ -72,7 +73,7 @@
 	}
 }
 
-// readVMs takes the platform's list of VMs.
+// readVMs reads the platform's list of VMs and passes it to the parts that need it.
 func (c *Context) readVMs(ctx context.Context) {
 	c.Metrics.Add(metric.PlatformReads, 1)
 	l, err := c.Platform.VMs(ctx)
@@ -90,20 +91,21 @@
 	}
 }
 
-// tick ends waits that are over.
+// tick ends the waits of requests that have timed out and updates the metrics.
 func (c *Context) tick(context.Context) {
 	c.Broker.Tick()
 	c.Metrics.Put(metric.RequestsWaiting, int64(c.Broker.Waiting()))
 	c.Metrics.Put(metric.RequestsInFlight, int64(c.Lifecycle.InFlight()))
 }
 
-// serverAddress gives the serverAddress of a declared server.
+// serverAddress returns the address of a declared backend server.
 func (c *Context) serverAddress(n api.ServerName) (string, bool) {
 	s, ok := c.Follower.View().Servers[n]
 	return s.Address, ok
 }
 
-// updateMembership notices a suspension and keeps shares and duties in step with members.
+// updateMembership detects a suspension of the VM, and adjusts the shares of limits and
+// the candidacies for duties to the entry VMs that serve.
 func (c *Context) updateMembership(ctx context.Context) {
 	if c.Lifecycle.Beat() {
 		c.Metrics.Add(metric.ClockJumps, 1)
@@ -119,8 +121,9 @@
 	}
 }
 
-// confirmConfig asks the platform and a peer for what is in force, after a
-// suspension; the pending watch was sent before it and proves nothing.
+// confirmConfig queries the platform and a peer for the configuration in force after a
+// suspension. The pending watch was sent before the suspension, so its answer does not
+// confirm anything.
 func (c *Context) confirmConfig(ctx context.Context) {
 	c.Group.Go(func(context.Context) error {
 		c.Follower.Refresh(ctx)
@@ -135,7 +138,7 @@
 	}
 }
 
-// Status is this entry VM's view of the system.
+// Status returns this entry VM's view of the system.
 func (c *Context) Status() api.NodeStatus {
 	s := api.NodeStatus{
 		VM:            c.Owner.VM,
@@ -154,7 +157,7 @@
 	return s
 }
 
-// logStopped logs the end of a planned stop.
+// logStopped logs an event of a planned stop with the number of requests in flight.
 func (c *Context) logStopped(id event.ID) {
 	c.Log.Emit(id, zap.Int("in_flight", c.Lifecycle.InFlight()))
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -38,12 +38,12 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// startSteps lists the steps of a start in order.
+// startSteps are the steps of a start, in order.
 var startSteps = []step.Step[*Context]{
 	state{}, clients{}, decisions{}, duties{}, servers{}, opening{},
 }
 
-// state makes what the process remembers.
+// state creates the lifecycle and the recorder of explanations.
 type state struct{}
 
 func (state) String() string { return "state" }
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// clients makes the connections to other processes.
+// clients creates the clients for other processes.
 type clients struct{}
 
 func (clients) String() string { return "clients" }
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// decisions makes the parts that decide.
+// decisions creates the parts that decide on requests and claims.
 type decisions struct{}
 
 func (decisions) String() string { return "decisions" }
@@ -124,33 +124,33 @@
 	}
 }
 
-// claimReleaser asks peers to give claims up.
+// claimReleaser requests peers to release claims.
 type claimReleaser struct {
 	node *Context
 }
 
-// Release asks the entry VM that made a claim.
+// Release requests the entry VM that made a claim to release it.
 func (r claimReleaser) Release(ctx context.Context, n api.VMName, q api.AttemptQuery) (bool, error) {
 	a, ok := r.node.Heartbeats.Find(n)
 	if !ok {
-		return false, fault.New(fault.PeerUnreachable, "the owner of the claim is not listed")
+		return false, fault.New(fault.PeerUnreachable, "the entry VM that owns the claim is not among the known peers")
 	}
 	return r.node.Peers.Release(ctx, a, q)
 }
 
-// Rewritten reports whether all other entry VMs have written their claims again in an era.
+// Rewritten reports whether all other entry VMs have rewritten their claims in an era.
 func (r claimReleaser) Rewritten(e api.Era) bool {
 	return r.node.Heartbeats.Rewritten(e)
 }
 
-// duties makes and starts the duties.
+// duties creates the parts that work in the background and starts their goroutines.
 type duties struct{}
 
 func (duties) String() string { return "duties" }
 
 func (duties) Run(c *Context) error {
 	var closer func()
-	// Duties outlive the signal to stop: they end with the clean-up.
+	// The goroutines of the group keep running after the stop signal, until the clean-up.
 	c.Group, closer = duty.New(context.WithoutCancel(c.Context))
 	c.cleanup(closer)
 	c.Poller = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.handleEngineLost)
@@ -167,7 +167,8 @@
 	return nil
 }
 
-// handleEngineLost notes an engine that can't be connected to.
+// handleEngineLost records that an engine can't be reached. A refused connection also
+// confirms that the engine has ended.
 func (c *Context) handleEngineLost(n api.ServerName, err error) {
 	c.Broker.Lost(n)
 	if port.Refused(err) {
@@ -175,7 +176,8 @@
 	}
 }
 
-// createLeaders makes the leases and what is done under them.
+// createLeaders creates the leaders, which hold the leases on duties, and the parts that
+// do these duties.
 func (c *Context) createLeaders() {
 	t := lease.Timing{Duration: c.Settings.Lease.DurationMS.Duration(), Skew: c.Settings.Lease.SkewMS.Duration()}
 	o := leader.New(orders.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
@@ -185,7 +187,7 @@
 	c.Upkeep = upkeep.New(u, c.Platform, c.Follower.View, c.Broker.Status, c.Poller.Last, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
 }
 
-// Times between the rounds of small duties.
+// Intervals of periodic work.
 const (
 	tickInterval       = 50 * time.Millisecond
 	membershipInterval = 250 * time.Millisecond
@@ -211,7 +213,8 @@
 	}
 }
 
-// applyView tells the dispatcher of the engines in a view, and claims of the platform's era.
+// applyView passes the engines of a view to the broker and the platform's era to the
+// claims.
 func (c *Context) applyView(v *config.View) {
 	c.Claims.Enter(v.Version.Era())
 	var l []dispatch.Server
@@ -249,12 +252,12 @@
 	return s, nil
 }
 
-// opening waits for a confirmed configuration and then serves callers.
+// opening waits for a confirmed configuration and then opens the entry VM to callers.
 type opening struct{}
 
 func (opening) String() string { return "opening" }
 
-// maxPeerConfigWait bounds the wait for a configuration that a peer says is newer.
+// maxPeerConfigWait bounds the wait for a newer configuration that a peer has in force.
 const maxPeerConfigWait = 5 * time.Second
 
 func (opening) Run(c *Context) error {
@@ -265,8 +268,8 @@
 	}
 	c.readVMs(c)
 	c.Heartbeats.Round(c)
-	// A stale replica of the platform must not take the fleet back: what any
-	// peer has in force is waited for.
+	// A stale replica of the platform may have answered. So that the VM does not serve by
+	// an older configuration than its peers, it waits for the newest that any has in force.
 	end := time.Now().Add(maxPeerConfigWait)
 	for c.Heartbeats.Newest() > c.Follower.View().Version && time.Now().Before(end) {
 		if !duty.Sleep(c, tickInterval) {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -8,13 +8,13 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-// stopSteps lists the steps of a planned stop in order.
+// stopSteps are the steps of a planned stop, in order.
 var stopSteps = []step.Step[*Context]{
 	failingHealthCheck{}, draining{}, releasing{}, closing{},
 }
 
-// failingHealthCheck turns the health check, so that the balancer sends callers
-// elsewhere, while requests on their way are still served.
+// failingHealthCheck fails the health check, so that the load balancer sends callers to
+// other entry VMs, and still serves the requests that arrive until it does.
 type failingHealthCheck struct{}
 
 func (failingHealthCheck) String() string { return "turning the health check" }
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// draining takes no new request and waits for those in flight.
+// draining refuses new requests and waits for those in flight.
 type draining struct{}
 
 func (draining) String() string { return "draining" }
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// releasing gives the leases back, so that others need not wait them out.
+// releasing releases the leases, so that other entry VMs need not wait until they expire.
 type releasing struct{}
 
 func (releasing) String() string { return "releasing leases" }
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// closing closes the listeners once their last answers are written.
+// closing closes the listener for callers once the last answers are written.
 type closing struct{}
 
 func (closing) String() string { return "closing listeners" }
@@ -63,7 +63,7 @@
 func (closing) Run(c *Context) error {
 	x, cancel := context.WithTimeout(c, dialTimeout)
 	defer cancel()
-	// Kept connections without a request are closed with the process.
+	// Idle connections that are still open are closed when the process ends.
 	_ = c.CallerServer.Shutdown(x)
 	return nil
 }
