--- a/internal/loganalysis/cause.go
+++ b/internal/loganalysis/cause.go
@@ -4,9 +4,8 @@
 	"github.com/wardridge/wardridge/internal/event"
 )
 
-// missCause gives the route of a request that was not answered in time, and why, from
-// the line of its end. Requests in flight at the end of their entry VM leave no
-// line.
+// missCause returns, from the line that ends a request, its route and why it was not
+// answered in time. Requests in flight when their entry VM ends leave no such line.
 func (s *aggregator) missCause(l Line) string {
 	var why string
 	switch l.Event {
@@ -23,13 +22,13 @@
 	}
 	r := l.text("route")
 	if r == "" {
-		// Nothing is known of the route of a request that was not let in at all.
+		// A request that was refused before its route was known has none.
 		r = "-"
 	}
 	return r + " " + why
 }
 
-// refusalDetail tells how a request was refused for want of room.
+// refusalDetail describes how a request was refused for lack of capacity.
 func refusalDetail(l Line) string {
 	switch {
 	case l.Fields["behind"] == true:
--- a/internal/loganalysis/doc.go
+++ b/internal/loganalysis/doc.go
@@ -1,3 +1,3 @@
-// Package story finds in the logs of several entry VMs what concerns one
-// request, and what the VM that served it believed at that time.
+// Package loganalysis reads the logs of entry VMs. It shows the timeline of one request
+// with the state that its VM knew at the time, and summarizes how requests ended.
 package loganalysis
--- a/internal/loganalysis/summary.go
+++ b/internal/loganalysis/summary.go
@@ -12,48 +12,48 @@
 	"github.com/wardridge/wardridge/internal/quantile"
 )
 
-// Count is how often something was logged.
+// Count is the number of log lines with the same outcome, cause or verdict.
 type Count struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
 
-// Summary is what logs of several entry VMs show together. Of requests that
-// went well some lines are left out, which LeftOut counts.
+// Summary summarizes the logs of several entry VMs. Logs don't hold every line of
+// requests that succeed; DroppedLines counts those that are missing.
 type Summary struct {
-	// Outcomes are how requests ended, by event and type of failure.
+	// Outcomes counts how requests ended, by event and type of failure.
 	Outcomes []Count `json:"ends"`
-	// Causes are why requests were not answered in time, by route.
+	// Causes counts why requests were not answered in time, by route.
 	Causes []Count `json:"causes"`
-	// FirstEvent and Pause are the time to the first event and the longest pause of
-	// streams that were answered whole.
+	// FirstEvent and LongestPause are the time to the first event and the longest pause of
+	// streams that were answered in full.
 	FirstEvent   quantile.Summary `json:"first_event"`
 	LongestPause quantile.Summary `json:"longest_pause"`
-	// Moves are the moves of runs by the last step that was logged.
+	// Moves counts the moves of runs by the last step that was logged.
 	Moves []Count `json:"moves"`
-	// Resumes are runs that went on elsewhere, by what from, and the time that
-	// took.
+	// Resumes holds how long it took to resume runs on another server, by what they were
+	// resumed from.
 	Resumes []ResumeTimes `json:"resumes"`
-	// Lost are generations that could not go on, by what was known of the server.
+	// Lost counts generations that could not be resumed, by what was known of their server.
 	Lost []Count `json:"lost"`
-	// SilentStreams are verdicts on silent streams.
+	// SilentStreams counts the verdicts on silent streams.
 	SilentStreams []Count `json:"silent"`
 	DroppedLines  int     `json:"left_out"`
 }
 
-// ResumeTimes are the runs that went on from one kind of copy.
+// ResumeTimes holds how long it took to resume runs from one kind of copy.
 type ResumeTimes struct {
 	From     string           `json:"from"`
 	Duration quantile.Summary `json:"took"`
 }
 
-// endEvents are the events with which a request endEvents.
+// endEvents are the events that end a request.
 var endEvents = map[event.ID]bool{
 	event.RequestDone: true, event.RequestLate: true, event.RequestRefused: true, event.RequestFailed: true,
 	event.GenerationLost: true, event.CallerLeft: true,
 }
 
-// counts counts by name.
+// counts maps a name to the number of its lines.
 type counts map[string]int
 
 func (c counts) list() []Count {
@@ -65,27 +65,27 @@
 	return l
 }
 
-// serverKey is a server as one entry VM saw it.
+// serverKey is a server as seen within a scope: the log of an entry VM, or a request.
 type serverKey struct{ scope, server string }
 
-// aggregator gathers a summary.
+// aggregator collects a summary line by line.
 type aggregator struct {
 	ends, silent counts
 	first, pause *quantile.Times
 	resumes      map[string]*quantile.Times
-	// moves are the last steps by request and source, leaving the servers that an
-	// entry VM knew to leave.
+	// moves holds the last step of each move, by request and source server. leaving holds
+	// the servers that an entry VM knew to be leaving.
 	moves   map[serverKey]string
 	leaving map[serverKey]bool
-	// lost are the lines of lost generations: the step of a move that was under
-	// way is logged after them.
+	// lost holds the lines of lost generations until all lines are read, because the step
+	// of a move in progress is logged after them.
 	lost []Line
-	// missed are the lines of requests that were not answered in time.
+	// missed holds the lines of requests that were not answered in time.
 	missed       []Line
 	droppedLines int
 }
 
-// Summarize gives the summary of all lines.
+// Summarize returns the summary of all lines.
 func Summarize(all []Line) Summary {
 	s := &aggregator{
 		ends: counts{}, silent: counts{}, first: quantile.New(), pause: quantile.New(),
@@ -127,10 +127,10 @@
 	}
 }
 
-// stateLeaving is the state of a server that is about to end.
+// stateLeaving is the logged state of a server that has announced its end.
 const stateLeaving = "leaving"
 
-// lossCause says what an entry VM knew of the server of a lost generation.
+// lossCause describes what the entry VM knew of the server of a lost generation.
 func (s *aggregator) lossCause(l Line) string {
 	p := serverKey{l.text("request"), l.text("server")}
 	switch m, moved := s.moves[p]; {
@@ -190,12 +190,12 @@
 	return n
 }
 
-// duration reads a time, which logs hold in seconds.
+// duration returns the value of a field that holds seconds.
 func (l Line) duration(key string) time.Duration {
 	return time.Duration(l.number(key) * float64(time.Second))
 }
 
-// Text writes the summary for people.
+// Text formats the summary for people.
 func (s Summary) Text() string {
 	var b strings.Builder
 	list := func(title string, l []Count) {
@@ -205,7 +205,7 @@
 	}
 	times := func(title string, q quantile.Summary) {
 		if q.Count > 0 {
-			fmt.Fprintf(&b, "%-8s %6d  p50 %.0f, p95 %.0f, p99 %.0f, most %.0f ms\n", title, q.Count, q.P50, q.P95, q.P99, q.Max)
+			fmt.Fprintf(&b, "%-8s %6d  p50 %.0f, p95 %.0f, p99 %.0f, max %.0f ms\n", title, q.Count, q.P50, q.P95, q.P99, q.Max)
 		}
 	}
 	list("ended", s.Outcomes)
--- a/internal/loganalysis/summary_test.go
+++ b/internal/loganalysis/summary_test.go
@@ -46,13 +46,13 @@
 		"lost          1  without a notice\n", "silent        1  abandon\n", "left out      8  lines\n",
 	} {
 		if !strings.Contains(got, want) {
-			t.Errorf("got\n%s\nwant in it %q", got, want)
+			t.Errorf("summary: got\n%s\nwant it to contain %q", got, want)
 		}
 	}
 }
 
 func TestSummarizeNoLines(t *testing.T) {
 	if got, want := loganalysis.Summarize(nil).Text(), "left out      0  lines\n"; got != want {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("summary of no lines: got %q, want %q", got, want)
 	}
 }
--- a/internal/loganalysis/timeline.go
+++ b/internal/loganalysis/timeline.go
@@ -13,10 +13,11 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Line is one line of a log.
+// Line is one event in a log.
 type Line struct {
 	At time.Time
-	// Source is the log that it stands in: a file, and what stood before the line.
+	// Source is the file of the log, and the VM's name if a log collector has put it
+	// before the line.
 	Source string
 	Event  event.ID
 	Name   string
@@ -24,22 +25,22 @@
 }
 
 const (
-	// maxLineBytes bounds one line, in bytes.
 	maxLineBytes = 1 << 20
-	// stateBefore and after are how far around a request's own lines the beliefs of
-	// its entry VM are shown: a server's notice, and an outage found late.
+	// stateBefore and stateAfter bound the time before and after a request's lines from
+	// which state changes of its entry VM are shown, such as the notice of a server that
+	// leaves, and an outage that is detected late.
 	stateBefore = 4 * time.Second
 	stateAfter  = time.Second
 )
 
-// stateEvents are the events that change what an entry VM believes.
+// stateEvents are the events that change what an entry VM knows of the system.
 var stateEvents = map[event.ID]bool{
 	event.ConfigApplied: true, event.PlatformLost: true, event.PlatformBack: true, event.WatchRestarted: true,
 	event.PeerLost: true, event.PeerJoined: true, event.ServerState: true, event.ClockJump: true,
 	event.StopBegun: true, event.Started: true, event.LinesLeftOut: true,
 }
 
-// Read gives the lines of a log; what is no line of a log is passed over.
+// Read returns the events of a log. It skips text that is not an event.
 func Read(name string, r io.Reader) ([]Line, error) {
 	var l []Line
 	s := bufio.NewScanner(r)
@@ -55,7 +56,7 @@
 	return l, nil
 }
 
-// parseLine reads one line; a collector may have put the VM's name before it.
+// parseLine parses one line. A log collector may have put the VM's name before it.
 func parseLine(name, text string) (Line, bool) {
 	i := strings.IndexByte(text, '{')
 	if i < 0 {
@@ -85,9 +86,9 @@
 	return Line{At: at, Source: source, Event: event.ID(id), Name: n, Fields: f}, true
 }
 
-// Timeline gives the lines of a request in order of time, with what its entry VM
-// came to believe around them: of the platform, of peers, and of the servers
-// that the request met.
+// Timeline returns the lines of a request in order of time, together with the state
+// changes around them on its entry VM: of the platform, of peers, and of the servers that
+// the request used.
 func Timeline(all []Line, request string) []Line {
 	var own []Line
 	servers := map[any]bool{}
@@ -125,7 +126,7 @@
 	slices.SortStableFunc(l, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// String writes a line for people.
+// String formats a line for people.
 func (l Line) String() string {
 	keys := make([]string, 0, len(l.Fields))
 	for k := range l.Fields {
--- a/internal/loganalysis/timeline_test.go
+++ b/internal/loganalysis/timeline_test.go
@@ -34,7 +34,7 @@
 		"15:44:02.900 day.log vm-1 generation_lost server=i-1",
 	}
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("timeline of request q: got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
 
@@ -44,6 +44,6 @@
 		t.Fatal(err)
 	}
 	if got := loganalysis.Timeline(all, "none"); len(got) != 0 {
-		t.Errorf("got %v, want nothing", got)
+		t.Errorf("timeline of an unknown request: got %v, want no lines", got)
 	}
 }
