--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,3 +1,2 @@
-// Package settings reads an entry VM's INI file and checks it against the
-// schema.
+// Package settings reads the INI file of an entry VM and validates it against the schema.
 package settings
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,10 +15,10 @@
 	"github.com/wardridge/wardridge/schema"
 )
 
-// rootDefinition is the definition of the whole file.
+// rootDefinition is the schema's definition of the whole file.
 const rootDefinition = "Settings"
 
-// Load reads and checks a file.
+// Load reads a settings file and validates it.
 func Load(path string) (api.Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return Parse(path, b)
 }
 
-// Parse checks the text of a file; name is for messages. A failure names the
-// line and what is allowed there.
+// Parse validates the text of a settings file. An error contains the given name of the
+// file, the line and the values that are allowed there.
 func Parse(name string, b []byte) (api.Settings, error) {
 	var s api.Settings
 	f, err := ini.LoadSources(ini.LoadOptions{}, b)
@@ -51,7 +51,7 @@
 	return s, err
 }
 
-// section is the keys of one section with their typed values.
+// section maps the keys of one section to their typed values.
 type section map[string]any
 
 func typedSections(name, text string, f *ini.File) (map[string]section, error) {
@@ -60,7 +60,7 @@
 	for _, s := range f.Sections() {
 		if s.Name() == ini.DefaultSection {
 			if k := s.Keys(); len(k) > 0 {
-				return nil, errorAt(name, text, "", k[0].Name(), "a key has to stand in a section")
+				return nil, errorAt(name, text, "", k[0].Name(), "a key has to be in a section")
 			}
 			continue
 		}
@@ -85,7 +85,7 @@
 	return d, nil
 }
 
-// sectionProperties gives the keys of each section.
+// sectionProperties returns the keys that the schema defines in each section.
 func sectionProperties() map[string][]schema.Property {
 	m := map[string][]schema.Property{}
 	for _, p := range schema.Properties(schema.SettingsFile, rootDefinition) {
@@ -111,7 +111,7 @@
 	return strings.Join(n, ", ")
 }
 
-// parseValue types a key's text as the schema wants it.
+// parseValue converts the text of a key to the type that the schema defines.
 func parseValue(p schema.Property, s string) (any, error) {
 	switch p.Type {
 	case "integer":
@@ -139,7 +139,7 @@
 	}
 }
 
-// DescribeAllowed tells in words what a key may hold.
+// DescribeAllowed describes the values that a key may have.
 func DescribeAllowed(p schema.Property) string {
 	switch {
 	case len(p.Allowed) > 0:
@@ -191,8 +191,8 @@
 	return fault.New(fault.InvalidSettings, where+": "+detail)
 }
 
-// findLine finds where a key or a section stands, for messages only; a key that
-// is missing is shown at its section.
+// findLine returns the line number of a key or a section, for error messages. For a
+// missing key it returns the line of the section.
 func findLine(text, section, key string) int {
 	at, in := 1, ""
 	for i, l := range strings.Split(text, "\n") {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -88,7 +88,7 @@
 	f.Add("[node\nx")
 	f.Fuzz(func(t *testing.T, s string) {
 		if _, err := settings.Parse("f.ini", []byte(s)); err != nil && err.Error() == "" {
-			t.Errorf("got an empty message")
+			t.Errorf("error of an invalid file: got an empty message, want a text")
 		}
 	})
 }
