--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -11,8 +11,8 @@
 	"github.com/wardridge/wardridge/platform"
 )
 
-// hosted makes the adapter of the platform that the system runs on.
-func hosted(l node.AdapterDeps) node.Adapter {
+// newHostedAdapter makes the adapter of the platform that the system runs on.
+func newHostedAdapter(l node.AdapterDeps) node.Adapter {
 	o := platform.NewObjects(l.Platform, l.Address)
 	bad := func(kind, name string, err error) {
 		l.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -20,8 +20,8 @@
 	Replace bool          `help:"Take the version that is there now in place of one in the file."`
 }
 
-// applying is carried through the steps of an apply.
-type applying struct {
+// applyContext is carried through the steps of an apply.
+type applyContext struct {
 	*environment
 	command *applyCommand
 	objects []api.Object
@@ -30,9 +30,9 @@
 
 // Run applies the file.
 func (c *applyCommand) Run(e *environment) error {
-	a := &applying{environment: e, command: c}
-	return step.Run(a, event.Discard(), []step.Step[*applying]{
-		loadFile{}, takeVersions{}, writeObjects{}, waitInForce{},
+	a := &applyContext{environment: e, command: c}
+	return step.Run(a, event.Discard(), []step.Step[*applyContext]{
+		loadFile{}, readVersions{}, writeObjects{}, waitInForce{},
 	})
 }
 
@@ -40,19 +40,19 @@
 
 func (loadFile) String() string { return "loading" }
 
-func (loadFile) Run(a *applying) error {
+func (loadFile) Run(a *applyContext) error {
 	l, err := resource.Load(a.command.File)
 	a.objects = l
 	return err
 }
 
-type takeVersions struct{}
+type readVersions struct{}
 
-func (takeVersions) String() string { return "taking versions" }
+func (readVersions) String() string { return "taking versions" }
 
-func (takeVersions) Skip(a *applying) bool { return !a.command.Replace }
+func (readVersions) Skip(a *applyContext) bool { return !a.command.Replace }
 
-func (takeVersions) Run(a *applying) error {
+func (readVersions) Run(a *applyContext) error {
 	p, closer := a.platform()
 	defer closer()
 	for i, o := range a.objects {
@@ -73,7 +73,7 @@
 
 func (writeObjects) String() string { return "writing" }
 
-func (writeObjects) Run(a *applying) error {
+func (writeObjects) Run(a *applyContext) error {
 	p, closer := a.platform()
 	defer closer()
 	for _, o := range a.objects {
@@ -86,7 +86,7 @@
 		if r.Changed {
 			word = "applied"
 		}
-		if err := a.print("%s %s %s at version %s\n", o.Kind, o.Name, word, r.Object.Version); err != nil {
+		if err := a.printf("%s %s %s at version %s\n", o.Kind, o.Name, word, r.Object.Version); err != nil {
 			return err
 		}
 	}
@@ -97,21 +97,21 @@
 
 func (waitInForce) String() string { return "waiting" }
 
-func (waitInForce) Skip(a *applying) bool { return !a.command.Wait }
+func (waitInForce) Skip(a *applyContext) bool { return !a.command.Wait }
 
-func (waitInForce) Run(a *applying) error {
+func (waitInForce) Run(a *applyContext) error {
 	c, closer := a.peer()
 	defer closer()
 	const pause = 100 * time.Millisecond
 	end := time.Now().Add(a.command.WaitFor)
 	var behind []string
 	for time.Now().Before(end) {
-		s, err := c.Status(a, a.line.Entry)
+		s, err := c.Status(a, a.cli.Entry)
 		if err != nil {
 			return err
 		}
-		if behind = late(s, a.newest); len(behind) == 0 {
-			return a.print("in force on every entry VM at version %s\n", a.newest)
+		if behind = lagging(s, a.newest); len(behind) == 0 {
+			return a.printf("in force on every entry VM at version %s\n", a.newest)
 		}
 		if !duty.Sleep(a, pause) {
 			return a.Err()
@@ -120,9 +120,9 @@
 	return fault.New(fault.NotInForce, "accepted, and not yet seen in force on "+strings.Join(behind, ", "))
 }
 
-// late lists the entry VMs that do not have a version in force as far as one
+// lagging lists the entry VMs that do not have a version in force as far as one
 // of them knows; one that is suspected may have it or not.
-func late(s api.NodeStatus, v api.Version) []string {
+func lagging(s api.NodeStatus, v api.Version) []string {
 	var l []string
 	if s.ConfigVersion < v {
 		l = append(l, string(s.VM))
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -19,7 +19,7 @@
 		if _, err := settings.Load(c.File); err != nil {
 			return err
 		}
-		return e.print("%s: the settings are valid\n", c.File)
+		return e.printf("%s: the settings are valid\n", c.File)
 	}
 	l, err := resource.Load(c.File)
 	if err != nil {
@@ -27,11 +27,11 @@
 	}
 	if d := resource.Dangling(l); len(d) > 0 {
 		for _, x := range d {
-			if err := e.print("%s: %s\n", c.File, x); err != nil {
+			if err := e.printf("%s: %s\n", c.File, x); err != nil {
 				return err
 			}
 		}
 		return fault.New(fault.InvalidResource, "resources name others that the file does not declare")
 	}
-	return e.print("%s: %d resources are valid\n", c.File, len(l))
+	return e.printf("%s: %d resources are valid\n", c.File, len(l))
 }
--- a/cmd/close.go
+++ b/cmd/close.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	return e.print("failure-domain %s is %s at version %s\n", c.Domain, state, o.Object.Version)
+	return e.printf("failure-domain %s is %s at version %s\n", c.Domain, state, o.Object.Version)
 }
 
 // create declares a domain that was not declared before.
--- a/cmd/control.go
+++ b/cmd/control.go
@@ -17,8 +17,8 @@
 	"github.com/wardridge/wardridge/internal/peer"
 )
 
-// controlLine is the command line of wardctl.
-type controlLine struct {
+// controlCLI is the command line of wardctl.
+type controlCLI struct {
 	Platform string        `help:"Address of the platform's object API." default:"127.0.0.1:7000" env:"WARDRIDGE_PLATFORM"`
 	Entry    string        `help:"Control address of any entry VM." default:"127.0.0.1:7101" env:"WARDRIDGE_ENTRY"`
 	Output   string        `help:"Form of what is written." enum:"text,json" default:"text" short:"o"`
@@ -40,14 +40,14 @@
 // environment is what every command works with.
 type environment struct {
 	context.Context
-	line *controlLine
+	cli *controlCLI
 	out  io.Writer
 	err  io.Writer
 }
 
 // Control runs one wardctl command and gives the exit status.
 func Control(args []string, out, errs io.Writer) int {
-	var l controlLine
+	var l controlCLI
 	status := -1
 	p, err := kong.New(&l,
 		kong.Name("wardctl"),
@@ -56,7 +56,7 @@
 		kong.Exit(func(n int) { status = n }),
 	)
 	if err != nil {
-		return report(errs, err)
+		return printError(errs, err)
 	}
 	kongplete.Complete(p)
 	k, err := p.Parse(args)
@@ -65,46 +65,46 @@
 		return status
 	}
 	if err != nil {
-		return report(errs, err)
+		return printError(errs, err)
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	if err := k.Run(&environment{Context: ctx, line: &l, out: out, err: errs}); err != nil {
-		return report(errs, err)
+	if err := k.Run(&environment{Context: ctx, cli: &l, out: out, err: errs}); err != nil {
+		return printError(errs, err)
 	}
 	return 0
 }
 
-func report(errs io.Writer, err error) int {
+func printError(errs io.Writer, err error) int {
 	_, _ = fmt.Fprintln(errs, "wardctl:", err)
 	return 1
 }
 
 // platform connects to the platform; the clean-up closes the connection.
 func (e *environment) platform() (*objectapi.Client, func()) {
-	return objectapi.New(e.line.Platform, e.line.Timeout)
+	return objectapi.New(e.cli.Platform, e.cli.Timeout)
 }
 
 // peer connects to entry VMs; the clean-up closes the connections.
 func (e *environment) peer() (*peer.Client, func()) {
-	return peer.New(e.line.Timeout)
+	return peer.New(e.cli.Timeout)
 }
 
-// json reports whether JSON is asked for.
-func (e *environment) json() bool {
-	return e.line.Output == "json"
+// wantsJSON reports whether JSON is asked for.
+func (e *environment) wantsJSON() bool {
+	return e.cli.Output == "json"
 }
 
-// write writes a value as JSON, on lines of its own.
-func (e *environment) write(v any) error {
+// writeJSON writes a value as JSON, on lines of its own.
+func (e *environment) writeJSON(v any) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return fault.Wrap(fault.Internal, err, "encoding the output")
 	}
-	return e.print("%s\n", b)
+	return e.printf("%s\n", b)
 }
 
-func (e *environment) print(format string, a ...any) error {
+func (e *environment) printf(format string, a ...any) error {
 	if _, err := fmt.Fprintf(e.out, format, a...); err != nil {
 		return fault.Wrap(fault.UnreadableFile, err, "writing the output")
 	}
--- a/cmd/dev.go
+++ b/cmd/dev.go
@@ -23,15 +23,15 @@
 	Soak     soakCommand     `cmd:"" help:"Run entry VMs as processes under faults and check what callers and servers see."`
 }
 
-// process is what every stand-in process takes.
-type process struct {
+// standInFlags is what every stand-in standInFlags takes.
+type standInFlags struct {
 	Listen    string `help:"IP address and port." required:""`
 	TraceFile string `help:"File that spans are written to; none without one."`
 }
 
 // run sets logs and traces up around a stand-in.
-func (p *process) run(e *environment, name string, f func(l *event.Log) error) error {
-	l, flush, err := logs()
+func (p *standInFlags) run(e *environment, name string, f func(l *event.Log) error) error {
+	l, flush, err := newLog()
 	if err != nil {
 		return err
 	}
@@ -48,8 +48,8 @@
 	return f(l)
 }
 
-// logs makes the log of a stand-in process.
-func logs() (*event.Log, func(), error) {
+// newLog makes the log of a stand-in process.
+func newLog() (*event.Log, func(), error) {
 	return event.New(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: logFormat(os.Stdout)})
 }
 
@@ -69,7 +69,7 @@
 
 // Run runs it until it is stopped.
 func (c *upCommand) Run(e *environment) error {
-	l, flush, err := logs()
+	l, flush, err := newLog()
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 
 // platformCommand runs a platform.
 type platformCommand struct {
-	process
+	standInFlags
 	Writes  int           `help:"Writes allowed a second." default:"100"`
 	Reads   int           `help:"Reads allowed a second." default:"2000"`
 	ListLag time.Duration `help:"Age of the list of VMs." default:"1s"`
@@ -95,7 +95,7 @@
 
 // engineCommand runs an engine.
 type engineCommand struct {
-	process
+	standInFlags
 	Name       string        `help:"Name of the backend server." required:""`
 	Memory     int           `help:"Cache memory, tokens." default:"32768"`
 	Batch      int           `help:"Generations that run at once." default:"64"`
@@ -130,7 +130,7 @@
 
 // serviceCommand runs a plain service.
 type serviceCommand struct {
-	process
+	standInFlags
 	Name string `help:"Name of the backend server." required:""`
 }
 
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	if err := e.print("backend-server %s is %s at version %s\n", c.Server, state, o.Object.Version); err != nil {
+	if err := e.printf("backend-server %s is %s at version %s\n", c.Server, state, o.Object.Version); err != nil {
 		return err
 	}
 	if !c.Wait || c.Undo {
@@ -44,12 +44,12 @@
 	const pause = 200 * time.Millisecond
 	end := time.Now().Add(c.WaitFor)
 	for time.Now().Before(end) {
-		s, err := p.Status(e, e.line.Entry)
+		s, err := p.Status(e, e.cli.Entry)
 		if err != nil {
 			return err
 		}
-		if idle(s, api.ServerName(c.Server)) {
-			return e.print("backend-server %s runs nothing for entry VM %s\n", c.Server, s.VM)
+		if drained(s, api.ServerName(c.Server)) {
+			return e.printf("backend-server %s runs nothing for entry VM %s\n", c.Server, s.VM)
 		}
 		if !duty.Sleep(e, pause) {
 			return e.Err()
@@ -58,8 +58,8 @@
 	return fault.New(fault.NotInForce, "the server still runs work")
 }
 
-// idle reports whether a server is seen draining with nothing running.
-func idle(s api.NodeStatus, n api.ServerName) bool {
+// drained reports whether a server is seen draining with nothing running.
+func drained(s api.NodeStatus, n api.ServerName) bool {
 	for _, x := range s.Servers {
 		if x.Server == n {
 			return x.State != api.ServerStatusStateReady && x.Running == 0
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -22,31 +22,31 @@
 // did not handle.
 func (c *explainCommand) Run(e *environment) error {
 	if len(c.Logs) > 0 {
-		return c.read(e)
+		return c.explainFromLogs(e)
 	}
 	p, closer := e.peer()
 	defer closer()
-	x, err := p.Explain(e, e.line.Entry, api.RequestID(c.Request), false)
+	x, err := p.Explain(e, e.cli.Entry, api.RequestID(c.Request), false)
 	if err != nil {
 		return err
 	}
-	if e.json() {
-		return e.write(x)
+	if e.wantsJSON() {
+		return e.writeJSON(x)
 	}
-	if err := e.print("request %s of workspace %s on entry VM %s\n", x.Request, x.Workspace, x.VM); err != nil {
+	if err := e.printf("request %s of workspace %s on entry VM %s\n", x.Request, x.Workspace, x.VM); err != nil {
 		return err
 	}
 	for _, d := range x.Decisions {
 		at := time.UnixMilli(int64(d.TimeMS)).UTC().Format("15:04:05.000")
-		if err := e.print("%s %-9s %s\n", at, d.Step, d.Detail); err != nil {
+		if err := e.printf("%s %-9s %s\n", at, d.Step, d.Detail); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// read tells the story of a request from logs.
-func (c *explainCommand) read(e *environment) error {
+// explainFromLogs tells the story of a request from logs.
+func (c *explainCommand) explainFromLogs(e *environment) error {
 	all, err := readLogs(c.Logs)
 	if err != nil {
 		return err
@@ -55,11 +55,11 @@
 	if len(l) == 0 {
 		return fault.New(fault.UnknownRequest, "no line of these logs tells of request "+c.Request)
 	}
-	if e.json() {
-		return e.write(l)
+	if e.wantsJSON() {
+		return e.writeJSON(l)
 	}
 	for _, x := range l {
-		if err := e.print("%s\n", x); err != nil {
+		if err := e.printf("%s\n", x); err != nil {
 			return err
 		}
 	}
--- a/cmd/get.go
+++ b/cmd/get.go
@@ -21,27 +21,27 @@
 		if err != nil {
 			return err
 		}
-		return e.show([]api.Object{o})
+		return e.printObjects([]api.Object{o})
 	}
 	l, err := p.List(e, []api.ResourceKind{k})
 	if err != nil {
 		return err
 	}
-	return e.show(l.Items)
+	return e.printObjects(l.Items)
 }
 
-// show writes objects so that they can be edited and applied.
-func (e *environment) show(l []api.Object) error {
-	if e.json() {
-		return e.write(l)
+// printObjects writes objects so that they can be edited and applied.
+func (e *environment) printObjects(l []api.Object) error {
+	if e.wantsJSON() {
+		return e.writeJSON(l)
 	}
 	for i, o := range l {
 		if i > 0 {
-			if err := e.print("---\n"); err != nil {
+			if err := e.printf("---\n"); err != nil {
 				return err
 			}
 		}
-		if err := e.print("%s", resource.Text(o)); err != nil {
+		if err := e.printf("%s", resource.Text(o)); err != nil {
 			return err
 		}
 	}
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -29,16 +29,16 @@
 	if !ok {
 		return fault.New(fault.InvalidRequest, "no mix "+c.Mix)
 	}
-	before := c.preemptions(e)
+	before := c.countPreemptions(e)
 	r, err := load.Run(e, load.Options{
 		Entries: c.Entries, Mix: m, Model: c.Model, Requests: c.Requests,
-		PerSecond: c.PerSecond, Seed: c.Seed, Wait: c.Wait, Progress: e.progress,
+		PerSecond: c.PerSecond, Seed: c.Seed, Wait: c.Wait, Progress: e.printProgress,
 	})
 	if err != nil {
 		return err
 	}
-	r.Preemptions = c.preemptions(e) - before
-	if err := c.show(e, r); err != nil {
+	r.Preemptions = c.countPreemptions(e) - before
+	if err := c.printReport(e, r); err != nil {
 		return err
 	}
 	if len(r.Wrong) > 0 {
@@ -50,21 +50,21 @@
 	return nil
 }
 
-// progress tells a person how far a run has come, beside what the command writes.
-func (e *environment) progress(p load.Progress) {
+// printProgress tells a person how far a run has come, beside what the command writes.
+func (e *environment) printProgress(p load.Progress) {
 	// Who reads no progress needs none.
 	_, _ = fmt.Fprintln(e.err, p.Text())
 }
 
-func (c *loadCommand) show(e *environment, r load.Report) error {
-	if e.json() {
-		return e.write(r)
+func (c *loadCommand) printReport(e *environment, r load.Report) error {
+	if e.wantsJSON() {
+		return e.writeJSON(r)
 	}
-	return e.print("%s", r.Text())
+	return e.printf("%s", r.Text())
 }
 
-// preemptions sums what the entry VMs count; one that can't be asked adds 0.
-func (c *loadCommand) preemptions(e *environment) int64 {
+// countPreemptions sums what the entry VMs count; one that can't be asked adds 0.
+func (c *loadCommand) countPreemptions(e *environment) int64 {
 	p, closer := e.peer()
 	defer closer()
 	n := int64(0)
--- a/cmd/measure.go
+++ b/cmd/measure.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return err
 	}
-	if e.json() {
-		return e.write(l)
+	if e.wantsJSON() {
+		return e.writeJSON(l)
 	}
 	var b strings.Builder
 	b.WriteString(measure.Calibration(o.Mixes))
@@ -45,12 +45,12 @@
 		b.WriteString(t.Markdown())
 	}
 	if c.Out == "" {
-		return e.print("%s", b.String())
+		return e.printf("%s", b.String())
 	}
-	return c.save(l, b.String())
+	return c.writeFiles(l, b.String())
 }
 
-func (c *measureCommand) save(l []measure.Table, text string) error {
+func (c *measureCommand) writeFiles(l []measure.Table, text string) error {
 	head := "# Tables of policies\n\nWritten by `wardctl dev measure --out docs/measure`; see [MEASUREMENTS.md](../MEASUREMENTS.md).\n\n"
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return fault.Wrap(fault.UnreadableFile, err, "making the folder")
@@ -60,7 +60,7 @@
 	}
 	for _, m := range c.Mixes {
 		for _, f := range measure.Plotted {
-			if err := c.draw(l, m, f); err != nil {
+			if err := c.writePlot(l, m, f); err != nil {
 				return err
 			}
 		}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (c *measureCommand) draw(l []measure.Table, mix string, f measure.Figure) error {
+func (c *measureCommand) writePlot(l []measure.Table, mix string, f measure.Figure) error {
 	w, err := os.Create(filepath.Join(c.Out, fmt.Sprintf("%s-%s.svg", mix, f.File)))
 	if err != nil {
 		return fault.Wrap(fault.UnreadableFile, err, "writing a plot")
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -16,8 +16,8 @@
 	"github.com/wardridge/wardridge/internal/trace"
 )
 
-// serveLine is the command line of wardridge.
-type serveLine struct {
+// serveCLI is the command line of wardridge.
+type serveCLI struct {
 	Settings string `arg:"" help:"INI file with this entry VM's settings." type:"path"`
 	Check    bool   `help:"Check the settings and exit."`
 }
@@ -27,21 +27,21 @@
 	// Noticed before anything else, since SIGHUP would end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	var l serveLine
+	var l serveCLI
 	p, err := kong.New(&l, kong.Name("wardridge"), kong.Description("Serves generations of unknown length from crowded engines: the process on each entry VM."))
 	if err != nil {
-		return fail(os.Stderr, err)
+		return printFailure(os.Stderr, err)
 	}
 	if _, err := p.Parse(args); err != nil {
-		return fail(os.Stderr, err)
+		return printFailure(os.Stderr, err)
 	}
 	if err := l.run(reload); err != nil {
-		return fail(os.Stderr, err)
+		return printFailure(os.Stderr, err)
 	}
 	return 0
 }
 
-func (l *serveLine) run(reload <-chan os.Signal) error {
+func (l *serveCLI) run(reload <-chan os.Signal) error {
 	s, err := settings.Load(l.Settings)
 	if err != nil || l.Check {
 		return err
@@ -60,13 +60,13 @@
 	defer end()
 	if s.Platform.Wire == api.PlatformSettingsWireHosted {
 		r := node.SettingsReload{Signal: reload, Load: func() (api.Settings, error) { return settings.Load(l.Settings) }}
-		return node.RunHosted(ctx, node.RealMachine(), s, e, r, hosted)
+		return node.RunHosted(ctx, node.RealMachine(), s, e, r, newHostedAdapter)
 	}
 	return node.Run(ctx, node.RealMachine(), s, e)
 }
 
-// fail writes a failure and gives the exit status.
-func fail(out *os.File, err error) int {
+// printFailure writes a failure and gives the exit status.
+func printFailure(out *os.File, err error) int {
 	_, _ = fmt.Fprintln(out, "wardridge:", err)
 	return 1
 }
--- a/cmd/soak.go
+++ b/cmd/soak.go
@@ -31,7 +31,7 @@
 
 // Run plays plans until the time is over, and fails if one broke a property.
 func (c *soakCommand) Run(e *environment) error {
-	l, flush, err := logs()
+	l, flush, err := newLog()
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 	failed := 0
 	end := time.Now().Add(time.Duration(c.Minutes * float64(time.Minute)))
 	for seed := c.Seed; ; seed++ {
-		ok, err := c.play(e, l, seed)
+		ok, err := c.playPlan(e, l, seed)
 		if err != nil {
 			return err
 		}
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// play plays the plan of a seed and tells what it showed.
-func (c *soakCommand) play(e *environment, l *event.Log, seed uint64) (bool, error) {
+// playPlan plays the plan of a seed and tells what it showed.
+func (c *soakCommand) playPlan(e *environment, l *event.Log, seed uint64) (bool, error) {
 	p := soak.New(seed, soak.Size{VMs: c.VMs, Engines: c.Engines, Plain: c.Plain, Callers: c.Callers}, c.Length)
 	if c.Replay != "" {
 		var err error
@@ -78,7 +78,7 @@
 		return false, err
 	}
 	l.Emit(event.SoakPlayed, zap.Uint64("seed", p.Seed), zap.Int("faults", len(p.Faults)), zap.Int("requests", r.Requests), zap.Int("served", r.Served), zap.Int("violations", len(r.Violations)))
-	if err := c.show(e, r); err != nil {
+	if err := c.printResult(e, r); err != nil {
 		return false, err
 	}
 	if len(r.Violations) == 0 {
@@ -90,16 +90,16 @@
 	return false, nil
 }
 
-// show writes what a plan showed.
-func (c *soakCommand) show(e *environment, r soak.Result) error {
-	if e.json() {
-		return e.write(r)
+// printResult writes what a plan showed.
+func (c *soakCommand) printResult(e *environment, r soak.Result) error {
+	if e.wantsJSON() {
+		return e.writeJSON(r)
 	}
-	if err := e.print("seed %d: %d faults, %d requests, %d served, %d resumed, %d probes, %d violations\n", r.Plan.Seed, len(r.Plan.Faults), r.Requests, r.Served, r.Resumed, r.Probes, len(r.Violations)); err != nil {
+	if err := e.printf("seed %d: %d faults, %d requests, %d served, %d resumed, %d probes, %d violations\n", r.Plan.Seed, len(r.Plan.Faults), r.Requests, r.Served, r.Resumed, r.Probes, len(r.Violations)); err != nil {
 		return err
 	}
 	for _, v := range r.Violations {
-		if err := e.print("  %s %s %s: %s\n", v.At.Format(time.TimeOnly), v.Property, v.Request, v.What); err != nil {
+		if err := e.printf("  %s %s %s: %s\n", v.At.Format(time.TimeOnly), v.Property, v.Request, v.What); err != nil {
 			return err
 		}
 	}
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -13,27 +13,27 @@
 func (c *statusCommand) Run(e *environment) error {
 	p, closer := e.peer()
 	defer closer()
-	s, err := p.Status(e, e.line.Entry)
+	s, err := p.Status(e, e.cli.Entry)
 	if err != nil {
 		return err
 	}
-	if e.json() {
-		return e.write(s)
+	if e.wantsJSON() {
+		return e.writeJSON(s)
 	}
-	return e.status(s)
+	return e.printStatus(s)
 }
 
-func (e *environment) status(s api.NodeStatus) error {
-	if err := e.print("entry VM %s: %s, configuration %s, platform heard %d ms ago, leases: %s\n", s.VM, s.State, s.ConfigVersion, s.PlatformAgeMS, strings.Join(s.Leases, ", ")); err != nil {
+func (e *environment) printStatus(s api.NodeStatus) error {
+	if err := e.printf("entry VM %s: %s, configuration %s, platform heard %d ms ago, leases: %s\n", s.VM, s.State, s.ConfigVersion, s.PlatformAgeMS, strings.Join(s.Leases, ", ")); err != nil {
 		return err
 	}
 	for _, m := range s.Members {
-		if err := e.print("entry VM %s: %s, configuration %s, %d in flight, heard %d ms ago\n", m.VM, m.State, m.ConfigVersion, m.InFlight, m.AgeMS); err != nil {
+		if err := e.printf("entry VM %s: %s, configuration %s, %d in flight, heard %d ms ago\n", m.VM, m.State, m.ConfigVersion, m.InFlight, m.AgeMS); err != nil {
 			return err
 		}
 	}
 	for _, x := range s.Servers {
-		if err := e.print("engine %s: %s, %d of %d tokens counted as taken, %d own generations, report %d ms old\n", x.Server, x.State, x.Reserved, x.KVTotal, x.Running, x.AgeMS); err != nil {
+		if err := e.printf("engine %s: %s, %d of %d tokens counted as taken, %d own generations, report %d ms old\n", x.Server, x.State, x.Reserved, x.KVTotal, x.Running, x.AgeMS); err != nil {
 			return err
 		}
 	}
--- a/cmd/summary.go
+++ b/cmd/summary.go
@@ -15,8 +15,8 @@
 		return err
 	}
 	s := loganalysis.Summarize(all)
-	if e.json() {
-		return e.write(s)
+	if e.wantsJSON() {
+		return e.writeJSON(s)
 	}
-	return e.print("%s", s.Text())
+	return e.printf("%s", s.Text())
 }
--- a/cmd/watch.go
+++ b/cmd/watch.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		for _, x := range l.Changes {
-			if err := e.change(x); err != nil {
+			if err := e.printChange(x); err != nil {
 				return err
 			}
 			if n++; n == c.Count {
@@ -68,13 +68,13 @@
 	}
 }
 
-func (e *environment) change(c api.Change) error {
-	if e.json() {
-		return e.write(c)
+func (e *environment) printChange(c api.Change) error {
+	if e.wantsJSON() {
+		return e.writeJSON(c)
 	}
 	word := "changed"
 	if c.Deleted {
 		word = "deleted"
 	}
-	return e.print("%s %s %s %s %s\n", c.Version, word, c.Object.Kind, c.Object.Name, c.Object.Spec)
+	return e.printf("%s %s %s %s %s\n", c.Version, word, c.Object.Kind, c.Object.Name, c.Object.Spec)
 }
