--- a/cmd/close_test.go
+++ b/cmd/close_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestClose(t *testing.T) {
-	s := newShell(t)
-	s.want(0, "is closed", "close", "hall-a")
-	s.want(0, "state: closed", "get", "failure-domain", "hall-a")
-	s.want(0, "is open", "close", "hall-a", "--undo")
-	s.want(0, "is closed", "close", "hall-a")
+	s := newWardctl(t)
+	s.expect(0, "is closed", "close", "hall-a")
+	s.expect(0, "state: closed", "get", "failure-domain", "hall-a")
+	s.expect(0, "is open", "close", "hall-a", "--undo")
+	s.expect(0, "is closed", "close", "hall-a")
 }
--- a/cmd/control_test.go
+++ b/cmd/control_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-func TestHelpAndMistakes(t *testing.T) {
-	s := newShell(t)
+func TestHelpAndUnknownCommand(t *testing.T) {
+	s := newWardctl(t)
 	for _, want := range []string{"apply", "get", "watch", "status", "explain", "drain", "check", "dev up", "dev load", "completion"} {
-		s.want(0, want, "--help")
+		s.expect(0, want, "--help")
 	}
-	s.want(1, "unexpected argument", "aply")
+	s.expect(1, "unexpected argument", "aply")
 	t.Setenv("SHELL", "/bin/bash")
-	s.want(0, "complete", "completion")
+	s.expect(0, "complete", "completion")
 }
 
-func TestEveryCommandTellsWhatItDoes(t *testing.T) {
-	s := newShell(t)
+func TestEveryCommandHasHelp(t *testing.T) {
+	s := newWardctl(t)
 	for _, c := range []string{"apply", "get", "watch", "status", "explain", "drain", "check"} {
 		n, out := s.run(c, "--help")
 		if n != 0 || !strings.Contains(out, "Usage: wardctl "+c) {
--- a/cmd/explain_test.go
+++ b/cmd/explain_test.go
@@ -7,20 +7,20 @@
 )
 
 func TestExplain(t *testing.T) {
-	s := newShell(t)
-	s.want(0, "request r1 of workspace dispatch on entry VM entry-1", "explain", "r1")
-	s.want(0, "engine-1: room at once", "explain", "r1")
-	s.want(0, `"step": "dispatch"`, "explain", "r1", "-o", "json")
+	s := newWardctl(t)
+	s.expect(0, "request r1 of workspace dispatch on entry VM entry-1", "explain", "r1")
+	s.expect(0, "engine-1: room at once", "explain", "r1")
+	s.expect(0, `"step": "dispatch"`, "explain", "r1", "-o", "json")
 }
 
 func TestExplainFromLogs(t *testing.T) {
-	s := newShell(t)
+	s := newWardctl(t)
 	a := filepath.Join(t.TempDir(), "a.log")
 	const line = `{"level":"warn","ts":"2026-03-09T15:44:02.9Z","msg":"generation_lost","event":309,"request":"q7","server":"i-1"}`
 	if err := os.WriteFile(a, []byte(line+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.want(0, "generation_lost server=i-1", "explain", "q7", "--logs", a)
-	s.want(1, "unknown_request", "explain", "q8", "--logs", a)
-	s.want(1, "unreadable_file", "explain", "q7", "--logs", a+".none")
+	s.expect(0, "generation_lost server=i-1", "explain", "q7", "--logs", a)
+	s.expect(1, "unknown_request", "explain", "q8", "--logs", a)
+	s.expect(1, "unreadable_file", "explain", "q7", "--logs", a+".none")
 }
--- a/cmd/harness_test.go
+++ b/cmd/harness_test.go
@@ -17,8 +17,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// shell runs wardctl against a platform's stand-in and one entry VM's answers.
-type shell struct {
+// wardctl runs wardctl against a platform's stand-in and one entry VM's answers.
+type wardctl struct {
 	t        *testing.T
 	store    *platform.Store
 	platform string
@@ -26,9 +26,9 @@
 	status   api.NodeStatus
 }
 
-func newShell(t *testing.T) *shell {
+func newWardctl(t *testing.T) *wardctl {
 	t.Helper()
-	s := &shell{t: t, store: platform.NewStore()}
+	s := &wardctl{t: t, store: platform.NewStore()}
 	p := httptest.NewServer(platform.New(s.store, platform.Options{WritesPerSecond: 1000, ReadsPerSecond: 1000}).Handler())
 	t.Cleanup(p.Close)
 	r := chi.NewRouter()
@@ -46,15 +46,15 @@
 }
 
 // run gives the exit status and what was written.
-func (s *shell) run(args ...string) (int, string) {
+func (s *wardctl) run(args ...string) (int, string) {
 	s.t.Helper()
 	var out bytes.Buffer
 	n := Control(append([]string{"--platform", s.platform, "--entry", s.entry}, args...), &out, &out)
 	return n, out.String()
 }
 
-// want runs a command and checks its status and output.
-func (s *shell) want(status int, text string, args ...string) {
+// expect runs a command and checks its status and output.
+func (s *wardctl) expect(status int, text string, args ...string) {
 	s.t.Helper()
 	n, out := s.run(args...)
 	if n != status || !strings.Contains(out, text) {
@@ -63,7 +63,7 @@
 }
 
 // file writes a file and gives its path.
-func (s *shell) file(name, text string) string {
+func (s *wardctl) file(name, text string) string {
 	s.t.Helper()
 	f := filepath.Join(s.t.TempDir(), name)
 	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
@@ -72,6 +72,6 @@
 	return f
 }
 
-const model = "kind: model\nname: desk\nspec: {weights: \"1\"}\n"
+const modelFile = "kind: model\nname: desk\nspec: {weights: \"1\"}\n"
 
-const server = "kind: backend-server\nname: engine-1\nspec: {type: engine, address: \"127.0.0.1:1\", domain: hall-a}\n"
+const serverFile = "kind: backend-server\nname: engine-1\nspec: {type: engine, address: \"127.0.0.1:1\", domain: hall-a}\n"
