--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -45,7 +45,7 @@
 	Settings api.Settings
 	Log      *event.Log
 	Metrics  *metric.Set
-	Life     *lifecycle.Life
+	Life     *lifecycle.Tracker
 	View     func() *config.View
 	Broker   *broker.Broker
 	Engines  *engine.Client
@@ -125,7 +125,7 @@
 // panic to the one request.
 func (s *Server) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		leave, f := s.Life.Enter()
+		leave, f := s.Life.Admit()
 		if f != nil {
 			s.Metrics.Add(metric.RequestsRefused, 1)
 			wire.Refuse(w, f, "")
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -44,7 +44,7 @@
 // Follower holds the configuration in force.
 type Follower struct {
 	source  Source
-	life    *lifecycle.Life
+	life    *lifecycle.Tracker
 	log     *event.Log
 	metrics *metric.Set
 	wait    time.Duration
@@ -65,7 +65,7 @@
 
 // New makes a follower that has no configuration yet; wait is the longest
 // time of one watch.
-func New(s Source, l *lifecycle.Life, e *event.Log, m *metric.Set, wait time.Duration, takers ...Taker) *Follower {
+func New(s Source, l *lifecycle.Tracker, e *event.Log, m *metric.Set, wait time.Duration, takers ...Taker) *Follower {
 	f := &Follower{
 		source: s, life: l, log: e, metrics: m, wait: wait, takers: takers,
 		updates: ring.New[update](ringSize), store: config.New(), ready: make(chan struct{}),
@@ -255,7 +255,7 @@
 		f.enforce(v, bad)
 	}
 	if !stale {
-		f.life.Confirmed(u.sent)
+		f.life.Confirm(u.sent)
 	}
 	if u.changes != nil {
 		f.open()
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -11,11 +11,11 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// comeback is when a caller that meets a VM in start or stop may ask again.
-const comeback = time.Second
+// retryAfter is when a caller that meets a VM in start or stop may ask again.
+const retryAfter = time.Second
 
-// Life is the state of one entry VM.
-type Life struct {
+// Tracker is the state of one entry VM.
+type Tracker struct {
 	now clock.Now
 
 	mutex    sync.Mutex
@@ -28,12 +28,12 @@
 
 // New makes a life that is starting; now has to be a clock that goes on while
 // the VM is suspended.
-func New(now clock.Now) *Life {
-	return &Life{now: now, state: api.PeerStateStarting, view: freshness.New(now()), idle: make(chan struct{})}
+func New(now clock.Now) *Tracker {
+	return &Tracker{now: now, state: api.PeerStateStarting, view: freshness.New(now()), idle: make(chan struct{})}
 }
 
 // Serve opens the VM to callers.
-func (l *Life) Serve() {
+func (l *Tracker) Serve() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.state == api.PeerStateStarting {
@@ -41,16 +41,16 @@
 	}
 }
 
-// Turn makes the VM say that it is stopping while it still lets requests in,
+// AnnounceStop makes the VM say that it is stopping while it still lets requests in,
 // for those that the balancer sent before it noticed.
-func (l *Life) Turn() {
+func (l *Tracker) AnnounceStop() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.state = api.PeerStateStopping
 }
 
-// Stop closes the VM to new requests.
-func (l *Life) Stop() {
+// StopAdmission closes the VM to new requests.
+func (l *Tracker) StopAdmission() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed {
@@ -64,37 +64,37 @@
 }
 
 // State gives the state.
-func (l *Life) State() api.PeerState {
+func (l *Tracker) State() api.PeerState {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state
 }
 
 // InFlight counts the requests in flight.
-func (l *Life) InFlight() int {
+func (l *Tracker) InFlight() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.inFlight
 }
 
-// Enter lets a request in, or gives the fault to refuse it with; the clean-up
+// Admit lets a request in, or gives the fault to refuse it with; the clean-up
 // ends the request.
-func (l *Life) Enter() (func(), *fault.Error) {
+func (l *Tracker) Admit() (func(), *fault.Error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
 	case l.state == api.PeerStateStarting:
-		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").After(comeback)
+		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").After(retryAfter)
 	case l.closed:
-		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(comeback)
+		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(retryAfter)
 	case !l.view.Usable(l.now()):
-		return nil, fault.New(fault.Starting, "this entry VM was suspended and checks its configuration").After(comeback)
+		return nil, fault.New(fault.Starting, "this entry VM was suspended and checks its configuration").After(retryAfter)
 	}
 	l.inFlight++
-	return l.leave, nil
+	return l.finish, nil
 }
 
-func (l *Life) leave() {
+func (l *Tracker) finish() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.inFlight--
@@ -103,8 +103,8 @@
 	}
 }
 
-// Idle waits until a stopping VM has no request in flight.
-func (l *Life) Idle(ctx context.Context) error {
+// WaitIdle waits until a stopping VM has no request in flight.
+func (l *Tracker) WaitIdle(ctx context.Context) error {
 	select {
 	case <-l.idle:
 		return nil
@@ -113,23 +113,23 @@
 	}
 }
 
-// Beat notes that the process runs and reports whether its view has to be
+// Tick notes that the process runs and reports whether its view has to be
 // asked for, as it had stopped.
-func (l *Life) Beat() bool {
+func (l *Tracker) Tick() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.view.Tick(l.now())
 }
 
-// Confirmed notes an answer about the configuration to a question sent at a
+// Confirm notes an answer about the configuration to a question sent at a
 // time of the life's clock.
-func (l *Life) Confirmed(sent time.Time) {
+func (l *Tracker) Confirm(sent time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.view.Confirm(sent)
 }
 
 // Now reads the life's clock.
-func (l *Life) Now() time.Time {
+func (l *Tracker) Now() time.Time {
 	return l.now()
 }
--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -38,7 +38,7 @@
 	Machine   Machine
 	Log       *event.Log
 	Metrics   *metric.Set
-	Lifecycle *lifecycle.Life
+	Lifecycle *lifecycle.Tracker
 	Owner     lease.Owner
 	Explain   *explain.Recorder
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -107,7 +107,7 @@
 // updateMembership detects a suspension of the VM, and adjusts the shares of limits and
 // the candidacies for duties to the entry VMs that serve.
 func (c *Context) updateMembership(ctx context.Context) {
-	if c.Lifecycle.Beat() {
+	if c.Lifecycle.Tick() {
 		c.Metrics.Add(metric.ClockJumps, 1)
 		c.Log.Emit(event.ClockJump)
 		c.confirmConfig(ctx)
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -21,7 +21,7 @@
 
 func (failingHealthCheck) Run(c *Context) error {
 	c.Log.Emit(event.StopBegun)
-	c.Lifecycle.Turn()
+	c.Lifecycle.AnnounceStop()
 	duty.Sleep(c, c.Settings.Node.StopWaitMS.Duration())
 	return nil
 }
@@ -32,10 +32,10 @@
 func (draining) String() string { return "draining" }
 
 func (draining) Run(c *Context) error {
-	c.Lifecycle.Stop()
+	c.Lifecycle.StopAdmission()
 	x, cancel := context.WithTimeout(c, c.Settings.Node.StopLimitMS.Duration())
 	defer cancel()
-	if err := c.Lifecycle.Idle(x); err != nil {
+	if err := c.Lifecycle.WaitIdle(x); err != nil {
 		c.logStopped(event.StopLimit)
 		return nil
 	}
