--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -54,26 +54,26 @@
 	return l.lease.Held(l.now())
 }
 
-// Left is the time for which the hold is sure; 0 when there is none.
-func (l *Leader) Left() time.Duration {
+// Remaining is the time for which the hold is sure; 0 when there is none.
+func (l *Leader) Remaining() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return max(0, l.lease.HeldUntil().Sub(l.now()))
 }
 
-// Want tells whether this entry VM is to hold the duty.
-func (l *Leader) Want(w bool) {
+// SetWanted tells whether this entry VM is to hold the duty.
+func (l *Leader) SetWanted(w bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.lease.SetWanted(w)
 }
 
-// every is the time between looks at the lease.
-const every = 200 * time.Millisecond
+// stepInterval is the time between looks at the lease.
+const stepInterval = 200 * time.Millisecond
 
 // Run is the duty that keeps the lease.
 func (l *Leader) Run(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return every }, l.Step)
+	return duty.Loop(ctx, func() time.Duration { return stepInterval }, l.Step)
 }
 
 // Step makes the call that is due, if any.
@@ -87,7 +87,7 @@
 	case lease.Write:
 		l.write(ctx, a)
 	}
-	l.report()
+	l.logTransition()
 }
 
 // read reads the lease by a list, which tells the platform's era also where there is none.
@@ -131,8 +131,8 @@
 	l.lease.HandleWritten(o.Version)
 }
 
-// report logs when the hold begins and ends.
-func (l *Leader) report() {
+// logTransition logs when the hold begins and ends.
+func (l *Leader) logTransition() {
 	f, held := l.Held()
 	l.mutex.Lock()
 	before := l.held
@@ -148,7 +148,7 @@
 
 // Release gives the lease back at a planned stop.
 func (l *Leader) Release(ctx context.Context) {
-	l.Want(false)
+	l.SetWanted(false)
 	if _, held := l.Held(); !held {
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 	c.Contents.Verify(c.Group, connectCheck(c.Machine.Dial, c.serverAddress))
 	c.Entry.Members(c.Heartbeats.Serving())
 	for _, l := range c.Leaders {
-		l.Want(c.Lifecycle.State() == api.PeerStateServing && c.Heartbeats.Candidate(l.Duty()))
+		l.SetWanted(c.Lifecycle.State() == api.PeerStateServing && c.Heartbeats.Candidate(l.Duty()))
 	}
 }
 
