--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -24,19 +24,19 @@
 // Workers is the number of orders that are carried out at once.
 const Workers = 4
 
-// Every is the time between plans.
-const Every = 500 * time.Millisecond
+// PlanInterval is the time between plans.
+const PlanInterval = 500 * time.Millisecond
 
-// callTime bounds one order; a new holder waits longer than this before it
+// orderTimeout bounds one order; a new holder waits longer than this before it
 // orders engines that do not check fences.
-const callTime = order.SettleTime * 4 / 5
+const orderTimeout = order.SettleTime * 4 / 5
 
 // Sender plans and sends orders.
 type Sender struct {
 	leader  *leader.Leader
 	client  *engine.Client
 	view    func() *config.View
-	seen    func() map[api.ServerName]api.LoadReport
+	reports    func() map[api.ServerName]api.LoadReport
 	log     *event.Log
 	metrics *metric.Set
 	planner *order.Planner
@@ -46,14 +46,14 @@
 // New makes a sender under a weight store that gives so many MB a second.
 func New(l *leader.Leader, c *engine.Client, view func() *config.View, seen func() map[api.ServerName]api.LoadReport, rate int, e *event.Log, m *metric.Set) *Sender {
 	return &Sender{
-		leader: l, client: c, view: view, seen: seen, log: e, metrics: m,
+		leader: l, client: c, view: view, reports: seen, log: e, metrics: m,
 		planner: order.New(rate), steps: ring.New[order.Step](Workers),
 	}
 }
 
 // Plan is the duty that decides which orders are due.
 func (s *Sender) Plan(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return Every }, s.plan)
+	return duty.Loop(ctx, func() time.Duration { return PlanInterval }, s.plan)
 }
 
 func (s *Sender) plan(ctx context.Context) {
@@ -62,7 +62,7 @@
 		return
 	}
 	seen := map[api.ServerName]order.Report{}
-	for n, r := range s.seen() {
+	for n, r := range s.reports() {
 		seen[n] = order.Report{Role: r.Role, Loaded: r.Loaded, Fence: r.Fence}
 	}
 	for _, x := range s.planner.Plan(time.Now(), f, targets(s.view()), seen) {
@@ -115,7 +115,7 @@
 	if f, ok := s.leader.Held(); !ok || f != x.Order.Fence {
 		return
 	}
-	c, cancel := context.WithTimeout(ctx, callTime)
+	c, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := s.client.Order(c, v.Address, x.Order)
 	fields := []zap.Field{
