--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -58,7 +58,7 @@
 	Contents   *contents.Guard
 	Leaders    []*leader.Leader
 	Orders     *orders.Sender
-	Upkeep     *upkeep.Keeper
+	Upkeep     *upkeep.Worker
 	Entry      *entry.Server
 	Control    *control.Server
 
--- a/internal/upkeep/claims.go
+++ b/internal/upkeep/claims.go
@@ -12,20 +12,20 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// sweepEvery is the time between looks for old claims.
-const sweepEvery = time.Minute
+// sweepInterval is the time between looks for old claims.
+const sweepInterval = time.Minute
 
-// perSweep bounds the claims removed in one look.
-const perSweep = 200
+// maxRemovedPerSweep bounds the claims removed in one look.
+const maxRemovedPerSweep = 200
 
 // sweep removes claims older than the keeping time, by the wall clock of the
 // VM that made them: a caller has to ask again within that time.
-func (k *Keeper) sweep(ctx context.Context) {
+func (k *Worker) sweep(ctx context.Context) {
 	now := time.Now()
-	if now.Sub(k.swept) < sweepEvery {
+	if now.Sub(k.lastSweep) < sweepInterval {
 		return
 	}
-	k.swept = now
+	k.lastSweep = now
 	k.metrics.Add(metric.PlatformReads, 1)
 	l, err := k.store.List(ctx, []api.ResourceKind{api.ResourceKindClaim})
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	n := 0
 	for _, o := range l.Items {
-		if n < perSweep && k.old(now, o) && k.remove(ctx, o) {
+		if n < maxRemovedPerSweep && k.expired(now, o) && k.remove(ctx, o) {
 			n++
 		}
 	}
@@ -42,15 +42,15 @@
 	}
 }
 
-func (k *Keeper) old(now time.Time, o api.Object) bool {
+func (k *Worker) expired(now time.Time, o api.Object) bool {
 	var s api.ClaimSpec
 	if err := json.Unmarshal(o.Spec, &s); err != nil {
 		return false
 	}
-	return now.Sub(time.UnixMilli(int64(s.CreatedMS))) > k.keep
+	return now.Sub(time.UnixMilli(int64(s.CreatedMS))) > k.claimRetention
 }
 
-func (k *Keeper) remove(ctx context.Context, o api.Object) bool {
+func (k *Worker) remove(ctx context.Context, o api.Object) bool {
 	if _, ok := k.leader.Held(); !ok {
 		return false
 	}
--- a/internal/upkeep/status.go
+++ b/internal/upkeep/status.go
@@ -20,12 +20,12 @@
 // Duty names the lease.
 const Duty = "upkeep"
 
-// Every is the time between looks at what has to be written.
-const Every = time.Second
+// RoundInterval is the time between looks at what has to be written.
+const RoundInterval = time.Second
 
-// perRound bounds the status writes of one round, so that a large change
+// maxWritesPerRound bounds the status writes of one round, so that a large change
 // leaves the platform's writes to others.
-const perRound = 5
+const maxWritesPerRound = 5
 
 // Store is where status and claims are kept.
 type Store interface {
@@ -35,14 +35,14 @@
 	Delete(ctx context.Context, k api.ResourceKind, n string, v api.Version) error
 }
 
-// Keeper does the upkeep.
-type Keeper struct {
+// Worker does the upkeep.
+type Worker struct {
 	leader  *leader.Leader
 	store   Store
 	view    func() *config.View
 	servers func() []api.ServerStatus
 	reports func() map[api.ServerName]api.LoadReport
-	keep    time.Duration
+	claimRetention    time.Duration
 	log     *event.Log
 	metrics *metric.Set
 
@@ -52,20 +52,20 @@
 	written map[string]api.Object
 	fence   api.Fence
 	era     api.Era
-	swept   time.Time
+	lastSweep   time.Time
 }
 
 // New makes a keeper that removes claims older than keep.
-func New(l *leader.Leader, s Store, view func() *config.View, servers func() []api.ServerStatus, reports func() map[api.ServerName]api.LoadReport, keep time.Duration, e *event.Log, m *metric.Set) *Keeper {
-	return &Keeper{leader: l, store: s, view: view, servers: servers, reports: reports, keep: keep, log: e, metrics: m}
+func New(l *leader.Leader, s Store, view func() *config.View, servers func() []api.ServerStatus, reports func() map[api.ServerName]api.LoadReport, keep time.Duration, e *event.Log, m *metric.Set) *Worker {
+	return &Worker{leader: l, store: s, view: view, servers: servers, reports: reports, claimRetention: keep, log: e, metrics: m}
 }
 
 // Run is the duty.
-func (k *Keeper) Run(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return Every }, k.round)
+func (k *Worker) Run(ctx context.Context) error {
+	return duty.Loop(ctx, func() time.Duration { return RoundInterval }, k.round)
 }
 
-func (k *Keeper) round(ctx context.Context) {
+func (k *Worker) round(ctx context.Context) {
 	f, ok := k.leader.Held()
 	if !ok {
 		return
@@ -73,15 +73,15 @@
 	if e := k.view().Version.Era(); f != k.fence || e != k.era {
 		k.written = map[string]api.Object{}
 		k.fence, k.era = f, e
-		k.swept = time.Time{}
+		k.lastSweep = time.Time{}
 	}
 	k.writeStatus(ctx)
 	k.sweep(ctx)
 }
 
-func (k *Keeper) writeStatus(ctx context.Context) {
-	left := perRound
-	for _, s := range k.wanted() {
+func (k *Worker) writeStatus(ctx context.Context) {
+	left := maxWritesPerRound
+	for _, s := range k.currentStatus() {
 		if left == 0 {
 			return
 		}
@@ -91,8 +91,8 @@
 	}
 }
 
-// wanted lists the status of every declared engine.
-func (k *Keeper) wanted() []api.StatusSpec {
+// currentStatus lists the status of every declared engine.
+func (k *Worker) currentStatus() []api.StatusSpec {
 	v := k.view()
 	r := k.reports()
 	var l []api.StatusSpec
@@ -110,7 +110,7 @@
 
 // write writes a status that changed and reports whether it called the
 // platform.
-func (k *Keeper) write(ctx context.Context, s api.StatusSpec) bool {
+func (k *Worker) write(ctx context.Context, s api.StatusSpec) bool {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return false
@@ -120,7 +120,7 @@
 	if ok && string(last.Spec) == string(b) {
 		return false
 	}
-	if !ok && !k.known(ctx, n, &last) {
+	if !ok && !k.readStored(ctx, n, &last) {
 		return true
 	}
 	if string(last.Spec) == string(b) {
@@ -139,8 +139,8 @@
 	return true
 }
 
-// known reads the present status, which may not exist.
-func (k *Keeper) known(ctx context.Context, n string, out *api.Object) bool {
+// readStored reads the present status, which may not exist.
+func (k *Worker) readStored(ctx context.Context, n string, out *api.Object) bool {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindStatus, n)
 	if fault.Has(err, fault.NotFound) {
