--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -123,8 +123,8 @@
 
 // firstListDelay is how long an entry VM waits for peers before it lists the platform's
 // objects itself, at the first start of the whole system. The seed VMs in the settings
-// list at once; the hubs of each failure domain are known after 1.5 s and have relayed
-// the objects to the VMs of their domain a second later.
+// list at once; the hubs of each failure domain are known after 1.5 s and have
+// updated the VMs of their domain a second later.
 const firstListDelay = 3 * time.Second
 
 // listDelay returns how long to wait for peers before the first list of the platform's
