--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -11,7 +11,7 @@
 	"github.com/wardridge/wardridge/platform"
 )
 
-// newHostedAdapter makes the adapter of the platform that the system runs on.
+// newHostedAdapter creates the adapter for the hosting platform.
 func newHostedAdapter(l node.AdapterDeps) node.Adapter {
 	o := platform.NewObjects(l.Platform, l.Address)
 	bad := func(kind, name string, err error) {
--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -12,15 +12,15 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-// applyCommand applies resources.
+// applyCommand applies resources from a file.
 type applyCommand struct {
 	File    string        `short:"f" required:"" help:"YAML file of resources; - for standard input."`
 	Wait    bool          `help:"Wait until the change is in force on every entry VM."`
 	WaitFor time.Duration `help:"Longest wait with --wait." default:"10s"`
-	Replace bool          `help:"Take the version that is there now in place of one in the file."`
+	Replace bool          `help:"Replace the current version, whatever version the file names."`
 }
 
-// applyContext is carried through the steps of an apply.
+// applyContext is the argument of each step of an apply.
 type applyContext struct {
 	*environment
 	command *applyCommand
@@ -62,7 +62,7 @@
 		}
 		a.objects[i].Version = n.Version
 		if err == nil && api.SameJSON(n.Spec, o.Spec) {
-			// An equal one is applied as if it were new, and found unchanged.
+			// An equal object is applied without a version, which reports it as unchanged.
 			a.objects[i].Version = 0
 		}
 	}
@@ -117,11 +117,11 @@
 			return a.Err()
 		}
 	}
-	return fault.New(fault.NotInForce, "accepted, and not yet seen in force on "+strings.Join(behind, ", "))
+	return fault.New(fault.NotInForce, "accepted, but not yet known to be in force on "+strings.Join(behind, ", "))
 }
 
-// lagging lists the entry VMs that do not have a version in force as far as one
-// of them knows; one that is suspected may have it or not.
+// lagging lists the entry VMs that do not have a version in force, as seen by the entry
+// VM that gave the status. A suspected VM is always listed, since its version is unknown.
 func lagging(s api.NodeStatus, v api.Version) []string {
 	var l []string
 	if s.ConfigVersion < v {
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -8,12 +8,12 @@
 	"github.com/wardridge/wardridge/internal/settings"
 )
 
-// checkCommand checks a file without applying it.
+// checkCommand validates a file without applying it.
 type checkCommand struct {
 	File string `arg:"" help:"File to check."`
 }
 
-// Run checks settings or resources by the file's ending.
+// Run validates settings if the file's extension is .ini, and resources otherwise.
 func (c *checkCommand) Run(e *environment) error {
 	if filepath.Ext(c.File) == ".ini" {
 		if _, err := settings.Load(c.File); err != nil {
@@ -31,7 +31,7 @@
 				return err
 			}
 		}
-		return fault.New(fault.InvalidResource, "resources name others that the file does not declare")
+		return fault.New(fault.InvalidResource, "resources refer to others that the file does not declare")
 	}
 	return e.printf("%s: %d resources are valid\n", c.File, len(l))
 }
--- a/cmd/close.go
+++ b/cmd/close.go
@@ -8,13 +8,13 @@
 	"github.com/wardridge/wardridge/internal/resource"
 )
 
-// closeCommand closes a failure domain to new work.
+// closeCommand closes a failure domain to new work or reopens it.
 type closeCommand struct {
 	Domain string `arg:"" help:"Failure domain."`
-	Undo   bool   `help:"Open it again."`
+	Undo   bool   `help:"Reopen it."`
 }
 
-// Run declares the domain's state, whether it was declared before or not.
+// Run sets the state of the domain, and declares the domain if it is not declared yet.
 func (c *closeCommand) Run(e *environment) error {
 	p, closer := e.platform()
 	defer closer()
@@ -32,7 +32,7 @@
 	return e.printf("failure-domain %s is %s at version %s\n", c.Domain, state, o.Object.Version)
 }
 
-// create declares a domain that was not declared before.
+// create declares a domain that is not declared yet.
 func (c *closeCommand) create(e *environment, s resource.Store, state api.DomainState) (resource.Outcome, error) {
 	b, err := json.Marshal(api.FailureDomainSpec{State: state})
 	if err != nil {
--- a/cmd/control.go
+++ b/cmd/control.go
@@ -21,37 +21,37 @@
 type controlCLI struct {
 	Platform string        `help:"Address of the platform's object API." default:"127.0.0.1:7000" env:"WARDRIDGE_PLATFORM"`
 	Entry    string        `help:"Control address of any entry VM." default:"127.0.0.1:7101" env:"WARDRIDGE_ENTRY"`
-	Output   string        `help:"Form of what is written." enum:"text,json" default:"text" short:"o"`
-	Timeout  time.Duration `help:"Longest wait for one call." default:"5s"`
+	Output   string        `help:"Output format." enum:"text,json" default:"text" short:"o"`
+	Timeout  time.Duration `help:"Maximum time of one call." default:"5s"`
 
 	Apply      applyCommand                 `cmd:"" help:"Apply resources from a file."`
 	Get        getCommand                   `cmd:"" help:"Show resources and status objects."`
-	Watch      watchCommand                 `cmd:"" help:"Follow changes of resources and status objects."`
+	Watch      watchCommand                 `cmd:"" help:"Print changes of resources and status objects as they happen."`
 	Status     statusCommand                `cmd:"" help:"Show the system as an entry VM sees it."`
-	Explain    explainCommand               `cmd:"" help:"Tell what was decided for a request and why."`
-	Summary    summaryCommand               `cmd:"" help:"Sum up logs: how requests ended, moves, pauses, and why streams were lost."`
-	Drain      drainCommand                 `cmd:"" help:"Take a backend server out of work, or back in."`
-	Close      closeCommand                 `cmd:"" help:"Close a failure domain to new work, or open it again."`
-	Check      checkCommand                 `cmd:"" help:"Check a settings file (.ini) or a resources file."`
+	Explain    explainCommand               `cmd:"" help:"Show what was decided for a request and why."`
+	Summary    summaryCommand               `cmd:"" help:"Summarize logs: how requests ended, moves, pauses, and why streams were lost."`
+	Drain      drainCommand                 `cmd:"" help:"Drain a backend server, or put it back to work."`
+	Close      closeCommand                 `cmd:"" help:"Close a failure domain to new work, or reopen it."`
+	Check      checkCommand                 `cmd:"" help:"Validate a settings file (.ini) or a resources file."`
 	Dev        devCommand                   `cmd:"" help:"Stand-ins and the load tool."`
 	Completion kongplete.InstallCompletions `cmd:"" help:"Print the shell's completion set-up."`
 }
 
-// environment is what every command works with.
+// environment holds the context, the global flags and the outputs of a command.
 type environment struct {
 	context.Context
 	cli *controlCLI
-	out  io.Writer
-	err  io.Writer
+	out io.Writer
+	err io.Writer
 }
 
-// Control runs one wardctl command and gives the exit status.
+// Control runs one wardctl command and returns the exit status.
 func Control(args []string, out, errs io.Writer) int {
 	var l controlCLI
 	status := -1
 	p, err := kong.New(&l,
 		kong.Name("wardctl"),
-		kong.Description("Declares resources, follows their outcome, and runs stand-ins."),
+		kong.Description("Declares resources, shows their effect, and runs stand-ins."),
 		kong.Writers(out, errs),
 		kong.Exit(func(n int) { status = n }),
 	)
@@ -61,7 +61,7 @@
 	kongplete.Complete(p)
 	k, err := p.Parse(args)
 	if status >= 0 {
-		// Help was asked for and is written.
+		// Help was requested and has been printed.
 		return status
 	}
 	if err != nil {
@@ -80,22 +80,22 @@
 	return 1
 }
 
-// platform connects to the platform; the clean-up closes the connection.
+// platform returns a client for the platform. The returned function closes it.
 func (e *environment) platform() (*objectapi.Client, func()) {
 	return objectapi.New(e.cli.Platform, e.cli.Timeout)
 }
 
-// peer connects to entry VMs; the clean-up closes the connections.
+// peer returns a client for entry VMs. The returned function closes it.
 func (e *environment) peer() (*peer.Client, func()) {
 	return peer.New(e.cli.Timeout)
 }
 
-// wantsJSON reports whether JSON is asked for.
+// wantsJSON reports whether the output format is JSON.
 func (e *environment) wantsJSON() bool {
 	return e.cli.Output == "json"
 }
 
-// writeJSON writes a value as JSON, on lines of its own.
+// writeJSON prints a value as indented JSON.
 func (e *environment) writeJSON(v any) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
--- a/cmd/dev.go
+++ b/cmd/dev.go
@@ -12,24 +12,24 @@
 	"github.com/wardridge/wardridge/internal/trace"
 )
 
-// devCommand groups what developers run.
+// devCommand groups the commands for developers.
 type devCommand struct {
 	Up       upCommand       `cmd:"" help:"Run a whole small system in this process."`
-	Platform platformCommand `cmd:"" help:"Run a stand-in of the platform."`
-	Engine   engineCommand   `cmd:"" help:"Run a stand-in of a model engine."`
-	Service  serviceCommand  `cmd:"" help:"Run a stand-in of a plain service."`
-	Load     loadCommand     `cmd:"" help:"Send a user's mix of work and report what callers see."`
+	Platform platformCommand `cmd:"" help:"Run a stand-in for the platform."`
+	Engine   engineCommand   `cmd:"" help:"Run a stand-in for a model engine."`
+	Service  serviceCommand  `cmd:"" help:"Run a stand-in for a plain service."`
+	Load     loadCommand     `cmd:"" help:"Send a mix of requests and report what callers see."`
 	Measure  measureCommand  `cmd:"" help:"Measure the decisions in virtual time."`
 	Soak     soakCommand     `cmd:"" help:"Run entry VMs as processes under faults and check what callers and servers see."`
 }
 
-// standInFlags is what every stand-in standInFlags takes.
+// standInFlags holds the flags that all stand-in processes have.
 type standInFlags struct {
 	Listen    string `help:"IP address and port." required:""`
-	TraceFile string `help:"File that spans are written to; none without one."`
+	TraceFile string `help:"File to write spans to; without it none are written."`
 }
 
-// run sets logs and traces up around a stand-in.
+// run sets up log and traces, and runs a stand-in with them.
 func (p *standInFlags) run(e *environment, name string, f func(l *event.Log) error) error {
 	l, flush, err := newLog()
 	if err != nil {
@@ -48,12 +48,13 @@
 	return f(l)
 }
 
-// newLog makes the log of a stand-in process.
+// newLog creates the log of a stand-in process on standard output. The returned function
+// flushes it.
 func newLog() (*event.Log, func(), error) {
 	return event.New(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: logFormat(os.Stdout)})
 }
 
-// logFormat is one that a person reads on a terminal, and JSON for all else.
+// logFormat returns the console format for a terminal, and JSON for any other file.
 func logFormat(f *os.File) api.LogSettingsFormat {
 	i, err := f.Stat()
 	if err == nil && i.Mode()&os.ModeCharDevice != 0 {
@@ -62,12 +63,12 @@
 	return api.LogSettingsFormatJson
 }
 
-// upCommand runs a small system.
+// upCommand runs a whole small system in one process.
 type upCommand struct {
 	Host string `help:"IP address to listen on." default:"127.0.0.1"`
 }
 
-// Run runs it until it is stopped.
+// Run runs the system until it is stopped.
 func (c *upCommand) Run(e *environment) error {
 	l, flush, err := newLog()
 	if err != nil {
@@ -77,15 +78,15 @@
 	return dev.Up(e, c.Host, l, e.out)
 }
 
-// platformCommand runs a platform.
+// platformCommand runs a stand-in for the platform.
 type platformCommand struct {
 	standInFlags
-	Writes  int           `help:"Writes allowed a second." default:"100"`
-	Reads   int           `help:"Reads allowed a second." default:"2000"`
+	Writes  int           `help:"Writes allowed per second." default:"100"`
+	Reads   int           `help:"Reads allowed per second." default:"2000"`
 	ListLag time.Duration `help:"Age of the list of VMs." default:"1s"`
 }
 
-// Run runs it until it is stopped.
+// Run runs the platform until it is stopped.
 func (c *platformCommand) Run(e *environment) error {
 	return c.run(e, "platform", func(l *event.Log) error {
 		o := platform.Options{WritesPerSecond: c.Writes, ReadsPerSecond: c.Reads, ListLag: c.ListLag}
@@ -93,23 +94,23 @@
 	})
 }
 
-// engineCommand runs an engine.
+// engineCommand runs a stand-in for a model engine.
 type engineCommand struct {
 	standInFlags
 	Name       string        `help:"Name of the backend server." required:""`
-	Memory     int           `help:"Cache memory, tokens." default:"32768"`
-	Batch      int           `help:"Generations that run at once." default:"64"`
-	Step       time.Duration `help:"Time of an empty step." default:"12ms"`
-	StepMore   time.Duration `help:"Step time added by each generation." default:"400us"`
+	Memory     int           `help:"KV cache memory in tokens." default:"32768"`
+	Batch      int           `help:"Maximum number of generations that run at once." default:"64"`
+	Step       time.Duration `help:"Duration of an empty step." default:"12ms"`
+	StepMore   time.Duration `help:"Time that each generation adds to a step." default:"400us"`
 	ReportLag  time.Duration `help:"Age of the load reports." default:"200ms"`
 	Orphan     time.Duration `help:"Time a generation runs without a reader." default:"30s"`
 	LoadTime   time.Duration `help:"Time an order to load takes." default:"200ms"`
 	CheckFence bool          `help:"Refuse orders with an old fence." default:"true" negatable:""`
-	Loaded     []string      `help:"What is loaded at the start, as kind/name@weights."`
-	Seed       uint64        `help:"Seed of what is drawn at random." default:"1"`
+	Loaded     []string      `help:"Models and adapters loaded at the start, as kind/name@weights."`
+	Seed       uint64        `help:"Seed of the random numbers." default:"1"`
 }
 
-// Run runs it until it is stopped.
+// Run runs the engine until it is stopped.
 func (c *engineCommand) Run(e *environment) error {
 	o := engine.Defaults()
 	o.Name = api.ServerName(c.Name)
@@ -128,13 +129,13 @@
 	})
 }
 
-// serviceCommand runs a plain service.
+// serviceCommand runs a stand-in for a plain service.
 type serviceCommand struct {
 	standInFlags
 	Name string `help:"Name of the backend server." required:""`
 }
 
-// Run runs it until it is stopped.
+// Run runs the service until it is stopped.
 func (c *serviceCommand) Run(e *environment) error {
 	return c.run(e, c.Name, func(l *event.Log) error {
 		return dev.Service(e, c.Listen, api.ServerName(c.Name), l)
--- a/cmd/dev_test.go
+++ b/cmd/dev_test.go
@@ -21,7 +21,7 @@
 	s.expect(1, "listen_failed", "dev", "service", "--listen", a, "--name", "s")
 }
 
-// What is no terminal gets JSON, so that the lines can be summed up.
+// Output that is not a terminal has to be JSON, so that wardctl summary can read it.
 func TestLogFormat(t *testing.T) {
 	f, err := os.CreateTemp(t.TempDir(), "log")
 	if err != nil {
--- a/cmd/doc.go
+++ b/cmd/doc.go
@@ -1,2 +1,2 @@
-// Package cmd holds the command lines of both programs, a file per command.
+// Package cmd implements the command lines of wardridge and wardctl, one file per command.
 package cmd
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -9,15 +9,15 @@
 	"github.com/wardridge/wardridge/internal/resource"
 )
 
-// drainCommand takes a backend server out of work.
+// drainCommand drains a backend server or puts it back to work.
 type drainCommand struct {
 	Server  string        `arg:"" help:"Backend server."`
 	Undo    bool          `help:"Put it back to work."`
-	Wait    bool          `help:"Wait until the entry VM that is asked runs nothing there."`
-	WaitFor time.Duration `help:"Longest wait with --wait." default:"10m"`
+	Wait    bool          `help:"Wait until the queried entry VM has no runs on the server."`
+	WaitFor time.Duration `help:"Maximum wait with --wait." default:"10m"`
 }
 
-// Run changes the server's state and leaves its other fields alone.
+// Run changes only the state of the server, and waits if that is requested.
 func (c *drainCommand) Run(e *environment) error {
 	p, closer := e.platform()
 	defer closer()
@@ -58,7 +58,8 @@
 	return fault.New(fault.NotInForce, "the server still runs work")
 }
 
-// drained reports whether a server is seen draining with nothing running.
+// drained reports whether an entry VM sees a server as not ready and runs nothing on it.
+// A server that it does not know counts as drained.
 func drained(s api.NodeStatus, n api.ServerName) bool {
 	for _, x := range s.Servers {
 		if x.Server == n {
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -12,14 +12,14 @@
 // standardInput names standard input among log files.
 const standardInput = "-"
 
-// explainCommand tells of a request.
+// explainCommand shows what was decided for a request and why.
 type explainCommand struct {
 	Request string   `arg:"" help:"Request id, as in X-Request-Id."`
-	Logs    []string `help:"Log files of entry VMs to read in place of asking one; - is standard input." type:"path" sep:","`
+	Logs    []string `help:"Log files of entry VMs to read instead of querying one; - is standard input." type:"path" sep:","`
 }
 
-// Run reads logs, or asks any entry VM, which asks its peers for a request it
-// did not handle.
+// Run reads the logs if any are given. Otherwise it queries an entry VM, which in turn
+// queries its peers for a request that it did not handle.
 func (c *explainCommand) Run(e *environment) error {
 	if len(c.Logs) > 0 {
 		return c.explainFromLogs(e)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// explainFromLogs tells the story of a request from logs.
+// explainFromLogs prints the timeline of a request from logs.
 func (c *explainCommand) explainFromLogs(e *environment) error {
 	all, err := readLogs(c.Logs)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	l := loganalysis.Timeline(all, c.Request)
 	if len(l) == 0 {
-		return fault.New(fault.UnknownRequest, "no line of these logs tells of request "+c.Request)
+		return fault.New(fault.UnknownRequest, "these logs have no line of request "+c.Request)
 	}
 	if e.wantsJSON() {
 		return e.writeJSON(l)
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.UnreadableFile, err, "opening a log")
 	}
-	// Closing a file that was only read loses nothing.
+	// An error on closing a file that was only read does no harm.
 	defer func() { _ = f.Close() }()
 	return loganalysis.Read(name, f)
 }
--- a/cmd/get.go
+++ b/cmd/get.go
@@ -8,7 +8,7 @@
 // getCommand shows objects.
 type getCommand struct {
 	Kind string `arg:"" enum:"model,adapter,workspace,backend-server,service,failure-domain,status,lease,claim" help:"Kind of object: model, adapter, workspace, backend-server, service, failure-domain, status, lease or claim."`
-	Name string `arg:"" optional:"" help:"Name; all of the kind without one."`
+	Name string `arg:"" optional:"" help:"Name; without it all objects of the kind."`
 }
 
 // Run shows one object or all of a kind.
@@ -30,7 +30,7 @@
 	return e.printObjects(l.Items)
 }
 
-// printObjects writes objects so that they can be edited and applied.
+// printObjects prints objects in a form that can be edited and applied.
 func (e *environment) printObjects(l []api.Object) error {
 	if e.wantsJSON() {
 		return e.writeJSON(l)
--- a/cmd/harness_test.go
+++ b/cmd/harness_test.go
@@ -17,7 +17,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// wardctl runs wardctl against a platform's stand-in and one entry VM's answers.
+// wardctl runs wardctl commands against a stand-in platform and an entry VM with fixed
+// answers.
 type wardctl struct {
 	t        *testing.T
 	store    *platform.Store
@@ -45,7 +46,7 @@
 	return s
 }
 
-// run gives the exit status and what was written.
+// run runs a command and returns its exit status and output.
 func (s *wardctl) run(args ...string) (int, string) {
 	s.t.Helper()
 	var out bytes.Buffer
@@ -53,7 +54,7 @@
 	return n, out.String()
 }
 
-// expect runs a command and checks its status and output.
+// expect runs a command and checks its exit status and that its output contains a text.
 func (s *wardctl) expect(status int, text string, args ...string) {
 	s.t.Helper()
 	n, out := s.run(args...)
@@ -62,7 +63,7 @@
 	}
 }
 
-// file writes a file and gives its path.
+// file writes a temporary file and returns its path.
 func (s *wardctl) file(name, text string) string {
 	s.t.Helper()
 	f := filepath.Join(s.t.TempDir(), name)
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -10,20 +10,20 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// loadCommand sends a mix of work.
+// loadCommand sends a mix of requests and reports what callers see.
 type loadCommand struct {
-	Entries   []string      `help:"Callers' addresses of the entry VMs." default:"127.0.0.1:7001,127.0.0.1:7002"`
+	Entries   []string      `help:"Addresses of the entry VMs for callers." default:"127.0.0.1:7001,127.0.0.1:7002"`
 	Controls  []string      `help:"Control addresses of the entry VMs, to count preemptions." default:"127.0.0.1:7101,127.0.0.1:7102"`
-	Mix       string        `help:"Whose work." enum:"skip-hire,airworks,both" default:"both"`
-	Model     string        `help:"Model to ask for." default:"desk"`
+	Mix       string        `help:"Mix of requests." enum:"skip-hire,airworks,both" default:"both"`
+	Model     string        `help:"Model to request." default:"desk"`
 	Requests  int           `help:"Number of requests." default:"200"`
-	PerSecond float64       `help:"Arrivals a second." default:"10"`
+	PerSecond float64       `help:"Requests sent per second." default:"10"`
 	Seed      uint64        `help:"Seed of the plan." default:"1"`
-	Wait      time.Duration `help:"Longest wait after the last arrival." default:"5m"`
-	Strict    bool          `help:"Fail if any request was not answered whole."`
+	Wait      time.Duration `help:"Maximum wait after the last request is sent." default:"5m"`
+	Strict    bool          `help:"Fail if any request was not answered in full."`
 }
 
-// Run sends the plan and writes the report.
+// Run sends the requests and prints the report.
 func (c *loadCommand) Run(e *environment) error {
 	m, ok := load.Find(c.Mix)
 	if !ok {
@@ -42,17 +42,17 @@
 		return err
 	}
 	if len(r.Wrong) > 0 {
-		return fault.New(fault.CheckFailed, strconv.Itoa(len(r.Wrong))+" answers broke a promise")
+		return fault.New(fault.CheckFailed, strconv.Itoa(len(r.Wrong))+" answers violated a guarantee")
 	}
 	if c.Strict && r.Whole != r.Requests {
-		return fault.New(fault.CheckFailed, strconv.Itoa(r.Requests-r.Whole)+" requests were not answered whole")
+		return fault.New(fault.CheckFailed, strconv.Itoa(r.Requests-r.Whole)+" requests were not answered in full")
 	}
 	return nil
 }
 
-// printProgress tells a person how far a run has come, beside what the command writes.
+// printProgress prints the progress of a run to standard error, apart from the output.
 func (e *environment) printProgress(p load.Progress) {
-	// Who reads no progress needs none.
+	// Progress that can't be written is not needed.
 	_, _ = fmt.Fprintln(e.err, p.Text())
 }
 
@@ -63,7 +63,8 @@
 	return e.printf("%s", r.Text())
 }
 
-// countPreemptions sums what the entry VMs count; one that can't be asked adds 0.
+// countPreemptions returns the sum of the preemptions that the entry VMs have counted. An
+// entry VM that does not answer adds 0.
 func (c *loadCommand) countPreemptions(e *environment) int64 {
 	p, closer := e.peer()
 	defer closer()
--- a/cmd/measure.go
+++ b/cmd/measure.go
@@ -11,17 +11,17 @@
 	"github.com/wardridge/wardridge/internal/measure"
 )
 
-// measureCommand measures the decisions in virtual time.
+// measureCommand measures the decision policies in virtual time.
 type measureCommand struct {
-	Mixes   []string  `help:"Whose work." default:"skip-hire,airworks"`
-	Factors []float64 `help:"Loads, as shares of capacity." default:"0.7,0.9,1.0,1.1,1.5"`
+	Mixes   []string  `help:"Mixes of requests." default:"skip-hire,airworks"`
+	Factors []float64 `help:"Loads as shares of the capacity." default:"0.7,0.9,1.0,1.1,1.5"`
 	Seeds   int       `help:"Runs of each policy, with seeds from 1." default:"5"`
-	Only    string    `help:"Keep policies whose name contains this."`
-	Workers int       `help:"Runs at once." default:"4"`
-	Out     string    `help:"Folder that tables and plots are written to; none without one."`
+	Only    string    `help:"Measure only policies whose name contains this text."`
+	Workers int       `help:"Number of runs in parallel." default:"4"`
+	Out     string    `help:"Folder to write tables and plots to; without it the tables are printed."`
 }
 
-// Run measures, writes the tables, and draws the plots.
+// Run measures the policies and prints the tables, or writes tables and plots to files.
 func (c *measureCommand) Run(e *environment) error {
 	o := measure.Options{Size: measure.Today(), Factors: c.Factors, Seeds: c.Seeds, Only: c.Only, Workers: c.Workers}
 	for _, n := range c.Mixes {
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -22,9 +22,9 @@
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// Serve runs an entry VM until SIGTERM or SIGINT, and gives the exit status.
+// Serve runs an entry VM until SIGTERM or SIGINT, and returns the exit status.
 func Serve(args []string) int {
-	// Noticed before anything else, since SIGHUP would end the process.
+	// SIGHUP is handled before anything else, since it ends a process that does not.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	var l serveCLI
@@ -65,7 +65,7 @@
 	return node.Run(ctx, node.RealMachine(), s, e)
 }
 
-// printFailure writes a failure and gives the exit status.
+// printFailure prints an error and returns the exit status.
 func printFailure(out *os.File, err error) int {
 	_, _ = fmt.Fprintln(out, "wardridge:", err)
 	return 1
--- a/cmd/soak.go
+++ b/cmd/soak.go
@@ -14,22 +14,22 @@
 	"github.com/wardridge/wardridge/platform/standin"
 )
 
-// soakCommand plays plans of faults.
+// soakCommand runs plans of faults against entry VMs and checks their properties.
 type soakCommand struct {
-	Seed    uint64        `help:"Seed of the first plan; later ones count up." default:"1"`
-	Minutes float64       `help:"Time after which no further plan begins; one plan is played in any case." default:"0"`
+	Seed    uint64        `help:"Seed of the first plan; each further plan adds 1." default:"1"`
+	Minutes float64       `help:"Time after which no further plan starts; one plan is run in any case." default:"0"`
 	Length  time.Duration `help:"Length of one plan." default:"30s"`
-	Replay  string        `help:"Play the plan in this file instead." type:"existingfile"`
-	Shorten bool          `help:"Look for a shorter plan that fails as well."`
-	Program string        `help:"The entry VM's program; by default the one beside this program." type:"path"`
+	Replay  string        `help:"Run the plan in this file instead." type:"existingfile"`
+	Shorten bool          `help:"Search for a shorter plan that fails as well."`
+	Program string        `help:"Program of the entry VMs; by default wardridge in the folder of this program." type:"path"`
 	Dir     string        `help:"Folder for plans and logs." default:"soak" type:"path"`
 	VMs     int           `help:"Entry VMs." default:"4" name:"vms"`
 	Engines int           `help:"Model engines." default:"5"`
 	Plain   int           `help:"Plain servers." default:"3"`
-	Callers int           `help:"Callers at once." default:"24"`
+	Callers int           `help:"Number of callers in parallel." default:"24"`
 }
 
-// Run plays plans until the time is over, and fails if one broke a property.
+// Run runs plans until the time is over, and fails if a plan violated a property.
 func (c *soakCommand) Run(e *environment) error {
 	l, flush, err := newLog()
 	if err != nil {
@@ -58,12 +58,13 @@
 		}
 	}
 	if failed > 0 {
-		return fault.New(fault.CheckFailed, fmt.Sprintf("%d plans broke a property", failed))
+		return fault.New(fault.CheckFailed, fmt.Sprintf("%d plans violated a property", failed))
 	}
 	return nil
 }
 
-// playPlan plays the plan of a seed and tells what it showed.
+// playPlan runs the plan of a seed, prints its result, and reports whether all properties
+// held.
 func (c *soakCommand) playPlan(e *environment, l *event.Log, seed uint64) (bool, error) {
 	p := soak.New(seed, soak.Size{VMs: c.VMs, Engines: c.Engines, Plain: c.Plain, Callers: c.Callers}, c.Length)
 	if c.Replay != "" {
@@ -90,7 +91,7 @@
 	return false, nil
 }
 
-// printResult writes what a plan showed.
+// printResult prints the counts and violations of one plan.
 func (c *soakCommand) printResult(e *environment, r soak.Result) error {
 	if e.wantsJSON() {
 		return e.writeJSON(r)
--- a/cmd/summary.go
+++ b/cmd/summary.go
@@ -2,13 +2,13 @@
 
 import "github.com/wardridge/wardridge/internal/loganalysis"
 
-// summaryCommand sums up logs.
+// summaryCommand summarizes logs.
 type summaryCommand struct {
 	Logs []string `arg:"" help:"Log files of entry VMs; - is standard input." type:"path"`
 }
 
-// Run reads logs and shows how requests ended, what became of moves, and why
-// generations were lost.
+// Run reads logs and prints how requests ended, the outcomes of moves, and why generations
+// were lost.
 func (c *summaryCommand) Run(e *environment) error {
 	all, err := readLogs(c.Logs)
 	if err != nil {
--- a/cmd/wardctl/doc.go
+++ b/cmd/wardctl/doc.go
@@ -1,2 +1,2 @@
-// Command wardctl is the operators' command line.
+// Command wardctl is the command line for operators.
 package main
--- a/cmd/wardridge/doc.go
+++ b/cmd/wardridge/doc.go
@@ -1,2 +1,2 @@
-// Command wardridge is the process on each entry VM.
+// Command wardridge is the server process of an entry VM.
 package main
--- a/cmd/watch.go
+++ b/cmd/watch.go
@@ -8,20 +8,20 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// watchCommand follows changes.
+// watchCommand prints changes of objects as they happen.
 type watchCommand struct {
-	Kinds []string `arg:"" optional:"" help:"Kinds to follow; resources and status without any."`
-	From  int      `help:"Version to follow from; the present one without any." default:"-1"`
-	Count int      `help:"End after so many changes; 0 for never." default:"0"`
+	Kinds []string `arg:"" optional:"" help:"Kinds to watch; by default resources and status objects."`
+	From  int      `help:"Version to watch from; by default the current one." default:"-1"`
+	Count int      `help:"Number of changes to exit after; 0 for no limit." default:"0"`
 }
 
-// watchedKinds are followed when none is named.
+// watchedKinds are the kinds that are watched by default.
 var watchedKinds = []api.ResourceKind{
 	api.ResourceKindModel, api.ResourceKindAdapter, api.ResourceKindWorkspace,
 	api.ResourceKindBackendServer, api.ResourceKindService, api.ResourceKindFailureDomain, api.ResourceKindStatus,
 }
 
-// Run follows changes until it is stopped.
+// Run prints changes until it is stopped.
 func (c *watchCommand) Run(e *environment) error {
 	p, closer := e.platform()
 	defer closer()
@@ -49,8 +49,8 @@
 		case fault.Has(err, fault.WatchTooOld):
 			return err
 		case err != nil:
-			// The platform may be down for long; nothing is missed, as the
-			// watch goes on from the same version.
+			// The platform may be down for long. No change is missed, since the watch
+			// resumes from the same version.
 			if !duty.Sleep(e, pause) {
 				return nil
 			}
