--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -1,2 +1,3 @@
-// Package lifecycle follows an entry VM from its start to its planned stop.
+// Package lifecycle tracks the state of an entry VM from its start to its planned stop,
+// and admits requests by it.
 package lifecycle
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -11,10 +11,10 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// retryAfter is when a caller that meets a VM in start or stop may ask again.
+// retryAfter is when a caller that a starting or stopping VM refuses may retry.
 const retryAfter = time.Second
 
-// Tracker is the state of one entry VM.
+// Tracker holds the state of an entry VM and counts its requests in flight.
 type Tracker struct {
 	now clock.Now
 
@@ -26,13 +26,13 @@
 	idle     chan struct{}
 }
 
-// New makes a life that is starting; now has to be a clock that goes on while
-// the VM is suspended.
+// New creates a tracker in the starting state. The clock has to advance also while the
+// VM is suspended.
 func New(now clock.Now) *Tracker {
 	return &Tracker{now: now, state: api.PeerStateStarting, view: freshness.New(now()), idle: make(chan struct{})}
 }
 
-// Serve opens the VM to callers.
+// Serve opens the VM to callers, if it is starting.
 func (l *Tracker) Serve() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -41,15 +41,15 @@
 	}
 }
 
-// AnnounceStop makes the VM say that it is stopping while it still lets requests in,
-// for those that the balancer sent before it noticed.
+// AnnounceStop sets the state to stopping. Requests are still admitted, for those that
+// the load balancer sends before it notices the state.
 func (l *Tracker) AnnounceStop() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.state = api.PeerStateStopping
 }
 
-// StopAdmission closes the VM to new requests.
+// StopAdmission closes the VM to new requests and sets its state to stopping.
 func (l *Tracker) StopAdmission() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -63,22 +63,22 @@
 	}
 }
 
-// State gives the state.
+// State returns the state of the VM.
 func (l *Tracker) State() api.PeerState {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state
 }
 
-// InFlight counts the requests in flight.
+// InFlight returns the number of requests in flight.
 func (l *Tracker) InFlight() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.inFlight
 }
 
-// Admit lets a request in, or gives the fault to refuse it with; the clean-up
-// ends the request.
+// Admit admits a request or returns the fault to refuse it with. The returned function
+// has to be called when the request ends.
 func (l *Tracker) Admit() (func(), *fault.Error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -88,7 +88,7 @@
 	case l.closed:
 		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(retryAfter)
 	case !l.view.Usable(l.now()):
-		return nil, fault.New(fault.Starting, "this entry VM was suspended and checks its configuration").After(retryAfter)
+		return nil, fault.New(fault.Starting, "this entry VM was suspended and has to confirm its configuration").After(retryAfter)
 	}
 	l.inFlight++
 	return l.finish, nil
@@ -103,7 +103,7 @@
 	}
 }
 
-// WaitIdle waits until a stopping VM has no request in flight.
+// WaitIdle waits until no request is in flight, once StopAdmission has been called.
 func (l *Tracker) WaitIdle(ctx context.Context) error {
 	select {
 	case <-l.idle:
@@ -113,23 +113,23 @@
 	}
 }
 
-// Tick notes that the process runs and reports whether its view has to be
-// asked for, as it had stopped.
+// Tick records that the process runs. It reports whether the configuration has to be
+// confirmed by a query because the process had paused.
 func (l *Tracker) Tick() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.view.Tick(l.now())
 }
 
-// Confirm notes an answer about the configuration to a question sent at a
-// time of the life's clock.
+// Confirm records that the configuration was confirmed in answer to a query sent at the
+// given time of the tracker's clock.
 func (l *Tracker) Confirm(sent time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.view.Confirm(sent)
 }
 
-// Now reads the life's clock.
+// Now returns the time of the tracker's clock.
 func (l *Tracker) Now() time.Time {
 	return l.now()
 }
