--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -1,2 +1,3 @@
-// Package leader keeps the leases on duties that one entry VM does at a time.
+// Package leader acquires and renews leases on duties that only one entry VM at a time
+// may do.
 package leader
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -16,13 +16,13 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Store is where lease objects are kept.
+// Store is the platform's store of lease objects.
 type Store interface {
 	List(ctx context.Context, kinds []api.ResourceKind) (api.ObjectList, error)
 	Put(ctx context.Context, o api.Object) (api.Object, error)
 }
 
-// Leader is this entry VM's hold on one duty.
+// Leader is this entry VM's candidate for the lease on one duty.
 type Leader struct {
 	duty    string
 	store   Store
@@ -35,48 +35,49 @@
 	held  bool
 }
 
-// New makes a leader of a duty that holds nothing yet; now has to be a clock
-// that goes on while the VM is suspended.
+// New creates a leader that does not hold the lease yet. The clock has to advance also
+// while the VM is suspended.
 func New(duty string, s Store, o lease.Owner, t lease.Timing, now clock.Now, l *event.Log, m *metric.Set) *Leader {
 	return &Leader{duty: duty, store: s, now: now, log: l, metrics: m, lease: lease.New(o, t)}
 }
 
-// Duty names what the lease is for.
+// Duty returns the name of the duty, which is also that of the lease object.
 func (l *Leader) Duty() string {
 	return l.duty
 }
 
-// Held gives the fence while this entry VM may act; it has to be asked at the
-// last moment before each act.
+// Held returns the fence and whether this entry VM holds the lease. It has to be called
+// immediately before each action under the lease.
 func (l *Leader) Held() (api.Fence, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.lease.Held(l.now())
 }
 
-// Remaining is the time for which the hold is sure; 0 when there is none.
+// Remaining returns for how long this entry VM still holds the lease for certain, 0 if it
+// does not hold it.
 func (l *Leader) Remaining() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return max(0, l.lease.HeldUntil().Sub(l.now()))
 }
 
-// SetWanted tells whether this entry VM is to hold the duty.
+// SetWanted sets whether this entry VM should hold the lease.
 func (l *Leader) SetWanted(w bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.lease.SetWanted(w)
 }
 
-// stepInterval is the time between looks at the lease.
+// stepInterval is the time between calls of Step.
 const stepInterval = 200 * time.Millisecond
 
-// Run is the duty that keeps the lease.
+// Run acquires and renews the lease until ctx ends.
 func (l *Leader) Run(ctx context.Context) error {
 	return duty.Loop(ctx, func() time.Duration { return stepInterval }, l.Step)
 }
 
-// Step makes the call that is due, if any.
+// Step makes the call to the store that is due, if any.
 func (l *Leader) Step(ctx context.Context) {
 	l.mutex.Lock()
 	a := l.lease.Step(l.now())
@@ -90,7 +91,8 @@
 	l.logTransition()
 }
 
-// read reads the lease by a list, which tells the platform's era also where there is none.
+// read reads the lease by a list, which returns the platform's era even if there is no
+// lease object.
 func (l *Leader) read(ctx context.Context) {
 	l.metrics.Add(metric.PlatformReads, 1)
 	x, err := l.store.List(ctx, []api.ResourceKind{api.ResourceKindLease})
@@ -131,7 +133,7 @@
 	l.lease.HandleWritten(o.Version)
 }
 
-// logTransition logs when the hold begins and ends.
+// logTransition logs when this entry VM acquires or loses the lease.
 func (l *Leader) logTransition() {
 	f, held := l.Held()
 	l.mutex.Lock()
@@ -146,7 +148,7 @@
 	}
 }
 
-// Release gives the lease back at a planned stop.
+// Release releases the lease at a planned stop, if it is held.
 func (l *Leader) Release(ctx context.Context) {
 	l.SetWanted(false)
 	if _, held := l.Held(); !held {
