--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -18,32 +18,32 @@
 	"github.com/wardridge/wardridge/internal/ring"
 )
 
-// Duty names the lease.
+// Duty is the name of the lease.
 const Duty = "orders"
 
-// Workers is the number of orders that are carried out at once.
+// Workers is the maximum number of orders sent at once.
 const Workers = 4
 
-// PlanInterval is the time between plans.
+// PlanInterval is the time between two rounds of planning.
 const PlanInterval = 500 * time.Millisecond
 
-// orderTimeout bounds one order; a new holder waits longer than this before it
-// orders engines that do not check fences.
+// orderTimeout bounds the call of one order. A new holder of the lease waits longer than
+// this before it sends orders to engines that do not check fences.
 const orderTimeout = order.SettleTime * 4 / 5
 
-// Sender plans and sends orders.
+// Sender plans orders and sends them to engines.
 type Sender struct {
 	leader  *leader.Leader
 	client  *engine.Client
 	view    func() *config.View
-	reports    func() map[api.ServerName]api.LoadReport
+	reports func() map[api.ServerName]api.LoadReport
 	log     *event.Log
 	metrics *metric.Set
 	planner *order.Planner
 	steps   *ring.Ring[order.Step]
 }
 
-// New makes a sender under a weight store that gives so many MB a second.
+// New creates a sender. The rate, in MB/s, is that at which the weight store delivers.
 func New(l *leader.Leader, c *engine.Client, view func() *config.View, seen func() map[api.ServerName]api.LoadReport, rate int, e *event.Log, m *metric.Set) *Sender {
 	return &Sender{
 		leader: l, client: c, view: view, reports: seen, log: e, metrics: m,
@@ -51,7 +51,7 @@
 	}
 }
 
-// Plan is the duty that decides which orders are due.
+// Plan decides which orders are due and queues them for Work, until ctx ends.
 func (s *Sender) Plan(ctx context.Context) error {
 	return duty.Loop(ctx, func() time.Duration { return PlanInterval }, s.plan)
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// targets lists what every declared engine has to be like, in order of name.
+// targets returns the declared state of every engine, in order of name.
 func targets(v *config.View) []order.Target {
 	var l []order.Target
 	for _, x := range v.Engines() {
@@ -94,7 +94,7 @@
 	return l
 }
 
-// Work is the duty that carries orders out; several may run.
+// Work sends queued orders until ctx ends. Several may run at once.
 func (s *Sender) Work(ctx context.Context) error {
 	for {
 		x, ok := s.steps.Take(ctx)
@@ -110,8 +110,8 @@
 	if !ok {
 		return
 	}
-	// The fence is asked for again at the last moment: the order may have
-	// waited in the ring while the lease lapsed.
+	// The fence is checked again immediately before the call, because the lease may have
+	// expired while the order was queued.
 	if f, ok := s.leader.Held(); !ok || f != x.Order.Fence {
 		return
 	}
