--- a/internal/upkeep/claims.go
+++ b/internal/upkeep/claims.go
@@ -12,14 +12,14 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// sweepInterval is the time between looks for old claims.
+// sweepInterval is the time between two sweeps for expired claims.
 const sweepInterval = time.Minute
 
-// maxRemovedPerSweep bounds the claims removed in one look.
+// maxRemovedPerSweep limits the claims removed in one sweep.
 const maxRemovedPerSweep = 200
 
-// sweep removes claims older than the keeping time, by the wall clock of the
-// VM that made them: a caller has to ask again within that time.
+// sweep removes claims that are older than claimRetention. Their age is counted from the
+// wall clock of the VM that made them. A caller has to retry within this time.
 func (k *Worker) sweep(ctx context.Context) {
 	now := time.Now()
 	if now.Sub(k.lastSweep) < sweepInterval {
--- a/internal/upkeep/doc.go
+++ b/internal/upkeep/doc.go
@@ -1,3 +1,3 @@
-// Package upkeep writes status objects and removes old claims, while this
-// entry VM holds the lease on that duty.
+// Package upkeep writes status objects and removes expired claims, while this entry VM
+// holds the lease on that duty.
 package upkeep
--- a/internal/upkeep/status.go
+++ b/internal/upkeep/status.go
@@ -17,17 +17,17 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Duty names the lease.
+// Duty is the name of the lease.
 const Duty = "upkeep"
 
-// RoundInterval is the time between looks at what has to be written.
+// RoundInterval is the time between two rounds of upkeep.
 const RoundInterval = time.Second
 
-// maxWritesPerRound bounds the status writes of one round, so that a large change
-// leaves the platform's writes to others.
+// maxWritesPerRound limits the status writes of one round, so that a large change does
+// not use up the write rate that the platform allows.
 const maxWritesPerRound = 5
 
-// Store is where status and claims are kept.
+// Store is the platform's store of status objects and claims.
 type Store interface {
 	Get(ctx context.Context, k api.ResourceKind, n string) (api.Object, error)
 	List(ctx context.Context, kinds []api.ResourceKind) (api.ObjectList, error)
@@ -35,32 +35,32 @@
 	Delete(ctx context.Context, k api.ResourceKind, n string, v api.Version) error
 }
 
-// Worker does the upkeep.
+// Worker writes status objects and removes expired claims.
 type Worker struct {
-	leader  *leader.Leader
-	store   Store
-	view    func() *config.View
-	servers func() []api.ServerStatus
-	reports func() map[api.ServerName]api.LoadReport
-	claimRetention    time.Duration
-	log     *event.Log
-	metrics *metric.Set
-
-	// written is the last status of each object and its version; it is
-	// forgotten when the lease is lost, or the platform came back from a copy that
-	// may lack it.
-	written map[string]api.Object
-	fence   api.Fence
-	era     api.Era
-	lastSweep   time.Time
+	leader         *leader.Leader
+	store          Store
+	view           func() *config.View
+	servers        func() []api.ServerStatus
+	reports        func() map[api.ServerName]api.LoadReport
+	claimRetention time.Duration
+	log            *event.Log
+	metrics        *metric.Set
+
+	// written holds the last known status of each object and its version. It is cleared
+	// when the lease changes hands, and when the platform is restored from a backup, which
+	// may lack these writes.
+	written   map[string]api.Object
+	fence     api.Fence
+	era       api.Era
+	lastSweep time.Time
 }
 
-// New makes a keeper that removes claims older than keep.
+// New creates a worker that removes claims older than keep.
 func New(l *leader.Leader, s Store, view func() *config.View, servers func() []api.ServerStatus, reports func() map[api.ServerName]api.LoadReport, keep time.Duration, e *event.Log, m *metric.Set) *Worker {
 	return &Worker{leader: l, store: s, view: view, servers: servers, reports: reports, claimRetention: keep, log: e, metrics: m}
 }
 
-// Run is the duty.
+// Run does a round of upkeep per RoundInterval until ctx ends.
 func (k *Worker) Run(ctx context.Context) error {
 	return duty.Loop(ctx, func() time.Duration { return RoundInterval }, k.round)
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// currentStatus lists the status of every declared engine.
+// currentStatus returns the status of every declared engine.
 func (k *Worker) currentStatus() []api.StatusSpec {
 	v := k.view()
 	r := k.reports()
@@ -108,8 +108,7 @@
 	return l
 }
 
-// write writes a status that changed and reports whether it called the
-// platform.
+// write writes a status if it has changed, and reports whether it called the platform.
 func (k *Worker) write(ctx context.Context, s api.StatusSpec) bool {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -130,7 +129,7 @@
 	k.metrics.Add(metric.PlatformWrites, 1)
 	o, err := k.store.PutConfirmed(ctx, api.Object{Kind: api.ResourceKindStatus, Name: n, Version: last.Version, Spec: b})
 	if err != nil {
-		// What is there now is read before the next try.
+		// The stored status is read again before the next attempt.
 		delete(k.written, n)
 		return true
 	}
@@ -139,7 +138,8 @@
 	return true
 }
 
-// readStored reads the present status, which may not exist.
+// readStored reads the stored status into out, and reports whether the read succeeded. A
+// status that does not exist leaves out unchanged and is no failure.
 func (k *Worker) readStored(ctx context.Context, n string, out *api.Object) bool {
 	k.metrics.Add(metric.PlatformReads, 1)
 	o, err := k.store.Get(ctx, api.ResourceKindStatus, n)
