--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -225,12 +225,12 @@
 
 // limited returns a logger that writes at most n lines of one event per second.
 func (l *Log) limited(c zapcore.Core, n int) *zap.Logger {
-	left := zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
+	countDropped := zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
 		if d&zapcore.LogDropped != 0 {
 			l.overLimit.Add(1)
 		}
 	})
-	return zap.New(zapcore.NewSamplerWithOptions(c, time.Second, n, 0, left))
+	return zap.New(zapcore.NewSamplerWithOptions(c, time.Second, n, 0, countDropped))
 }
 
 // Discard returns a log that writes nothing.
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -33,80 +33,80 @@
 }
 
 // Serve opens the VM to callers, if it is starting.
-func (l *Tracker) Serve() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.state == api.PeerStateStarting {
-		l.state = api.PeerStateServing
+func (t *Tracker) Serve() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.state == api.PeerStateStarting {
+		t.state = api.PeerStateServing
 	}
 }
 
 // AnnounceStop sets the state to stopping. Requests are still admitted, for those that
 // the load balancer sends before it notices the state.
-func (l *Tracker) AnnounceStop() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.state = api.PeerStateStopping
+func (t *Tracker) AnnounceStop() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.state = api.PeerStateStopping
 }
 
 // StopAdmission closes the VM to new requests and sets its state to stopping.
-func (l *Tracker) StopAdmission() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.closed {
+func (t *Tracker) StopAdmission() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.closed {
 		return
 	}
-	l.state = api.PeerStateStopping
-	l.closed = true
-	if l.inFlight == 0 {
-		close(l.idle)
+	t.state = api.PeerStateStopping
+	t.closed = true
+	if t.inFlight == 0 {
+		close(t.idle)
 	}
 }
 
 // State returns the state of the VM.
-func (l *Tracker) State() api.PeerState {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.state
+func (t *Tracker) State() api.PeerState {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.state
 }
 
 // InFlight returns the number of requests in flight.
-func (l *Tracker) InFlight() int {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.inFlight
+func (t *Tracker) InFlight() int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.inFlight
 }
 
 // Admit admits a request or returns the fault to refuse it with. The returned function
 // has to be called when the request ends.
-func (l *Tracker) Admit() (func(), *fault.Error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (t *Tracker) Admit() (func(), *fault.Error) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	switch {
-	case l.state == api.PeerStateStarting:
+	case t.state == api.PeerStateStarting:
 		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").After(retryAfter)
-	case l.closed:
+	case t.closed:
 		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(retryAfter)
-	case !l.view.Usable(l.now()):
+	case !t.view.Usable(t.now()):
 		return nil, fault.New(fault.Starting, "this entry VM was suspended and has to confirm its configuration").After(retryAfter)
 	}
-	l.inFlight++
-	return l.finish, nil
+	t.inFlight++
+	return t.finish, nil
 }
 
-func (l *Tracker) finish() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.inFlight--
-	if l.inFlight == 0 && l.closed {
-		close(l.idle)
+func (t *Tracker) finish() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.inFlight--
+	if t.inFlight == 0 && t.closed {
+		close(t.idle)
 	}
 }
 
 // WaitIdle waits until no request is in flight, once StopAdmission has been called.
-func (l *Tracker) WaitIdle(ctx context.Context) error {
+func (t *Tracker) WaitIdle(ctx context.Context) error {
 	select {
-	case <-l.idle:
+	case <-t.idle:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -115,21 +115,21 @@
 
 // Tick records that the process runs. It reports whether the configuration has to be
 // confirmed by a query because the process had paused.
-func (l *Tracker) Tick() bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.view.Tick(l.now())
+func (t *Tracker) Tick() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.view.Tick(t.now())
 }
 
 // Confirm records that the configuration was confirmed in answer to a query sent at the
 // given time of the tracker's clock.
-func (l *Tracker) Confirm(sent time.Time) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.view.Confirm(sent)
+func (t *Tracker) Confirm(sent time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.view.Confirm(sent)
 }
 
 // Now returns the time of the tracker's clock.
-func (l *Tracker) Now() time.Time {
-	return l.now()
+func (t *Tracker) Now() time.Time {
+	return t.now()
 }
--- a/internal/loganalysis/cause.go
+++ b/internal/loganalysis/cause.go
@@ -6,7 +6,7 @@
 
 // missCause returns, from the line that ends a request, its route and why it was not
 // answered in time. Requests in flight when their entry VM ends leave no such line.
-func (s *aggregator) missCause(l Line) string {
+func (a *aggregator) missCause(l Line) string {
 	var why string
 	switch l.Event {
 	case event.RequestLate:
@@ -16,7 +16,7 @@
 	case event.RequestFailed:
 		why = "failed: " + l.text("type")
 	case event.GenerationLost:
-		why = "lost: " + s.lossCause(l)
+		why = "lost: " + a.lossCause(l)
 	default:
 		why = "caller left"
 	}
--- a/internal/loganalysis/summary.go
+++ b/internal/loganalysis/summary.go
@@ -87,43 +87,43 @@
 
 // Summarize returns the summary of all lines.
 func Summarize(all []Line) Summary {
-	s := &aggregator{
+	a := &aggregator{
 		ends: counts{}, silent: counts{}, first: quantile.New(), pause: quantile.New(),
 		resumes: map[string]*quantile.Times{}, moves: map[serverKey]string{}, leaving: map[serverKey]bool{},
 	}
 	l := slices.Clone(all)
 	sortLines(l)
 	for _, x := range l {
-		s.add(x)
+		a.add(x)
 	}
-	return s.summary()
+	return a.summary()
 }
 
-func (s *aggregator) add(l Line) {
+func (a *aggregator) add(l Line) {
 	if endEvents[l.Event] {
-		s.ends[strings.TrimSpace(l.Name+" "+l.text("type"))]++
+		a.ends[strings.TrimSpace(l.Name+" "+l.text("type"))]++
 	}
 	if l.Event != event.RequestDone && endEvents[l.Event] {
-		s.missed = append(s.missed, l)
+		a.missed = append(a.missed, l)
 	}
 	switch l.Event {
 	case event.RequestDone, event.RequestLate:
 		if l.Fields["events"] != nil {
-			s.first.Record(l.duration("first"))
-			s.pause.Record(l.duration("pause"))
+			a.first.Record(l.duration("first"))
+			a.pause.Record(l.duration("pause"))
 		}
 	case event.ServerState:
-		s.leaving[serverKey{l.Source, l.text("server")}] = l.text("state") == stateLeaving
+		a.leaving[serverKey{l.Source, l.text("server")}] = l.text("state") == stateLeaving
 	case event.MoveStep:
-		s.moves[serverKey{l.text("request"), l.text("from")}] = l.text("next") + " after " + l.text("outcome")
+		a.moves[serverKey{l.text("request"), l.text("from")}] = l.text("next") + " after " + l.text("outcome")
 	case event.GenerationResumed:
-		s.addResume(l)
+		a.addResume(l)
 	case event.GenerationLost:
-		s.lost = append(s.lost, l)
+		a.lost = append(a.lost, l)
 	case event.StreamSilent:
-		s.silent[l.text("verdict")]++
+		a.silent[l.text("verdict")]++
 	case event.LinesLeftOut:
-		s.droppedLines += int(l.number("beyond_bound") + l.number("output"))
+		a.droppedLines += int(l.number("beyond_bound") + l.number("output"))
 	}
 }
 
@@ -131,19 +131,19 @@
 const stateLeaving = "leaving"
 
 // lossCause describes what the entry VM knew of the server of a lost generation.
-func (s *aggregator) lossCause(l Line) string {
+func (a *aggregator) lossCause(l Line) string {
 	p := serverKey{l.text("request"), l.text("server")}
-	switch m, moved := s.moves[p]; {
+	switch m, moved := a.moves[p]; {
 	case moved:
 		return "at a notice: " + m
-	case s.leaving[serverKey{l.Source, l.text("server")}]:
+	case a.leaving[serverKey{l.Source, l.text("server")}]:
 		return "at a notice: no step of a move"
 	default:
 		return "without a notice"
 	}
 }
 
-func (s *aggregator) addResume(l Line) {
+func (a *aggregator) addResume(l Line) {
 	n := "a copy in hand"
 	switch {
 	case l.Fields["stopped"] == true:
@@ -151,31 +151,31 @@
 	case l.Fields["kept"] == true:
 		n = "a copy that grew with it"
 	}
-	if s.resumes[n] == nil {
-		s.resumes[n] = quantile.New()
+	if a.resumes[n] == nil {
+		a.resumes[n] = quantile.New()
 	}
-	s.resumes[n].Record(l.duration("took"))
+	a.resumes[n].Record(l.duration("took"))
 }
 
-func (s *aggregator) summary() Summary {
+func (a *aggregator) summary() Summary {
 	moves := counts{}
-	for _, m := range s.moves {
+	for _, m := range a.moves {
 		moves[m]++
 	}
 	lost := counts{}
-	for _, l := range s.lost {
-		lost[s.lossCause(l)]++
+	for _, l := range a.lost {
+		lost[a.lossCause(l)]++
 	}
 	causes := counts{}
-	for _, l := range s.missed {
-		causes[s.missCause(l)]++
+	for _, l := range a.missed {
+		causes[a.missCause(l)]++
 	}
 	x := Summary{
-		Outcomes: s.ends.list(), Causes: causes.list(), FirstEvent: s.first.Summary(), LongestPause: s.pause.Summary(), Moves: moves.list(), Lost: lost.list(),
-		SilentStreams: s.silent.list(), DroppedLines: s.droppedLines, Resumes: []ResumeTimes{},
+		Outcomes: a.ends.list(), Causes: causes.list(), FirstEvent: a.first.Summary(), LongestPause: a.pause.Summary(), Moves: moves.list(), Lost: lost.list(),
+		SilentStreams: a.silent.list(), DroppedLines: a.droppedLines, Resumes: []ResumeTimes{},
 	}
-	for _, n := range slices.Sorted(maps.Keys(s.resumes)) {
-		x.Resumes = append(x.Resumes, ResumeTimes{n, s.resumes[n].Summary()})
+	for _, n := range slices.Sorted(maps.Keys(a.resumes)) {
+		x.Resumes = append(x.Resumes, ResumeTimes{n, a.resumes[n].Summary()})
 	}
 	return x
 }
--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -95,8 +95,8 @@
 
 // RunHosted runs an entry VM behind a hosting platform until ctx ends, and then performs
 // a planned stop.
-func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, adapt func(l AdapterDeps) Adapter) error {
-	h := &HostedContext{Context: ctx, Settings: s, Machine: m, Log: l, Metrics: metric.New(), Reload: r, NewAdapter: adapt}
+func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, newAdapter func(l AdapterDeps) Adapter) error {
+	h := &HostedContext{Context: ctx, Settings: s, Machine: m, Log: l, Metrics: metric.New(), Reload: r, NewAdapter: newAdapter}
 	defer h.cleanups.run()
 	if err := step.Run(h, l, hostedStartSteps); err != nil {
 		return err
--- a/internal/node/hosted_test.go
+++ b/internal/node/hosted_test.go
@@ -64,7 +64,7 @@
 }
 
 // newTestVMWithAdapter starts a VM whose adapter is created by the given function.
-func newTestVMWithAdapter(t *testing.T, adapt func(l node.AdapterDeps) node.Adapter) *testVM {
+func newTestVMWithAdapter(t *testing.T, newAdapter func(l node.AdapterDeps) node.Adapter) *testVM {
 	t.Helper()
 	listeners := map[string]net.Listener{}
 	for _, a := range []string{"10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3"} {
@@ -100,7 +100,7 @@
 		return s, nil
 	}
 	g.Go(func(context.Context) error {
-		b.done <- node.RunHosted(ctx, m, s, event.Discard(), node.SettingsReload{Signal: b.signals, Load: load}, adapt)
+		b.done <- node.RunHosted(ctx, m, s, event.Discard(), node.SettingsReload{Signal: b.signals, Load: load}, newAdapter)
 		return nil
 	})
 	return b
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -44,9 +44,9 @@
 }
 
 // New creates a sender. The rate, in MB/s, is that at which the weight store delivers.
-func New(l *leader.Leader, c *engine.Client, view func() *config.View, seen func() map[api.ServerName]api.LoadReport, rate int, e *event.Log, m *metric.Set) *Sender {
+func New(l *leader.Leader, c *engine.Client, view func() *config.View, reports func() map[api.ServerName]api.LoadReport, rate int, e *event.Log, m *metric.Set) *Sender {
 	return &Sender{
-		leader: l, client: c, view: view, reports: seen, log: e, metrics: m,
+		leader: l, client: c, view: view, reports: reports, log: e, metrics: m,
 		planner: order.New(rate), steps: ring.New[order.Step](Workers),
 	}
 }
--- a/internal/upkeep/status.go
+++ b/internal/upkeep/status.go
@@ -55,48 +55,48 @@
 	lastSweep time.Time
 }
 
-// New creates a worker that removes claims older than keep.
-func New(l *leader.Leader, s Store, view func() *config.View, servers func() []api.ServerStatus, reports func() map[api.ServerName]api.LoadReport, keep time.Duration, e *event.Log, m *metric.Set) *Worker {
-	return &Worker{leader: l, store: s, view: view, servers: servers, reports: reports, claimRetention: keep, log: e, metrics: m}
+// New creates a worker that removes claims older than retention.
+func New(l *leader.Leader, s Store, view func() *config.View, servers func() []api.ServerStatus, reports func() map[api.ServerName]api.LoadReport, retention time.Duration, e *event.Log, m *metric.Set) *Worker {
+	return &Worker{leader: l, store: s, view: view, servers: servers, reports: reports, claimRetention: retention, log: e, metrics: m}
 }
 
 // Run does a round of upkeep per RoundInterval until ctx ends.
-func (k *Worker) Run(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return RoundInterval }, k.round)
+func (w *Worker) Run(ctx context.Context) error {
+	return duty.Loop(ctx, func() time.Duration { return RoundInterval }, w.round)
 }
 
-func (k *Worker) round(ctx context.Context) {
-	f, ok := k.leader.Held()
+func (w *Worker) round(ctx context.Context) {
+	f, ok := w.leader.Held()
 	if !ok {
 		return
 	}
-	if e := k.view().Version.Era(); f != k.fence || e != k.era {
-		k.written = map[string]api.Object{}
-		k.fence, k.era = f, e
-		k.lastSweep = time.Time{}
+	if e := w.view().Version.Era(); f != w.fence || e != w.era {
+		w.written = map[string]api.Object{}
+		w.fence, w.era = f, e
+		w.lastSweep = time.Time{}
 	}
-	k.writeStatus(ctx)
-	k.sweep(ctx)
+	w.writeStatus(ctx)
+	w.sweep(ctx)
 }
 
-func (k *Worker) writeStatus(ctx context.Context) {
+func (w *Worker) writeStatus(ctx context.Context) {
 	left := maxWritesPerRound
-	for _, s := range k.currentStatus() {
+	for _, s := range w.currentStatus() {
 		if left == 0 {
 			return
 		}
-		if k.write(ctx, s) {
+		if w.write(ctx, s) {
 			left--
 		}
 	}
 }
 
 // currentStatus returns the status of every declared engine.
-func (k *Worker) currentStatus() []api.StatusSpec {
-	v := k.view()
-	r := k.reports()
+func (w *Worker) currentStatus() []api.StatusSpec {
+	v := w.view()
+	r := w.reports()
 	var l []api.StatusSpec
-	for _, s := range k.servers() {
+	for _, s := range w.servers() {
 		d, ok := v.Servers[s.Server]
 		if !ok {
 			continue
@@ -109,40 +109,40 @@
 }
 
 // write writes a status if it has changed, and reports whether it called the platform.
-func (k *Worker) write(ctx context.Context, s api.StatusSpec) bool {
+func (w *Worker) write(ctx context.Context, s api.StatusSpec) bool {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return false
 	}
 	n := string(s.OfKind) + "." + s.OfName
-	last, ok := k.written[n]
+	last, ok := w.written[n]
 	if ok && string(last.Spec) == string(b) {
 		return false
 	}
-	if !ok && !k.readStored(ctx, n, &last) {
+	if !ok && !w.readStored(ctx, n, &last) {
 		return true
 	}
 	if string(last.Spec) == string(b) {
-		k.written[n] = last
+		w.written[n] = last
 		return true
 	}
-	k.metrics.Add(metric.PlatformWrites, 1)
-	o, err := k.store.PutConfirmed(ctx, api.Object{Kind: api.ResourceKindStatus, Name: n, Version: last.Version, Spec: b})
+	w.metrics.Add(metric.PlatformWrites, 1)
+	o, err := w.store.PutConfirmed(ctx, api.Object{Kind: api.ResourceKindStatus, Name: n, Version: last.Version, Spec: b})
 	if err != nil {
 		// The stored status is read again before the next attempt.
-		delete(k.written, n)
+		delete(w.written, n)
 		return true
 	}
-	k.written[n] = api.Object{Version: o.Version, Spec: b}
-	k.log.Emit(event.StatusWritten, zap.String("status", n), zap.String("state", string(s.State)))
+	w.written[n] = api.Object{Version: o.Version, Spec: b}
+	w.log.Emit(event.StatusWritten, zap.String("status", n), zap.String("state", string(s.State)))
 	return true
 }
 
 // readStored reads the stored status into out, and reports whether the read succeeded. A
 // status that does not exist leaves out unchanged and is no failure.
-func (k *Worker) readStored(ctx context.Context, n string, out *api.Object) bool {
-	k.metrics.Add(metric.PlatformReads, 1)
-	o, err := k.store.Get(ctx, api.ResourceKindStatus, n)
+func (w *Worker) readStored(ctx context.Context, n string, out *api.Object) bool {
+	w.metrics.Add(metric.PlatformReads, 1)
+	o, err := w.store.Get(ctx, api.ResourceKindStatus, n)
 	if fault.Has(err, fault.NotFound) {
 		return true
 	}
