--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -12,10 +12,10 @@
 )
 
 // newHostedAdapter creates the adapter for the hosting platform.
-func newHostedAdapter(l node.AdapterDeps) node.Adapter {
-	o := platform.NewObjects(l.Platform, l.Address)
+func newHostedAdapter(d node.AdapterDeps) node.Adapter {
+	o := platform.NewObjects(d.Platform, d.Address)
 	bad := func(kind, name string, err error) {
-		l.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
+		d.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
 	}
 	return node.Adapter{
 		Config:           platform.Config(o, bad),
@@ -23,7 +23,7 @@
 		Closures:         platform.Closures(o, bad),
 		QuarantineSource: platform.Quarantined(o, bad),
 		QuarantineStore:  platform.NewQuarantines(o),
-		Backends:         platform.NewBackends(l.Pool),
+		Backends:         platform.NewBackends(d.Pool),
 		Ingress:          func(g *gateway.Gateway) http.Handler { return platform.Ingress(g) },
 		Readiness:        func(g *gateway.Gateway) http.Handler { return platform.Readiness(g) },
 	}
--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -82,11 +82,11 @@
 			return err
 		}
 		a.newest = max(a.newest, r.Object.Version)
-		word := "unchanged"
+		result := "unchanged"
 		if r.Changed {
-			word = "applied"
+			result = "applied"
 		}
-		if err := a.printf("%s %s %s at version %s\n", o.Kind, o.Name, word, r.Object.Version); err != nil {
+		if err := a.printf("%s %s %s at version %s\n", o.Kind, o.Name, result, r.Object.Version); err != nil {
 			return err
 		}
 	}
--- a/cmd/watch.go
+++ b/cmd/watch.go
@@ -72,9 +72,9 @@
 	if e.wantsJSON() {
 		return e.writeJSON(c)
 	}
-	word := "changed"
+	action := "changed"
 	if c.Deleted {
-		word = "deleted"
+		action = "deleted"
 	}
-	return e.printf("%s %s %s %s %s\n", c.Version, word, c.Object.Kind, c.Object.Name, c.Object.Spec)
+	return e.printf("%s %s %s %s %s\n", c.Version, action, c.Object.Kind, c.Object.Name, c.Object.Spec)
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -18,12 +18,12 @@
 type Tracker struct {
 	now clock.Now
 
-	mutex    sync.Mutex
-	state    api.PeerState
-	closed   bool
-	view     *freshness.View
-	inFlight int
-	idle     chan struct{}
+	mutex           sync.Mutex
+	state           api.PeerState
+	admissionClosed bool
+	view            *freshness.View
+	inFlight        int
+	idle            chan struct{}
 }
 
 // New creates a tracker in the starting state. The clock has to advance also while the
@@ -53,11 +53,11 @@
 func (t *Tracker) StopAdmission() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.closed {
+	if t.admissionClosed {
 		return
 	}
 	t.state = api.PeerStateStopping
-	t.closed = true
+	t.admissionClosed = true
 	if t.inFlight == 0 {
 		close(t.idle)
 	}
@@ -85,7 +85,7 @@
 	switch {
 	case t.state == api.PeerStateStarting:
 		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").After(retryAfter)
-	case t.closed:
+	case t.admissionClosed:
 		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(retryAfter)
 	case !t.view.Usable(t.now()):
 		return nil, fault.New(fault.Starting, "this entry VM was suspended and has to confirm its configuration").After(retryAfter)
@@ -98,7 +98,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.inFlight--
-	if t.inFlight == 0 && t.closed {
+	if t.inFlight == 0 && t.admissionClosed {
 		close(t.idle)
 	}
 }
--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -59,7 +59,7 @@
 	Log        *event.Log
 	Metrics    *metric.Set
 	Reload     SettingsReload
-	NewAdapter func(l AdapterDeps) Adapter
+	NewAdapter func(d AdapterDeps) Adapter
 
 	adapter Adapter
 	group   *duty.Group
@@ -95,7 +95,7 @@
 
 // RunHosted runs an entry VM behind a hosting platform until ctx ends, and then performs
 // a planned stop.
-func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, newAdapter func(l AdapterDeps) Adapter) error {
+func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, newAdapter func(d AdapterDeps) Adapter) error {
 	h := &HostedContext{Context: ctx, Settings: s, Machine: m, Log: l, Metrics: metric.New(), Reload: r, NewAdapter: newAdapter}
 	defer h.cleanups.run()
 	if err := step.Run(h, l, hostedStartSteps); err != nil {
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -30,7 +30,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-var hostedStartSteps = []step.Step[*HostedContext]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedDuties{}}
+var hostedStartSteps = []step.Step[*HostedContext]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedBackground{}}
 
 // hostedClients creates the clients for other processes, and the adapter.
 type hostedClients struct{}
@@ -59,13 +59,13 @@
 
 // Shares of the time within which a change has to be in force: configWaitShare and
 // serverWaitShare bound the wait of one watch of the configuration and of the servers,
-// and answerShare bounds the time that its answer takes beyond the wait. A platform that
+// and answerTimeShare bounds the time that its answer takes beyond the wait. A platform that
 // does not respond is detected when a watch does not end. The wait for servers is the
 // shorter one because they leave at short notice.
 const (
 	configWaitShare = 0.5
 	serverWaitShare = 0.25
-	answerShare     = 0.2
+	answerTimeShare = 0.2
 )
 
 // quarantineWatchWait bounds the wait of one watch of the quarantined contents. It may be
@@ -85,7 +85,7 @@
 	})
 	apply := s.ApplyMS.Duration()
 	timing := func(share float64) mirror.Timing {
-		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(answerShare * float64(apply))}
+		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(answerTimeShare * float64(apply))}
 	}
 	d := h.listDelay()
 	h.config = mirror.New(mirror.Parts[directory.Config]{
@@ -99,14 +99,14 @@
 	if c := s.CloseMS.Duration(); c > 0 {
 		h.closures = mirror.New(mirror.Parts[roster.Closure]{
 			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, Defer: d,
-			Timing: mirror.Timing{Wait: time.Duration(configWaitShare * float64(c)), Slack: time.Duration(answerShare * float64(c))},
+			Timing: mirror.Timing{Wait: time.Duration(configWaitShare * float64(c)), Slack: time.Duration(answerTimeShare * float64(c))},
 			Take:   h.applyClosures, Guided: h.hubRelays, Patient: h.hubQueriesPlatform, Away: func(bool) {},
 		})
 	}
 	if h.adapter.QuarantineSource != nil {
 		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
 			Name: "quarantines", Source: h.adapter.QuarantineSource, Log: h.Log, Metrics: h.Metrics, Defer: firstListDelay,
-			Timing: mirror.Timing{Wait: quarantineWatchWait, Slack: time.Duration(answerShare * float64(quarantineWatchWait))},
+			Timing: mirror.Timing{Wait: quarantineWatchWait, Slack: time.Duration(answerTimeShare * float64(quarantineWatchWait))},
 			Take:   h.applyQuarantines, Guided: h.hubRelays, Patient: h.hubQueriesPlatform, Away: func(bool) {},
 		})
 	}
@@ -269,10 +269,10 @@
 	return nil
 }
 
-// hostedDuties starts the goroutines that run until the process ends.
-type hostedDuties struct{}
+// hostedBackground starts the goroutines that run until the process ends.
+type hostedBackground struct{}
 
-func (hostedDuties) String() string { return "duties" }
+func (hostedBackground) String() string { return "duties" }
 
 const (
 	// hostedTickInterval is the pause between checks of the waiting requests, and between
@@ -291,7 +291,7 @@
 	roundsPerDropReport = 40
 )
 
-func (hostedDuties) Run(h *HostedContext) error {
+func (hostedBackground) Run(h *HostedContext) error {
 	h.group.Go(h.config.Run)
 	h.group.Go(h.servers.Run)
 	if h.closures != nil {
--- a/internal/node/hosted_test.go
+++ b/internal/node/hosted_test.go
@@ -90,11 +90,11 @@
 		stop()
 		end()
 	})
-	bad := true
+	valid := true
 	load := func() (api.Settings, error) {
-		bad = !bad
-		b.loaded <- bad
-		if !bad {
+		valid = !valid
+		b.loaded <- valid
+		if !valid {
 			return api.Settings{}, fault.New(fault.InvalidSettings, "wrong")
 		}
 		return s, nil
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -40,7 +40,7 @@
 
 // startSteps are the steps of a start, in order.
 var startSteps = []step.Step[*Context]{
-	state{}, clients{}, decisions{}, duties{}, servers{}, opening{},
+	state{}, clients{}, decisions{}, background{}, servers{}, awaitingConfig{},
 }
 
 // state creates the lifecycle and the recorder of explanations.
@@ -143,12 +143,12 @@
 	return r.node.Heartbeats.Rewritten(e)
 }
 
-// duties creates the parts that work in the background and starts their goroutines.
-type duties struct{}
+// background creates the parts that work in the background and starts their goroutines.
+type background struct{}
 
-func (duties) String() string { return "duties" }
+func (background) String() string { return "duties" }
 
-func (duties) Run(c *Context) error {
+func (background) Run(c *Context) error {
 	var closer func()
 	// The goroutines of the group keep running after the stop signal, until the clean-up.
 	c.Group, closer = duty.New(context.WithoutCancel(c.Context))
@@ -163,7 +163,7 @@
 	c.Follower = follow.New(c.Platform, c.Lifecycle, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.applyView, c.Poller.Declare, c.Entry.Declare)
 	c.Heartbeats = heartbeat.New(c.localHeartbeat, c.catchUp, c.mergeHeartbeat, c.Peers, c.Log, c.Metrics)
 	c.createLeaders()
-	c.startDuties()
+	c.startBackground()
 	return nil
 }
 
@@ -193,7 +193,7 @@
 	membershipInterval = 250 * time.Millisecond
 )
 
-func (c *Context) startDuties() {
+func (c *Context) startBackground() {
 	g := c.Group
 	g.Go(c.Follower.Watch)
 	g.Go(c.Follower.Apply)
@@ -252,15 +252,15 @@
 	return s, nil
 }
 
-// opening waits for a confirmed configuration and then opens the entry VM to callers.
-type opening struct{}
+// awaitingConfig waits for a confirmed configuration and then opens the entry VM to callers.
+type awaitingConfig struct{}
 
-func (opening) String() string { return "opening" }
+func (awaitingConfig) String() string { return "opening" }
 
 // maxPeerConfigWait bounds the wait for a newer configuration that a peer has in force.
 const maxPeerConfigWait = 5 * time.Second
 
-func (opening) Run(c *Context) error {
+func (awaitingConfig) Run(c *Context) error {
 	select {
 	case <-c.Follower.Ready():
 	case <-c.Done():
