--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -9,7 +9,7 @@
 	"github.com/wardridge/wardridge/internal/loganalysis"
 )
 
-// standardInput names standard input among log files.
+// standardInput stands for standard input in a list of log files.
 const standardInput = "-"
 
 // explainCommand shows what was decided for a request and why.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -22,7 +22,7 @@
 	Put(ctx context.Context, o api.Object) (api.Object, error)
 }
 
-// Leader is this entry VM's candidate for the lease on one duty.
+// Leader acquires, renews and releases the lease on one duty for this entry VM.
 type Leader struct {
 	duty    string
 	store   Store
--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -54,11 +54,12 @@
 type HostedContext struct {
 	context.Context
 
-	Settings   api.Settings
-	Machine    Machine
-	Log        *event.Log
-	Metrics    *metric.Set
-	Reload     SettingsReload
+	Settings api.Settings
+	Machine  Machine
+	Log      *event.Log
+	Metrics  *metric.Set
+	Reload   SettingsReload
+	// NewAdapter creates the adapter for the hosting platform.
 	NewAdapter func(d AdapterDeps) Adapter
 
 	adapter Adapter
