--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -11,20 +11,20 @@
 	"github.com/wardridge/wardridge/platform"
 )
 
-// hosted makes the adapter of the platform that the system runs on.
-func hosted(l node.Links) node.Adapter {
-	o := platform.NewObjects(l.Platform, l.Address)
+// newHostedAdapter creates the adapter for the hosting platform.
+func newHostedAdapter(d node.AdapterDeps) node.Adapter {
+	o := platform.NewObjects(d.Platform, d.Address)
 	bad := func(kind, name string, err error) {
-		l.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
+		d.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
 	}
 	return node.Adapter{
-		Config:      platform.Config(o, bad),
-		Servers:     platform.Servers(o, bad),
-		Closures:    platform.Closures(o, bad),
-		Quarantined: platform.Quarantined(o, bad),
-		Quarantines: platform.NewQuarantines(o),
-		Backends:    platform.NewBackends(l.Pool),
-		Ingress:     func(g *gateway.Gateway) http.Handler { return platform.Ingress(g) },
-		Readiness:   func(g *gateway.Gateway) http.Handler { return platform.Readiness(g) },
+		Config:           platform.Config(o, bad),
+		Servers:          platform.Servers(o, bad),
+		Closures:         platform.Closures(o, bad),
+		QuarantineSource: platform.Quarantined(o, bad),
+		QuarantineStore:  platform.NewQuarantines(o),
+		Backends:         platform.NewBackends(d.Pool),
+		Ingress:          func(g *gateway.Gateway) http.Handler { return platform.Ingress(g) },
+		Readiness:        func(g *gateway.Gateway) http.Handler { return platform.Readiness(g) },
 	}
 }
--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -12,16 +12,16 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-// applyCommand applies resources.
+// applyCommand applies resources from a file.
 type applyCommand struct {
 	File    string        `short:"f" required:"" help:"YAML file of resources; - for standard input."`
 	Wait    bool          `help:"Wait until the change is in force on every entry VM."`
 	WaitFor time.Duration `help:"Longest wait with --wait." default:"10s"`
-	Replace bool          `help:"Take the version that is there now in place of one in the file."`
+	Replace bool          `help:"Replace the current version, whatever version the file names."`
 }
 
-// applying is carried through the steps of an apply.
-type applying struct {
+// applyContext is the argument of each step of an apply.
+type applyContext struct {
 	*environment
 	command *applyCommand
 	objects []api.Object
@@ -30,9 +30,9 @@
 
 // Run applies the file.
 func (c *applyCommand) Run(e *environment) error {
-	a := &applying{environment: e, command: c}
-	return step.Run(a, event.Discard(), []step.Step[*applying]{
-		loadFile{}, takeVersions{}, writeObjects{}, waitInForce{},
+	a := &applyContext{environment: e, command: c}
+	return step.Run(a, event.Discard(), []step.Step[*applyContext]{
+		loadFile{}, readVersions{}, writeObjects{}, waitInForce{},
 	})
 }
 
@@ -40,19 +40,19 @@
 
 func (loadFile) String() string { return "loading" }
 
-func (loadFile) Run(a *applying) error {
+func (loadFile) Run(a *applyContext) error {
 	l, err := resource.Load(a.command.File)
 	a.objects = l
 	return err
 }
 
-type takeVersions struct{}
+type readVersions struct{}
 
-func (takeVersions) String() string { return "taking versions" }
+func (readVersions) String() string { return "taking versions" }
 
-func (takeVersions) Skip(a *applying) bool { return !a.command.Replace }
+func (readVersions) Skip(a *applyContext) bool { return !a.command.Replace }
 
-func (takeVersions) Run(a *applying) error {
+func (readVersions) Run(a *applyContext) error {
 	p, closer := a.platform()
 	defer closer()
 	for i, o := range a.objects {
@@ -62,7 +62,7 @@
 		}
 		a.objects[i].Version = n.Version
 		if err == nil && api.SameJSON(n.Spec, o.Spec) {
-			// An equal one is applied as if it were new, and found unchanged.
+			// An equal object is applied without a version, which reports it as unchanged.
 			a.objects[i].Version = 0
 		}
 	}
@@ -73,7 +73,7 @@
 
 func (writeObjects) String() string { return "writing" }
 
-func (writeObjects) Run(a *applying) error {
+func (writeObjects) Run(a *applyContext) error {
 	p, closer := a.platform()
 	defer closer()
 	for _, o := range a.objects {
@@ -82,11 +82,11 @@
 			return err
 		}
 		a.newest = max(a.newest, r.Object.Version)
-		word := "unchanged"
+		result := "unchanged"
 		if r.Changed {
-			word = "applied"
+			result = "applied"
 		}
-		if err := a.print("%s %s %s at version %s\n", o.Kind, o.Name, word, r.Object.Version); err != nil {
+		if err := a.printf("%s %s %s at version %s\n", o.Kind, o.Name, result, r.Object.Version); err != nil {
 			return err
 		}
 	}
@@ -97,32 +97,32 @@
 
 func (waitInForce) String() string { return "waiting" }
 
-func (waitInForce) Skip(a *applying) bool { return !a.command.Wait }
+func (waitInForce) Skip(a *applyContext) bool { return !a.command.Wait }
 
-func (waitInForce) Run(a *applying) error {
+func (waitInForce) Run(a *applyContext) error {
 	c, closer := a.peer()
 	defer closer()
 	const pause = 100 * time.Millisecond
 	end := time.Now().Add(a.command.WaitFor)
 	var behind []string
 	for time.Now().Before(end) {
-		s, err := c.Status(a, a.line.Entry)
+		s, err := c.Status(a, a.cli.Entry)
 		if err != nil {
 			return err
 		}
-		if behind = late(s, a.newest); len(behind) == 0 {
-			return a.print("in force on every entry VM at version %s\n", a.newest)
+		if behind = lagging(s, a.newest); len(behind) == 0 {
+			return a.printf("in force on every entry VM at version %s\n", a.newest)
 		}
 		if !duty.Sleep(a, pause) {
 			return a.Err()
 		}
 	}
-	return fault.New(fault.NotInForce, "accepted, and not yet seen in force on "+strings.Join(behind, ", "))
+	return fault.New(fault.NotInForce, "accepted, but not yet known to be in force on "+strings.Join(behind, ", "))
 }
 
-// late lists the entry VMs that do not have a version in force as far as one
-// of them knows; one that is suspected may have it or not.
-func late(s api.NodeStatus, v api.Version) []string {
+// lagging lists the entry VMs that do not have a version in force, as seen by the entry
+// VM that gave the status. A suspected VM is always listed, since its version is unknown.
+func lagging(s api.NodeStatus, v api.Version) []string {
 	var l []string
 	if s.ConfigVersion < v {
 		l = append(l, string(s.VM))
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -9,15 +9,15 @@
 	"github.com/wardridge/wardridge/internal/resource"
 )
 
-// drainCommand takes a backend server out of work.
+// drainCommand drains a backend server or puts it back to work.
 type drainCommand struct {
 	Server  string        `arg:"" help:"Backend server."`
 	Undo    bool          `help:"Put it back to work."`
-	Wait    bool          `help:"Wait until the entry VM that is asked runs nothing there."`
-	WaitFor time.Duration `help:"Longest wait with --wait." default:"10m"`
+	Wait    bool          `help:"Wait until the queried entry VM has no runs on the server."`
+	WaitFor time.Duration `help:"Maximum wait with --wait." default:"10m"`
 }
 
-// Run changes the server's state and leaves its other fields alone.
+// Run changes only the state of the server, and waits if that is requested.
 func (c *drainCommand) Run(e *environment) error {
 	p, closer := e.platform()
 	defer closer()
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	if err := e.print("backend-server %s is %s at version %s\n", c.Server, state, o.Object.Version); err != nil {
+	if err := e.printf("backend-server %s is %s at version %s\n", c.Server, state, o.Object.Version); err != nil {
 		return err
 	}
 	if !c.Wait || c.Undo {
@@ -44,12 +44,12 @@
 	const pause = 200 * time.Millisecond
 	end := time.Now().Add(c.WaitFor)
 	for time.Now().Before(end) {
-		s, err := p.Status(e, e.line.Entry)
+		s, err := p.Status(e, e.cli.Entry)
 		if err != nil {
 			return err
 		}
-		if idle(s, api.ServerName(c.Server)) {
-			return e.print("backend-server %s runs nothing for entry VM %s\n", c.Server, s.VM)
+		if drained(s, api.ServerName(c.Server)) {
+			return e.printf("backend-server %s runs nothing for entry VM %s\n", c.Server, s.VM)
 		}
 		if !duty.Sleep(e, pause) {
 			return e.Err()
@@ -58,8 +58,9 @@
 	return fault.New(fault.NotInForce, "the server still runs work")
 }
 
-// idle reports whether a server is seen draining with nothing running.
-func idle(s api.NodeStatus, n api.ServerName) bool {
+// drained reports whether an entry VM sees a server as not ready and runs nothing on it.
+// A server that it does not know counts as drained.
+func drained(s api.NodeStatus, n api.ServerName) bool {
 	for _, x := range s.Servers {
 		if x.Server == n {
 			return x.State != api.ServerStatusStateReady && x.Running == 0
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -6,60 +6,60 @@
 
 	"github.com/wardridge/wardridge/internal/api"
 	"github.com/wardridge/wardridge/internal/fault"
-	"github.com/wardridge/wardridge/internal/story"
+	"github.com/wardridge/wardridge/internal/loganalysis"
 )
 
-// standardInput names standard input among log files.
+// standardInput stands for standard input in a list of log files.
 const standardInput = "-"
 
-// explainCommand tells of a request.
+// explainCommand shows what was decided for a request and why.
 type explainCommand struct {
 	Request string   `arg:"" help:"Request id, as in X-Request-Id."`
-	Logs    []string `help:"Log files of entry VMs to read in place of asking one; - is standard input." type:"path" sep:","`
+	Logs    []string `help:"Log files of entry VMs to read instead of querying one; - is standard input." type:"path" sep:","`
 }
 
-// Run reads logs, or asks any entry VM, which asks its peers for a request it
-// did not handle.
+// Run reads the logs if any are given. Otherwise it queries an entry VM, which in turn
+// queries its peers for a request that it did not handle.
 func (c *explainCommand) Run(e *environment) error {
 	if len(c.Logs) > 0 {
-		return c.read(e)
+		return c.explainFromLogs(e)
 	}
 	p, closer := e.peer()
 	defer closer()
-	x, err := p.Explain(e, e.line.Entry, api.RequestID(c.Request), false)
+	x, err := p.Explain(e, e.cli.Entry, api.RequestID(c.Request), false)
 	if err != nil {
 		return err
 	}
-	if e.json() {
-		return e.write(x)
+	if e.wantsJSON() {
+		return e.writeJSON(x)
 	}
-	if err := e.print("request %s of workspace %s on entry VM %s\n", x.Request, x.Workspace, x.VM); err != nil {
+	if err := e.printf("request %s of workspace %s on entry VM %s\n", x.Request, x.Workspace, x.VM); err != nil {
 		return err
 	}
 	for _, d := range x.Decisions {
 		at := time.UnixMilli(int64(d.TimeMS)).UTC().Format("15:04:05.000")
-		if err := e.print("%s %-9s %s\n", at, d.Step, d.Detail); err != nil {
+		if err := e.printf("%s %-9s %s\n", at, d.Step, d.Detail); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// read tells the story of a request from logs.
-func (c *explainCommand) read(e *environment) error {
+// explainFromLogs prints the timeline of a request from logs.
+func (c *explainCommand) explainFromLogs(e *environment) error {
 	all, err := readLogs(c.Logs)
 	if err != nil {
 		return err
 	}
-	l := story.Tell(all, c.Request)
+	l := loganalysis.Timeline(all, c.Request)
 	if len(l) == 0 {
-		return fault.New(fault.UnknownRequest, "no line of these logs tells of request "+c.Request)
+		return fault.New(fault.UnknownRequest, "these logs have no line of request "+c.Request)
 	}
-	if e.json() {
-		return e.write(l)
+	if e.wantsJSON() {
+		return e.writeJSON(l)
 	}
 	for _, x := range l {
-		if err := e.print("%s\n", x); err != nil {
+		if err := e.printf("%s\n", x); err != nil {
 			return err
 		}
 	}
@@ -67,8 +67,8 @@
 }
 
 // readLogs reads the lines of several logs.
-func readLogs(names []string) ([]story.Line, error) {
-	var all []story.Line
+func readLogs(names []string) ([]loganalysis.Line, error) {
+	var all []loganalysis.Line
 	for _, n := range names {
 		l, err := readLog(n)
 		if err != nil {
@@ -79,15 +79,15 @@
 	return all, nil
 }
 
-func readLog(name string) ([]story.Line, error) {
+func readLog(name string) ([]loganalysis.Line, error) {
 	if name == standardInput {
-		return story.Read("standard input", os.Stdin)
+		return loganalysis.Read("standard input", os.Stdin)
 	}
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, fault.Wrap(fault.UnreadableFile, err, "opening a log")
 	}
-	// Closing a file that was only read loses nothing.
+	// An error on closing a file that was only read does no harm.
 	defer func() { _ = f.Close() }()
-	return story.Read(name, f)
+	return loganalysis.Read(name, f)
 }
--- a/cmd/measure.go
+++ b/cmd/measure.go
@@ -11,17 +11,17 @@
 	"github.com/wardridge/wardridge/internal/measure"
 )
 
-// measureCommand measures the decisions in virtual time.
+// measureCommand measures the decision policies in virtual time.
 type measureCommand struct {
-	Mixes   []string  `help:"Whose work." default:"skip-hire,airworks"`
-	Factors []float64 `help:"Loads, as shares of capacity." default:"0.7,0.9,1.0,1.1,1.5"`
+	Mixes   []string  `help:"Mixes of requests." default:"skip-hire,airworks"`
+	Factors []float64 `help:"Loads as shares of the capacity." default:"0.7,0.9,1.0,1.1,1.5"`
 	Seeds   int       `help:"Runs of each policy, with seeds from 1." default:"5"`
-	Only    string    `help:"Keep policies whose name contains this."`
-	Workers int       `help:"Runs at once." default:"4"`
-	Out     string    `help:"Folder that tables and plots are written to; none without one."`
+	Only    string    `help:"Measure only policies whose name contains this text."`
+	Workers int       `help:"Number of runs in parallel." default:"4"`
+	Out     string    `help:"Folder to write tables and plots to; without it the tables are printed."`
 }
 
-// Run measures, writes the tables, and draws the plots.
+// Run measures the policies and prints the tables, or writes tables and plots to files.
 func (c *measureCommand) Run(e *environment) error {
 	o := measure.Options{Size: measure.Today(), Factors: c.Factors, Seeds: c.Seeds, Only: c.Only, Workers: c.Workers}
 	for _, n := range c.Mixes {
@@ -35,8 +35,8 @@
 	if err != nil {
 		return err
 	}
-	if e.json() {
-		return e.write(l)
+	if e.wantsJSON() {
+		return e.writeJSON(l)
 	}
 	var b strings.Builder
 	b.WriteString(measure.Calibration(o.Mixes))
@@ -45,12 +45,12 @@
 		b.WriteString(t.Markdown())
 	}
 	if c.Out == "" {
-		return e.print("%s", b.String())
+		return e.printf("%s", b.String())
 	}
-	return c.save(l, b.String())
+	return c.writeFiles(l, b.String())
 }
 
-func (c *measureCommand) save(l []measure.Table, text string) error {
+func (c *measureCommand) writeFiles(l []measure.Table, text string) error {
 	head := "# Tables of policies\n\nWritten by `wardctl dev measure --out docs/measure`; see [MEASUREMENTS.md](../MEASUREMENTS.md).\n\n"
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return fault.Wrap(fault.UnreadableFile, err, "making the folder")
@@ -60,7 +60,7 @@
 	}
 	for _, m := range c.Mixes {
 		for _, f := range measure.Plotted {
-			if err := c.draw(l, m, f); err != nil {
+			if err := c.writePlot(l, m, f); err != nil {
 				return err
 			}
 		}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (c *measureCommand) draw(l []measure.Table, mix string, f measure.Figure) error {
+func (c *measureCommand) writePlot(l []measure.Table, mix string, f measure.Figure) error {
 	w, err := os.Create(filepath.Join(c.Out, fmt.Sprintf("%s-%s.svg", mix, f.File)))
 	if err != nil {
 		return fault.Wrap(fault.UnreadableFile, err, "writing a plot")
--- a/cmd/soak.go
+++ b/cmd/soak.go
@@ -14,24 +14,24 @@
 	"github.com/wardridge/wardridge/platform/standin"
 )
 
-// soakCommand plays plans of faults.
+// soakCommand runs plans of faults against entry VMs and checks their properties.
 type soakCommand struct {
-	Seed    uint64        `help:"Seed of the first plan; later ones count up." default:"1"`
-	Minutes float64       `help:"Time after which no further plan begins; one plan is played in any case." default:"0"`
+	Seed    uint64        `help:"Seed of the first plan; each further plan adds 1." default:"1"`
+	Minutes float64       `help:"Time after which no further plan starts; one plan is run in any case." default:"0"`
 	Length  time.Duration `help:"Length of one plan." default:"30s"`
-	Replay  string        `help:"Play the plan in this file instead." type:"existingfile"`
-	Shorten bool          `help:"Look for a shorter plan that fails as well."`
-	Program string        `help:"The entry VM's program; by default the one beside this program." type:"path"`
+	Replay  string        `help:"Run the plan in this file instead." type:"existingfile"`
+	Shorten bool          `help:"Search for a shorter plan that fails as well."`
+	Program string        `help:"Program of the entry VMs; by default wardridge in the folder of this program." type:"path"`
 	Dir     string        `help:"Folder for plans and logs." default:"soak" type:"path"`
 	VMs     int           `help:"Entry VMs." default:"4" name:"vms"`
 	Engines int           `help:"Model engines." default:"5"`
 	Plain   int           `help:"Plain servers." default:"3"`
-	Callers int           `help:"Callers at once." default:"24"`
+	Callers int           `help:"Number of callers in parallel." default:"24"`
 }
 
-// Run plays plans until the time is over, and fails if one broke a property.
+// Run runs plans until the time is over, and fails if a plan violated a property.
 func (c *soakCommand) Run(e *environment) error {
-	l, flush, err := logs()
+	l, flush, err := newLog()
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 	failed := 0
 	end := time.Now().Add(time.Duration(c.Minutes * float64(time.Minute)))
 	for seed := c.Seed; ; seed++ {
-		ok, err := c.play(e, l, seed)
+		ok, err := c.playPlan(e, l, seed)
 		if err != nil {
 			return err
 		}
@@ -58,13 +58,14 @@
 		}
 	}
 	if failed > 0 {
-		return fault.New(fault.CheckFailed, fmt.Sprintf("%d plans broke a property", failed))
+		return fault.New(fault.CheckFailed, fmt.Sprintf("%d plans violated a property", failed))
 	}
 	return nil
 }
 
-// play plays the plan of a seed and tells what it showed.
-func (c *soakCommand) play(e *environment, l *event.Log, seed uint64) (bool, error) {
+// playPlan runs the plan of a seed, prints its result, and reports whether all properties
+// held.
+func (c *soakCommand) playPlan(e *environment, l *event.Log, seed uint64) (bool, error) {
 	p := soak.New(seed, soak.Size{VMs: c.VMs, Engines: c.Engines, Plain: c.Plain, Callers: c.Callers}, c.Length)
 	if c.Replay != "" {
 		var err error
@@ -78,7 +79,7 @@
 		return false, err
 	}
 	l.Emit(event.SoakPlayed, zap.Uint64("seed", p.Seed), zap.Int("faults", len(p.Faults)), zap.Int("requests", r.Requests), zap.Int("served", r.Served), zap.Int("violations", len(r.Violations)))
-	if err := c.show(e, r); err != nil {
+	if err := c.printResult(e, r); err != nil {
 		return false, err
 	}
 	if len(r.Violations) == 0 {
@@ -90,16 +91,16 @@
 	return false, nil
 }
 
-// show writes what a plan showed.
-func (c *soakCommand) show(e *environment, r soak.Result) error {
-	if e.json() {
-		return e.write(r)
+// printResult prints the counts and violations of one plan.
+func (c *soakCommand) printResult(e *environment, r soak.Result) error {
+	if e.wantsJSON() {
+		return e.writeJSON(r)
 	}
-	if err := e.print("seed %d: %d faults, %d requests, %d served, %d resumed, %d probes, %d violations\n", r.Plan.Seed, len(r.Plan.Faults), r.Requests, r.Served, r.Resumed, r.Probes, len(r.Violations)); err != nil {
+	if err := e.printf("seed %d: %d faults, %d requests, %d served, %d resumed, %d probes, %d violations\n", r.Plan.Seed, len(r.Plan.Faults), r.Requests, r.Served, r.Resumed, r.Probes, len(r.Violations)); err != nil {
 		return err
 	}
 	for _, v := range r.Violations {
-		if err := e.print("  %s %s %s: %s\n", v.At.Format(time.TimeOnly), v.Property, v.Request, v.What); err != nil {
+		if err := e.printf("  %s %s %s: %s\n", v.At.Format(time.TimeOnly), v.Property, v.Request, v.What); err != nil {
 			return err
 		}
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -45,7 +45,7 @@
 	Settings  api.Settings
 	Log       *event.Log
 	Metrics   *metric.Set
-	Lifecycle *lifecycle.Life
+	Lifecycle *lifecycle.Tracker
 	View      func() *config.View
 	Broker    *broker.Broker
 	Engines   *engine.Client
@@ -128,7 +128,7 @@
 // of its handler.
 func (s *Server) middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		leave, f := s.Lifecycle.Enter()
+		leave, f := s.Lifecycle.Admit()
 		if f != nil {
 			s.Metrics.Add(metric.RequestsRefused, 1)
 			wire.Refuse(w, f, "")
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -44,7 +44,7 @@
 // Follower holds the configuration in force.
 type Follower struct {
 	source     Source
-	life       *lifecycle.Life
+	life       *lifecycle.Tracker
 	log        *event.Log
 	metrics    *metric.Set
 	wait       time.Duration
@@ -65,7 +65,7 @@
 
 // New creates a follower without a configuration. The platform may hold each watch for up to wait
 // without a change.
-func New(s Source, l *lifecycle.Life, e *event.Log, m *metric.Set, wait time.Duration, viewFuncs ...ViewFunc) *Follower {
+func New(s Source, l *lifecycle.Tracker, e *event.Log, m *metric.Set, wait time.Duration, viewFuncs ...ViewFunc) *Follower {
 	f := &Follower{
 		source: s, life: l, log: e, metrics: m, wait: wait, viewFuncs: viewFuncs,
 		updates: ring.New[update](ringSize), store: config.New(), ready: make(chan struct{}),
@@ -265,7 +265,7 @@
 		f.publish(v, bad)
 	}
 	if !stale {
-		f.life.Confirmed(u.requestedAt)
+		f.life.Confirm(u.requestedAt)
 	}
 	if u.changes != nil {
 		f.markReady()
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -16,7 +16,7 @@
 // caller's timeout was short. Without the time allowed, operators on call could not tell.
 func TestFailureLogsTheTimeAllowed(t *testing.T) {
 	var out bytes.Buffer
-	l, flush, err := event.Over(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, &out)
+	l, flush, err := event.NewWithOutput(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -11,125 +11,125 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// comeback is when a caller that meets a VM in start or stop may ask again.
-const comeback = time.Second
+// retryAfter is when a caller that a starting or stopping VM refuses may retry.
+const retryAfter = time.Second
 
-// Life is the state of one entry VM.
-type Life struct {
+// Tracker holds the state of an entry VM and counts its requests in flight.
+type Tracker struct {
 	now clock.Now
 
-	mutex    sync.Mutex
-	state    api.PeerState
-	closed   bool
-	view     *freshness.View
-	inFlight int
-	idle     chan struct{}
+	mutex           sync.Mutex
+	state           api.PeerState
+	admissionClosed bool
+	view            *freshness.View
+	inFlight        int
+	idle            chan struct{}
 }
 
-// New makes a life that is starting; now has to be a clock that goes on while
-// the VM is suspended.
-func New(now clock.Now) *Life {
-	return &Life{now: now, state: api.PeerStateStarting, view: freshness.New(now()), idle: make(chan struct{})}
+// New creates a tracker in the starting state. The clock has to advance also while the
+// VM is suspended.
+func New(now clock.Now) *Tracker {
+	return &Tracker{now: now, state: api.PeerStateStarting, view: freshness.New(now()), idle: make(chan struct{})}
 }
 
-// Serve opens the VM to callers.
-func (l *Life) Serve() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.state == api.PeerStateStarting {
-		l.state = api.PeerStateServing
+// Serve opens the VM to callers, if it is starting.
+func (t *Tracker) Serve() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.state == api.PeerStateStarting {
+		t.state = api.PeerStateServing
 	}
 }
 
-// Turn makes the VM say that it is stopping while it still lets requests in,
-// for those that the balancer sent before it noticed.
-func (l *Life) Turn() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.state = api.PeerStateStopping
+// AnnounceStop sets the state to stopping. Requests are still admitted, for those that
+// the load balancer sends before it notices the state.
+func (t *Tracker) AnnounceStop() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.state = api.PeerStateStopping
 }
 
-// Stop closes the VM to new requests.
-func (l *Life) Stop() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.closed {
+// StopAdmission closes the VM to new requests and sets its state to stopping.
+func (t *Tracker) StopAdmission() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.admissionClosed {
 		return
 	}
-	l.state = api.PeerStateStopping
-	l.closed = true
-	if l.inFlight == 0 {
-		close(l.idle)
+	t.state = api.PeerStateStopping
+	t.admissionClosed = true
+	if t.inFlight == 0 {
+		close(t.idle)
 	}
 }
 
-// State gives the state.
-func (l *Life) State() api.PeerState {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.state
+// State returns the state of the VM.
+func (t *Tracker) State() api.PeerState {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.state
 }
 
-// InFlight counts the requests in flight.
-func (l *Life) InFlight() int {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.inFlight
+// InFlight returns the number of requests in flight.
+func (t *Tracker) InFlight() int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.inFlight
 }
 
-// Enter lets a request in, or gives the fault to refuse it with; the clean-up
-// ends the request.
-func (l *Life) Enter() (func(), *fault.Error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+// Admit admits a request or returns the fault to refuse it with. The returned function
+// has to be called when the request ends.
+func (t *Tracker) Admit() (func(), *fault.Error) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	switch {
-	case l.state == api.PeerStateStarting:
-		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").After(comeback)
-	case l.closed:
-		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(comeback)
-	case !l.view.Usable(l.now()):
-		return nil, fault.New(fault.Starting, "this entry VM was suspended and checks its configuration").After(comeback)
+	case t.state == api.PeerStateStarting:
+		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").After(retryAfter)
+	case t.admissionClosed:
+		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(retryAfter)
+	case !t.view.Usable(t.now()):
+		return nil, fault.New(fault.Starting, "this entry VM was suspended and has to confirm its configuration").After(retryAfter)
 	}
-	l.inFlight++
-	return l.leave, nil
+	t.inFlight++
+	return t.finish, nil
 }
 
-func (l *Life) leave() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.inFlight--
-	if l.inFlight == 0 && l.closed {
-		close(l.idle)
+func (t *Tracker) finish() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.inFlight--
+	if t.inFlight == 0 && t.admissionClosed {
+		close(t.idle)
 	}
 }
 
-// Idle waits until a stopping VM has no request in flight.
-func (l *Life) Idle(ctx context.Context) error {
+// WaitIdle waits until no request is in flight, once StopAdmission has been called.
+func (t *Tracker) WaitIdle(ctx context.Context) error {
 	select {
-	case <-l.idle:
+	case <-t.idle:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Beat notes that the process runs and reports whether its view has to be
-// asked for, as it had stopped.
-func (l *Life) Beat() bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.view.Tick(l.now())
+// Tick records that the process runs. It reports whether the configuration has to be
+// confirmed by a query because the process had paused.
+func (t *Tracker) Tick() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.view.Tick(t.now())
 }
 
-// Confirmed notes an answer about the configuration to a question sent at a
-// time of the life's clock.
-func (l *Life) Confirmed(sent time.Time) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.view.Confirm(sent)
+// Confirm records that the configuration was confirmed in answer to a query sent at the
+// given time of the tracker's clock.
+func (t *Tracker) Confirm(sent time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.view.Confirm(sent)
 }
 
-// Now reads the life's clock.
-func (l *Life) Now() time.Time {
-	return l.now()
+// Now returns the time of the tracker's clock.
+func (t *Tracker) Now() time.Time {
+	return t.now()
 }
--- a/internal/story/cause.go
+++ b/internal/loganalysis/cause.go
@@ -1,36 +1,35 @@
-package story
+package loganalysis
 
 import (
 	"github.com/wardridge/wardridge/internal/event"
 )
 
-// cause gives the route of a request that was not answered in time, and why, from
-// the line of its end. Requests in flight at the end of their entry VM leave no
-// line.
-func (s *sums) cause(l Line) string {
+// missCause returns, from the line that ends a request, its route and why it was not
+// answered in time. Requests in flight when their entry VM ends leave no such line.
+func (a *aggregator) missCause(l Line) string {
 	var why string
 	switch l.Event {
 	case event.RequestLate:
 		why = "late: " + l.text("cause")
 	case event.RequestRefused:
-		why = "refused: " + l.text("type") + refusal(l)
+		why = "refused: " + l.text("type") + refusalDetail(l)
 	case event.RequestFailed:
 		why = "failed: " + l.text("type")
 	case event.GenerationLost:
-		why = "lost: " + s.fate(l)
+		why = "lost: " + a.lossCause(l)
 	default:
 		why = "caller left"
 	}
 	r := l.text("route")
 	if r == "" {
-		// Nothing is known of the route of a request that was not let in at all.
+		// A request that was refused before its route was known has none.
 		r = "-"
 	}
 	return r + " " + why
 }
 
-// refusal tells how a request was refused for want of room.
-func refusal(l Line) string {
+// refusalDetail describes how a request was refused for lack of capacity.
+func refusalDetail(l Line) string {
 	switch {
 	case l.Fields["behind"] == true:
 		return ", late already while others were refused"
--- a/internal/story/story.go
+++ b/internal/loganalysis/timeline.go
@@ -1,4 +1,4 @@
-package story
+package loganalysis
 
 import (
 	"bufio"
@@ -13,10 +13,11 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Line is one line of a log.
+// Line is one event in a log.
 type Line struct {
 	At time.Time
-	// Source is the log that it stands in: a file, and what stood before the line.
+	// Source is the file of the log, and the VM's name if a log collector has put it
+	// before the line.
 	Source string
 	Event  event.ID
 	Name   string
@@ -24,28 +25,28 @@
 }
 
 const (
-	// lineMost bounds one line, in bytes.
-	lineMost = 1 << 20
-	// before and after are how far around a request's own lines the beliefs of
-	// its entry VM are shown: a server's notice, and an outage found late.
-	before = 4 * time.Second
-	after  = time.Second
+	maxLineBytes = 1 << 20
+	// stateBefore and stateAfter bound the time before and after a request's lines from
+	// which state changes of its entry VM are shown, such as the notice of a server that
+	// leaves, and an outage that is detected late.
+	stateBefore = 4 * time.Second
+	stateAfter  = time.Second
 )
 
-// beliefs are the events that change what an entry VM believes.
-var beliefs = map[event.ID]bool{
+// stateEvents are the events that change what an entry VM knows of the system.
+var stateEvents = map[event.ID]bool{
 	event.ConfigApplied: true, event.PlatformLost: true, event.PlatformBack: true, event.WatchRestarted: true,
 	event.PeerLost: true, event.PeerJoined: true, event.ServerState: true, event.ClockJump: true,
 	event.StopBegun: true, event.Started: true, event.LinesLeftOut: true,
 }
 
-// Read gives the lines of a log; what is no line of a log is passed over.
+// Read returns the events of a log. It skips text that is not an event.
 func Read(name string, r io.Reader) ([]Line, error) {
 	var l []Line
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		if x, ok := parse(name, s.Text()); ok {
+		if x, ok := parseLine(name, s.Text()); ok {
 			l = append(l, x)
 		}
 	}
@@ -55,8 +56,8 @@
 	return l, nil
 }
 
-// parse reads one line; a collector may have put the VM's name before it.
-func parse(name, text string) (Line, bool) {
+// parseLine parses one line. A log collector may have put the VM's name before it.
+func parseLine(name, text string) (Line, bool) {
 	i := strings.IndexByte(text, '{')
 	if i < 0 {
 		return Line{}, false
@@ -85,10 +86,10 @@
 	return Line{At: at, Source: source, Event: event.ID(id), Name: n, Fields: f}, true
 }
 
-// Tell gives the lines of a request in order of time, with what its entry VM
-// came to believe around them: of the platform, of peers, and of the servers
-// that the request met.
-func Tell(all []Line, request string) []Line {
+// Timeline returns the lines of a request in order of time, together with the state
+// changes around them on its entry VM: of the platform, of peers, and of the servers that
+// the request used.
+func Timeline(all []Line, request string) []Line {
 	var own []Line
 	servers := map[any]bool{}
 	for _, l := range all {
@@ -106,26 +107,26 @@
 		return nil
 	}
 	sortLines(own)
-	from, to := own[0].At.Add(-before), own[len(own)-1].At.Add(after)
-	story := own
+	from, to := own[0].At.Add(-stateBefore), own[len(own)-1].At.Add(stateAfter)
+	timeline := own
 	for _, l := range all {
-		if l.Source != own[0].Source || !beliefs[l.Event] || l.At.Before(from) || l.At.After(to) {
+		if l.Source != own[0].Source || !stateEvents[l.Event] || l.At.Before(from) || l.At.After(to) {
 			continue
 		}
 		if l.Event == event.ServerState && !servers[l.Fields["server"]] {
 			continue
 		}
-		story = append(story, l)
+		timeline = append(timeline, l)
 	}
-	sortLines(story)
-	return story
+	sortLines(timeline)
+	return timeline
 }
 
 func sortLines(l []Line) {
 	slices.SortStableFunc(l, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// String writes a line for people.
+// String formats a line for people.
 func (l Line) String() string {
 	keys := make([]string, 0, len(l.Fields))
 	for k := range l.Fields {
--- a/internal/story/story_test.go
+++ b/internal/loganalysis/timeline_test.go
@@ -1,13 +1,13 @@
-package story_test
+package loganalysis_test
 
 import (
 	"strings"
 	"testing"
 
-	"github.com/wardridge/wardridge/internal/story"
+	"github.com/wardridge/wardridge/internal/loganalysis"
 )
 
-const log = `   1.2 vm-1 {"level":"info","ts":"2026-03-09T15:44:00.0Z","msg":"platform_lost","event":204,"kind":"servers"}
+const requestLog = `   1.2 vm-1 {"level":"info","ts":"2026-03-09T15:44:00.0Z","msg":"platform_lost","event":204,"kind":"servers"}
    1.3 vm-2 {"level":"info","ts":"2026-03-09T15:44:01.0Z","msg":"server_state","event":407,"server":"i-1","state":"leaving"}
    1.4 vm-1 {"level":"info","ts":"2026-03-09T15:44:01.1Z","msg":"server_state","event":407,"server":"i-1","state":"lapsed"}
    1.4 vm-1 {"level":"info","ts":"2026-03-09T15:44:01.1Z","msg":"server_state","event":407,"server":"i-9","state":"leaving"}
@@ -18,13 +18,13 @@
    9.9 vm-1 {"level":"info","ts":"2026-03-09T15:44:09.9Z","msg":"platform_back","event":205,"kind":"servers"}
 `
 
-func TestTell(t *testing.T) {
-	all, err := story.Read("day.log", strings.NewReader(log))
+func TestTimeline(t *testing.T) {
+	all, err := loganalysis.Read("day.log", strings.NewReader(requestLog))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range story.Tell(all, "q") {
+	for _, l := range loganalysis.Timeline(all, "q") {
 		got = append(got, l.String())
 	}
 	want := []string{
@@ -34,16 +34,16 @@
 		"15:44:02.900 day.log vm-1 generation_lost server=i-1",
 	}
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("timeline of request q: got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
 
-func TestUnknownRequestHasNoStory(t *testing.T) {
-	all, err := story.Read("day.log", strings.NewReader(log))
+func TestTimelineOfUnknownRequestIsEmpty(t *testing.T) {
+	all, err := loganalysis.Read("day.log", strings.NewReader(requestLog))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := story.Tell(all, "none"); len(got) != 0 {
-		t.Errorf("got %v, want nothing", got)
+	if got := loganalysis.Timeline(all, "none"); len(got) != 0 {
+		t.Errorf("timeline of an unknown request: got %v, want no lines", got)
 	}
 }
--- a/internal/node/verify.go
+++ b/internal/node/connect.go
@@ -8,8 +8,9 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// connects makes the question whether a server still listens at its address.
-func connects(dial wire.DialFunc, address func(n api.ServerName) (string, bool)) contents.ConnectFunc {
+// connectCheck returns a function that checks whether a server still accepts connections
+// at its address. A server without a known address passes the check.
+func connectCheck(dial wire.DialFunc, address func(n api.ServerName) (string, bool)) contents.ConnectFunc {
 	return func(ctx context.Context, n api.ServerName) error {
 		a, ok := address(n)
 		if !ok {
--- a/internal/node/context.go
+++ b/internal/node/context.go
@@ -29,37 +29,38 @@
 	"github.com/wardridge/wardridge/internal/upkeep"
 )
 
-// Context is carried through the steps of a start and a stop.
+// Context holds the parts of a standalone entry VM. Each step of its start and stop gets
+// it as its argument.
 type Context struct {
 	context.Context
 
-	Settings api.Settings
-	Machine  Machine
-	Log      *event.Log
-	Metrics  *metric.Set
-	Life     *lifecycle.Life
-	Owner    lease.Owner
-	Explain  *explain.Recorder
+	Settings  api.Settings
+	Machine   Machine
+	Log       *event.Log
+	Metrics   *metric.Set
+	Lifecycle *lifecycle.Tracker
+	Owner     lease.Owner
+	Explain   *explain.Recorder
 
-	Platform *objectapi.Client
-	Engines  *engine.Client
-	Peers    *peer.Client
-	Reused   *http.Client
-	Single   *http.Client
+	Platform        *objectapi.Client
+	Engines         *engine.Client
+	Peers           *peer.Client
+	KeepAliveClient *http.Client
+	SingleUseClient *http.Client
 
-	Group     *duty.Group
-	Broker    *broker.Broker
-	Follow    *follow.Follower
-	Poll      *poll.Poller
-	Beat      *heartbeat.Tracker
-	Claims    *claims.Claimer
-	Deadlines *clock.Deadlines
-	Contents  *contents.Guard
-	Leaders   []*leader.Leader
-	Orders    *orders.Sender
-	Upkeep    *upkeep.Keeper
-	Entry     *entry.Server
-	Control   *control.Server
+	Group      *duty.Group
+	Broker     *broker.Broker
+	Follower   *follow.Follower
+	Poller     *poll.Poller
+	Heartbeats *heartbeat.Tracker
+	Claims     *claims.Claimer
+	Deadlines  *clock.Deadlines
+	Contents   *contents.Guard
+	Leaders    []*leader.Leader
+	Orders     *orders.Sender
+	Upkeep     *upkeep.Worker
+	Entry      *entry.Server
+	Control    *control.Server
 
 	CallerServer  *http.Server
 	ControlServer *http.Server
@@ -67,8 +68,9 @@
 	cleanups cleanups
 }
 
-// New makes the context of a start on a machine.
-func New(ctx context.Context, m Machine, s api.Settings, l *event.Log) *Context {
+// NewContext creates the context of a start. The steps of the start create the parts
+// that it does not set.
+func NewContext(ctx context.Context, m Machine, s api.Settings, l *event.Log) *Context {
 	return &Context{
 		Context:  ctx,
 		Settings: s,
@@ -82,12 +84,12 @@
 	}
 }
 
-// cleanup notes what is to be done at the end, last first.
+// cleanup adds a function that Close runs, last added first.
 func (c *Context) cleanup(f func()) {
 	c.cleanups.add(f)
 }
 
-// Close does all clean-ups.
+// Close runs all clean-ups.
 func (c *Context) Close() {
 	c.cleanups.run()
 }
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -30,16 +30,16 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-var hostedStart = []step.Step[*Hosted]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedDuties{}}
+var hostedStartSteps = []step.Step[*HostedContext]{hostedClients{}, hostedDecisions{}, hostedServers{}, hostedBackground{}}
 
-// hostedClients makes the connections to other processes.
+// hostedClients creates the clients for other processes, and the adapter.
 type hostedClients struct{}
 
 func (hostedClients) String() string { return "clients" }
 
-func (hostedClients) Run(h *Hosted) error {
+func (hostedClients) Run(h *HostedContext) error {
 	var closer func()
-	h.grace.Store(int64(seconds(h.Settings.Gateway.GraceS)))
+	h.gracePeriod.Store(int64(secondsToDuration(h.Settings.Gateway.GraceS)))
 	h.group, closer = duty.New(context.WithoutCancel(h.Context))
 	h.cleanups.add(closer)
 	h.peers, closer = wire.NewGzipClient(h.Machine.Dial)
@@ -48,68 +48,70 @@
 	h.cleanups.add(closer)
 	h.pool, closer = upstream.New(h.Machine.Dial)
 	h.cleanups.add(closer)
-	h.adapter = h.Adapt(Links{Platform: p, Address: h.Settings.Platform.Address, Pool: h.pool, Log: h.Log})
+	h.adapter = h.NewAdapter(AdapterDeps{Platform: p, Address: h.Settings.Platform.Address, Pool: h.pool, Log: h.Log})
 	return nil
 }
 
-// hostedDecisions makes the parts that decide and remember.
+// hostedDecisions creates the gateway, the mirrors of the platform's objects and the mesh.
 type hostedDecisions struct{}
 
 func (hostedDecisions) String() string { return "decisions" }
 
-// Shares of the time in which a change has to be in force: what one watch of
-// the configuration and of the servers may wait, and what its answer may take
-// beyond. A silent platform is noticed when a watch does not end; servers leave
-// on short notice, so that theirs is shorter.
+// Shares of the time within which a change has to be in force: configWaitShare and
+// serverWaitShare bound the wait of one watch of the configuration and of the servers,
+// and answerTimeShare bounds the time that its answer takes beyond the wait. A platform that
+// does not respond is detected when a watch does not end. The wait for servers is the
+// shorter one because they leave at short notice.
 const (
-	configShare = 0.5
-	serverShare = 0.25
-	mirrorSlack = 0.2
+	configWaitShare = 0.5
+	serverWaitShare = 0.25
+	answerTimeShare = 0.2
 )
 
-// quarantineWait is how long one watch of the refused contents may wait. Peers tell of
-// what leads to them within a second or two, so that a silent watch does no harm.
-const quarantineWait = 10 * time.Second
+// quarantineWatchWait bounds the wait of one watch of the quarantined contents. It may be
+// long: peers report the failures that lead to a quarantine within a second or two, so a
+// watch that gets no answer does no harm.
+const quarantineWatchWait = 10 * time.Second
 
-func (hostedDecisions) Run(h *Hosted) error {
+func (hostedDecisions) Run(h *HostedContext) error {
 	s := h.Settings.Gateway
 	h.deadlines = clock.NewDeadlines(h.Machine.Now)
 	h.gateway = gateway.New(gateway.Options{
 		Deadlines: h.deadlines,
-		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: allocators{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
+		VM:        h.Settings.Node.Name, Domain: h.Settings.Node.Domain, Seed: uint64(time.Now().UnixNano()), Peers: meshPeers{h}, Backends: h.adapter.Backends, Group: h.group, Log: h.Log, Metrics: h.Metrics,
 		WaitForClosures: s.CloseMS > 0,
-		Quarantines:     h.adapter.Quarantines,
-		Retries:         retry.NewWindows(seconds(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
+		Quarantines:     h.adapter.QuarantineStore,
+		Retries:         retry.NewWindows(secondsToDuration(s.RetryWindowS), s.RetryRatio, s.RetrySlack),
 	})
 	apply := s.ApplyMS.Duration()
 	timing := func(share float64) mirror.Timing {
-		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(mirrorSlack * float64(apply))}
+		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(answerTimeShare * float64(apply))}
 	}
-	d := h.deferList()
+	d := h.listDelay()
 	h.config = mirror.New(mirror.Parts[directory.Config]{
-		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configShare), ListDelay: d,
-		OnSnapshot: h.configure, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
+		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configWaitShare), ListDelay: d,
+		OnSnapshot: h.applyConfig, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
 	})
 	h.servers = mirror.New(mirror.Parts[roster.Server]{
-		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverShare), ListDelay: d,
-		OnSnapshot: h.serve, HasRelay: h.guided, BacksOff: h.patient, LostChanged: h.away,
+		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverWaitShare), ListDelay: d,
+		OnSnapshot: h.applyServers, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: h.setPlatformLost,
 	})
 	if c := s.CloseMS.Duration(); c > 0 {
 		h.closures = mirror.New(mirror.Parts[roster.Closure]{
 			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, ListDelay: d,
-			Timing:     mirror.Timing{Wait: time.Duration(configShare * float64(c)), Slack: time.Duration(mirrorSlack * float64(c))},
-			OnSnapshot: h.close, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
+			Timing:     mirror.Timing{Wait: time.Duration(configWaitShare * float64(c)), Slack: time.Duration(answerTimeShare * float64(c))},
+			OnSnapshot: h.applyClosures, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
 		})
 	}
-	if h.adapter.Quarantined != nil {
+	if h.adapter.QuarantineSource != nil {
 		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
-			Name: "quarantines", Source: h.adapter.Quarantined, Log: h.Log, Metrics: h.Metrics, ListDelay: firstDefer,
-			Timing:     mirror.Timing{Wait: quarantineWait, Slack: time.Duration(mirrorSlack * float64(quarantineWait))},
-			OnSnapshot: h.quarantine, HasRelay: h.guided, BacksOff: h.patient, LostChanged: func(bool) {},
+			Name: "quarantines", Source: h.adapter.QuarantineSource, Log: h.Log, Metrics: h.Metrics, ListDelay: firstListDelay,
+			Timing:     mirror.Timing{Wait: quarantineWatchWait, Slack: time.Duration(answerTimeShare * float64(quarantineWatchWait))},
+			OnSnapshot: h.applyQuarantines, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
 		})
 	}
 	h.mesh = mesh.New(mesh.Parts{
-		VM: h.Settings.Node.Name, Hubs: s.Hubs, Seeds: split(s.Seeds),
+		VM: h.Settings.Node.Name, Hubs: s.Hubs, Seeds: splitAddresses(s.Seeds),
 		Self: gossip.Member{
 			Address: h.Settings.Node.Control, Domain: h.Settings.Node.Domain, Capacity: gossip.Capacity(s.CpuShare, s.LinkMbps),
 		},
@@ -119,110 +121,115 @@
 	return nil
 }
 
-// firstDefer is how long an entry VM leaves the platform to others at the first
-// start of the whole system: the VMs that the settings name ask it at once, the
-// hubs of each failure domain are known after 1.5 s, and have told their members a
-// second later.
-const firstDefer = 3 * time.Second
-
-// deferList is how long the first list of the platform is left to peers. After any
-// other start callers may be waiting.
-func (h *Hosted) deferList() time.Duration {
-	l := split(h.Settings.Gateway.Seeds)
+// firstListDelay is how long an entry VM waits for peers before it lists the platform's
+// objects itself, at the first start of the whole system. The seed VMs in the settings
+// list at once; the hubs of each failure domain are known after 1.5 s and have
+// updated the VMs of their domain a second later.
+const firstListDelay = 3 * time.Second
+
+// listDelay returns how long to wait for peers before the first list of the platform's
+// objects. It is 0 on any start but the first of the whole system, since callers may be
+// waiting, and 0 for seed VMs.
+func (h *HostedContext) listDelay() time.Duration {
+	l := splitAddresses(h.Settings.Gateway.Seeds)
 	if !h.Settings.Gateway.FirstStart || len(l) == 0 || slices.Contains(l, h.Settings.Node.Control) {
 		return 0
 	}
-	return firstDefer
+	return firstListDelay
 }
 
-// allocators are the peers of the gateway, which is made before the mesh.
-type allocators struct {
-	hosted *Hosted
+// meshPeers gives the gateway access to peers through the mesh, which is created after
+// the gateway.
+type meshPeers struct {
+	hosted *HostedContext
 }
 
-func (a allocators) Allocators(d api.DomainName) []string {
+func (a meshPeers) Allocators(d api.DomainName) []string {
 	return a.hosted.mesh.Allocators(d)
 }
 
-func (a allocators) Place(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
+func (a meshPeers) Place(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
 	return a.hosted.mesh.RequestPlace(ctx, address, x)
 }
 
-func (a allocators) Permit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
+func (a meshPeers) Permit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
 	return a.hosted.mesh.RequestPermit(ctx, address, x)
 }
 
-func (a allocators) Report(ctx context.Context, address string, x api.Holding) error {
+func (a meshPeers) Report(ctx context.Context, address string, x api.Holding) error {
 	return a.hosted.mesh.SendHolding(ctx, address, x)
 }
 
-// guided reports whether a hub brings what changes.
-func (h *Hosted) guided() bool {
+// hubRelays reports whether a hub relays the platform's changes to this entry VM.
+func (h *HostedContext) hubRelays() bool {
 	return h.mesh.HasRelay()
 }
 
-// patient reports whether a hub asks the platform as well.
-func (h *Hosted) patient(failures int) bool {
+// hubQueriesPlatform reports whether a hub queries the platform for this entry VM, so
+// that after this number of failures in a row it may query less often.
+func (h *HostedContext) hubQueriesPlatform(failures int) bool {
 	return h.mesh.BacksOff(failures)
 }
 
-// configure takes a configuration, and tells peers that hear of it from here.
-func (h *Hosted) configure(s replica.Snapshot[directory.Config]) {
+// applyConfig passes a configuration to the gateway and notifies the peers that get
+// updates from this entry VM.
+func (h *HostedContext) applyConfig(s replica.Snapshot[directory.Config]) {
 	h.gateway.Configure(s)
-	h.tell()
+	h.notifyPeers()
 }
 
-// serve takes servers, and tells peers that hear of them from here.
-func (h *Hosted) serve(s replica.Snapshot[roster.Server]) {
+// applyServers passes the backend servers to the gateway and notifies the peers that get
+// updates from this entry VM.
+func (h *HostedContext) applyServers(s replica.Snapshot[roster.Server]) {
 	h.gateway.UpdateServers(s)
-	h.tell()
+	h.notifyPeers()
 }
 
-// close takes the failure domains that are closed to new work, and tells peers that
-// hear of them from here.
-func (h *Hosted) close(s replica.Snapshot[roster.Closure]) {
+// applyClosures passes the failure domains that are closed to new work to the gateway
+// and notifies the peers that get updates from this entry VM.
+func (h *HostedContext) applyClosures(s replica.Snapshot[roster.Closure]) {
 	h.gateway.SetClosures(s)
-	h.tell()
+	h.notifyPeers()
 }
 
-// quarantine takes the contents that the platform keeps as refused, and tells peers that
-// hear of them from here.
-func (h *Hosted) quarantine(s replica.Snapshot[quarantine.Entry]) {
+// applyQuarantines passes the quarantined contents in the platform's store to the
+// gateway and notifies the peers that get updates from this entry VM.
+func (h *HostedContext) applyQuarantines(s replica.Snapshot[quarantine.Entry]) {
 	h.gateway.SetQuarantines(s)
-	h.tell()
+	h.notifyPeers()
 }
 
-// away notes whether the platform is lost. Notices of servers may be missed from
-// the first moment on, before it is known whether peers still hear of them, so
-// that the servers are asked at once.
-func (h *Hosted) away(lost bool) {
+// setPlatformLost records whether the platform is unreachable. Once it is, notices of
+// servers that leave may be missed, and it is not known yet whether peers still get
+// them. So the servers are queried at once.
+func (h *HostedContext) setPlatformLost(lost bool) {
 	h.gateway.SetStoreDown(lost)
 	if lost {
 		h.gateway.QueryLeaving()
 	}
 }
 
-// tellTime is how long changes are gathered before peers are told: servers
-// that leave together say so within a few ms.
-const tellTime = 15 * time.Millisecond
+// notifyDelay is how long changes are batched before peers are notified. Servers that
+// leave together announce it within a few ms of each other.
+const notifyDelay = 15 * time.Millisecond
 
-func (h *Hosted) tell() {
-	if h.telling.Swap(true) {
+func (h *HostedContext) notifyPeers() {
+	if h.notifyPending.Swap(true) {
 		return
 	}
 	h.group.Go(func(ctx context.Context) error {
-		duty.Sleep(ctx, tellTime)
-		h.telling.Store(false)
+		duty.Sleep(ctx, notifyDelay)
+		h.notifyPending.Store(false)
 		h.mesh.Relay()
 		return nil
 	})
 }
 
-func seconds(n float64) time.Duration {
+func secondsToDuration(n float64) time.Duration {
 	return time.Duration(n * float64(time.Second))
 }
 
-func split(s string) []string {
+func splitAddresses(s string) []string {
 	var l []string
 	for _, a := range strings.Split(s, ",") {
 		if a = strings.TrimSpace(a); a != "" {
@@ -232,16 +239,16 @@
 	return l
 }
 
-// hostedServers listens.
+// hostedServers listens for peers, readiness checks and callers.
 type hostedServers struct{}
 
 func (hostedServers) String() string { return "servers" }
 
-// headerWait bounds the time that a caller's head may take; operators allow
-// callers 3 s.
-const headerWait = 5 * time.Second
+// headerTimeout bounds the time in which a caller sends its request header; operators
+// allow callers 3 s.
+const headerTimeout = 5 * time.Second
 
-func (hostedServers) Run(h *Hosted) error {
+func (hostedServers) Run(h *HostedContext) error {
 	r := chi.NewRouter()
 	h.mesh.Routes(r)
 	r.Get(peer.PathMetrics, h.Metrics.ServeHTTP)
@@ -253,7 +260,7 @@
 		{h.Settings.Gateway.Ready, h.adapter.Readiness(h.gateway)},
 		{h.Settings.Node.Listen, h.adapter.Ingress(h.gateway)},
 	} {
-		_, closer, err := listen(h, h.Machine, h.group, x.address, x.handler, headerWait)
+		_, closer, err := listen(h, h.Machine, h.group, x.address, x.handler, headerTimeout)
 		if err != nil {
 			return err
 		}
@@ -262,29 +269,29 @@
 	return nil
 }
 
-// hostedDuties starts what runs until the end.
-type hostedDuties struct{}
+// hostedBackground starts the goroutines that run until the process ends.
+type hostedBackground struct{}
 
-func (hostedDuties) String() string { return "duties" }
+func (hostedBackground) String() string { return "duties" }
 
 const (
-	// lookEvery is the pause between looks at the requests that wait, and between
-	// reports to allocators of what ended since: room that is told of late is room
-	// that nobody uses, and an answer writes a few tokens in that time.
-	lookEvery = 60 * time.Millisecond
-	// roundTicks is the number of ticks between rounds of the small duties, a
-	// sixth of the shortest notice of servers that leave.
-	roundTicks = 4
-	// sweepRounds is the number of rounds between closings of idle connections.
-	sweepRounds = 4
-	// releaseRounds is the number of rounds, a minute, between looks for refused contents
-	// whose time is over.
-	releaseRounds = 250
-	// leftRounds is the number of rounds between counts of lines left out.
-	leftRounds = 40
+	// hostedTickInterval is the pause between checks of the waiting requests, and between
+	// reports to allocators of the runs that ended. Capacity that is reported late stays
+	// unused; a run generates a few tokens in this time.
+	hostedTickInterval = 60 * time.Millisecond
+	// ticksPerRound is the number of ticks between rounds of periodic work. A round is due
+	// every sixth of the shortest notice that leaving servers give.
+	ticksPerRound = 4
+	// roundsPerSweep is the number of rounds between sweeps that close idle connections.
+	roundsPerSweep = 4
+	// roundsPerRelease is the number of rounds, about a minute, between releases of
+	// contents whose quarantine has expired.
+	roundsPerRelease = 250
+	// roundsPerDropReport is the number of rounds between reports of dropped log lines.
+	roundsPerDropReport = 40
 )
 
-func (hostedDuties) Run(h *Hosted) error {
+func (hostedBackground) Run(h *HostedContext) error {
 	h.group.Go(h.config.Run)
 	h.group.Go(h.servers.Run)
 	if h.closures != nil {
@@ -293,58 +300,58 @@
 	if h.quarantines != nil {
 		h.group.Go(h.quarantines.Run)
 	}
-	h.group.Every(lookEvery, h.tick)
-	h.group.Go(h.reload)
+	h.group.Every(hostedTickInterval, h.tick)
+	h.group.Go(h.reloadSettings)
 	h.Log.Emit(event.Started, zap.String("listen", h.Settings.Node.Listen), zap.String("control", h.Settings.Node.Control))
 	return nil
 }
 
-// dark reports whether nobody heard of has word from the platform, so that only
-// the servers themselves tell that they are leaving.
-func (h *Hosted) dark() bool {
+// platformSilent reports whether neither this entry VM nor any reachable peer gets
+// answers from the platform. Only the servers themselves then announce that they leave.
+func (h *HostedContext) platformSilent() bool {
 	return !h.servers.Direct() && h.mesh.NoPeerInformed()
 }
 
-// tick lets requests in and tells allocators what changed.
-func (h *Hosted) tick(context.Context) {
+// tick admits waiting requests, reports changes to allocators and starts due rounds.
+func (h *HostedContext) tick(context.Context) {
 	h.ticks++
 	h.gateway.AdmitWaiting()
-	if h.ticks%roundTicks == 0 {
+	if h.ticks%ticksPerRound == 0 {
 		h.mesh.Round()
 		h.round()
 	}
 }
 
-// round is one round of the small duties.
-func (h *Hosted) round() {
+// round does the periodic work of the VM once.
+func (h *HostedContext) round() {
 	h.rounds++
-	h.awake()
+	h.detectSuspension()
 	h.gateway.Maintain()
-	h.gateway.Contents.ProbeServers(h.group, connects(h.Machine.Dial, h.gateway.ServerAddress))
+	h.gateway.Contents.ProbeServers(h.group, connectCheck(h.Machine.Dial, h.gateway.ServerAddress))
 	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
-	if h.dark() {
+	if h.platformSilent() {
 		h.gateway.QueryLeaving()
 	}
-	if h.rounds%sweepRounds == 0 {
+	if h.rounds%roundsPerSweep == 0 {
 		h.pool.Sweep()
 	}
 	if h.quarantines != nil && h.quarantines.Direct() {
 		h.gateway.CorrectQuarantines()
 	}
-	if h.rounds%releaseRounds == 0 && h.quarantines != nil && h.quarantines.Direct() {
+	if h.rounds%roundsPerRelease == 0 && h.quarantines != nil && h.quarantines.Direct() {
 		h.group.Go(func(ctx context.Context) error {
 			h.gateway.DeleteExpiredQuarantines(ctx)
 			return nil
 		})
 	}
-	if h.rounds%leftRounds == 0 {
-		h.leftOut()
+	if h.rounds%roundsPerDropReport == 0 {
+		h.reportDroppedLines()
 	}
 }
 
-// awake notices that the VM was suspended: what it follows is asked for at once, since
-// nothing that was on its way before says how things stand.
-func (h *Hosted) awake() {
+// detectSuspension checks whether the VM was suspended. If so, it refreshes all mirrors
+// at once, since answers to calls from before the suspension may be outdated.
+func (h *HostedContext) detectSuspension() {
 	d := h.deadlines.Check()
 	if d == 0 {
 		return
@@ -361,33 +368,32 @@
 	}
 }
 
-// reload is the duty that takes changed settings. Bounds and the time to stop
-// change at once; addresses need a restart, and settings that are wrong change
-// nothing.
-func (h *Hosted) reload(ctx context.Context) error {
+// reloadSettings applies changed settings until ctx ends. Retry limits and the grace
+// period change at once, addresses need a restart, and invalid settings change nothing.
+func (h *HostedContext) reloadSettings(ctx context.Context) error {
 	for {
 		select {
-		case <-h.Reloads.Signal:
+		case <-h.Reload.Signal:
 		case <-ctx.Done():
 			return nil
 		}
-		s, err := h.Reloads.Load()
+		s, err := h.Reload.Load()
 		if err != nil {
 			h.Log.Emit(event.SettingsRefused, zap.Error(err))
 			continue
 		}
-		h.grace.Store(int64(seconds(s.Gateway.GraceS)))
-		h.gateway.SetRetryBounds(seconds(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
+		h.gracePeriod.Store(int64(secondsToDuration(s.Gateway.GraceS)))
+		h.gateway.SetRetryBounds(secondsToDuration(s.Gateway.RetryWindowS), s.Gateway.RetryRatio, s.Gateway.RetrySlack)
 		h.Log.Emit(event.SettingsTaken, zap.Bool("restart_needed", s.Node != h.Settings.Node || s.Platform != h.Settings.Platform))
 	}
 }
 
-// leftOut logs how many lines were left out since the last time.
-func (h *Hosted) leftOut() {
-	b, o := h.Log.Left()
-	if b == h.leftBound && o == h.leftOutput {
+// reportDroppedLines logs how many log lines were dropped since the last report.
+func (h *HostedContext) reportDroppedLines() {
+	b, o := h.Log.DroppedLines()
+	if b == h.droppedOverLimit && o == h.droppedByOutput {
 		return
 	}
-	h.Log.Emit(event.LinesLeftOut, zap.Int64("beyond_bound", b-h.leftBound), zap.Int64("output", o-h.leftOutput))
-	h.leftBound, h.leftOutput = b, o
+	h.Log.Emit(event.LinesLeftOut, zap.Int64("beyond_bound", b-h.droppedOverLimit), zap.Int64("output", o-h.droppedByOutput))
+	h.droppedOverLimit, h.droppedByOutput = b, o
 }
--- a/internal/node/hosted_stop.go
+++ b/internal/node/hosted_stop.go
@@ -10,43 +10,44 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-var hostedStop = []step.Step[*Hosted]{hostedTurning{}, hostedDraining{}}
+var hostedStopSteps = []step.Step[*HostedContext]{hostedUnready{}, hostedDraining{}}
 
-// hostedTurning says not ready, so that new callers go elsewhere.
-type hostedTurning struct{}
+// hostedUnready reports not ready to the load balancer, so that it sends new callers to
+// other entry VMs.
+type hostedUnready struct{}
 
-func (hostedTurning) String() string { return "turning the readiness" }
+func (hostedUnready) String() string { return "turning the readiness" }
 
-func (hostedTurning) Run(h *Hosted) error {
+func (hostedUnready) Run(h *HostedContext) error {
 	h.Log.Emit(event.StopBegun, zap.Int("in_flight", h.gateway.InFlight()))
-	h.end = time.Now().Add(time.Duration(h.grace.Load()) - endMargin)
-	h.gateway.Stop(h.end)
+	h.stopDeadline = time.Now().Add(time.Duration(h.gracePeriod.Load()) - shutdownMargin)
+	h.gateway.Stop(h.stopDeadline)
 	return nil
 }
 
-// hostedDraining serves on until callers had time to go elsewhere and their
-// requests are answered, or the time to stop is over.
+// hostedDraining keeps serving until the load balancer had time to redirect callers and
+// their requests are answered, or until the grace period ends.
 type hostedDraining struct{}
 
 func (hostedDraining) String() string { return "draining" }
 
 const (
-	// turnTime is how long the balancer may take to notice, and callers to
-	// use their open connections once more.
-	turnTime = 2500 * time.Millisecond
-	// endMargin is kept of the time to stop for the end itself.
-	endMargin = 400 * time.Millisecond
-	// drainEvery is the pause between looks at what is in flight.
-	drainEvery = 50 * time.Millisecond
+	// balancerDelay is how long the load balancer may take to notice that the VM is not
+	// ready, and callers to use their open connections once more.
+	balancerDelay = 2500 * time.Millisecond
+	// shutdownMargin is the part of the grace period reserved for the shutdown itself.
+	shutdownMargin = 400 * time.Millisecond
+	// drainPollInterval is the pause between checks for requests in flight.
+	drainPollInterval = 50 * time.Millisecond
 )
 
-func (hostedDraining) Run(h *Hosted) error {
+func (hostedDraining) Run(h *HostedContext) error {
 	began := time.Now()
-	for time.Now().Before(h.end) {
-		if h.gateway.InFlight() == 0 && time.Since(began) > turnTime {
+	for time.Now().Before(h.stopDeadline) {
+		if h.gateway.InFlight() == 0 && time.Since(began) > balancerDelay {
 			break
 		}
-		if !duty.Sleep(h, drainEvery) {
+		if !duty.Sleep(h, drainPollInterval) {
 			break
 		}
 	}
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -13,25 +13,25 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Machine is what a process works on: connections, listeners and a clock that
-// goes on while the VM is suspended.
+// Machine gives a process its connections, its listeners and a clock that also advances
+// while the VM is suspended.
 type Machine struct {
 	Dial   wire.DialFunc
 	Listen func(ctx context.Context, address string) (net.Listener, error)
 	Now    clock.Now
 }
 
-// dialTime bounds the time to connect to a backend server, a peer or the
-// platform.
-const dialTime = time.Second
+// dialTimeout bounds the time to connect to a backend server, a peer or the platform, one
+// call to an engine, and the closing of the caller listener at a planned stop.
+const dialTimeout = time.Second
 
-// sendBuffer bounds what the kernel holds for a caller that reads slowly.
-const sendBuffer = 128 << 10
+// sendBufferSize bounds the bytes that the kernel buffers for a caller that reads slowly.
+const sendBufferSize = 128 << 10
 
-// Real is the machine that the process runs on.
-func Real() Machine {
-	d := &net.Dialer{Timeout: dialTime, KeepAlive: 15 * time.Second}
-	l := &net.ListenConfig{Control: bounded}
+// RealMachine returns the network and the clock of the operating system.
+func RealMachine() Machine {
+	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}
+	l := &net.ListenConfig{Control: limitSendBuffer}
 	return Machine{
 		Dial: d.DialContext,
 		Listen: func(ctx context.Context, address string) (net.Listener, error) {
@@ -41,11 +41,11 @@
 	}
 }
 
-// bounded sets the bound on a listening socket, whose connections inherit it.
-func bounded(_, _ string, r syscall.RawConn) error {
+// limitSendBuffer sets sendBufferSize on a listening socket. Its connections inherit it.
+func limitSendBuffer(_, _ string, r syscall.RawConn) error {
 	var err error
 	e := r.Control(func(f uintptr) {
-		err = unix.SetsockoptInt(int(f), unix.SOL_SOCKET, unix.SO_SNDBUF, sendBuffer)
+		err = unix.SetsockoptInt(int(f), unix.SOL_SOCKET, unix.SO_SNDBUF, sendBufferSize)
 	})
 	return errors.Join(e, err)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,12 +14,11 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-// Run runs an entry VM on a machine until its context ends, and then stops it
-// as planned.
+// Run runs a standalone entry VM until ctx ends, and then performs a planned stop.
 func Run(ctx context.Context, m Machine, s api.Settings, l *event.Log) error {
-	c := New(ctx, m, s, l)
+	c := NewContext(ctx, m, s, l)
 	defer c.Close()
-	if err := step.Run(c, l, starting); err != nil {
+	if err := step.Run(c, l, startSteps); err != nil {
 		if ctx.Err() != nil {
 			// Stopped before it served: nothing is in flight.
 			return nil
@@ -28,51 +27,53 @@
 	}
 	<-ctx.Done()
 	c.Context = context.WithoutCancel(ctx)
-	return step.Run(c, l, stopping)
+	return step.Run(c, l, stopSteps)
 }
 
-// heartbeat is this entry VM's own heartbeat.
-func (c *Context) heartbeat() api.Heartbeat {
+// localHeartbeat returns the heartbeat that this entry VM sends to peers.
+func (c *Context) localHeartbeat() api.Heartbeat {
 	return api.Heartbeat{
 		Protocol:      member.Protocol,
 		VM:            c.Owner.VM,
 		Incarnation:   c.Owner.Incarnation,
 		Domain:        c.Settings.Node.Domain,
-		State:         c.Life.State(),
-		ConfigVersion: c.Follow.View().Version,
-		ConfigKept:    c.Follow.Retained(),
+		State:         c.Lifecycle.State(),
+		ConfigVersion: c.Follower.View().Version,
+		ConfigKept:    c.Follower.Retained(),
 		ClaimsEra:     c.Claims.RewrittenEra(),
-		InFlight:      c.Life.InFlight(),
+		InFlight:      c.Lifecycle.InFlight(),
 		Contents:      c.Contents.AllReports(),
 		Limits:        c.Entry.Limits(),
 		Leaving:       c.Entry.AnnouncedLeaving(),
 	}
 }
 
-// merge takes what a peer knows of backend servers and of contents that end them.
-func (c *Context) merge(b api.Heartbeat) {
+// mergeHeartbeat merges a peer's reports of backend servers, and of contents that crash
+// them, into the local state.
+func (c *Context) mergeHeartbeat(b api.Heartbeat) {
 	c.Contents.Merge(b.Contents)
 	c.Entry.MergeLimits(b.Limits)
 	c.Entry.MergeLeaving(b.Leaving)
 }
 
-// grace is the time that the own watch is given before a peer is asked.
-const grace = 500 * time.Millisecond
+// watchGrace is how long the local watch may take to deliver a newer configuration
+// before a peer is queried for it.
+const watchGrace = 500 * time.Millisecond
 
-// catchUp takes the configuration of a peer that has a newer one in force, if
-// the own watch does not bring it.
+// catchUp fetches the configuration from a peer that has a newer one in force, unless
+// the local watch delivers a newer one within watchGrace.
 func (c *Context) catchUp(ctx context.Context, address string) {
-	before := c.Follow.View().Version
-	if !duty.Sleep(ctx, grace) || c.Follow.View().Version > before {
+	before := c.Follower.View().Version
+	if !duty.Sleep(ctx, watchGrace) || c.Follower.View().Version > before {
 		return
 	}
-	sent := c.Life.Now()
+	sent := c.Lifecycle.Now()
 	if l, err := c.Peers.Config(ctx, address); err == nil {
-		c.Follow.OfferFromPeer(l, sent)
+		c.Follower.OfferFromPeer(l, sent)
 	}
 }
 
-// readVMs takes the platform's list of VMs.
+// readVMs reads the platform's list of VMs and passes it to the parts that need it.
 func (c *Context) readVMs(ctx context.Context) {
 	c.Metrics.Add(metric.PlatformReads, 1)
 	l, err := c.Platform.VMs(ctx)
@@ -80,7 +81,7 @@
 		c.Metrics.Add(metric.PlatformFailures, 1)
 		return
 	}
-	c.Beat.ApplyList(l)
+	c.Heartbeats.ApplyList(l)
 	for _, v := range l {
 		if v.Role == api.VMRoleBackend {
 			leaving := v.State == api.VMStateLeaving
@@ -90,60 +91,62 @@
 	}
 }
 
-// tick ends waits that are over.
+// tick ends the waits of requests that have timed out and updates the metrics.
 func (c *Context) tick(context.Context) {
 	c.Broker.Tick()
 	c.Metrics.Put(metric.RequestsWaiting, int64(c.Broker.Waiting()))
-	c.Metrics.Put(metric.RequestsInFlight, int64(c.Life.InFlight()))
+	c.Metrics.Put(metric.RequestsInFlight, int64(c.Lifecycle.InFlight()))
 }
 
-// address gives the address of a declared server.
-func (c *Context) address(n api.ServerName) (string, bool) {
-	s, ok := c.Follow.View().Servers[n]
+// serverAddress returns the address of a declared backend server.
+func (c *Context) serverAddress(n api.ServerName) (string, bool) {
+	s, ok := c.Follower.View().Servers[n]
 	return s.Address, ok
 }
 
-// beat notices a suspension and keeps shares and duties in step with members.
-func (c *Context) beat(ctx context.Context) {
-	if c.Life.Beat() {
+// updateMembership detects a suspension of the VM, and adjusts the shares of limits and
+// the candidacies for duties to the entry VMs that serve.
+func (c *Context) updateMembership(ctx context.Context) {
+	if c.Lifecycle.Tick() {
 		c.Metrics.Add(metric.ClockJumps, 1)
 		c.Log.Emit(event.ClockJump)
-		c.confirm(ctx)
+		c.confirmConfig(ctx)
 	}
 	c.Deadlines.Check()
 	c.Contents.Step()
-	c.Contents.ProbeServers(c.Group, connects(c.Machine.Dial, c.address))
-	c.Entry.SetMembers(c.Beat.ServingCount())
+	c.Contents.ProbeServers(c.Group, connectCheck(c.Machine.Dial, c.serverAddress))
+	c.Entry.SetMembers(c.Heartbeats.ServingCount())
 	for _, l := range c.Leaders {
-		l.Want(c.Life.State() == api.PeerStateServing && c.Beat.IsCandidate(l.Duty()))
+		l.SetWanted(c.Lifecycle.State() == api.PeerStateServing && c.Heartbeats.IsCandidate(l.Duty()))
 	}
 }
 
-// confirm asks the platform and a peer for what is in force, after a
-// suspension; the pending watch was sent before it and proves nothing.
-func (c *Context) confirm(ctx context.Context) {
+// confirmConfig queries the platform and a peer for the configuration in force after a
+// suspension. The pending watch was sent before the suspension, so its answer does not
+// confirm anything.
+func (c *Context) confirmConfig(ctx context.Context) {
 	c.Group.Go(func(context.Context) error {
-		c.Follow.Refresh(ctx)
+		c.Follower.Refresh(ctx)
 		return nil
 	})
-	for _, a := range c.Beat.Addresses() {
-		sent := c.Life.Now()
+	for _, a := range c.Heartbeats.Addresses() {
+		sent := c.Lifecycle.Now()
 		if l, err := c.Peers.Config(ctx, a); err == nil {
-			c.Follow.OfferFromPeer(l, sent)
+			c.Follower.OfferFromPeer(l, sent)
 			return
 		}
 	}
 }
 
-// Status is this entry VM's view of the system.
+// Status returns this entry VM's view of the system.
 func (c *Context) Status() api.NodeStatus {
 	s := api.NodeStatus{
 		VM:            c.Owner.VM,
-		State:         c.Life.State(),
-		ConfigVersion: c.Follow.View().Version,
-		PlatformAgeMS: api.ToMilliseconds(c.Follow.TimeSinceAnswer()),
+		State:         c.Lifecycle.State(),
+		ConfigVersion: c.Follower.View().Version,
+		PlatformAgeMS: api.ToMilliseconds(c.Follower.TimeSinceAnswer()),
 		Leases:        []string{},
-		Members:       c.Beat.Status(),
+		Members:       c.Heartbeats.Status(),
 		Servers:       c.Broker.Status(),
 	}
 	for _, l := range c.Leaders {
@@ -154,7 +157,7 @@
 	return s
 }
 
-// stopped logs the end of a planned stop.
-func (c *Context) stopped(id event.ID) {
-	c.Log.Emit(id, zap.Int("in_flight", c.Life.InFlight()))
+// logStopped logs an event of a planned stop with the number of requests in flight.
+func (c *Context) logStopped(id event.ID) {
+	c.Log.Emit(id, zap.Int("in_flight", c.Lifecycle.InFlight()))
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -38,43 +38,43 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// starting lists the steps of a start in order.
-var starting = []step.Step[*Context]{
-	state{}, clients{}, decisions{}, duties{}, servers{}, opening{},
+// startSteps are the steps of a start, in order.
+var startSteps = []step.Step[*Context]{
+	state{}, clients{}, decisions{}, background{}, servers{}, awaitingConfig{},
 }
 
-// state makes what the process remembers.
+// state creates the lifecycle and the recorder of explanations.
 type state struct{}
 
 func (state) String() string { return "state" }
 
 func (state) Run(c *Context) error {
-	c.Life = lifecycle.New(c.Machine.Now)
+	c.Lifecycle = lifecycle.New(c.Machine.Now)
 	c.Explain = explain.New(c.Settings.Node.Name, c.Settings.Entry.ExplainRecords)
 	return nil
 }
 
-// clients makes the connections to other processes.
+// clients creates the clients for other processes.
 type clients struct{}
 
 func (clients) String() string { return "clients" }
 
-// peerTime bounds one call to a peer.
-const peerTime = 1500 * time.Millisecond
+// peerTimeout bounds one call to a peer.
+const peerTimeout = 1500 * time.Millisecond
 
 func (clients) Run(c *Context) error {
 	var closer func()
-	c.Reused, closer = wire.NewClientWithDial(c.Machine.Dial, true)
+	c.KeepAliveClient, closer = wire.NewClientWithDial(c.Machine.Dial, true)
 	c.cleanup(closer)
-	c.Single, closer = wire.NewClientWithDial(c.Machine.Dial, false)
+	c.SingleUseClient, closer = wire.NewClientWithDial(c.Machine.Dial, false)
 	c.cleanup(closer)
-	c.Platform = objectapi.Over(c.Reused, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
-	c.Engines = engine.Over(c.Reused, dialTime)
-	c.Peers = peer.NewWithClient(c.Reused, peerTime)
+	c.Platform = objectapi.Over(c.KeepAliveClient, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
+	c.Engines = engine.Over(c.KeepAliveClient, dialTimeout)
+	c.Peers = peer.NewWithClient(c.KeepAliveClient, peerTimeout)
 	return nil
 }
 
-// decisions makes the parts that decide.
+// decisions creates the parts that decide on requests and claims.
 type decisions struct{}
 
 func (decisions) String() string { return "decisions" }
@@ -93,7 +93,7 @@
 	const kilo = 1024
 	c.Contents = contents.New(c.Log, c.Metrics)
 	c.Deadlines = clock.NewDeadlines(c.Machine.Now)
-	c.Claims = claims.New(c.Owner, c.Platform, release{c}, s.Claim.AnswerLimitKB*kilo, c.Machine.Now, c.Log, c.Metrics)
+	c.Claims = claims.New(c.Owner, c.Platform, claimReleaser{c}, s.Claim.AnswerLimitKB*kilo, c.Machine.Now, c.Log, c.Metrics)
 	return nil
 }
 
@@ -124,95 +124,98 @@
 	}
 }
 
-// release asks peers to give claims up.
-type release struct {
+// claimReleaser requests peers to release claims.
+type claimReleaser struct {
 	node *Context
 }
 
-// Release asks the entry VM that made a claim.
-func (r release) Release(ctx context.Context, n api.VMName, q api.AttemptQuery) (bool, error) {
-	a, ok := r.node.Beat.Address(n)
+// Release requests the entry VM that made a claim to release it.
+func (r claimReleaser) Release(ctx context.Context, n api.VMName, q api.AttemptQuery) (bool, error) {
+	a, ok := r.node.Heartbeats.Address(n)
 	if !ok {
-		return false, fault.New(fault.PeerUnreachable, "the owner of the claim is not listed")
+		return false, fault.New(fault.PeerUnreachable, "the entry VM that owns the claim is not among the known peers")
 	}
 	return r.node.Peers.Release(ctx, a, q)
 }
 
-// ClaimsRewritten reports whether all other entry VMs have written their claims again in an era.
-func (r release) ClaimsRewritten(e api.Era) bool {
-	return r.node.Beat.ClaimsRewritten(e)
+// ClaimsRewritten reports whether all other entry VMs have rewritten their claims in an era.
+func (r claimReleaser) ClaimsRewritten(e api.Era) bool {
+	return r.node.Heartbeats.ClaimsRewritten(e)
 }
 
-// duties makes and starts the duties.
-type duties struct{}
+// background creates the parts that work in the background and starts their goroutines.
+type background struct{}
 
-func (duties) String() string { return "duties" }
+func (background) String() string { return "duties" }
 
-func (duties) Run(c *Context) error {
+func (background) Run(c *Context) error {
 	var closer func()
-	// Duties outlive the signal to stop: they end with the clean-up.
+	// The goroutines of the group keep running after the stop signal, until the clean-up.
 	c.Group, closer = duty.New(context.WithoutCancel(c.Context))
 	c.cleanup(closer)
-	c.Poll = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.lost)
+	c.Poller = poll.New(c.Group, c.Engines, c.Log, c.Metrics, c.Settings.Engine.ReportPollMS.Duration(), c.handleEngineLost)
 	c.Entry = entry.New(entry.Options{
-		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Lifecycle: c.Life,
-		View: func() *config.View { return c.Follow.View() }, Broker: c.Broker,
+		Settings: c.Settings, Log: c.Log, Metrics: c.Metrics, Lifecycle: c.Lifecycle,
+		View: func() *config.View { return c.Follower.View() }, Broker: c.Broker,
 		Engines: c.Engines, Claims: c.Claims, Explain: c.Explain, Group: c.Group, Contents: c.Contents, Deadlines: c.Deadlines,
-		KeepAliveClient: c.Reused, SingleUseClient: c.Single,
+		KeepAliveClient: c.KeepAliveClient, SingleUseClient: c.SingleUseClient,
 	})
-	c.Follow = follow.New(c.Platform, c.Life, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.declare, c.Poll.SetView, c.Entry.Declare)
-	c.Beat = heartbeat.New(c.heartbeat, c.catchUp, c.merge, c.Peers, c.Log, c.Metrics)
-	c.lead()
-	c.startDuties()
+	c.Follower = follow.New(c.Platform, c.Lifecycle, c.Log, c.Metrics, c.Settings.Platform.WatchWaitMS.Duration(), c.applyView, c.Poller.SetView, c.Entry.Declare)
+	c.Heartbeats = heartbeat.New(c.localHeartbeat, c.catchUp, c.mergeHeartbeat, c.Peers, c.Log, c.Metrics)
+	c.createLeaders()
+	c.startBackground()
 	return nil
 }
 
-// lost notes an engine that can't be connected to.
-func (c *Context) lost(n api.ServerName, err error) {
+// handleEngineLost records that an engine can't be reached. A refused connection also
+// confirms that the engine has ended.
+func (c *Context) handleEngineLost(n api.ServerName, err error) {
 	c.Broker.MarkUnreachable(n)
 	if port.ConnectionRefused(err) {
 		c.Contents.RecordServerEnd(n)
 	}
 }
 
-// lead makes the leases and what is done under them.
-func (c *Context) lead() {
+// createLeaders creates the leaders, which hold the leases on duties, and the parts that
+// do these duties.
+func (c *Context) createLeaders() {
 	t := lease.Timing{Duration: c.Settings.Lease.DurationMS.Duration(), Skew: c.Settings.Lease.SkewMS.Duration()}
 	o := leader.New(orders.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	u := leader.New(upkeep.Duty, c.Platform, c.Owner, t, c.Machine.Now, c.Log, c.Metrics)
 	c.Leaders = []*leader.Leader{o, u}
-	c.Orders = orders.New(o, c.Engines, c.Follow.View, c.Poll.LastReports, c.Settings.Order.WeightsMBPerSecond, c.Log, c.Metrics)
-	c.Upkeep = upkeep.New(u, c.Platform, c.Follow.View, c.Broker.Status, c.Poll.LastReports, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
+	c.Orders = orders.New(o, c.Engines, c.Follower.View, c.Poller.LastReports, c.Settings.Order.WeightsMBPerSecond, c.Log, c.Metrics)
+	c.Upkeep = upkeep.New(u, c.Platform, c.Follower.View, c.Broker.Status, c.Poller.LastReports, c.Settings.Claim.KeepMS.Duration(), c.Log, c.Metrics)
 }
 
-// Times between the rounds of small duties.
+// Intervals of periodic work.
 const (
-	tickEvery = 50 * time.Millisecond
-	beatEvery = 250 * time.Millisecond
+	tickInterval       = 50 * time.Millisecond
+	membershipInterval = 250 * time.Millisecond
 )
 
-func (c *Context) startDuties() {
+func (c *Context) startBackground() {
 	g := c.Group
-	g.Go(c.Follow.Watch)
-	g.Go(c.Follow.Apply)
-	g.Go(c.Beat.Run)
-	g.Go(func(ctx context.Context) error { return c.Poll.Deliver(ctx, c.Broker.Report) })
+	g.Go(c.Follower.Watch)
+	g.Go(c.Follower.Apply)
+	g.Go(c.Heartbeats.Run)
+	g.Go(func(ctx context.Context) error { return c.Poller.Deliver(ctx, c.Broker.Report) })
 	g.Every(c.Settings.Platform.VMPollMS.Duration(), c.readVMs)
-	g.Every(tickEvery, c.tick)
-	g.Every(beatEvery, c.beat)
+	g.Every(tickInterval, c.tick)
+	g.Every(membershipInterval, c.updateMembership)
 	g.Go(c.Orders.Plan)
 	for range orders.Workers {
 		g.Go(c.Orders.Work)
 	}
 	g.Go(c.Upkeep.Run)
-	g.Go(c.Claims.Run(c.Follow.AnsweringFor))
+	g.Go(c.Claims.Run(c.Follower.AnsweringFor))
 	for _, l := range c.Leaders {
 		g.Go(l.Run)
 	}
 }
 
-// declare tells the dispatcher of the engines in a view, and claims of the platform's era.
-func (c *Context) declare(v *config.View) {
+// applyView passes the engines of a view to the broker and the platform's era to the
+// claims.
+func (c *Context) applyView(v *config.View) {
 	c.Claims.EnterEra(v.Version.Era())
 	var l []dispatch.Server
 	for _, s := range v.Engines() {
@@ -228,8 +231,8 @@
 
 func (servers) Run(c *Context) error {
 	c.Control = control.New(control.Parts{
-		Beat: c.Beat, Peers: c.Peers, Claims: c.Claims, Explain: c.Explain, Metrics: c.Metrics,
-		Config: c.Follow.List, Status: c.Status,
+		Beat: c.Heartbeats, Peers: c.Peers, Claims: c.Claims, Explain: c.Explain, Metrics: c.Metrics,
+		Config: c.Follower.List, Status: c.Status,
 	})
 	w := c.Settings.Entry.HeaderWaitMS.Duration()
 	var err error
@@ -249,31 +252,31 @@
 	return s, nil
 }
 
-// opening waits for a confirmed configuration and then serves callers.
-type opening struct{}
+// awaitingConfig waits for a confirmed configuration and then opens the entry VM to callers.
+type awaitingConfig struct{}
 
-func (opening) String() string { return "opening" }
+func (awaitingConfig) String() string { return "opening" }
 
-// peersWait bounds the wait for a configuration that a peer says is newer.
-const peersWait = 5 * time.Second
+// maxPeerConfigWait bounds the wait for a newer configuration that a peer has in force.
+const maxPeerConfigWait = 5 * time.Second
 
-func (opening) Run(c *Context) error {
+func (awaitingConfig) Run(c *Context) error {
 	select {
-	case <-c.Follow.Ready():
+	case <-c.Follower.Ready():
 	case <-c.Done():
 		return c.Err()
 	}
 	c.readVMs(c)
-	c.Beat.Round(c)
-	// A stale replica of the platform must not take the fleet back: what any
-	// peer has in force is waited for.
-	end := time.Now().Add(peersWait)
-	for c.Beat.MaxConfigVersion() > c.Follow.View().Version && time.Now().Before(end) {
-		if !duty.Sleep(c, tickEvery) {
+	c.Heartbeats.Round(c)
+	// A stale replica of the platform may have answered. So that the VM does not serve by
+	// an older configuration than its peers, it waits for the newest that any has in force.
+	end := time.Now().Add(maxPeerConfigWait)
+	for c.Heartbeats.MaxConfigVersion() > c.Follower.View().Version && time.Now().Before(end) {
+		if !duty.Sleep(c, tickInterval) {
 			return c.Err()
 		}
 	}
-	c.Life.Serve()
+	c.Lifecycle.Serve()
 	c.Log.Emit(event.Started, zap.String("listen", c.Settings.Node.Listen), zap.String("control", c.Settings.Node.Control))
 	return nil
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -8,42 +8,42 @@
 	"github.com/wardridge/wardridge/internal/step"
 )
 
-// stopping lists the steps of a planned stop in order.
-var stopping = []step.Step[*Context]{
-	turning{}, draining{}, releasing{}, closing{},
+// stopSteps are the steps of a planned stop, in order.
+var stopSteps = []step.Step[*Context]{
+	failingHealthCheck{}, draining{}, releasing{}, closing{},
 }
 
-// turning turns the health check, so that the balancer sends callers
-// elsewhere, while requests on their way are still served.
-type turning struct{}
+// failingHealthCheck fails the health check, so that the load balancer sends callers to
+// other entry VMs, and still serves the requests that arrive until it does.
+type failingHealthCheck struct{}
 
-func (turning) String() string { return "turning the health check" }
+func (failingHealthCheck) String() string { return "turning the health check" }
 
-func (turning) Run(c *Context) error {
+func (failingHealthCheck) Run(c *Context) error {
 	c.Log.Emit(event.StopBegun)
-	c.Life.Turn()
+	c.Lifecycle.AnnounceStop()
 	duty.Sleep(c, c.Settings.Node.StopWaitMS.Duration())
 	return nil
 }
 
-// draining takes no new request and waits for those in flight.
+// draining refuses new requests and waits for those in flight.
 type draining struct{}
 
 func (draining) String() string { return "draining" }
 
 func (draining) Run(c *Context) error {
-	c.Life.Stop()
+	c.Lifecycle.StopAdmission()
 	x, cancel := context.WithTimeout(c, c.Settings.Node.StopLimitMS.Duration())
 	defer cancel()
-	if err := c.Life.Idle(x); err != nil {
-		c.stopped(event.StopLimit)
+	if err := c.Lifecycle.WaitIdle(x); err != nil {
+		c.logStopped(event.StopLimit)
 		return nil
 	}
-	c.stopped(event.StopDone)
+	c.logStopped(event.StopDone)
 	return nil
 }
 
-// releasing gives the leases back, so that others need not wait them out.
+// releasing releases the leases, so that other entry VMs need not wait until they expire.
 type releasing struct{}
 
 func (releasing) String() string { return "releasing leases" }
@@ -55,15 +55,15 @@
 	return nil
 }
 
-// closing closes the listeners once their last answers are written.
+// closing closes the listener for callers once the last answers are written.
 type closing struct{}
 
 func (closing) String() string { return "closing listeners" }
 
 func (closing) Run(c *Context) error {
-	x, cancel := context.WithTimeout(c, dialTime)
+	x, cancel := context.WithTimeout(c, dialTimeout)
 	defer cancel()
-	// Kept connections without a request are closed with the process.
+	// Idle connections that are still open are closed when the process ends.
 	_ = c.CallerServer.Shutdown(x)
 	return nil
 }
--- a/internal/upkeep/claims.go
+++ b/internal/upkeep/claims.go
@@ -12,48 +12,48 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// sweepEvery is the time between looks for old claims.
-const sweepEvery = time.Minute
+// sweepInterval is the time between two sweeps for expired claims.
+const sweepInterval = time.Minute
 
-// perSweep bounds the claims removed in one look.
-const perSweep = 200
+// maxRemovedPerSweep limits the claims removed in one sweep.
+const maxRemovedPerSweep = 200
 
-// sweep removes claims older than the keeping time, by the wall clock of the
-// VM that made them: a caller has to ask again within that time.
-func (k *Keeper) sweep(ctx context.Context) {
+// sweep removes claims that are older than claimRetention. Their age is counted from the
+// wall clock of the VM that made them. A caller has to retry within this time.
+func (w *Worker) sweep(ctx context.Context) {
 	now := time.Now()
-	if now.Sub(k.swept) < sweepEvery {
+	if now.Sub(w.lastSweep) < sweepInterval {
 		return
 	}
-	k.swept = now
-	k.metrics.Add(metric.PlatformReads, 1)
-	l, err := k.store.List(ctx, []api.ResourceKind{api.ResourceKindClaim})
+	w.lastSweep = now
+	w.metrics.Add(metric.PlatformReads, 1)
+	l, err := w.store.List(ctx, []api.ResourceKind{api.ResourceKindClaim})
 	if err != nil {
 		return
 	}
 	n := 0
 	for _, o := range l.Items {
-		if n < perSweep && k.old(now, o) && k.remove(ctx, o) {
+		if n < maxRemovedPerSweep && w.expired(now, o) && w.remove(ctx, o) {
 			n++
 		}
 	}
 	if n > 0 {
-		k.log.Emit(event.ClaimRemoved, zap.Int("claims", n))
+		w.log.Emit(event.ClaimRemoved, zap.Int("claims", n))
 	}
 }
 
-func (k *Keeper) old(now time.Time, o api.Object) bool {
+func (w *Worker) expired(now time.Time, o api.Object) bool {
 	var s api.ClaimSpec
 	if err := json.Unmarshal(o.Spec, &s); err != nil {
 		return false
 	}
-	return now.Sub(time.UnixMilli(int64(s.CreatedMS))) > k.keep
+	return now.Sub(time.UnixMilli(int64(s.CreatedMS))) > w.claimRetention
 }
 
-func (k *Keeper) remove(ctx context.Context, o api.Object) bool {
-	if _, ok := k.leader.Held(); !ok {
+func (w *Worker) remove(ctx context.Context, o api.Object) bool {
+	if _, ok := w.leader.Held(); !ok {
 		return false
 	}
-	k.metrics.Add(metric.PlatformWrites, 1)
-	return k.store.Delete(ctx, o.Kind, o.Name, o.Version) == nil
+	w.metrics.Add(metric.PlatformWrites, 1)
+	return w.store.Delete(ctx, o.Kind, o.Name, o.Version) == nil
 }
--- a/internal/upkeep/status.go
+++ b/internal/upkeep/status.go
@@ -17,17 +17,17 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Duty names the lease.
+// Duty is the name of the lease.
 const Duty = "upkeep"
 
-// Every is the time between looks at what has to be written.
-const Every = time.Second
+// RoundInterval is the time between two rounds of upkeep.
+const RoundInterval = time.Second
 
-// perRound bounds the status writes of one round, so that a large change
-// leaves the platform's writes to others.
-const perRound = 5
+// maxWritesPerRound limits the status writes of one round, so that a large change does
+// not use up the write rate that the platform allows.
+const maxWritesPerRound = 5
 
-// Store is where status and claims are kept.
+// Store is the platform's store of status objects and claims.
 type Store interface {
 	Get(ctx context.Context, k api.ResourceKind, n string) (api.Object, error)
 	List(ctx context.Context, kinds []api.ResourceKind) (api.ObjectList, error)
@@ -35,68 +35,68 @@
 	Delete(ctx context.Context, k api.ResourceKind, n string, v api.Version) error
 }
 
-// Keeper does the upkeep.
-type Keeper struct {
-	leader  *leader.Leader
-	store   Store
-	view    func() *config.View
-	servers func() []api.ServerStatus
-	reports func() map[api.ServerName]api.LoadReport
-	keep    time.Duration
-	log     *event.Log
-	metrics *metric.Set
-
-	// written is the last status of each object and its version; it is
-	// forgotten when the lease is lost, or the platform came back from a copy that
-	// may lack it.
-	written map[string]api.Object
-	fence   api.Fence
-	era     api.Era
-	swept   time.Time
+// Worker writes status objects and removes expired claims.
+type Worker struct {
+	leader         *leader.Leader
+	store          Store
+	view           func() *config.View
+	servers        func() []api.ServerStatus
+	reports        func() map[api.ServerName]api.LoadReport
+	claimRetention time.Duration
+	log            *event.Log
+	metrics        *metric.Set
+
+	// written holds the last known status of each object and its version. It is cleared
+	// when the lease changes hands, and when the platform is restored from a backup, which
+	// may lack these writes.
+	written   map[string]api.Object
+	fence     api.Fence
+	era       api.Era
+	lastSweep time.Time
 }
 
-// New makes a keeper that removes claims older than keep.
-func New(l *leader.Leader, s Store, view func() *config.View, servers func() []api.ServerStatus, reports func() map[api.ServerName]api.LoadReport, keep time.Duration, e *event.Log, m *metric.Set) *Keeper {
-	return &Keeper{leader: l, store: s, view: view, servers: servers, reports: reports, keep: keep, log: e, metrics: m}
+// New creates a worker that removes claims older than retention.
+func New(l *leader.Leader, s Store, view func() *config.View, servers func() []api.ServerStatus, reports func() map[api.ServerName]api.LoadReport, retention time.Duration, e *event.Log, m *metric.Set) *Worker {
+	return &Worker{leader: l, store: s, view: view, servers: servers, reports: reports, claimRetention: retention, log: e, metrics: m}
 }
 
-// Run is the duty.
-func (k *Keeper) Run(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return Every }, k.round)
+// Run does a round of upkeep per RoundInterval until ctx ends.
+func (w *Worker) Run(ctx context.Context) error {
+	return duty.Loop(ctx, func() time.Duration { return RoundInterval }, w.round)
 }
 
-func (k *Keeper) round(ctx context.Context) {
-	f, ok := k.leader.Held()
+func (w *Worker) round(ctx context.Context) {
+	f, ok := w.leader.Held()
 	if !ok {
 		return
 	}
-	if e := k.view().Version.Era(); f != k.fence || e != k.era {
-		k.written = map[string]api.Object{}
-		k.fence, k.era = f, e
-		k.swept = time.Time{}
+	if e := w.view().Version.Era(); f != w.fence || e != w.era {
+		w.written = map[string]api.Object{}
+		w.fence, w.era = f, e
+		w.lastSweep = time.Time{}
 	}
-	k.writeStatus(ctx)
-	k.sweep(ctx)
+	w.writeStatus(ctx)
+	w.sweep(ctx)
 }
 
-func (k *Keeper) writeStatus(ctx context.Context) {
-	left := perRound
-	for _, s := range k.wanted() {
+func (w *Worker) writeStatus(ctx context.Context) {
+	left := maxWritesPerRound
+	for _, s := range w.currentStatus() {
 		if left == 0 {
 			return
 		}
-		if k.write(ctx, s) {
+		if w.write(ctx, s) {
 			left--
 		}
 	}
 }
 
-// wanted lists the status of every declared engine.
-func (k *Keeper) wanted() []api.StatusSpec {
-	v := k.view()
-	r := k.reports()
+// currentStatus returns the status of every declared engine.
+func (w *Worker) currentStatus() []api.StatusSpec {
+	v := w.view()
+	r := w.reports()
 	var l []api.StatusSpec
-	for _, s := range k.servers() {
+	for _, s := range w.servers() {
 		d, ok := v.Servers[s.Server]
 		if !ok {
 			continue
@@ -108,41 +108,41 @@
 	return l
 }
 
-// write writes a status that changed and reports whether it called the
-// platform.
-func (k *Keeper) write(ctx context.Context, s api.StatusSpec) bool {
+// write writes a status if it has changed, and reports whether it called the platform.
+func (w *Worker) write(ctx context.Context, s api.StatusSpec) bool {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return false
 	}
 	n := string(s.OfKind) + "." + s.OfName
-	last, ok := k.written[n]
+	last, ok := w.written[n]
 	if ok && string(last.Spec) == string(b) {
 		return false
 	}
-	if !ok && !k.known(ctx, n, &last) {
+	if !ok && !w.readStored(ctx, n, &last) {
 		return true
 	}
 	if string(last.Spec) == string(b) {
-		k.written[n] = last
+		w.written[n] = last
 		return true
 	}
-	k.metrics.Add(metric.PlatformWrites, 1)
-	o, err := k.store.PutConfirmed(ctx, api.Object{Kind: api.ResourceKindStatus, Name: n, Version: last.Version, Spec: b})
+	w.metrics.Add(metric.PlatformWrites, 1)
+	o, err := w.store.PutConfirmed(ctx, api.Object{Kind: api.ResourceKindStatus, Name: n, Version: last.Version, Spec: b})
 	if err != nil {
-		// What is there now is read before the next try.
-		delete(k.written, n)
+		// The stored status is read again before the next attempt.
+		delete(w.written, n)
 		return true
 	}
-	k.written[n] = api.Object{Version: o.Version, Spec: b}
-	k.log.Emit(event.StatusWritten, zap.String("status", n), zap.String("state", string(s.State)))
+	w.written[n] = api.Object{Version: o.Version, Spec: b}
+	w.log.Emit(event.StatusWritten, zap.String("status", n), zap.String("state", string(s.State)))
 	return true
 }
 
-// known reads the present status, which may not exist.
-func (k *Keeper) known(ctx context.Context, n string, out *api.Object) bool {
-	k.metrics.Add(metric.PlatformReads, 1)
-	o, err := k.store.Get(ctx, api.ResourceKindStatus, n)
+// readStored reads the stored status into out, and reports whether the read succeeded. A
+// status that does not exist leaves out unchanged and is no failure.
+func (w *Worker) readStored(ctx context.Context, n string, out *api.Object) bool {
+	w.metrics.Add(metric.PlatformReads, 1)
+	o, err := w.store.Get(ctx, api.ResourceKindStatus, n)
 	if fault.Has(err, fault.NotFound) {
 		return true
 	}
