--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -13,16 +13,16 @@
 
 // hosted makes the adapter of the platform that the system runs on.
 func hosted(l node.Links) node.Adapter {
-	o := platform.NewObjects(l.Platform, l.Address)
+	o := platform.NewStoreClient(l.Platform, l.Address)
 	bad := func(kind, name string, err error) {
 		l.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
 	}
 	return node.Adapter{
-		Config:      platform.Config(o, bad),
-		Servers:     platform.Servers(o, bad),
-		Closures:    platform.Closures(o, bad),
-		Quarantined: platform.Quarantined(o, bad),
-		Quarantines: platform.NewQuarantines(o),
+		Config:      platform.NewConfigSource(o, bad),
+		Servers:     platform.NewServerSource(o, bad),
+		Closures:    platform.NewClosureSource(o, bad),
+		Quarantined: platform.NewQuarantineSource(o, bad),
+		Quarantines: platform.NewQuarantineWriter(o),
 		Backends:    platform.NewBackends(l.Pool),
 		Ingress:     func(g *gateway.Gateway) http.Handler { return platform.Ingress(g) },
 		Readiness:   func(g *gateway.Gateway) http.Handler { return platform.Readiness(g) },
--- a/fleet/restored_test.go
+++ b/fleet/restored_test.go
@@ -132,11 +132,11 @@
 
 // adapt is the platform's own adapter for entry VM i, over servers that record.
 func (b *storeBed) adapt(i int, l node.Links) node.Adapter {
-	o := platform.NewObjects(l.Platform, l.Address)
+	o := platform.NewStoreClient(l.Platform, l.Address)
 	bad := func(kind, name string, err error) { b.t.Errorf("%s/%s: %v", kind, name, err) }
 	return node.Adapter{
-		Config: platform.Config(o, bad), Servers: platform.Servers(o, bad), Closures: platform.Closures(o, bad),
-		Quarantined: platform.Quarantined(o, bad), Quarantines: platform.NewQuarantines(o),
+		Config: platform.NewConfigSource(o, bad), Servers: platform.NewServerSource(o, bad), Closures: platform.NewClosureSource(o, bad),
+		Quarantined: platform.NewQuarantineSource(o, bad), Quarantines: platform.NewQuarantineWriter(o),
 		Backends:  recording{b.pool, b.sent},
 		Ingress:   func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) },
 		Readiness: func(*gateway.Gateway) http.Handler { return http.NotFoundHandler() },
@@ -387,12 +387,12 @@
 }
 
 // quarantines writes refused contents to the store as an entry VM does.
-func (b *storeBed) quarantines(t *testing.T) (platform.Quarantines, *platform.Kind[quarantine.Entry]) {
+func (b *storeBed) quarantines(t *testing.T) (platform.QuarantineWriter, *platform.Source[quarantine.Entry]) {
 	t.Helper()
 	c, closer := wire.NewClientOver(machine{b.net, "operator"}.dial, false)
 	t.Cleanup(closer)
-	o := platform.NewObjects(c, platformHost+":80")
-	return platform.NewQuarantines(o), platform.Quarantined(o, func(_, name string, err error) { t.Errorf("%s: %v", name, err) })
+	o := platform.NewStoreClient(c, platformHost+":80")
+	return platform.NewQuarantineWriter(o), platform.NewQuarantineSource(o, func(_, name string, err error) { t.Errorf("%s: %v", name, err) })
 }
 
 // content names a request's content as entry VMs do.
