--- a/fleet/restored_mix_test.go
+++ b/fleet/restored_mix_test.go
@@ -28,7 +28,7 @@
 	// newest is the configuration that was confirmed last.
 	newest  int64
 	written time.Time
-	copies  []hosted.Copy
+	copies  []hosted.Backup
 	// servers are those that live, with what they last wrote; left are those that ended or
 	// said that they will.
 	servers map[api.ServerID]roster.Server
@@ -62,7 +62,7 @@
 		m.written = time.Now()
 	case 2:
 		m.note("copy %d", len(m.copies))
-		m.copies = append(m.copies, m.store.Copy())
+		m.copies = append(m.copies, m.store.Backup())
 	case 3:
 		m.comeBack()
 	case 4:
@@ -94,11 +94,11 @@
 	away := time.Duration(m.rand.IntN(3)) * time.Second
 	m.note("back from copy %d after %v", k, away)
 	if away > 0 {
-		m.endpoint.Set(hosted.Cut, 0)
+		m.endpoint.SetOutcome(hosted.Disconnected, 0)
 		time.Sleep(away)
 	}
 	m.store.Restore(m.copies[k])
-	m.endpoint.Set(hosted.Answered, 0)
+	m.endpoint.SetOutcome(hosted.Answered, 0)
 	// None of an earlier era is used again.
 	m.copies = m.copies[:0]
 	m.back = time.Now()
--- a/fleet/restored_test.go
+++ b/fleet/restored_test.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := standin.Wire{}.Store(b.endpoint)
+	store := standin.Wire{}.StoreHandler(b.endpoint)
 	h := wire.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b.calls.Add(1)
 		store.ServeHTTP(w, r)
@@ -146,7 +146,7 @@
 // configure writes a configuration as operators do.
 func (b *storeBed) configure(t *testing.T, v int64) {
 	t.Helper()
-	if err := b.store.Configure(configuration(v)); err != nil {
+	if err := b.store.WriteConfig(configuration(v)); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -154,7 +154,7 @@
 // register writes a server's entry as the server does.
 func (b *storeBed) register(t *testing.T, s roster.Server) {
 	t.Helper()
-	e, err := standin.Wire{}.Server(s)
+	e, err := standin.Wire{}.EncodeServer(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,11 +162,11 @@
 }
 
 // restore brings the store back from a copy after it was away for a moment.
-func (b *storeBed) restore(c hosted.Copy) {
-	b.endpoint.Set(hosted.Cut, 0)
+func (b *storeBed) restore(c hosted.Backup) {
+	b.endpoint.SetOutcome(hosted.Disconnected, 0)
 	time.Sleep(2 * time.Second)
 	b.store.Restore(c)
-	b.endpoint.Set(hosted.Answered, 0)
+	b.endpoint.SetOutcome(hosted.Answered, 0)
 }
 
 // serves reports whether entry VM i knows the route of a configuration's version.
@@ -196,7 +196,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreBed(t, n)
-		c := b.store.Copy()
+		c := b.store.Backup()
 		for v := range int64(8) {
 			b.configure(t, v+2)
 			time.Sleep(inForceTime)
@@ -218,7 +218,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreBed(t, n)
-		c := b.store.Copy()
+		c := b.store.Backup()
 		b.configure(t, 2)
 		time.Sleep(inForceTime)
 		b.store.Restore(c)
@@ -246,18 +246,18 @@
 // unregister removes a server's entry as its end does.
 func (b *storeBed) unregister(t *testing.T, s roster.Server) {
 	t.Helper()
-	e, err := standin.Wire{}.Server(s)
+	e, err := standin.Wire{}.EncodeServer(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.store.Drop(e)
+	b.store.Delete(e)
 }
 
 func TestVMStartedAfterTheStoreCameBackFromACopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreBed(t, n)
-		c := b.store.Copy()
+		c := b.store.Backup()
 		b.configure(t, 2)
 		b.configure(t, 3)
 		time.Sleep(inForceTime)
@@ -287,7 +287,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				const n = 6
 				b := newStoreBed(t, n)
-				c := b.store.Copy()
+				c := b.store.Backup()
 				leaving := plainServer("1", "hall-0")
 				leaving.Draining = true
 				b.register(t, leaving)
@@ -336,7 +336,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				const n = 6
 				b := newStoreBed(t, n)
-				c := b.store.Copy()
+				c := b.store.Backup()
 				b.close(t, true)
 				time.Sleep(closeTime)
 				b.restore(c)
@@ -377,9 +377,9 @@
 // close closes the failure domain of servers 1 and 4, or opens it.
 func (b *storeBed) close(t *testing.T, closed bool) {
 	t.Helper()
-	f := b.store.Close
+	f := b.store.CloseDomain
 	if !closed {
-		f = b.store.Open
+		f = b.store.OpenDomain
 	}
 	if err := f("hall-0"); err != nil {
 		t.Fatal(err)
@@ -412,7 +412,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(inForceTime)
-		c := b.store.Copy()
+		c := b.store.Backup()
 		if err := q.Keep(ctx, quarantine.Entry{Content: content(deadly), Until: until}); err != nil {
 			t.Fatal(err)
 		}
@@ -462,7 +462,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				const n, span = 24, 5 * time.Second
 				b := newStoreBed(t, n)
-				c := b.store.Copy()
+				c := b.store.Backup()
 				b.configure(t, 2)
 				time.Sleep(inForceTime)
 				before := b.calls.Load()
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -76,7 +76,7 @@
 func newSignalBed(t *testing.T, n, plain, engines int) *signalBed {
 	t.Helper()
 	b := &signalBed{hostedBed: prepareHostedBed(t, newPool(0, 0)), arrivals: map[api.ServerName][]arrival{}}
-	f := hosted.NewFleet(hosted.NewStore(standin.Wire{}), hosted.Pace{Work: workTime, Event: stepTime, Copy: stepTime})
+	f := hosted.NewFleet(hosted.NewStore(standin.Wire{}), hosted.Pace{PlainAnswer: workTime, EventInterval: stepTime, Copy: stepTime})
 	for i := range plain + engines {
 		b.serve(t, f, i, i >= plain)
 	}
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, end := f.Start(s, engine, l)
+	x, end := f.StartServer(s, engine, l)
 	t.Cleanup(end)
 	b.servers = append(b.servers, x)
 	b.pool.entries.put(string(s.ID), s)
@@ -182,7 +182,7 @@
 // name lets the servers from one on to another one name a limit, or none.
 func (b *signalBed) name(perSecond *float64, from, to int) time.Time {
 	for _, s := range b.servers[from:to] {
-		s.Say(hosted.Word{Limit: perSecond})
+		s.SetSignals(hosted.Signals{Limit: perSecond})
 	}
 	return time.Now()
 }
@@ -341,7 +341,7 @@
 				}
 				b := newSignalBed(t, n, plain, engines)
 				b.load(n, 20, time.Second, path)
-				b.servers[0].Say(hosted.Word{Leaving: true})
+				b.servers[0].SetSignals(hosted.Signals{Leaving: true})
 				b.load(n, 20, 3*time.Second, path)
 				// The server writes its entry again, as it is.
 				b.pool.entries.put(string(b.servers[0].ID), b.servers[0].Server)
@@ -390,11 +390,11 @@
 				b := newSignalBed(t, n, plain, engines)
 				b.load(n, 30, time.Second, c.path)
 				for _, s := range b.servers[:c.resting] {
-					s.Say(hosted.Word{Rest: restTime})
+					s.SetSignals(hosted.Signals{Backoff: restTime})
 				}
 				o := b.load(n, 30, restTime, c.path)
 				for _, s := range b.servers[:c.resting] {
-					s.Say(hosted.Word{})
+					s.SetSignals(hosted.Signals{})
 					for vm, got := range b.sentTo(s.Name, func(x port.Signals) bool { return x.Resting }, restFrom, restTime) {
 						if got > restSlack {
 							t.Errorf("requests of entry VM %d to %s in its rest: got %d, want at most %d", vm, s.Name, got, restSlack)
--- a/internal/soak/bed.go
+++ b/internal/soak/bed.go
@@ -78,7 +78,7 @@
 	store := hosted.NewStore(o.Wire)
 	b := &bed{
 		Options: o, group: g, http: c, store: store, recorder: newRecorder(),
-		fleet: hosted.NewFleet(store, hosted.Pace{Work: pauseWork, Event: pauseEvent, Copy: pauseCopy}),
+		fleet: hosted.NewFleet(store, hosted.Pace{PlainAnswer: pauseWork, EventInterval: pauseEvent, Copy: pauseCopy}),
 	}
 	b.cleanups = []func(){end, closer}
 	if err := b.build(s); err != nil {
--- a/internal/soak/change.go
+++ b/internal/soak/change.go
@@ -28,7 +28,7 @@
 func (b *bed) write() {
 	v := b.config.Version + 1
 	c := directory.Config{Version: v, Services: []directory.Service{
-		{Name: engines, MaxConnections: 1 << 10, Engine: &directory.Engine{Slots: slots, Memory: memory, SupportsMoves: true, SupportsBackups: true, TokensPerEvent: hosted.Stride}},
+		{Name: engines, MaxConnections: 1 << 10, Engine: &directory.Engine{Slots: slots, Memory: memory, SupportsMoves: true, SupportsBackups: true, TokensPerEvent: hosted.TokensPerEvent}},
 		{Name: plain, MaxConnections: 1 << 10},
 	}}
 	c.Routes = []directory.Route{
@@ -46,7 +46,7 @@
 		}
 	}
 	c.Workspaces = []directory.Workspace{{Name: mainWorkspace, Keys: []string{mainKey}}, spare}
-	if err := b.store.Configure(c); err != nil {
+	if err := b.store.WriteConfig(c); err != nil {
 		b.failed(err)
 		return
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -89,7 +89,7 @@
 		c.sent[r.Sent[i].ID] = &r.Sent[i]
 	}
 	for _, x := range r.Runs {
-		c.runs[x.Request] = append(c.runs[x.Request], x)
+		c.runs[x.RequestID] = append(c.runs[x.RequestID], x)
 	}
 	for _, a := range r.Arrivals {
 		c.arrival(a)
@@ -132,27 +132,27 @@
 
 // arrival checks what came to a server.
 func (c *checker) arrival(a hosted.Arrival) {
-	s, ok := c.sent[a.Request]
+	s, ok := c.sent[a.ID]
 	if !ok {
-		c.add(Asked, a.Request, a.At, "a server got a request that no caller sent")
+		c.add(Asked, a.ID, a.At, "a server got a request that no caller sent")
 		return
 	}
 	if a.Method != s.Method || a.Target != s.Target || a.Body != s.Call.Body || a.Workspace != s.Workspace {
-		c.add(Asked, a.Request, a.At, "a request was changed on its way, or came for another workspace")
+		c.add(Asked, a.ID, a.At, "a request was changed on its way, or came for another workspace")
 	}
-	if !slices.Contains(c.Services[route(s.Target)], c.Servers[a.By]) {
-		c.add(Asked, a.Request, a.At, "no configuration sends the request to the service of "+string(a.By))
+	if !slices.Contains(c.Services[route(s.Target)], c.Servers[a.Server]) {
+		c.add(Asked, a.ID, a.At, "no configuration sends the request to the service of "+string(a.Server))
 	}
 	if a.Refused {
 		return
 	}
 	c.closed(a, s)
-	if a.Copy != "" {
+	if a.ResumeFrom != "" {
 		return
 	}
 	for _, l := range c.Leaves {
-		if l.Server == a.By && a.At.Sub(l.At) > leaveTime && !c.disturbed(Span{l.At, a.At}, s.VM, "") {
-			c.add(Leaving, a.Request, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.By, a.At.Sub(l.At)))
+		if l.Server == a.Server && a.At.Sub(l.At) > leaveTime && !c.disturbed(Span{l.At, a.At}, s.VM, "") {
+			c.add(Leaving, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.Server, a.At.Sub(l.At)))
 		}
 	}
 }
@@ -161,8 +161,8 @@
 // from a copy there is new as well.
 func (c *checker) closed(a hosted.Arrival, s *Sent) {
 	for _, l := range c.Closures {
-		if l.Domain == c.Domains[a.By] && a.At.Before(l.Until) && a.At.Sub(l.From) > closedTime && !c.disturbed(Span{l.From, a.At}, s.VM, "") {
-			c.add(Closed, a.Request, a.At, fmt.Sprintf("server %s got a request %s after its domain was closed", a.By, a.At.Sub(l.From)))
+		if l.Domain == c.Domains[a.Server] && a.At.Before(l.Until) && a.At.Sub(l.From) > closedTime && !c.disturbed(Span{l.From, a.At}, s.VM, "") {
+			c.add(Closed, a.ID, a.At, fmt.Sprintf("server %s got a request %s after its domain was closed", a.Server, a.At.Sub(l.From)))
 		}
 	}
 }
@@ -203,11 +203,11 @@
 	for i, a := range r {
 		for _, b := range r[i+1:] {
 			if a.Generation != b.Generation {
-				c.add(Once, s.ID, b.Began, fmt.Sprintf("ran at %s and again at %s", a.Server, b.Server))
+				c.add(Once, s.ID, b.Started, fmt.Sprintf("ran at %s and again at %s", a.Server, b.Server))
 			}
-			both := Span{later(a.Began, b.Began), earlier(c.ended(a), c.ended(b))}
+			both := Span{later(a.Started, b.Started), earlier(c.ended(a), c.ended(b))}
 			if both.Until.Sub(both.From) > twoTime && !c.disturbed(both, s.VM, "") {
-				c.add(Once, s.ID, b.Began, fmt.Sprintf("%s and %s worked on it together", a.Server, b.Server))
+				c.add(Once, s.ID, b.Started, fmt.Sprintf("%s and %s worked on it together", a.Server, b.Server))
 			}
 		}
 	}
@@ -244,10 +244,10 @@
 		c.events(s, r)
 		return
 	}
-	if !s.Whole {
+	if !s.Complete {
 		return
 	}
-	if !slices.ContainsFunc(r, func(x hosted.Run) bool { return s.Reply.Body == hosted.Body(s.ID, x.Server) }) {
+	if !slices.ContainsFunc(r, func(x hosted.Run) bool { return s.Reply.Body == hosted.PlainBody(s.ID, x.Server) }) {
 		c.add(Whole, s.ID, s.Done, "the answer is not whole, or of another request")
 	}
 }
@@ -260,7 +260,7 @@
 			return
 		}
 	}
-	if want := int(s.Tokens) / hosted.Stride; s.Whole && len(s.Events) != want {
+	if want := int(s.Tokens) / hosted.TokensPerEvent; s.Complete && len(s.Events) != want {
 		c.add(Whole, s.ID, s.Done, fmt.Sprintf("ended after %d of %d events", len(s.Events), want))
 	}
 }
@@ -279,13 +279,13 @@
 
 // cut checks that planned work cuts no request off.
 func (c *checker) cut(s *Sent, r []hosted.Run) {
-	served := s.Left || s.Whole && (s.Status == http.StatusOK || saysNotRun(s.Status))
+	served := s.Left || s.Complete && (s.Status == http.StatusOK || saysNotRun(s.Status))
 	if served || len(r) == 0 || c.disturbed(Span{s.At, s.Done}, s.VM, "") {
 		return
 	}
-	what := fmt.Sprintf("answered by %d and cut off with nothing but planned work: %v", s.Status, s.Fault)
+	what := fmt.Sprintf("answered by %d and cut off with nothing but planned work: %v", s.Status, s.Err)
 	if s.Kind == directory.Stream {
-		what += fmt.Sprintf(", after %d of %d events", len(s.Events), int(s.Tokens)/hosted.Stride)
+		what += fmt.Sprintf(", after %d of %d events", len(s.Events), int(s.Tokens)/hosted.TokensPerEvent)
 	}
 	c.add(Stop, s.ID, s.Done, what)
 }
@@ -315,7 +315,7 @@
 			continue
 		}
 		n++
-		if s.Whole || s.Left {
+		if s.Complete || s.Left {
 			whole++
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -22,26 +22,26 @@
 func good() soak.Record {
 	order := soak.Sent{
 		Call:  hosted.Call{ID: "o", Method: "POST", Target: "/orders/o", Body: "b"},
-		Reply: hosted.Reply{Head: hosted.Head{Status: 200, Signed: true}, Whole: true, Body: hosted.Body("o", "p1")},
+		Reply: hosted.Reply{Head: hosted.Head{Status: 200, Signed: true}, Complete: true, Body: hosted.PlainBody("o", "p1")},
 		Kind:  directory.Unsafe, Workspace: "main", At: at(10000), Done: at(10050),
 	}
 	chat := soak.Sent{
-		Call:  hosted.Call{ID: "c", Method: "POST", Target: "/chat/c", Tokens: 2 * hosted.Stride},
-		Reply: hosted.Reply{Head: hosted.Head{Status: 200, Signed: true}, Whole: true, Events: []string{"c 2 1", "c 2 2"}},
+		Call:  hosted.Call{ID: "c", Method: "POST", Target: "/chat/c", Tokens: 2 * hosted.TokensPerEvent},
+		Reply: hosted.Reply{Head: hosted.Head{Status: 200, Signed: true}, Complete: true, Events: []string{"c 2 1", "c 2 2"}},
 		Kind:  directory.Stream, Workspace: "main", At: at(10000), Done: at(10900),
 	}
 	return soak.Record{
 		Sent:   []soak.Sent{order, chat},
 		Probes: []soak.Probe{{VM: 0, Life: 1, At: at(9000), From: 1, Until: 2}, {VM: 0, Life: 1, At: at(10000), From: 2}},
 		Arrivals: []hosted.Arrival{
-			{At: at(10010), By: "p1", Asked: hosted.Asked{Request: "o", Method: "POST", Target: "/orders/o", Body: "b", Workspace: "main"}},
-			{At: at(10010), By: "e1", Asked: hosted.Asked{Request: "c", Method: "POST", Target: "/chat/c", Workspace: "main"}},
-			{At: at(10500), By: "e2", Asked: hosted.Asked{Request: "c", Method: "POST", Target: "/chat/c", Workspace: "main", Copy: "c-c"}},
+			{At: at(10010), Server: "p1", Request: hosted.Request{ID: "o", Method: "POST", Target: "/orders/o", Body: "b", Workspace: "main"}},
+			{At: at(10010), Server: "e1", Request: hosted.Request{ID: "c", Method: "POST", Target: "/chat/c", Workspace: "main"}},
+			{At: at(10500), Server: "e2", Request: hosted.Request{ID: "c", Method: "POST", Target: "/chat/c", Workspace: "main", ResumeFrom: "c-c"}},
 		},
 		Runs: []hosted.Run{
-			{Request: "o", Server: "p1", Generation: 1, Began: at(10010), Ended: at(10040)},
-			{Request: "c", Server: "e1", Generation: 2, Began: at(10010), Ended: at(10480)},
-			{Request: "c", Server: "e2", Generation: 2, Began: at(10500), Ended: at(10890)},
+			{RequestID: "o", Server: "p1", Generation: 1, Started: at(10010), Ended: at(10040)},
+			{RequestID: "c", Server: "e1", Generation: 2, Started: at(10010), Ended: at(10480)},
+			{RequestID: "c", Server: "e2", Generation: 2, Started: at(10500), Ended: at(10890)},
 		},
 		Configs:  map[int64]time.Time{1: at(0), 2: at(8500)},
 		Services: map[string][]api.ServiceName{"orders": {"plain"}, "chat": {"engines"}},
@@ -58,7 +58,7 @@
 
 func TestCheck(t *testing.T) {
 	cut := func(r *soak.Record) {
-		r.Sent[1].Whole, r.Sent[1].Events = false, r.Sent[1].Events[:1]
+		r.Sent[1].Complete, r.Sent[1].Events = false, r.Sent[1].Events[:1]
 		for range 20 {
 			// Enough others are served for the recovery not to be in doubt.
 			r.Sent = append(r.Sent, soak.Sent{Call: hosted.Call{ID: "l"}, Reply: hosted.Reply{Left: true}, Kind: directory.Safe, At: at(12000), Done: at(12001)})
@@ -74,24 +74,24 @@
 	}{
 		{"all kept", func(*soak.Record) {}, ""},
 		{"ran twice", func(r *soak.Record) {
-			r.Runs = append(r.Runs, hosted.Run{Request: "o", Server: "p1", Generation: 9, Began: at(10045), Ended: at(10050)})
+			r.Runs = append(r.Runs, hosted.Run{RequestID: "o", Server: "p1", Generation: 9, Started: at(10045), Ended: at(10050)})
 		}, soak.Once},
 		{"two servers at work", func(r *soak.Record) { r.Runs[1].Ended = at(11100); r.Runs[2].Ended = at(11200) }, soak.Once},
 		{"refused although it ran", func(r *soak.Record) { r.Sent[0].Status, r.Sent[0].Signed = 503, false }, soak.NotRun},
 		{"refused and not run", func(r *soak.Record) {
 			r.Sent[0].Status, r.Sent[0].Signed, r.Runs, r.Arrivals = 503, false, r.Runs[1:], r.Arrivals[1:]
 		}, ""},
-		{"another request's answer", func(r *soak.Record) { r.Sent[0].Reply.Body = hosted.Body("x", "p1") }, soak.Whole},
+		{"another request's answer", func(r *soak.Record) { r.Sent[0].Reply.Body = hosted.PlainBody("x", "p1") }, soak.Whole},
 		{"answer cut short", func(r *soak.Record) { r.Sent[0].Reply.Body = "o by" }, soak.Whole},
 		{"success that no server gave", func(r *soak.Record) { r.Sent[0].Signed = false }, soak.Whole},
 		{"event missing", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 2"} }, soak.Whole},
 		{"event twice", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1", "c 2 1"} }, soak.Whole},
 		{"event of another run", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1", "c 3 2"} }, soak.Whole},
 		{"early end that looks whole", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1"} }, soak.Whole},
-		{"request of nobody", func(r *soak.Record) { r.Arrivals[0].Request = "x" }, soak.Asked},
+		{"request of nobody", func(r *soak.Record) { r.Arrivals[0].ID = "x" }, soak.Asked},
 		{"changed body", func(r *soak.Record) { r.Arrivals[0].Body = "x" }, soak.Asked},
 		{"another workspace", func(r *soak.Record) { r.Arrivals[0].Workspace = "x" }, soak.Asked},
-		{"another service", func(r *soak.Record) { r.Arrivals[0].By = "e1" }, soak.Asked},
+		{"another service", func(r *soak.Record) { r.Arrivals[0].Server = "e1" }, soak.Asked},
 		{"new work long after the notice", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "p1", At: at(4000)}} }, soak.Leaving},
 		{"new work just after the notice", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "p1", At: at(9000)}} }, ""},
 		{"a run that goes on elsewhere is no new work", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "e2", At: at(4000)}} }, ""},
@@ -101,7 +101,7 @@
 		{"new work in a domain that is open again", func(r *soak.Record) { r.Closures = closures("x", 1000, 9900) }, ""},
 		{"new work in another domain", func(r *soak.Record) { r.Closures = closures("z", 1000, 20000) }, ""},
 		{"work for a caller that left", func(r *soak.Record) {
-			r.Sent[1].Left, r.Sent[1].Whole, r.Runs[2].Ended = true, false, at(15000)
+			r.Sent[1].Left, r.Sent[1].Complete, r.Runs[2].Ended = true, false, at(15000)
 		}, soak.Gone},
 		{"cut off by nothing but planned work", func(r *soak.Record) {
 			cut(r)
@@ -122,7 +122,7 @@
 		}, ""},
 		{"an old version for long", func(r *soak.Record) { r.Probes[0].At = at(13000); r.Probes[1].At = at(13500) }, soak.InForce},
 		{"not served once calm", func(r *soak.Record) {
-			r.Sent[0].Whole, r.Sent[1].Whole = false, false
+			r.Sent[0].Complete, r.Sent[1].Complete = false, false
 			r.Injected = []soak.Injection{trouble(soak.KillVM, 0)}
 		}, soak.Recovery},
 		{"a process that ended by itself", func(r *soak.Record) { r.Failures = []string{"vm-1"} }, soak.Alive},
@@ -148,7 +148,7 @@
 	r := soak.Record{Crashes: map[string][]time.Time{"deadly": {at(1000), at(2000), at(3000)}}, Calm: at(0), End: at(60000)}
 	for i := range 5 {
 		s := soak.Sent{VM: 0, Kind: directory.Unsafe, Call: hosted.Call{ID: api.RequestID(strconv.Itoa(i)), Body: "deadly", Target: "/orders/x"}, At: at(5000 + 1000*i)}
-		s.Whole = true
+		s.Complete = true
 		r.Sent = append(r.Sent, s)
 	}
 	arrive := func(n int) []soak.Violation {
@@ -156,7 +156,7 @@
 		x.Services = map[string][]api.ServiceName{"orders": {"plain"}}
 		x.Servers = map[api.ServerName]api.ServiceName{"p": "plain"}
 		for i := range n {
-			x.Arrivals = append(x.Arrivals, hosted.Arrival{Asked: hosted.Asked{Request: api.RequestID(strconv.Itoa(i)), Body: "deadly", Target: "/orders/x"}, By: "p", At: at(6500 + 1000*i)})
+			x.Arrivals = append(x.Arrivals, hosted.Arrival{Request: hosted.Request{ID: api.RequestID(strconv.Itoa(i)), Body: "deadly", Target: "/orders/x"}, Server: "p", At: at(6500 + 1000*i)})
 		}
 		var l []soak.Violation
 		for _, v := range soak.Check(x) {
--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -16,7 +16,7 @@
 	b.closing.Lock()
 	defer b.closing.Unlock()
 	b.shutting(n)
-	b.failed(b.store.Close(n))
+	b.failed(b.store.CloseDomain(n))
 	at := time.Now()
 	i := 0
 	b.recorder.note(func(r *Record) {
@@ -28,7 +28,7 @@
 	until := time.Now()
 	b.recorder.note(func(r *Record) { r.Closures[i].Until = until })
 	b.shutting("")
-	b.failed(b.store.Open(n))
+	b.failed(b.store.OpenDomain(n))
 }
 
 // shutting notes which failure domain operators keep closed, empty for none.
@@ -49,7 +49,7 @@
 // it names the address of a server that is there.
 func (b *bed) foreignEntry(s *server) {
 	x, _ := s.current()
-	e, err := b.Wire.Server(x.Server)
+	e, err := b.Wire.EncodeServer(x.Server)
 	if err != nil {
 		b.failed(err)
 		return
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -35,7 +35,7 @@
 // comeBack sends a request that crashes servers again and again, to any entry VM.
 func (b *bed) comeBack(ctx context.Context, f Fault) {
 	body := fmt.Sprintf("deadly %d %d", f.At, f.Target)
-	b.fleet.Kill(body, b.crashed)
+	b.fleet.CrashOnBody(body, b.crashed)
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
 	defer closer()
@@ -50,7 +50,7 @@
 			Key: mainKey, Wait: callWait, Body: body,
 		}}
 		if x.kind == directory.Stream {
-			s.Tokens = hosted.Stride * answerMost
+			s.Tokens = hosted.TokensPerEvent * answerMost
 		}
 		s.At = time.Now()
 		s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
@@ -86,13 +86,13 @@
 	late := map[string]int{}
 	for _, a := range c.Arrivals {
 		l := c.Crashes[a.Body]
-		s, ok := c.sent[a.Request]
+		s, ok := c.sent[a.ID]
 		if !ok || a.Refused || len(l) < 3 || a.At.Sub(l[2]) <= settleTime || c.troubled(Span{l[2], a.At}, s.VM) {
 			continue
 		}
 		late[a.Body]++
 		if late[a.Body] == deadlyMost+1 {
-			c.add(Crashes, a.Request, a.At, fmt.Sprintf("%s reached servers %d times more, %s after its third crash; %d crashed in all", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
+			c.add(Crashes, a.ID, a.At, fmt.Sprintf("%s reached servers %d times more, %s after its third crash; %d crashed in all", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
 		}
 	}
 }
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -14,16 +14,16 @@
 // restore has the store come back from a copy of so long before. Then servers and operators
 // write again; entries of servers that ended meanwhile lapse.
 func (b *bed) restore(ctx context.Context, d time.Duration) {
-	c := b.store.Copy()
+	c := b.store.Backup()
 	duty.Sleep(ctx, d)
 	b.store.Restore(c)
 	duty.Sleep(ctx, rewriteTime)
 	b.mutex.Lock()
-	b.failed(b.store.Configure(b.config))
+	b.failed(b.store.WriteConfig(b.config))
 	closed := b.shut
 	b.mutex.Unlock()
 	if closed != "" {
-		b.failed(b.store.Close(closed))
+		b.failed(b.store.CloseDomain(closed))
 	}
 	live := map[string]bool{}
 	for _, s := range b.servers {
@@ -33,7 +33,7 @@
 	}
 	duty.Sleep(ctx, lapseTime)
 	x, _ := b.servers[0].current()
-	e, err := b.Wire.Server(x.Server)
+	e, err := b.Wire.EncodeServer(x.Server)
 	if err != nil {
 		b.failed(err)
 		return
@@ -42,5 +42,5 @@
 		x, _ := s.current()
 		live[string(x.ID)] = true
 	}
-	b.store.Prune(e.Kind, live)
+	b.store.DeleteExcept(e.Kind, live)
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -131,7 +131,7 @@
 	b.recorder.mutex.Lock()
 	defer b.recorder.mutex.Unlock()
 	r := b.recorder.record
-	r.Arrivals, r.Runs = b.fleet.Journal.Read()
+	r.Arrivals, r.Runs = b.fleet.Journal.Records()
 	r.End = time.Now()
 	return r
 }
@@ -139,12 +139,12 @@
 func result(p Plan, r Record) Result {
 	x := Result{Plan: p, Requests: len(r.Sent), Runs: len(r.Runs), Probes: len(r.Probes), Violations: Check(r)}
 	for _, s := range r.Sent {
-		if s.Whole {
+		if s.Complete {
 			x.Served++
 		}
 	}
 	for _, a := range r.Arrivals {
-		if a.Copy != "" {
+		if a.ResumeFrom != "" {
 			x.Resumed++
 		}
 	}
@@ -174,7 +174,7 @@
 	case DeadlyRequest:
 		b.comeBack(ctx, f)
 	case StoreForget:
-		b.store.Forget()
+		b.store.DropHistory()
 	case StoreRestore:
 		b.restore(ctx, f.For.Duration())
 	case ChangeRoute:
@@ -311,7 +311,7 @@
 func (b *bed) leave(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	notice := noticeLeast + d
-	b.failed(x.Leave(notice))
+	b.failed(x.AnnounceStop(notice))
 	at := time.Now()
 	b.recorder.note(func(r *Record) { r.Leaves = append(r.Leaves, Leave{Server: x.Name, At: at}) })
 	duty.Sleep(ctx, notice)
@@ -323,9 +323,9 @@
 // lose makes a server lose answers to plain requests that it has run.
 func (b *bed) lose(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
-	x.Lose(true)
+	x.LoseAnswers(true)
 	duty.Sleep(ctx, d)
-	x.Lose(false)
+	x.LoseAnswers(false)
 }
 
 // noticeLeast is the least time between a notice and the end: as on the users'
@@ -346,7 +346,7 @@
 	}
 	duty.Sleep(ctx, f.For.Duration())
 	for _, v := range l {
-		v.endpoint.Set(hosted.Answered, 0)
+		v.endpoint.SetOutcome(hosted.Answered, 0)
 		v.store.set(Pass)
 	}
 }
@@ -355,13 +355,13 @@
 func (v *vm) meet(k Kind) {
 	switch k {
 	case StoreBusy:
-		v.endpoint.Set(hosted.Busy, 0)
+		v.endpoint.SetOutcome(hosted.Busy, 0)
 	case StoreLimit:
-		v.endpoint.Set(hosted.Throttled, 0)
+		v.endpoint.SetOutcome(hosted.Throttled, 0)
 	case StoreReset:
-		v.endpoint.Set(hosted.Cut, 0)
+		v.endpoint.SetOutcome(hosted.Disconnected, 0)
 	case StoreSlow:
-		v.endpoint.Set(hosted.Answered, slowTime)
+		v.endpoint.SetOutcome(hosted.Answered, slowTime)
 	case StoreStale:
 		v.store.set(Stale)
 	default:
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -64,7 +64,7 @@
 		Name: roster.IncarnationName(s.id, born), ID: s.id, Born: born, Service: s.service, Address: p.address(),
 		Domain: domain(s.place), Slots: slots,
 	}
-	live, end := b.fleet.Start(x, s.service == engines, in)
+	live, end := b.fleet.StartServer(x, s.service == engines, in)
 	s.live, s.proxy = live, p
 	s.stop = func() {
 		closer()
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -33,20 +33,20 @@
 	limit, lasts := namedLimit, f.For.Duration()
 	switch f.Kind {
 	case LimitServer:
-		x.Say(hosted.Word{Limit: &limit})
+		x.SetSignals(hosted.Signals{Limit: &limit})
 		// A limit has to hold only after some time.
 		lasts += settleTime + limitSpan
 	case RestServer:
-		x.Say(hosted.Word{Rest: askedRest})
+		x.SetSignals(hosted.Signals{Backoff: askedRest})
 	default:
-		x.Say(hosted.Word{Leaving: true})
+		x.SetSignals(hosted.Signals{Leaving: true})
 	}
 	duty.Sleep(ctx, lasts)
 	if f.Kind == SayLeaving {
 		b.leave(ctx, s, 0)
 		return
 	}
-	x.Say(hosted.Word{})
+	x.SetSignals(hosted.Signals{})
 }
 
 // key is one entry VM and a server that it sent to.
@@ -63,11 +63,11 @@
 	named := map[api.ServerName]time.Time{}
 	within := map[api.ServerName][]time.Time{}
 	for _, a := range arrivals {
-		s, ok := c.sent[a.Request]
+		s, ok := c.sent[a.ID]
 		if !ok {
 			continue
 		}
-		k := key{s.VM, a.By}
+		k := key{s.VM, a.Server}
 		c.limit(a, k, limited, named, within)
 		c.left(a, k, left)
 		c.rest(a, k, rested)
@@ -82,15 +82,15 @@
 
 // limit checks that a server gets no more than it named.
 func (c *checker) limit(a hosted.Arrival, k key, told map[key]time.Time, named map[api.ServerName]time.Time, within map[api.ServerName][]time.Time) {
-	if a.Word.Limit == nil {
-		delete(named, a.By)
+	if a.Signals.Limit == nil {
+		delete(named, a.Server)
 		return
 	}
-	if _, ok := named[a.By]; !ok {
-		named[a.By] = a.At
-		within[a.By] = nil
+	if _, ok := named[a.Server]; !ok {
+		named[a.Server] = a.At
+		within[a.Server] = nil
 		for x := range told {
-			if x.server == a.By {
+			if x.server == a.Server {
 				delete(told, x)
 			}
 		}
@@ -100,37 +100,37 @@
 		told[k] = a.At
 		return
 	}
-	if a.At.Sub(t) < restSettle || a.At.Sub(named[a.By]) < settleTime || c.excused(t, a, k) {
+	if a.At.Sub(t) < restSettle || a.At.Sub(named[a.Server]) < settleTime || c.excused(t, a, k) {
 		return
 	}
-	l := slices.DeleteFunc(within[a.By], func(t time.Time) bool { return a.At.Sub(t) >= limitSpan })
-	within[a.By] = append(l, a.At)
-	perSecond := *a.Word.Limit
-	if most := int(limitFactor*perSecond*limitSpan.Seconds()) + limitSlack; len(within[a.By]) > most {
-		c.add(Limit, a.Request, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.By, perSecond, len(within[a.By]), limitSpan))
+	l := slices.DeleteFunc(within[a.Server], func(t time.Time) bool { return a.At.Sub(t) >= limitSpan })
+	within[a.Server] = append(l, a.At)
+	perSecond := *a.Signals.Limit
+	if most := int(limitFactor*perSecond*limitSpan.Seconds()) + limitSlack; len(within[a.Server]) > most {
+		c.add(Limit, a.ID, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.Server, perSecond, len(within[a.Server]), limitSpan))
 	}
 }
 
 // left checks that a server that said that it leaves gets nothing new.
 func (c *checker) left(a hosted.Arrival, k key, told map[key]time.Time) {
 	t, ok := told[k]
-	if a.Word.Leaving && !ok {
+	if a.Signals.Leaving && !ok {
 		told[k] = a.At
 		return
 	}
-	if ok && a.Copy == "" && a.At.Sub(t) > leaveTime && !c.excused(t, a, k) {
-		c.add(Leaving, a.Request, a.At, fmt.Sprintf("server %s got a new request %s after it had told the entry VM that it leaves", a.By, a.At.Sub(t)))
+	if ok && a.ResumeFrom == "" && a.At.Sub(t) > leaveTime && !c.excused(t, a, k) {
+		c.add(Leaving, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after it had told the entry VM that it leaves", a.Server, a.At.Sub(t)))
 	}
 }
 
 // rest checks that a server that asked an entry VM for rest is left alone.
 func (c *checker) rest(a hosted.Arrival, k key, asked map[key][]time.Time) {
-	if a.Word.Rest == 0 {
+	if a.Signals.Backoff == 0 {
 		delete(asked, k)
 		return
 	}
 	l := asked[k]
-	if len(l) == 0 || a.At.Sub(l[0]) >= a.Word.Rest {
+	if len(l) == 0 || a.At.Sub(l[0]) >= a.Signals.Backoff {
 		asked[k] = []time.Time{a.At}
 		return
 	}
@@ -139,6 +139,6 @@
 	}
 	asked[k] = append(l, a.At)
 	if n := len(l); n > restMost {
-		c.add(Rest, a.Request, a.At, fmt.Sprintf("server %s had asked VM %d for rest, and got %d requests of it", a.By, k.vm, n))
+		c.add(Rest, a.ID, a.At, fmt.Sprintf("server %s had asked VM %d for rest, and got %d requests of it", a.Server, k.vm, n))
 	}
 }
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -11,24 +11,24 @@
 )
 
 // arrivals adds requests of an entry VM that come to a server each so many ms, from a time on.
-func arrivals(r *soak.Record, vm, from, every, count int, w hosted.Word) {
+func arrivals(r *soak.Record, vm, from, every, count int, w hosted.Signals) {
 	for i := range count {
 		id := api.RequestID(fmt.Sprintf("a-%d-%d-%d", vm, from, i))
 		t := at(from + i*every)
 		r.Sent = append(r.Sent, soak.Sent{
 			Call:  hosted.Call{ID: id, Method: "POST", Target: "/orders/o", Body: "b"},
-			Reply: hosted.Reply{Head: hosted.Head{Status: 503}, Whole: true}, Workspace: "main", VM: vm, At: t, Done: t,
+			Reply: hosted.Reply{Head: hosted.Head{Status: 503}, Complete: true}, Workspace: "main", VM: vm, At: t, Done: t,
 		})
 		r.Arrivals = append(r.Arrivals, hosted.Arrival{
-			At: t, By: "p1", Refused: true, Word: w,
-			Asked: hosted.Asked{Request: id, Method: "POST", Target: "/orders/o", Body: "b", Workspace: "main"},
+			At: t, Server: "p1", Refused: true, Signals: w,
+			Request: hosted.Request{ID: id, Method: "POST", Target: "/orders/o", Body: "b", Workspace: "main"},
 		})
 	}
 }
 
 func TestSignalsAreChecked(t *testing.T) {
 	two := 2.0
-	limit, rest, leaving := hosted.Word{Limit: &two}, hosted.Word{Rest: 2 * time.Second}, hosted.Word{Leaving: true}
+	limit, rest, leaving := hosted.Signals{Limit: &two}, hosted.Signals{Backoff: 2 * time.Second}, hosted.Signals{Leaving: true}
 	tests := []struct {
 		name   string
 		change func(r *soak.Record)
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -83,7 +83,7 @@
 		s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
 		s.Done = time.Now()
 		b.recorder.note(func(x *Record) { x.Sent = append(x.Sent, s) })
-		if s.Fault != nil {
+		if s.Err != nil {
 			// What broke off is not asked for again at once, and elsewhere.
 			v = b.choose(r)
 		}
@@ -100,9 +100,9 @@
 	case x < 0.4:
 		s.Kind, s.Target = directory.Stream, "/"+pathChat+"/"+id
 		s.Wait = chatWait
-		s.Tokens = api.Tokens(hosted.Stride * (1 + r.IntN(answerMost)))
+		s.Tokens = api.Tokens(hosted.TokensPerEvent * (1 + r.IntN(answerMost)))
 		if r.Float64() < leaveChance {
-			s.Leave = 1 + r.IntN(int(s.Tokens)/hosted.Stride)
+			s.LeaveAfter = 1 + r.IntN(int(s.Tokens)/hosted.TokensPerEvent)
 		}
 	case x < 0.7:
 		s.Kind, s.Target = directory.Unsafe, "/"+pathOrders+"/"+id+"?x=%2F"
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: b.Wire.Store(v.endpoint), ReadHeaderTimeout: time.Second}
+	s := &http.Server{Handler: b.Wire.StoreHandler(v.endpoint), ReadHeaderTimeout: time.Second}
 	b.group.Go(func(context.Context) error {
 		// It ends when the server is closed.
 		_ = s.Serve(l)
--- a/internal/standin/hosted/caller.go
+++ b/internal/standin/hosted/caller.go
@@ -25,8 +25,8 @@
 	// Tokens is the length of the answer that a stream asks for; zero for plain
 	// requests.
 	Tokens api.Tokens
-	// Leave is the event after which the caller leaves; zero for none.
-	Leave int
+	// LeaveAfter is the event after which the caller leaves; zero for none.
+	LeaveAfter int
 }
 
 // Head is what the head of an answer tells.
@@ -44,12 +44,12 @@
 	Head
 	Body string
 	// Events are the data of a stream's events, Whole the proper end of an answer.
-	Events []string
-	Whole  bool
+	Events   []string
+	Complete bool
 	// Left is set where the caller left on purpose.
 	Left bool
-	// Fault tells why no whole answer came; nil for a whole one.
-	Fault error
+	// Err tells why no whole answer came; nil for a whole one.
+	Err error
 }
 
 // Caller sends calls over connections that it keeps while it may.
@@ -68,42 +68,42 @@
 func (c *Caller) Do(ctx context.Context, address string, x Call) Reply {
 	ctx, cancel := context.WithTimeout(ctx, x.Wait)
 	defer cancel()
-	a, err := c.pool.Do(ctx, upstream.Call{Address: address, Request: c.wire.Request(address, x)})
+	a, err := c.pool.Do(ctx, upstream.Call{Address: address, Request: c.wire.EncodeCall(address, x)})
 	if err != nil {
-		return Reply{Fault: err}
+		return Reply{Err: err}
 	}
 	defer func() { _ = a.Body.Close() }()
-	y := Reply{Head: c.wire.Head(a)}
+	y := Reply{Head: c.wire.DecodeHead(a)}
 	if y.Stream {
-		y.read(a.Body, x.Leave)
+		y.readStream(a.Body, x.LeaveAfter)
 		return y
 	}
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
-		y.Fault = fault.Wrap(fault.BadAnswer, err, "the answer was cut short")
+		y.Err = fault.Wrap(fault.BadAnswer, err, "the answer was cut short")
 		return y
 	}
-	y.Body, y.Whole = string(b), true
+	y.Body, y.Complete = string(b), true
 	return y
 }
 
-// read takes a stream's events until its end, or until the caller leaves.
-func (y *Reply) read(body io.Reader, leave int) {
+// readStream takes a stream's events until its end, or until the caller leaves.
+func (y *Reply) readStream(body io.Reader, leave int) {
 	sse.Read(body, nil)(func(e sse.Event, err error) bool {
 		if err != nil {
-			y.Fault = fault.Wrap(fault.BadAnswer, err, "the stream broke")
+			y.Err = fault.Wrap(fault.BadAnswer, err, "the stream broke")
 			return false
 		}
 		y.Events = append(y.Events, e.Data)
 		y.Left = leave > 0 && len(y.Events) == leave
 		return !y.Left
 	})
-	y.Whole = y.Fault == nil && !y.Left
+	y.Complete = y.Err == nil && !y.Left
 }
 
 // Ready asks an entry VM whether it takes callers.
 func Ready(ctx context.Context, w Wire, c *http.Client, address string) bool {
-	a, err := c.Do(w.Ready(address).WithContext(ctx))
+	a, err := c.Do(w.EncodeReadyCheck(address).WithContext(ctx))
 	if err != nil {
 		return false
 	}
--- a/internal/standin/hosted/endpoint.go
+++ b/internal/standin/hosted/endpoint.go
@@ -18,13 +18,13 @@
 	// Busy and Throttled calls are refused.
 	Busy
 	Throttled
-	// Cut calls lose their connection.
-	Cut
-	// Forgotten calls ask for changes that are no longer kept.
-	Forgotten
-	// Present calls make an object that is there, Missing ones remove one that is not.
-	Present
-	Missing
+	// Disconnected calls lose their connection.
+	Disconnected
+	// HistoryGone calls ask for changes that are no longer kept.
+	HistoryGone
+	// AlreadyExists calls make an object that is there, Missing ones remove one that is not.
+	AlreadyExists
+	NotFound
 )
 
 // Endpoint is the store as one caller of it meets it.
@@ -33,7 +33,7 @@
 
 	mutex   sync.Mutex
 	outcome Outcome
-	slow    time.Duration
+	delay   time.Duration
 }
 
 // NewEndpoint makes an endpoint that answers.
@@ -41,11 +41,11 @@
 	return &Endpoint{store: s}
 }
 
-// Set changes what becomes of calls, and by how much they are held back.
-func (e *Endpoint) Set(o Outcome, slow time.Duration) {
+// SetOutcome changes what becomes of calls, and by how much they are held back.
+func (e *Endpoint) SetOutcome(o Outcome, slow time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.outcome, e.slow = o, slow
+	e.outcome, e.delay = o, slow
 }
 
 // Era counts how often the store came back from a copy.
@@ -53,10 +53,10 @@
 	return e.store.Era()
 }
 
-// take holds a call back and gives what becomes of it.
-func (e *Endpoint) take() Outcome {
+// delayedOutcome holds a call back and gives what becomes of it.
+func (e *Endpoint) delayedOutcome() Outcome {
 	e.mutex.Lock()
-	o, slow := e.outcome, e.slow
+	o, slow := e.outcome, e.delay
 	e.mutex.Unlock()
 	time.Sleep(slow)
 	return o
@@ -64,7 +64,7 @@
 
 // List gives a page of a kind behind a name.
 func (e *Endpoint) List(kind, after string) (Page, Outcome) {
-	if o := e.take(); o != Answered {
+	if o := e.delayedOutcome(); o != Answered {
 		return Page{}, o
 	}
 	return e.store.list(kind, after), Answered
@@ -72,15 +72,15 @@
 
 // Watch waits for the changes of a kind after a revision.
 func (e *Endpoint) Watch(ctx context.Context, kind string, from api.Revision, wait time.Duration) (Changes, Outcome) {
-	if o := e.take(); o != Answered {
+	if o := e.delayedOutcome(); o != Answered {
 		return Changes{}, o
 	}
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
-		c, wake, ok := e.store.since(kind, from)
+		c, wake, ok := e.store.changesSince(kind, from)
 		if !ok {
-			return c, Forgotten
+			return c, HistoryGone
 		}
 		if len(c.Items) > 0 {
 			return c, Answered
@@ -90,29 +90,29 @@
 		case <-end.C:
 			return c, Answered
 		case <-ctx.Done():
-			return c, Cut
+			return c, Disconnected
 		}
 	}
 }
 
 // Create makes an object.
 func (e *Endpoint) Create(x Entry) Outcome {
-	if o := e.take(); o != Answered {
+	if o := e.delayedOutcome(); o != Answered {
 		return o
 	}
 	if !e.store.create(x) {
-		return Present
+		return AlreadyExists
 	}
 	return Answered
 }
 
 // Delete removes an object.
 func (e *Endpoint) Delete(kind, name string) Outcome {
-	if o := e.take(); o != Answered {
+	if o := e.delayedOutcome(); o != Answered {
 		return o
 	}
-	if !e.store.Drop(Entry{Kind: kind, Name: name}) {
-		return Missing
+	if !e.store.Delete(Entry{Kind: kind, Name: name}) {
+		return NotFound
 	}
 	return Answered
 }
--- a/internal/standin/hosted/journal.go
+++ b/internal/standin/hosted/journal.go
@@ -7,55 +7,55 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Asked is a request as it comes to a backend server.
-type Asked struct {
-	Request   api.RequestID
+// Request is a request as it comes to a backend server.
+type Request struct {
+	ID        api.RequestID
 	Method    string
 	Target    string
 	Body      string
 	Workspace api.WorkspaceName
-	// Server is the one that is meant; empty for whoever has the address.
-	Server api.ServerID
-	// Copy names the copy of a run's memory to go on from; empty for a new run.
-	Copy string
-	// After is the last event that the caller has, zero for none.
-	After int
+	// ExpectedServer is the one that is meant; empty for whoever has the address.
+	ExpectedServer api.ServerID
+	// ResumeFrom names the copy of a run's memory to go on from; empty for a new run.
+	ResumeFrom string
+	// LastEvent is the last event that the caller has, zero for none.
+	LastEvent int
 	// Tokens is the length of the answer that a stream asks for.
 	Tokens api.Tokens
-	// Protect is the address of the server that is to keep a copy as the run
+	// BackupAddress is the address of the server that is to keep a copy as the run
 	// grows; empty for none.
-	Protect string
+	BackupAddress string
 }
 
 // Arrival is one request with the server that it came to.
 type Arrival struct {
-	Asked
+	Request
 	At time.Time
-	// By is the server that took it.
-	By api.ServerName
+	// Server is the server that took it.
+	Server api.ServerName
 	// Refused is set where that said that it did not run it.
 	Refused bool
-	// Word is what the server says of itself in its answer.
-	Word Word
+	// Signals is what the server says of itself in its answer.
+	Signals Signals
 }
 
 // Run is one time that a server worked on a request.
 type Run struct {
-	Request api.RequestID
-	Server  api.ServerName
+	RequestID api.RequestID
+	Server    api.ServerName
 	// Generation is kept by copies of the run's memory.
 	Generation int
-	Began      time.Time
+	Started    time.Time
 	// Ended is zero while the server is at work.
 	Ended time.Time
 }
 
 // Journal records what backend servers saw.
 type Journal struct {
-	mutex    sync.Mutex
-	arrivals []Arrival
-	runs     []*Run
-	next     int
+	mutex          sync.Mutex
+	arrivals       []Arrival
+	runs           []*Run
+	lastGeneration int
 }
 
 // NewJournal makes an empty journal.
@@ -63,27 +63,27 @@
 	return &Journal{}
 }
 
-func (j *Journal) arrived(a Arrival) {
+func (j *Journal) recordArrival(a Arrival) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	a.At = time.Now()
 	j.arrivals = append(j.arrivals, a)
 }
 
-// began notes the start of a run; a zero generation is a new one.
-func (j *Journal) began(id api.RequestID, s api.ServerName, generation int) *Run {
+// startRun notes the start of a run; a zero generation is a new one.
+func (j *Journal) startRun(id api.RequestID, s api.ServerName, generation int) *Run {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if generation == 0 {
-		j.next++
-		generation = j.next
+		j.lastGeneration++
+		generation = j.lastGeneration
 	}
-	r := &Run{Request: id, Server: s, Generation: generation, Began: time.Now()}
+	r := &Run{RequestID: id, Server: s, Generation: generation, Started: time.Now()}
 	j.runs = append(j.runs, r)
 	return r
 }
 
-func (j *Journal) ended(r *Run) {
+func (j *Journal) endRun(r *Run) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if r.Ended.IsZero() {
@@ -91,8 +91,8 @@
 	}
 }
 
-// Read gives what was recorded so far.
-func (j *Journal) Read() ([]Arrival, []Run) {
+// Records gives what was recorded so far.
+func (j *Journal) Records() ([]Arrival, []Run) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	l := make([]Run, 0, len(j.runs))
--- a/internal/standin/hosted/store.go
+++ b/internal/standin/hosted/store.go
@@ -27,13 +27,13 @@
 
 // Page is one page of a list.
 type Page struct {
-	Items []Object
-	At    api.Version
-	More  bool
+	Items   []Object
+	Version api.Version
+	More    bool
 }
 
-// change is one write with the kind that it was of.
-type change struct {
+// kindChange is one write with the kind that it was of.
+type kindChange struct {
 	kind string
 	Change
 }
@@ -42,22 +42,22 @@
 type Store struct {
 	wire Wire
 
-	mutex   sync.Mutex
-	at      api.Version
-	floor   api.Revision
-	objects map[string]map[string]Object
-	changes []change
-	wake    chan struct{}
+	mutex        sync.Mutex
+	version      api.Version
+	historyStart api.Revision
+	objects      map[string]map[string]Object
+	changes      []kindChange
+	changed      chan struct{}
 }
 
 // NewStore makes an empty store that is written over a wire.
 func NewStore(w Wire) *Store {
-	return &Store{wire: w, at: api.NewVersion(1, 1), objects: map[string]map[string]Object{}, wake: make(chan struct{})}
+	return &Store{wire: w, version: api.NewVersion(1, 1), objects: map[string]map[string]Object{}, changed: make(chan struct{})}
 }
 
-// Configure writes a configuration, which is its acknowledgement.
-func (s *Store) Configure(c directory.Config) error {
-	e, err := s.wire.Config(c)
+// WriteConfig writes a configuration, which is its acknowledgement.
+func (s *Store) WriteConfig(c directory.Config) error {
+	e, err := s.wire.EncodeConfig(c)
 	if err != nil {
 		return err
 	}
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// Close closes a failure domain to new work, which is its acknowledgement.
-func (s *Store) Close(d api.DomainName) error {
-	e, err := s.wire.Closure(roster.Closure{Domain: d})
+// CloseDomain closes a failure domain to new work, which is its acknowledgement.
+func (s *Store) CloseDomain(d api.DomainName) error {
+	e, err := s.wire.EncodeClosure(roster.Closure{Domain: d})
 	if err != nil {
 		return err
 	}
@@ -75,13 +75,13 @@
 	return nil
 }
 
-// Open opens a failure domain again, if it is closed.
-func (s *Store) Open(d api.DomainName) error {
-	e, err := s.wire.Closure(roster.Closure{Domain: d})
+// OpenDomain opens a failure domain again, if it is closed.
+func (s *Store) OpenDomain(d api.DomainName) error {
+	e, err := s.wire.EncodeClosure(roster.Closure{Domain: d})
 	if err != nil {
 		return err
 	}
-	s.Drop(e)
+	s.Delete(e)
 	return nil
 }
 
@@ -92,7 +92,7 @@
 
 // register writes the entry of a server.
 func (s *Store) register(x roster.Server) error {
-	e, err := s.wire.Server(x)
+	e, err := s.wire.EncodeServer(x)
 	if err != nil {
 		return err
 	}
@@ -102,16 +102,16 @@
 
 // unregister removes the entry of a server, if it is there.
 func (s *Store) unregister(x roster.Server) error {
-	e, err := s.wire.Server(x)
+	e, err := s.wire.EncodeServer(x)
 	if err != nil {
 		return err
 	}
-	s.Drop(e)
+	s.Delete(e)
 	return nil
 }
 
-// Drop removes an object as another writer would; it reports false where it is not there.
-func (s *Store) Drop(e Entry) bool {
+// Delete removes an object as another writer would; it reports false where it is not there.
+func (s *Store) Delete(e Entry) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	o, ok := s.objects[e.Kind][e.Name]
@@ -119,13 +119,13 @@
 		return false
 	}
 	delete(s.objects[e.Kind], e.Name)
-	s.note(e.Kind, Change{Object: o, Removed: true})
+	s.recordChange(e.Kind, Change{Object: o, Removed: true})
 	return true
 }
 
-// Prune removes the objects of a kind but for those named, as entries lapse that nobody
+// DeleteExcept removes the objects of a kind but for those named, as entries lapse that nobody
 // writes any more.
-func (s *Store) Prune(kind string, named map[string]bool) {
+func (s *Store) DeleteExcept(kind string, named map[string]bool) {
 	s.mutex.Lock()
 	var l []Entry
 	for n := range s.objects[kind] {
@@ -135,7 +135,7 @@
 	}
 	s.mutex.Unlock()
 	for _, e := range l {
-		s.Drop(e)
+		s.Delete(e)
 	}
 }
 
@@ -146,7 +146,7 @@
 	if _, ok := s.objects[e.Kind][e.Name]; ok {
 		return false
 	}
-	s.set(e)
+	s.putLocked(e)
 	return true
 }
 
@@ -154,11 +154,11 @@
 func (s *Store) put(e Entry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.set(e)
+	s.putLocked(e)
 }
 
-// set writes an object, which is no change where it is there as it is; the mutex is held.
-func (s *Store) set(e Entry) {
+// putLocked writes an object, which is no change where it is there as it is; the mutex is held.
+func (s *Store) putLocked(e Entry) {
 	if o, ok := s.objects[e.Kind][e.Name]; ok && bytes.Equal(o.Value, e.Spec) {
 		return
 	}
@@ -166,45 +166,45 @@
 	if s.objects[e.Kind] == nil {
 		s.objects[e.Kind] = map[string]Object{}
 	}
-	s.objects[e.Kind][e.Name] = s.note(e.Kind, Change{Object: o})
+	s.objects[e.Kind][e.Name] = s.recordChange(e.Kind, Change{Object: o})
 }
 
-// note gives a change the next version, keeps it and wakes who waits; the mutex
+// recordChange gives a change the next version, keeps it and wakes who waits; the mutex
 // is held.
-func (s *Store) note(kind string, c Change) Object {
-	s.at++
-	c.Version = s.at
-	s.changes = append(s.changes, change{kind: kind, Change: c})
-	s.wakeAll()
+func (s *Store) recordChange(kind string, c Change) Object {
+	s.version++
+	c.Version = s.version
+	s.changes = append(s.changes, kindChange{kind: kind, Change: c})
+	s.wakeWatchers()
 	return c.Object
 }
 
-// wakeAll wakes who waits for a change; the mutex is held.
-func (s *Store) wakeAll() {
-	close(s.wake)
-	s.wake = make(chan struct{})
+// wakeWatchers wakes who waits for a change; the mutex is held.
+func (s *Store) wakeWatchers() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Forget drops the history: watches from before fail.
-func (s *Store) Forget() {
+// DropHistory drops the history: watches from before fail.
+func (s *Store) DropHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.changes = nil
-	s.floor = s.at.Revision()
-	s.wakeAll()
+	s.historyStart = s.version.Revision()
+	s.wakeWatchers()
 }
 
-// Copy is a copy of the store's objects.
-type Copy struct {
-	at      api.Version
+// Backup is a copy of the store's objects.
+type Backup struct {
+	version api.Version
 	objects map[string]map[string]Object
 }
 
-// Copy makes a copy of the store, to come back from later.
-func (s *Store) Copy() Copy {
+// Backup makes a copy of the store, to come back from later.
+func (s *Store) Backup() Backup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	c := Copy{at: s.at, objects: map[string]map[string]Object{}}
+	c := Backup{version: s.version, objects: map[string]map[string]Object{}}
 	for k, l := range s.objects {
 		c.objects[k] = maps.Clone(l)
 	}
@@ -213,11 +213,11 @@
 
 // Restore brings the store back from a copy: what was written since is gone, and revisions
 // are given out again in a new era. Who waits for changes learns that the history is gone.
-func (s *Store) Restore(c Copy) {
+func (s *Store) Restore(c Backup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	e := s.at.Era() + 1
-	s.at = api.NewVersion(e, c.at.Revision())
+	e := s.version.Era() + 1
+	s.version = api.NewVersion(e, c.version.Revision())
 	s.objects = map[string]map[string]Object{}
 	for k, l := range c.objects {
 		s.objects[k] = map[string]Object{}
@@ -227,15 +227,15 @@
 		}
 	}
 	s.changes = nil
-	s.floor = s.at.Revision()
-	s.wakeAll()
+	s.historyStart = s.version.Revision()
+	s.wakeWatchers()
 }
 
 // Era counts how often the store came back from a copy, from one on.
 func (s *Store) Era() api.Era {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.at.Era()
+	return s.version.Era()
 }
 
 // list gives a page of a kind behind a name.
@@ -249,20 +249,20 @@
 		}
 	}
 	slices.Sort(names)
-	p := Page{At: s.at, More: len(names) > pageSize}
+	p := Page{Version: s.version, More: len(names) > pageSize}
 	for _, n := range names[:min(len(names), pageSize)] {
 		p.Items = append(p.Items, s.objects[kind][n])
 	}
 	return p
 }
 
-// since gives the changes of a kind after a revision, or false where they are forgotten or
+// changesSince gives the changes of a kind after a revision, or false where they are forgotten or
 // the revision was not reached yet, and what is closed at the next change.
-func (s *Store) since(kind string, from api.Revision) (Changes, <-chan struct{}, bool) {
+func (s *Store) changesSince(kind string, from api.Revision) (Changes, <-chan struct{}, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	c := Changes{At: s.at}
-	if from < s.floor || from > s.at.Revision() {
+	c := Changes{At: s.version}
+	if from < s.historyStart || from > s.version.Revision() {
 		return c, nil, false
 	}
 	for _, x := range s.changes {
@@ -270,5 +270,5 @@
 			c.Items = append(c.Items, x.Change)
 		}
 	}
-	return c, s.wake, true
+	return c, s.changed, true
 }
