--- a/internal/standin/hosted/caller.go
+++ b/internal/standin/hosted/caller.go
@@ -13,7 +13,7 @@
 	"github.com/wardridge/wardridge/internal/upstream"
 )
 
-// Call is one request of a caller.
+// Call is one request of a caller to an entry VM.
 type Call struct {
 	ID     api.RequestID
 	Method string
@@ -22,49 +22,52 @@
 	Key    string
 	Body   string
 	Wait   time.Duration
-	// Tokens is the length of the answer that a stream asks for; zero for plain
-	// requests.
+	// Tokens is the length of the answer that is requested as a stream; it is zero for
+	// plain requests.
 	Tokens api.Tokens
-	// LeaveAfter is the event after which the caller leaves; zero for none.
+	// LeaveAfter is the number of events after which the caller closes the stream; zero
+	// means that it reads the whole stream.
 	LeaveAfter int
 }
 
-// Head is what the head of an answer tells.
+// Head is the decoded head of an answer.
 type Head struct {
-	// Status is zero where no answer began.
+	// Status is zero if no answer arrived.
 	Status int
-	// Signed is set on answers of backend servers, Stream on those that come event
-	// by event.
+	// Signed is set if the answer came from a backend server, Stream if it is an event
+	// stream.
 	Signed bool
 	Stream bool
 }
 
-// Reply is what came of a call.
+// Reply is the result of a call.
 type Reply struct {
 	Head
 	Body string
-	// Events are the data of a stream's events, Whole the proper end of an answer.
+	// Events holds the data of a stream's events. Complete is set if the answer arrived up to
+	// its proper end.
 	Events   []string
 	Complete bool
-	// Left is set where the caller left on purpose.
+	// Left is set if the caller closed the stream on purpose.
 	Left bool
-	// Err tells why no whole answer came; nil for a whole one.
+	// Err is the reason why the answer is not complete; it is nil for a complete answer and
+	// for a stream that the caller closed.
 	Err error
 }
 
-// Caller sends calls over connections that it keeps while it may.
+// Caller sends calls over pooled connections.
 type Caller struct {
 	wire Wire
 	pool *upstream.Pool
 }
 
-// NewCaller makes a caller over a pool of connections, which never sends a
+// NewCaller returns a caller that uses a pool of connections. The pool never sends a
 // request twice.
 func NewCaller(w Wire, p *upstream.Pool) *Caller {
 	return &Caller{wire: w, pool: p}
 }
 
-// Do sends a call to an entry VM and reads its answer to the end.
+// Do sends a call to an entry VM and reads the whole answer.
 func (c *Caller) Do(ctx context.Context, address string, x Call) Reply {
 	ctx, cancel := context.WithTimeout(ctx, x.Wait)
 	defer cancel()
@@ -80,28 +83,29 @@
 	}
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
-		y.Err = fault.Wrap(fault.BadAnswer, err, "the answer was cut short")
+		y.Err = fault.Wrap(fault.BadAnswer, err, "answer ended before its full length")
 		return y
 	}
 	y.Body, y.Complete = string(b), true
 	return y
 }
 
-// readStream takes a stream's events until its end, or until the caller leaves.
-func (y *Reply) readStream(body io.Reader, leave int) {
+// readStream reads the events of a stream up to its end, or until the caller closes it after
+// the event with the number leaveAfter, if that is not zero.
+func (y *Reply) readStream(body io.Reader, leaveAfter int) {
 	sse.Read(body, nil)(func(e sse.Event, err error) bool {
 		if err != nil {
-			y.Err = fault.Wrap(fault.BadAnswer, err, "the stream broke")
+			y.Err = fault.Wrap(fault.BadAnswer, err, "stream broke off")
 			return false
 		}
 		y.Events = append(y.Events, e.Data)
-		y.Left = leave > 0 && len(y.Events) == leave
+		y.Left = leaveAfter > 0 && len(y.Events) == leaveAfter
 		return !y.Left
 	})
 	y.Complete = y.Err == nil && !y.Left
 }
 
-// Ready asks an entry VM whether it takes callers.
+// Ready reports whether an entry VM accepts callers.
 func Ready(ctx context.Context, w Wire, c *http.Client, address string) bool {
 	a, err := c.Do(w.EncodeReadyCheck(address).WithContext(ctx))
 	if err != nil {
--- a/internal/standin/hosted/doc.go
+++ b/internal/standin/hosted/doc.go
@@ -1,4 +1,4 @@
-// Package hosted stands in for a hosting platform in tests and in the soak: its
-// store, its backend servers and its callers, which record what they saw. A Wire
-// translates between them and the platform's messages.
+// Package hosted simulates a hosting platform for tests and the soak test: its
+// store, its backend servers and its callers. They record what they observe. A Wire
+// translates between them and the platform's wire format.
 package hosted
--- a/internal/standin/hosted/endpoint.go
+++ b/internal/standin/hosted/endpoint.go
@@ -8,26 +8,28 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Outcome is what becomes of a call of the store.
+// Outcome is the result of a call to the store.
 type Outcome int
 
 // Outcomes.
 const (
-	// Answered calls get what they ask for.
+	// Answered calls succeed.
 	Answered Outcome = iota
-	// Busy and Throttled calls are refused.
+	// Busy calls are rejected by an unavailable store, Throttled ones by its rate limit.
 	Busy
 	Throttled
 	// Disconnected calls lose their connection.
 	Disconnected
-	// HistoryGone calls ask for changes that are no longer kept.
+	// HistoryGone calls request changes that are no longer stored.
 	HistoryGone
-	// AlreadyExists calls make an object that is there, Missing ones remove one that is not.
+	// AlreadyExists calls create an object that exists, NotFound ones delete one that
+	// doesn't.
 	AlreadyExists
 	NotFound
 )
 
-// Endpoint is the store as one caller of it meets it.
+// Endpoint gives one client access to the store and injects failures and delays into its
+// calls.
 type Endpoint struct {
 	store *Store
 
@@ -36,24 +38,25 @@
 	delay   time.Duration
 }
 
-// NewEndpoint makes an endpoint that answers.
+// NewEndpoint returns an endpoint that injects no failures.
 func (s *Store) NewEndpoint() *Endpoint {
 	return &Endpoint{store: s}
 }
 
-// SetOutcome changes what becomes of calls, and by how much they are held back.
+// SetOutcome sets the outcome of the following calls and the delay before it. Answered lets
+// the calls pass to the store.
 func (e *Endpoint) SetOutcome(o Outcome, slow time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.outcome, e.delay = o, slow
 }
 
-// Era counts how often the store came back from a copy.
+// Era returns the era of the store, which grows by one with each restore from a backup.
 func (e *Endpoint) Era() api.Era {
 	return e.store.Era()
 }
 
-// delayedOutcome holds a call back and gives what becomes of it.
+// delayedOutcome waits for the delay and returns the outcome that is set for calls.
 func (e *Endpoint) delayedOutcome() Outcome {
 	e.mutex.Lock()
 	o, slow := e.outcome, e.delay
@@ -62,7 +65,7 @@
 	return o
 }
 
-// List gives a page of a kind behind a name.
+// List returns the page of a kind that follows a name.
 func (e *Endpoint) List(kind, after string) (Page, Outcome) {
 	if o := e.delayedOutcome(); o != Answered {
 		return Page{}, o
@@ -70,7 +73,7 @@
 	return e.store.list(kind, after), Answered
 }
 
-// Watch waits for the changes of a kind after a revision.
+// Watch waits for changes to objects of a kind after a revision.
 func (e *Endpoint) Watch(ctx context.Context, kind string, from api.Revision, wait time.Duration) (Changes, Outcome) {
 	if o := e.delayedOutcome(); o != Answered {
 		return Changes{}, o
@@ -95,7 +98,7 @@
 	}
 }
 
-// Create makes an object.
+// Create creates an object.
 func (e *Endpoint) Create(x Entry) Outcome {
 	if o := e.delayedOutcome(); o != Answered {
 		return o
@@ -106,7 +109,7 @@
 	return Answered
 }
 
-// Delete removes an object.
+// Delete deletes an object.
 func (e *Endpoint) Delete(kind, name string) Outcome {
 	if o := e.delayedOutcome(); o != Answered {
 		return o
--- a/internal/standin/hosted/fleet.go
+++ b/internal/standin/hosted/fleet.go
@@ -12,18 +12,18 @@
 	"github.com/wardridge/wardridge/internal/duty"
 )
 
-// Pace is how fast a backend server works.
+// Pace sets how long the work of a backend server takes.
 type Pace struct {
-	// PlainAnswer is what a plain answer takes.
+	// PlainAnswer is the time to produce a plain answer.
 	PlainAnswer time.Duration
 	// EventInterval is the pause before each event of a stream.
 	EventInterval time.Duration
-	// Copy is what one copy of a run's memory takes.
+	// Copy is the time to copy the state of a run.
 	Copy time.Duration
 }
 
-// Fleet is the backend servers that reach each other, with their store and
-// their journal.
+// Fleet is a set of backend servers that can copy runs to each other, with their store and
+// the journal of their requests and runs.
 type Fleet struct {
 	Store   *Store
 	Journal *Journal
@@ -31,17 +31,18 @@
 
 	mutex   sync.Mutex
 	servers map[string]*Server
-	// crashBodies bodies crash the servers that run them, of which crashed is told.
+	// crashBodies are the request bodies that crash the servers that run them; onCrash is
+	// called for each crash.
 	crashBodies map[string]bool
 	onCrash     func(s *Server, body string)
 }
 
-// NewFleet makes a fleet without servers.
+// NewFleet returns a fleet without servers.
 func NewFleet(s *Store, p Pace) *Fleet {
 	return &Fleet{Store: s, Journal: NewJournal(), Pace: p, servers: map[string]*Server{}, crashBodies: map[string]bool{}}
 }
 
-// serverAt finds the server that others reach serverAt an address.
+// serverAt returns the running server at an address.
 func (f *Fleet) serverAt(address string) (*Server, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -49,26 +50,29 @@
 	return s, ok
 }
 
-// CrashOnBody lets requests of a body crash the servers that run them; told is told of each.
-func (f *Fleet) CrashOnBody(body string, told func(s *Server, body string)) {
+// CrashOnBody makes requests with a body crash the servers that run them. After each crash,
+// onCrash is called, in place of the function set by earlier calls.
+func (f *Fleet) CrashOnBody(body string, onCrash func(s *Server, body string)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.crashBodies[body] = true
-	f.onCrash = told
+	f.onCrash = onCrash
 }
 
-// crashHandler reports whether a body crashes what runs it, and who is to be told.
+// crashHandler reports whether a body crashes the server that runs it, and returns the
+// function to call after the crash.
 func (f *Fleet) crashHandler(body string) (func(s *Server, body string), bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.onCrash, f.crashBodies[body]
 }
 
-// readHeaderTimeout bounds the time that the head of a request may take.
+// readHeaderTimeout is the maximum time to read the head of a request.
 const readHeaderTimeout = 5 * time.Second
 
-// StartServer runs a server on a listener until it is ended, without an entry in the
-// store; others reach it at its address. Engines answer by streams.
+// StartServer starts a server on a listener and returns it with a function that stops it.
+// The server has no entry in the store until Register is called, but other servers can
+// copy runs to it. Engines answer with event streams.
 func (f *Fleet) StartServer(s roster.Server, engine bool, l net.Listener) (*Server, func()) {
 	g, closer := duty.New(context.Background())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,7 +82,7 @@
 	}
 	x.http = &http.Server{Handler: f.Store.wire.ServerHandler(x), ReadHeaderTimeout: readHeaderTimeout}
 	g.Go(func(context.Context) error {
-		// It ends when the server is closed.
+		// Serve always returns an error when the server is closed.
 		_ = x.http.Serve(l)
 		return nil
 	})
--- a/internal/standin/hosted/journal.go
+++ b/internal/standin/hosted/journal.go
@@ -7,50 +7,53 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Request is a request as it comes to a backend server.
+// Request is a request as it arrives at a backend server.
 type Request struct {
 	ID        api.RequestID
 	Method    string
 	Target    string
 	Body      string
 	Workspace api.WorkspaceName
-	// ExpectedServer is the one that is meant; empty for whoever has the address.
+	// ExpectedServer is the server that the request is addressed to; if it is empty, any
+	// server at the address may run it.
 	ExpectedServer api.ServerID
-	// ResumeFrom names the copy of a run's memory to go on from; empty for a new run.
+	// ResumeFrom is the handle of the copy to resume a run from; it is empty for a new run.
 	ResumeFrom string
-	// LastEvent is the last event that the caller has, zero for none.
+	// LastEvent is the number of the last event that the caller has received; zero means
+	// none.
 	LastEvent int
-	// Tokens is the length of the answer that a stream asks for.
+	// Tokens is the length of the answer that is requested as a stream.
 	Tokens api.Tokens
-	// BackupAddress is the address of the server that is to keep a copy as the run
-	// grows; empty for none.
+	// BackupAddress is the address of the server that holds a backup copy of the run while
+	// it grows; it is empty for a run without a backup.
 	BackupAddress string
 }
 
-// Arrival is one request with the server that it came to.
+// Arrival is the arrival of a request at a server.
 type Arrival struct {
 	Request
 	At time.Time
-	// Server is the server that took it.
+	// Server is the server that the request arrived at.
 	Server api.ServerName
-	// Refused is set where that said that it did not run it.
+	// Refused is set if the server answered that it did not run the request.
 	Refused bool
-	// Signals is what the server says of itself in its answer.
+	// Signals are the signals in the server's answer.
 	Signals Signals
 }
 
-// Run is one time that a server worked on a request.
+// Run is the execution of a request at one server.
 type Run struct {
 	RequestID api.RequestID
 	Server    api.ServerName
-	// Generation is kept by copies of the run's memory.
+	// Generation identifies the output of a run. A run that is resumed from a copy keeps the
+	// generation.
 	Generation int
 	Started    time.Time
-	// Ended is zero while the server is at work.
+	// Ended is zero while the server executes the run.
 	Ended time.Time
 }
 
-// Journal records what backend servers saw.
+// Journal records the requests and runs of backend servers.
 type Journal struct {
 	mutex          sync.Mutex
 	arrivals       []Arrival
@@ -58,7 +61,7 @@
 	lastGeneration int
 }
 
-// NewJournal makes an empty journal.
+// NewJournal returns an empty journal.
 func NewJournal() *Journal {
 	return &Journal{}
 }
@@ -70,7 +73,7 @@
 	j.arrivals = append(j.arrivals, a)
 }
 
-// startRun notes the start of a run; a zero generation is a new one.
+// startRun records the start of a run. For generation zero it assigns a new one.
 func (j *Journal) startRun(id api.RequestID, s api.ServerName, generation int) *Run {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -91,7 +94,7 @@
 	}
 }
 
-// Records gives what was recorded so far.
+// Records returns the arrivals and runs recorded so far.
 func (j *Journal) Records() ([]Arrival, []Run) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
--- a/internal/standin/hosted/server.go
+++ b/internal/standin/hosted/server.go
@@ -12,36 +12,38 @@
 	"github.com/wardridge/wardridge/internal/duty"
 )
 
-// AnswerWriter takes what a server answers to one request.
+// AnswerWriter writes the answer of a server to one request.
 type AnswerWriter interface {
-	// SetSignals gives what the server says of itself; it comes before the answer itself.
+	// SetSignals sets the signals of the answer; it is called before all other methods.
 	SetSignals(x Signals)
-	// RefuseMisdirected says that another server was meant, NotRun that this one did not
-	// run the request.
+	// RefuseMisdirected answers that the request was addressed to a different server.
 	RefuseMisdirected()
+	// RefuseNotRun answers that the server did not run the request.
 	RefuseNotRun()
-	// WriteAnswer gives a complete answer, Begin the head of a stream.
+	// WriteAnswer writes a complete answer.
 	WriteAnswer(body string)
+	// BeginStream writes the head of an event stream.
 	BeginStream()
-	// WriteEvent gives one event by its number; it fails once the caller is gone.
+	// WriteEvent writes the event with the number n; it fails once the caller is gone.
 	WriteEvent(n int, data string) error
-	// Abort breaks the answer off. It may end the calling goroutine by a panic that
-	// the wire's server expects.
+	// Abort breaks the answer off. It may end the calling goroutine by a panic that the
+	// wire's HTTP server recovers.
 	Abort()
 }
 
-// Signals is what a server says of itself in an answer.
+// Signals are the signals on its own state that a server sends with an answer.
 type Signals struct {
-	// Limit is the requests a second that it takes from all entry VMs; nil names none.
+	// Limit is the number of requests per second that the server accepts from all entry VMs
+	// together; nil means that it sends no limit.
 	Limit *float64
-	// Leaving says that it is about to end.
+	// Leaving is set if the server is about to stop.
 	Leaving bool
-	// Backoff is how long it wants nothing from the entry VM that it turns away; zero turns
-	// nobody away.
+	// Backoff is how long an entry VM whose request is refused must not send another one. If
+	// it is not zero, the server refuses all requests.
 	Backoff time.Duration
 }
 
-// Server is one life of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
 	roster.Server
 
@@ -49,37 +51,38 @@
 	engine bool
 	group  *duty.Group
 	http   *http.Server
-	// cancel ends the server, and with it the context ended.
+	// cancel stops the work of the server by canceling stopped.
 	cancel  context.CancelFunc
 	stopped context.Context
 
 	mutex  sync.Mutex
 	active int
-	// stopAt is when the server ends, zero while no end is planned.
+	// stopAt is the time at which the server stops; it is zero while no stop is planned.
 	stopAt time.Time
-	// losesAnswers servers break off every loseEvery-th of the plain requests that they
-	// ran, in place of an answer.
+	// losesAnswers makes the server break off the answer to every loseEvery-th plain request
+	// that it has run.
 	losesAnswers  bool
 	plainRequests int
-	// signals is what the server says of itself in its answers.
+	// signals are sent with each answer.
 	signals Signals
 	runs    map[api.RequestID]*streamRun
 	copies  map[string]*runState
 }
 
-// Register writes the server's entry.
+// Register writes the server's entry to the store.
 func (s *Server) Register() error {
 	e := s.Server
 	_, e.Draining = s.TimeLeft()
 	return s.fleet.Store.register(e)
 }
 
-// Unregister removes the server's entry.
+// Unregister removes the server's entry from the store.
 func (s *Server) Unregister() error {
 	return s.fleet.Store.unregister(s.Server)
 }
 
-// AnnounceStop tells that the server ends after a time; the caller ends it then.
+// AnnounceStop announces in the server's entry and reports that the server stops after a
+// time. The caller has to stop it then.
 func (s *Server) AnnounceStop(after time.Duration) error {
 	s.mutex.Lock()
 	s.stopAt = time.Now().Add(after)
@@ -87,17 +90,17 @@
 	return s.Register()
 }
 
-// TimeLeft is the time until the server's end, or false while none is planned.
+// TimeLeft returns the time until the server stops; it reports false if no stop is planned.
 func (s *Server) TimeLeft() (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return time.Until(s.stopAt), !s.stopAt.IsZero()
 }
 
-// Crash ends the server without a word to anyone.
+// Crash stops the server without notice.
 func (s *Server) Crash() {
 	s.cancel()
-	// Its connections are cut, whatever they were doing.
+	// Close also closes connections with requests in progress.
 	_ = s.http.Close()
 	s.fleet.mutex.Lock()
 	defer s.fleet.mutex.Unlock()
@@ -106,7 +109,7 @@
 	}
 }
 
-// Serve answers a request as an entry VM passed it on.
+// Serve answers a request that an entry VM forwarded.
 func (s *Server) Serve(ctx context.Context, a Request, w AnswerWriter) {
 	misdirected := a.ExpectedServer != "" && a.ExpectedServer != s.ID
 	x := s.currentSignals()
@@ -124,16 +127,16 @@
 	}
 }
 
-// crashDelay is how long a server runs a request that crashes it.
+// crashDelay is how long a server runs a request before the request crashes it.
 const crashDelay = 50 * time.Millisecond
 
 func (s *Server) execute(ctx context.Context, a Request, w AnswerWriter) {
-	if told, ok := s.fleet.crashHandler(a.Body); ok {
+	if onCrash, ok := s.fleet.crashHandler(a.Body); ok {
 		x := s.fleet.Journal.startRun(a.ID, s.Name, 0)
 		defer s.fleet.Journal.endRun(x)
 		s.sleep(ctx, crashDelay)
 		s.Crash()
-		told(s, a.Body)
+		onCrash(s, a.Body)
 		w.Abort()
 		return
 	}
@@ -144,7 +147,7 @@
 	s.servePlain(ctx, a.ID, w)
 }
 
-// acquireSlot takes one of the server's slots.
+// acquireSlot occupies one of the server's slots; it reports false if all are occupied.
 func (s *Server) acquireSlot() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -161,7 +164,7 @@
 	s.active--
 }
 
-// servePlain answers a request whole.
+// servePlain answers a request with a complete body.
 func (s *Server) servePlain(ctx context.Context, id api.RequestID, w AnswerWriter) {
 	x := s.fleet.Journal.startRun(id, s.Name, 0)
 	defer s.fleet.Journal.endRun(x)
@@ -175,17 +178,17 @@
 	w.WriteAnswer(PlainBody(id, s.Name))
 }
 
-// loseEvery is how many requests a losing server runs for each lost answer.
+// loseEvery is the number of plain requests per lost answer at a server that loses answers.
 const loseEvery = 3
 
-// LoseAnswers makes the server lose answers, or answer again.
+// LoseAnswers sets whether the server loses answers.
 func (s *Server) LoseAnswers(losing bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.losesAnswers = losing
 }
 
-// SetSignals lets the server say something else of itself from now on.
+// SetSignals sets the signals of the following answers.
 func (s *Server) SetSignals(x Signals) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -198,7 +201,7 @@
 	return s.signals
 }
 
-// losesNextAnswer reports whether the answer of the present request is lost.
+// losesNextAnswer counts a plain request and reports whether its answer is lost.
 func (s *Server) losesNextAnswer() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -206,16 +209,16 @@
 	return s.losesAnswers && s.plainRequests%loseEvery == 0
 }
 
-// bodyLines makes an answer long enough to be cut inside.
+// bodyLines makes an answer long enough that it can break off inside the body.
 const bodyLines = 16
 
-// PlainBody is the answer of a server to a request of a plain service.
+// PlainBody returns the body with which a server answers a plain request.
 func PlainBody(id api.RequestID, s api.ServerName) string {
 	return strings.Repeat(string(id)+" by "+string(s)+"\n", bodyLines)
 }
 
-// sleep works for a time; it reports false once the caller or the server is
-// gone.
+// sleep simulates work for a time; it reports false as soon as the caller is gone or the
+// server is stopped.
 func (s *Server) sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/standin/hosted/store.go
+++ b/internal/standin/hosted/store.go
@@ -12,17 +12,17 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// pageSize is the number of objects in one page of a list; it is small, so that
-// lists are read page by page.
+// pageSize is the maximum number of objects in one page of a list. It is small, so that
+// lists in tests have several pages.
 const pageSize = 8
 
-// Object is one object with its contents as the wire has them.
+// Object is an object with its contents as encoded by the wire.
 type Object = replica.Object[[]byte]
 
-// Change is one object that was written or removed.
+// Change is an object that was written or removed.
 type Change = replica.Change[[]byte]
 
-// Changes are what happened up to a version.
+// Changes are the changes up to a version.
 type Changes = replica.Changes[[]byte]
 
 // Page is one page of a list.
@@ -32,13 +32,13 @@
 	More    bool
 }
 
-// kindChange is one write with the kind that it was of.
+// kindChange is a change with the kind of its object.
 type kindChange struct {
 	kind string
 	Change
 }
 
-// Store keeps objects by kind and name, with the changes since a version.
+// Store holds objects by kind and name, and the history of changes since a revision.
 type Store struct {
 	wire Wire
 
@@ -50,12 +50,12 @@
 	changed      chan struct{}
 }
 
-// NewStore makes an empty store that is written over a wire.
+// NewStore returns an empty store whose objects are encoded by a wire.
 func NewStore(w Wire) *Store {
 	return &Store{wire: w, version: api.NewVersion(1, 1), objects: map[string]map[string]Object{}, changed: make(chan struct{})}
 }
 
-// WriteConfig writes a configuration, which is its acknowledgement.
+// WriteConfig writes a configuration; its return acknowledges the write.
 func (s *Store) WriteConfig(c directory.Config) error {
 	e, err := s.wire.EncodeConfig(c)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// CloseDomain closes a failure domain to new work, which is its acknowledgement.
+// CloseDomain closes a failure domain to new work; its return acknowledges the closure.
 func (s *Store) CloseDomain(d api.DomainName) error {
 	e, err := s.wire.EncodeClosure(roster.Closure{Domain: d})
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// OpenDomain opens a failure domain again, if it is closed.
+// OpenDomain opens a failure domain again if it is closed.
 func (s *Store) OpenDomain(d api.DomainName) error {
 	e, err := s.wire.EncodeClosure(roster.Closure{Domain: d})
 	if err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Write puts an object as another writer would, whatever it holds.
+// Write writes an object with arbitrary contents, as a writer outside the fleet may do.
 func (s *Store) Write(e Entry) {
 	s.put(e)
 }
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// unregister removes the entry of a server, if it is there.
+// unregister removes the entry of a server if it exists.
 func (s *Store) unregister(x roster.Server) error {
 	e, err := s.wire.EncodeServer(x)
 	if err != nil {
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// Delete removes an object as another writer would; it reports false where it is not there.
+// Delete removes an object, as a writer outside the fleet may do; it reports false if the
+// object doesn't exist.
 func (s *Store) Delete(e Entry) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -123,13 +124,13 @@
 	return true
 }
 
-// DeleteExcept removes the objects of a kind but for those named, as entries lapse that nobody
-// writes any more.
-func (s *Store) DeleteExcept(kind string, named map[string]bool) {
+// DeleteExcept removes all objects of a kind except the named ones, as a store does with
+// entries that expire because nobody renews them.
+func (s *Store) DeleteExcept(kind string, names map[string]bool) {
 	s.mutex.Lock()
 	var l []Entry
 	for n := range s.objects[kind] {
-		if !named[n] {
+		if !names[n] {
 			l = append(l, Entry{Kind: kind, Name: n})
 		}
 	}
@@ -139,7 +140,7 @@
 	}
 }
 
-// create makes an object; it reports false where it is there already.
+// create creates an object; it reports false if it exists already.
 func (s *Store) create(e Entry) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -157,7 +158,8 @@
 	s.putLocked(e)
 }
 
-// putLocked writes an object, which is no change where it is there as it is; the mutex is held.
+// putLocked writes an object. If its contents are the same as before, this is no change. The
+// caller must hold the mutex.
 func (s *Store) putLocked(e Entry) {
 	if o, ok := s.objects[e.Kind][e.Name]; ok && bytes.Equal(o.Value, e.Spec) {
 		return
@@ -169,8 +171,8 @@
 	s.objects[e.Kind][e.Name] = s.recordChange(e.Kind, Change{Object: o})
 }
 
-// recordChange gives a change the next version, keeps it and wakes who waits; the mutex
-// is held.
+// recordChange gives a change the next version, adds it to the history and wakes the
+// watchers. The caller must hold the mutex.
 func (s *Store) recordChange(kind string, c Change) Object {
 	s.version++
 	c.Version = s.version
@@ -179,13 +181,13 @@
 	return c.Object
 }
 
-// wakeWatchers wakes who waits for a change; the mutex is held.
+// wakeWatchers wakes all watches that wait for a change. The caller must hold the mutex.
 func (s *Store) wakeWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// DropHistory drops the history: watches from before fail.
+// DropHistory drops the history of changes, so that watches from an earlier revision fail.
 func (s *Store) DropHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -194,13 +196,13 @@
 	s.wakeWatchers()
 }
 
-// Backup is a copy of the store's objects.
+// Backup is a copy of the store's objects and version.
 type Backup struct {
 	version api.Version
 	objects map[string]map[string]Object
 }
 
-// Backup makes a copy of the store, to come back from later.
+// Backup returns a backup of the store for Restore.
 func (s *Store) Backup() Backup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -211,8 +213,8 @@
 	return c
 }
 
-// Restore brings the store back from a copy: what was written since is gone, and revisions
-// are given out again in a new era. Who waits for changes learns that the history is gone.
+// Restore restores the store from a backup: later changes are lost, and their revisions are
+// assigned again in a new era. Watches that wait for changes fail, since the history is gone.
 func (s *Store) Restore(c Backup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -231,14 +233,15 @@
 	s.wakeWatchers()
 }
 
-// Era counts how often the store came back from a copy, from one on.
+// Era returns the era of the store: it starts at one and grows by one with each restore from
+// a backup.
 func (s *Store) Era() api.Era {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.version.Era()
 }
 
-// list gives a page of a kind behind a name.
+// list returns the page of a kind that follows a name.
 func (s *Store) list(kind, after string) Page {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -256,8 +259,9 @@
 	return p
 }
 
-// changesSince gives the changes of a kind after a revision, or false where they are forgotten or
-// the revision was not reached yet, and what is closed at the next change.
+// changesSince returns the changes of a kind after a revision and a channel that is closed at
+// the next change. It reports false if the history doesn't reach back to the revision, or if
+// the store has not reached it yet.
 func (s *Store) changesSince(kind string, from api.Revision) (Changes, <-chan struct{}, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/hosted/stream.go
+++ b/internal/standin/hosted/stream.go
@@ -9,33 +9,34 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// TokensPerEvent is the number of tokens in one event.
+// TokensPerEvent is the number of tokens in each event of a stream.
 const TokensPerEvent = 4
 
-// backupInterval is the number of events between two copies of a protected run.
+// backupInterval is the number of events between two updates of a backup copy.
 const backupInterval = 4
 
-// copyRetention is how long a copy is kept that nobody uses.
+// copyRetention is how long an unused copy is stored.
 const copyRetention = 5 * time.Second
 
-// runState is what a copy of a run holds.
+// runState is the state of a run that a copy holds; it stands for the KV cache of an engine.
 type runState struct {
 	generation      int
 	total, produced int
 }
 
-// streamRun is one run of a stream at one server.
+// streamRun is a run at one server that answers with a stream.
 type streamRun struct {
 	record *Run
 	total  int
 
 	mutex    sync.Mutex
 	produced int
-	// stopped runs make no more events here: they go on elsewhere.
+	// stopped is set if the run produces no more events here, since it is resumed at another
+	// server.
 	stopped bool
 }
 
-// snapshot copies the run's state; with stop it makes no more events.
+// snapshot returns the run's state. If stop is set, the run produces no more events.
 func (g *streamRun) snapshot(stop bool) runState {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -43,8 +44,8 @@
 	return runState{generation: g.record.Generation, total: g.total, produced: g.produced}
 }
 
-// nextEvent makes the nextEvent event; it reports false for a run that was stopped or is
-// whole.
+// nextEvent produces the next event and returns its number. It reports false if the run was
+// stopped or is complete.
 func (g *streamRun) nextEvent() (int, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -55,12 +56,12 @@
 	return g.produced, true
 }
 
-// EventData is the data of an event, which tells its request, generation and place.
+// EventData returns the data of an event: its request, its generation and its number.
 func EventData(id api.RequestID, generation, n int) string {
 	return fmt.Sprintf("%s %d %d", id, generation, n)
 }
 
-// serveStream answers event by event, from the start or from a copy.
+// serveStream answers with an event stream, from the first event or resumed from a copy.
 func (s *Server) serveStream(ctx context.Context, a Request, w AnswerWriter) {
 	m, ok := s.initialState(a)
 	if !ok {
@@ -75,7 +76,7 @@
 	s.mutex.Unlock()
 	defer s.removeRun(a.ID, g)
 	w.BeginStream()
-	// What the copy holds and the caller lacks is sent at once.
+	// Events that the copy includes and the caller has not received are sent without delay.
 	for n := a.LastEvent + 1; n <= m.produced; n++ {
 		if err := w.WriteEvent(n, EventData(a.ID, x.Generation, n)); err != nil {
 			return
@@ -84,7 +85,8 @@
 	s.produceEvents(ctx, a, g, w)
 }
 
-// produceEvents makes produceEvents until the run is whole, stopped, or nobody reads it.
+// produceEvents produces events until the run is complete or stopped, the caller is gone, or
+// the server stops.
 func (s *Server) produceEvents(ctx context.Context, a Request, g *streamRun, w AnswerWriter) {
 	for s.sleep(ctx, s.fleet.Pace.EventInterval) {
 		n, ok := g.nextEvent()
@@ -99,13 +101,13 @@
 		}
 	}
 	if g.snapshot(false).produced < g.total {
-		// A run that stops, or a server that ends, leaves its stream without an end.
+		// The stream of an incomplete run must not have a proper end.
 		w.Abort()
 	}
 }
 
-// initialState is what a run starts with: nothing, or the copy that the request
-// names, which serves once.
+// initialState returns the state that a run starts with: that of a new run, or the copy that
+// the request names, which can be used only once. It reports false if there is no such copy.
 func (s *Server) initialState(a Request) (runState, bool) {
 	if a.ResumeFrom == "" {
 		return runState{total: max(1, int(a.Tokens)/TokensPerEvent)}, true
@@ -128,7 +130,7 @@
 	}
 }
 
-// EventCounts gives the number of events that each run has made.
+// EventCounts returns the number of events that each run has produced.
 func (s *Server) EventCounts() map[api.RequestID]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -139,8 +141,8 @@
 	return m
 }
 
-// updateBackup keeps a copy of a run as it grows at another server, under the
-// request's id.
+// updateBackup replaces the backup copy of a run at another server, which is stored under the
+// request's id. The backup of a complete run is released.
 func (s *Server) updateBackup(address string, g *streamRun) {
 	t, ok := s.fleet.serverAt(address)
 	if !ok {
@@ -155,21 +157,21 @@
 	t.addCopy(id, m)
 }
 
-// CopyResult is what became of an order to copy a run's memory.
+// CopyResult is the result of copying a run to another server.
 type CopyResult int
 
-// Outcomes of copies.
+// Results of copies.
 const (
-	// CopyDone copies are at the other server.
+	// CopyDone means that the other server holds the copy.
 	CopyDone CopyResult = iota
-	// CopyNoRun means that the server runs no such request, NoWay that the other
-	// server can't be reached.
+	// CopyNoRun means that the server has no run of the request.
 	CopyNoRun
+	// CopyUnreachable means that the other server can't be reached.
 	CopyUnreachable
 )
 
-// Copy copies a run's memory to the server at an address and gives the copy's
-// handle; with stop the run makes no more events here.
+// Copy copies the state of a run to the server at an address and returns the handle of the
+// copy. If stop is set, the run produces no more events here.
 func (s *Server) Copy(ctx context.Context, id api.RequestID, to string, stop bool) (string, CopyResult) {
 	s.mutex.Lock()
 	g, ok := s.runs[id]
@@ -188,14 +190,13 @@
 	m := g.snapshot(stop)
 	t.addCopy(h, m)
 	if stop {
-		// The run may go on here as well, until it does so elsewhere.
+		// Until the run is resumed at the other server, it can be resumed here as well.
 		s.addCopy(h, m)
 	}
 	return h, CopyDone
 }
 
-// addCopy keeps a copy under a handle; a later copy takes the place of the one
-// before.
+// addCopy stores a copy under a handle, in place of an earlier one, until it expires.
 func (s *Server) addCopy(handle string, m runState) {
 	s.mutex.Lock()
 	s.copies[handle] = &m
@@ -206,7 +207,7 @@
 	})
 }
 
-// expireCopy drops a copy that nobody has used in time.
+// expireCopy removes a copy after copyRetention, unless it was used or replaced before.
 func (s *Server) expireCopy(handle string, m *runState) {
 	s.sleep(context.Background(), copyRetention)
 	s.mutex.Lock()
@@ -216,7 +217,7 @@
 	}
 }
 
-// Release frees a copy; it reports false where there is none.
+// Release removes a copy; it reports false if there is none under the handle.
 func (s *Server) Release(handle string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
