--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -13,16 +13,16 @@
 
 // newHostedAdapter creates the adapter for the hosting platform.
 func newHostedAdapter(d node.AdapterDeps) node.Adapter {
-	o := platform.NewObjects(d.Platform, d.Address)
+	o := platform.NewStoreClient(d.Platform, d.Address)
 	bad := func(kind, name string, err error) {
 		d.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
 	}
 	return node.Adapter{
-		Config:           platform.Config(o, bad),
-		Servers:          platform.Servers(o, bad),
-		Closures:         platform.Closures(o, bad),
-		QuarantineSource: platform.Quarantined(o, bad),
-		QuarantineStore:  platform.NewQuarantines(o),
+		Config:           platform.NewConfigSource(o, bad),
+		Servers:          platform.NewServerSource(o, bad),
+		Closures:         platform.NewClosureSource(o, bad),
+		QuarantineSource: platform.NewQuarantineSource(o, bad),
+		QuarantineStore:  platform.NewQuarantineWriter(o),
 		Backends:         platform.NewBackends(d.Pool),
 		Ingress:          func(g *gateway.Gateway) http.Handler { return platform.Ingress(g) },
 		Readiness:        func(g *gateway.Gateway) http.Handler { return platform.Readiness(g) },
--- a/internal/standin/hosted/endpoint.go
+++ b/internal/standin/hosted/endpoint.go
@@ -8,79 +8,82 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Outcome is what becomes of a call of the store.
+// Outcome is the result of a call to the store.
 type Outcome int
 
 // Outcomes.
 const (
-	// Answered calls get what they ask for.
+	// Answered calls succeed.
 	Answered Outcome = iota
-	// Busy and Throttled calls are refused.
+	// Busy calls are rejected by an unavailable store, Throttled ones by its rate limit.
 	Busy
 	Throttled
-	// Cut calls lose their connection.
-	Cut
-	// Forgotten calls ask for changes that are no longer kept.
-	Forgotten
-	// Present calls make an object that is there, Missing ones remove one that is not.
-	Present
-	Missing
+	// Disconnected calls lose their connection.
+	Disconnected
+	// HistoryGone calls request changes that are no longer stored.
+	HistoryGone
+	// AlreadyExists calls create an object that exists, NotFound ones delete one that
+	// doesn't.
+	AlreadyExists
+	NotFound
 )
 
-// Endpoint is the store as one caller of it meets it.
+// Endpoint gives one client access to the store and injects failures and delays into its
+// calls.
 type Endpoint struct {
 	store *Store
 
 	mutex   sync.Mutex
 	outcome Outcome
-	slow    time.Duration
+	delay   time.Duration
 }
 
-// NewEndpoint makes an endpoint that answers.
+// NewEndpoint returns an endpoint that injects no failures.
 func (s *Store) NewEndpoint() *Endpoint {
 	return &Endpoint{store: s}
 }
 
-// Set changes what becomes of calls, and by how much they are held back.
-func (e *Endpoint) Set(o Outcome, slow time.Duration) {
+// SetOutcome sets the outcome of the following calls and the delay before it. Answered lets
+// the calls pass to the store.
+func (e *Endpoint) SetOutcome(o Outcome, slow time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.outcome, e.slow = o, slow
+	e.outcome, e.delay = o, slow
 }
 
-// Era counts how often the store came back from a copy.
+// Era returns the era of the store, which grows by one with each restore from a backup.
 func (e *Endpoint) Era() api.Era {
 	return e.store.Era()
 }
 
-// take holds a call back and gives what becomes of it.
-func (e *Endpoint) take() Outcome {
+// delayedOutcome waits for the delay and returns the outcome that is set for calls.
+func (e *Endpoint) delayedOutcome() Outcome {
 	e.mutex.Lock()
-	o, slow := e.outcome, e.slow
+	o, slow := e.outcome, e.delay
 	e.mutex.Unlock()
 	time.Sleep(slow)
 	return o
 }
 
-// List gives a page of a kind behind a name.
+// List returns the page of a kind that follows a name.
 func (e *Endpoint) List(kind, after string) (Page, Outcome) {
-	if o := e.take(); o != Answered {
+	if o := e.delayedOutcome(); o != Answered {
 		return Page{}, o
 	}
 	return e.store.list(kind, after), Answered
 }
 
-// Watch waits for the changes of a kind after a revision.
+// Watch waits for changes to objects of a kind after a revision.
 func (e *Endpoint) Watch(ctx context.Context, kind string, from api.Revision, wait time.Duration) (Changes, Outcome) {
-	if o := e.take(); o != Answered {
+	if o := e.delayedOutcome(); o != Answered {
 		return Changes{}, o
 	}
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
-		c, wake, ok := e.store.since(kind, from)
+		c, wake, ok := e.store.changesSince(kind, from)
 		if !ok {
-			return c, Forgotten
+			return c, HistoryGone
 		}
 		if len(c.Items) > 0 {
 			return c, Answered
@@ -90,29 +93,29 @@
 		case <-end.C:
 			return c, Answered
 		case <-ctx.Done():
-			return c, Cut
+			return c, Disconnected
 		}
 	}
 }
 
-// Create makes an object.
+// Create creates an object.
 func (e *Endpoint) Create(x Entry) Outcome {
-	if o := e.take(); o != Answered {
+	if o := e.delayedOutcome(); o != Answered {
 		return o
 	}
 	if !e.store.create(x) {
-		return Present
+		return AlreadyExists
 	}
 	return Answered
 }
 
-// Delete removes an object.
+// Delete deletes an object.
 func (e *Endpoint) Delete(kind, name string) Outcome {
-	if o := e.take(); o != Answered {
+	if o := e.delayedOutcome(); o != Answered {
 		return o
 	}
-	if !e.store.Drop(Entry{Kind: kind, Name: name}) {
-		return Missing
+	if !e.store.Delete(Entry{Kind: kind, Name: name}) {
+		return NotFound
 	}
 	return Answered
 }
--- a/internal/standin/hosted/fleet.go
+++ b/internal/standin/hosted/fleet.go
@@ -12,18 +12,18 @@
 	"github.com/wardridge/wardridge/internal/duty"
 )
 
-// Pace is how fast a backend server works.
+// Pace sets how long the work of a backend server takes.
 type Pace struct {
-	// Work is what a plain answer takes.
-	Work time.Duration
-	// Event is the pause before each event of a stream.
-	Event time.Duration
-	// Copy is what one copy of a run's memory takes.
+	// PlainAnswer is the time to produce a plain answer.
+	PlainAnswer time.Duration
+	// EventInterval is the pause before each event of a stream.
+	EventInterval time.Duration
+	// Copy is the time to copy the state of a run.
 	Copy time.Duration
 }
 
-// Fleet is the backend servers that reach each other, with their store and
-// their journal.
+// Fleet is a set of backend servers that can copy runs to each other, with their store and
+// the journal of their requests and runs.
 type Fleet struct {
 	Store   *Store
 	Journal *Journal
@@ -31,54 +31,58 @@
 
 	mutex   sync.Mutex
 	servers map[string]*Server
-	// deadly bodies crash the servers that run them, of which crashed is told.
-	deadly  map[string]bool
-	crashed func(s *Server, body string)
+	// crashBodies are the request bodies that crash the servers that run them; onCrash is
+	// called for each crash.
+	crashBodies map[string]bool
+	onCrash     func(s *Server, body string)
 }
 
-// NewFleet makes a fleet without servers.
+// NewFleet returns a fleet without servers.
 func NewFleet(s *Store, p Pace) *Fleet {
-	return &Fleet{Store: s, Journal: NewJournal(), Pace: p, servers: map[string]*Server{}, deadly: map[string]bool{}}
+	return &Fleet{Store: s, Journal: NewJournal(), Pace: p, servers: map[string]*Server{}, crashBodies: map[string]bool{}}
 }
 
-// at finds the server that others reach at an address.
-func (f *Fleet) at(address string) (*Server, bool) {
+// serverAt returns the running server at an address.
+func (f *Fleet) serverAt(address string) (*Server, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	s, ok := f.servers[address]
 	return s, ok
 }
 
-// Kill lets requests of a body crash the servers that run them; told is told of each.
-func (f *Fleet) Kill(body string, told func(s *Server, body string)) {
+// CrashOnBody makes requests with a body crash the servers that run them. After each crash,
+// onCrash is called, in place of the function set by earlier calls.
+func (f *Fleet) CrashOnBody(body string, onCrash func(s *Server, body string)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.deadly[body] = true
-	f.crashed = told
+	f.crashBodies[body] = true
+	f.onCrash = onCrash
 }
 
-// kills reports whether a body crashes what runs it, and who is to be told.
-func (f *Fleet) kills(body string) (func(s *Server, body string), bool) {
+// crashHandler reports whether a body crashes the server that runs it, and returns the
+// function to call after the crash.
+func (f *Fleet) crashHandler(body string) (func(s *Server, body string), bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.crashed, f.deadly[body]
+	return f.onCrash, f.crashBodies[body]
 }
 
-// headTime bounds the time that the head of a request may take.
-const headTime = 5 * time.Second
+// readHeaderTimeout is the maximum time to read the head of a request.
+const readHeaderTimeout = 5 * time.Second
 
-// Start runs a server on a listener until it is ended, without an entry in the
-// store; others reach it at its address. Engines answer by streams.
-func (f *Fleet) Start(s roster.Server, engine bool, l net.Listener) (*Server, func()) {
+// StartServer starts a server on a listener and returns it with a function that stops it.
+// The server has no entry in the store until Register is called, but other servers can
+// copy runs to it. Engines answer with event streams.
+func (f *Fleet) StartServer(s roster.Server, engine bool, l net.Listener) (*Server, func()) {
 	g, closer := duty.New(context.Background())
 	ctx, cancel := context.WithCancel(context.Background())
 	x := &Server{
-		Server: s, fleet: f, engine: engine, group: g, end: cancel, ended: ctx,
-		runs: map[api.RequestID]*generation{}, copies: map[string]*memory{},
+		Server: s, fleet: f, engine: engine, group: g, cancel: cancel, stopped: ctx,
+		runs: map[api.RequestID]*streamRun{}, copies: map[string]*runState{},
 	}
-	x.http = &http.Server{Handler: f.Store.wire.Backend(x), ReadHeaderTimeout: headTime}
+	x.http = &http.Server{Handler: f.Store.wire.ServerHandler(x), ReadHeaderTimeout: readHeaderTimeout}
 	g.Go(func(context.Context) error {
-		// It ends when the server is closed.
+		// Serve always returns an error when the server is closed.
 		_ = x.http.Serve(l)
 		return nil
 	})
--- a/internal/standin/hosted/journal.go
+++ b/internal/standin/hosted/journal.go
@@ -7,83 +7,86 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Asked is a request as it comes to a backend server.
-type Asked struct {
-	Request   api.RequestID
+// Request is a request as it arrives at a backend server.
+type Request struct {
+	ID        api.RequestID
 	Method    string
 	Target    string
 	Body      string
 	Workspace api.WorkspaceName
-	// Server is the one that is meant; empty for whoever has the address.
-	Server api.ServerID
-	// Copy names the copy of a run's memory to go on from; empty for a new run.
-	Copy string
-	// After is the last event that the caller has, zero for none.
-	After int
-	// Tokens is the length of the answer that a stream asks for.
+	// ExpectedServer is the server that the request is addressed to; if it is empty, any
+	// server at the address may run it.
+	ExpectedServer api.ServerID
+	// ResumeFrom is the handle of the copy to resume a run from; it is empty for a new run.
+	ResumeFrom string
+	// LastEvent is the number of the last event that the caller has received; zero means
+	// none.
+	LastEvent int
+	// Tokens is the length of the answer that is requested as a stream.
 	Tokens api.Tokens
-	// Protect is the address of the server that is to keep a copy as the run
-	// grows; empty for none.
-	Protect string
+	// BackupAddress is the address of the server that holds a backup copy of the run while
+	// it grows; it is empty for a run without a backup.
+	BackupAddress string
 }
 
-// Arrival is one request with the server that it came to.
+// Arrival is the arrival of a request at a server.
 type Arrival struct {
-	Asked
+	Request
 	At time.Time
-	// By is the server that took it.
-	By api.ServerName
-	// Refused is set where that said that it did not run it.
+	// Server is the server that the request arrived at.
+	Server api.ServerName
+	// Refused is set if the server answered that it did not run the request.
 	Refused bool
-	// Word is what the server says of itself in its answer.
-	Word Word
+	// Signals are the signals in the server's answer.
+	Signals Signals
 }
 
-// Run is one time that a server worked on a request.
+// Run is the execution of a request at one server.
 type Run struct {
-	Request api.RequestID
-	Server  api.ServerName
-	// Generation is kept by copies of the run's memory.
+	RequestID api.RequestID
+	Server    api.ServerName
+	// Generation identifies the output of a run. A run that is resumed from a copy keeps the
+	// generation.
 	Generation int
-	Began      time.Time
-	// Ended is zero while the server is at work.
+	Started    time.Time
+	// Ended is zero while the server executes the run.
 	Ended time.Time
 }
 
-// Journal records what backend servers saw.
+// Journal records the requests and runs of backend servers.
 type Journal struct {
-	mutex    sync.Mutex
-	arrivals []Arrival
-	runs     []*Run
-	next     int
+	mutex          sync.Mutex
+	arrivals       []Arrival
+	runs           []*Run
+	lastGeneration int
 }
 
-// NewJournal makes an empty journal.
+// NewJournal returns an empty journal.
 func NewJournal() *Journal {
 	return &Journal{}
 }
 
-func (j *Journal) arrived(a Arrival) {
+func (j *Journal) recordArrival(a Arrival) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	a.At = time.Now()
 	j.arrivals = append(j.arrivals, a)
 }
 
-// began notes the start of a run; a zero generation is a new one.
-func (j *Journal) began(id api.RequestID, s api.ServerName, generation int) *Run {
+// startRun records the start of a run. For generation zero it assigns a new one.
+func (j *Journal) startRun(id api.RequestID, s api.ServerName, generation int) *Run {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if generation == 0 {
-		j.next++
-		generation = j.next
+		j.lastGeneration++
+		generation = j.lastGeneration
 	}
-	r := &Run{Request: id, Server: s, Generation: generation, Began: time.Now()}
+	r := &Run{RequestID: id, Server: s, Generation: generation, Started: time.Now()}
 	j.runs = append(j.runs, r)
 	return r
 }
 
-func (j *Journal) ended(r *Run) {
+func (j *Journal) endRun(r *Run) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if r.Ended.IsZero() {
@@ -91,8 +94,8 @@
 	}
 }
 
-// Read gives what was recorded so far.
-func (j *Journal) Read() ([]Arrival, []Run) {
+// Records returns the arrivals and runs recorded so far.
+func (j *Journal) Records() ([]Arrival, []Run) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	l := make([]Run, 0, len(j.runs))
--- a/internal/standin/hosted/wire.go
+++ b/internal/standin/hosted/wire.go
@@ -7,26 +7,27 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// Entry is an object as it is written to the store.
+// Entry is an object to be written to the store.
 type Entry struct {
 	Kind, Name string
 	Spec       []byte
 }
 
-// Wire translates between the stand-ins and a hosting platform's messages; it
-// keeps nothing.
+// Wire translates between the stand-ins and the wire format of a hosting platform; it has no
+// state.
 type Wire interface {
-	// Config encodes a configuration, Server the entry of a server, and Closure that a
-	// failure domain is closed.
-	Config(c directory.Config) (Entry, error)
-	Server(s roster.Server) (Entry, error)
-	Closure(c roster.Closure) (Entry, error)
-	// Store and Backend serve the interfaces of the store and of a server.
-	Store(e *Endpoint) http.Handler
-	Backend(s *Server) http.Handler
-	// Request encodes a call to an entry VM, Ready the question whether it takes
-	// callers, and Head decodes the head of an answer.
-	Request(address string, c Call) *http.Request
-	Ready(address string) *http.Request
-	Head(r *http.Response) Head
+	// EncodeConfig, EncodeServer and EncodeClosure encode the objects of a configuration, a
+	// backend server and a closed failure domain.
+	EncodeConfig(c directory.Config) (Entry, error)
+	EncodeServer(s roster.Server) (Entry, error)
+	EncodeClosure(c roster.Closure) (Entry, error)
+	// StoreHandler and ServerHandler return the HTTP handlers of the store and of a backend
+	// server.
+	StoreHandler(e *Endpoint) http.Handler
+	ServerHandler(s *Server) http.Handler
+	// EncodeCall encodes a call to an entry VM, and EncodeReadyCheck its readiness check.
+	// DecodeHead decodes the head of an answer.
+	EncodeCall(address string, c Call) *http.Request
+	EncodeReadyCheck(address string) *http.Request
+	DecodeHead(r *http.Response) Head
 }
