--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -19,7 +19,7 @@
 )
 
 // within gives the most requests that a server got in a span, from a time on.
-func (b *signalBed) within(n api.ServerName, from, until time.Time, span time.Duration) int {
+func (b *signalTestbed) within(n api.ServerName, from, until time.Time, span time.Duration) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var l []time.Time
@@ -61,7 +61,7 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newSignalBed(t, c.vms, c.plain, c.engines)
+				b := newSignalTestbed(t, c.vms, c.plain, c.engines)
 				x, err := b.pool.config.List(t.Context())
 				if err != nil {
 					t.Fatal(err)
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -46,7 +46,7 @@
 
 // comeBack asks for what crashes servers so many times, at the first n entry VMs in turn,
 // with a pause in between.
-func (b *hostedBed) comeBack(times, n int, path string, pause time.Duration) {
+func (b *hostedTestbed) comeBack(times, n int, path string, pause time.Duration) {
 	for i := range times {
 		b.group.Go(func(context.Context) error {
 			b.ask(i%n, call(fmt.Sprintf("d-%d", i), path, b.pool.deadly))
@@ -77,7 +77,7 @@
 func stopped(t *testing.T, path string, times int, pause time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(12, 12)
-		b := newHostedBed(t, 6, p)
+		b := newHostedTestbed(t, 6, p)
 		b.comeBack(times, 6, path, pause)
 		t.Logf("%d servers crashed", p.crashes())
 		if p.crashes() < 1 {
@@ -93,7 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		p := newPool(12, 12)
-		b := newHostedBed(t, n, p)
+		b := newHostedTestbed(t, n, p)
 		b.isolate(n-1, n)
 		time.Sleep(10 * time.Second)
 		b.comeBack(6, n-1, "/unsafe/", comebackEvery)
@@ -139,7 +139,7 @@
 
 // wave counts what callers got while servers crashed for other reasons.
 type wave struct {
-	bed             *hostedBed
+	testbed         *hostedTestbed
 	refused, served atomic.Int64
 	again           atomic.Int64
 }
@@ -147,12 +147,12 @@
 // ask sends a request at one of n entry VMs; a caller whose stream broke off asks for the
 // same once more.
 func (w *wave) ask(i, n int, id, path, body string) {
-	w.bed.group.Go(func(ctx context.Context) error {
-		a := w.bed.ask(i%n, short(call(id, path, body)))
+	w.testbed.group.Go(func(ctx context.Context) error {
+		a := w.testbed.ask(i%n, short(call(id, path, body)))
 		if a.broken {
 			w.again.Add(1)
 			duty.Sleep(ctx, comebackEvery)
-			a = w.bed.ask((i+1)%n, short(call(id+"-again", path, body)))
+			a = w.testbed.ask((i+1)%n, short(call(id+"-again", path, body)))
 		}
 		if a.refused(fault.Quarantined) {
 			w.refused.Add(1)
@@ -171,7 +171,7 @@
 		// be lost while those of others are answered.
 		const n, hot, warm = 6, 48, 12
 		p := newPool(12, 12)
-		w := &wave{bed: newHostedBed(t, n, p)}
+		w := &wave{testbed: newHostedTestbed(t, n, p)}
 		for i := range 300 {
 			w.ask(i, n, fmt.Sprintf("own-%d", i), "/stream/", fmt.Sprint(i))
 			if i%20 == 10 {
@@ -204,7 +204,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const n, callers, tries = 6, 40, 5
 		p := newPool(12, 12)
-		b := newHostedBed(t, n, p)
+		b := newHostedTestbed(t, n, p)
 		p.mutex.Lock()
 		p.resetting = true
 		p.mutex.Unlock()
@@ -240,7 +240,7 @@
 // fragile is an engine of the own interface that a deadly prompt crashes, and that is back
 // after some seconds.
 type fragile struct {
-	bed     *bed
+	testbed *testbed
 	name    api.ServerName
 	address string
 
@@ -256,9 +256,9 @@
 	o.Name = f.name
 	o.Loaded = []string{"model/desk@2026-10", "adapter/permits@7"}
 	e := engine.New(o, event.Discard())
-	f.bed.group.Go(e.Run)
+	f.testbed.group.Go(e.Run)
 	h := e.Handler()
-	s := f.bed.serve(f.address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := f.testbed.serve(f.address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -291,7 +291,7 @@
 	if s == nil {
 		return
 	}
-	f.bed.group.Go(func(ctx context.Context) error {
+	f.testbed.group.Go(func(ctx context.Context) error {
 		duty.Sleep(ctx, returnAfter)
 		f.start()
 		return nil
@@ -300,10 +300,10 @@
 }
 
 func TestCrashingCompletionIsStopped(t *testing.T) {
-	fleet(t, 3, func(t *testing.T, b *bed) {
+	fleet(t, 3, func(t *testing.T, b *testbed) {
 		var l []*fragile
 		for i := range 2 {
-			f := &fragile{bed: b, name: api.ServerName(fmt.Sprintf("engine-%d", i+1)), address: fmt.Sprintf("127.0.0.1:701%d", i+1)}
+			f := &fragile{testbed: b, name: api.ServerName(fmt.Sprintf("engine-%d", i+1)), address: fmt.Sprintf("127.0.0.1:701%d", i+1)}
 			f.start()
 			l = append(l, f)
 		}
--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -19,7 +19,7 @@
 // duration and skew, and the time between a candidate's reads.
 const handover = 10 * time.Second
 
-func (b *bed) holder() *vm {
+func (b *testbed) holder() *vm {
 	b.t.Helper()
 	var out *vm
 	b.within(time.Minute, "a holder of the orders", func() bool {
@@ -35,7 +35,7 @@
 }
 
 func TestHandoverIsBoundedAndNeverDouble(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		for range 3 {
 			old := b.holder()
 			b.isolate(old, true)
@@ -63,7 +63,7 @@
 }
 
 func TestPausedVMIsSuspectedOnceAndBackOnce(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		v := b.vms[3]
 		changes := map[string]int{}
 		last := map[string]api.MemberStatusState{}
@@ -99,7 +99,7 @@
 }
 
 func TestOperatorsRaceOverTheFleet(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 		defer closer()
 		p := objectapi.Over(c, platformHost+":80", time.Second)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,17 +15,17 @@
 const force = 5 * time.Second
 
 // fleet runs a test of n entry VMs in virtual time.
-func fleet(t *testing.T, n int, f func(t *testing.T, b *bed)) {
+func fleet(t *testing.T, n int, f func(t *testing.T, b *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, n)
+		b := newTestbed(t, n)
 		b.settled()
 		f(t, b)
 	})
 }
 
 func TestChangeIsInForceEverywhere(t *testing.T) {
-	fleet(t, 9, func(t *testing.T, b *bed) {
+	fleet(t, 9, func(t *testing.T, b *testbed) {
 		for i := range 5 {
 			d := b.within(force, "the change", b.inForce(b.change(fmt.Sprint(i))))
 			t.Logf("in force on 9 entry VMs after %v", d)
@@ -34,7 +34,7 @@
 }
 
 func TestPlatformDownForAnHour(t *testing.T) {
-	fleet(t, 9, func(t *testing.T, b *bed) {
+	fleet(t, 9, func(t *testing.T, b *testbed) {
 		b.platform.Set(platform.Faults{Outage: true})
 		time.Sleep(time.Hour)
 		if !b.every(func(s api.NodeStatus) bool { return s.State == api.PeerStateServing }) {
@@ -51,7 +51,7 @@
 }
 
 func TestFailureDomainGone(t *testing.T) {
-	fleet(t, 9, func(t *testing.T, b *bed) {
+	fleet(t, 9, func(t *testing.T, b *testbed) {
 		// A third of the entry VMs is cut off from everything at once.
 		var lost []*vm
 		for _, v := range b.vms {
@@ -83,7 +83,7 @@
 }
 
 // isolate cuts or mends every link of an entry VM but those of the operator.
-func (b *bed) isolate(v *vm, cut bool) {
+func (b *testbed) isolate(v *vm, cut bool) {
 	others := []string{platformHost}
 	for _, o := range b.vms {
 		if o != v {
@@ -97,7 +97,7 @@
 }
 
 func TestCutOffVMSaysWhatItServesAndCatchesUp(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		v := b.vms[2]
 		before, err := b.status(v)
 		if err != nil {
@@ -120,7 +120,7 @@
 }
 
 func TestOneWayCutNeitherFlapsNorStopsServing(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		v := b.vms[1]
 		for _, o := range b.vms {
 			if o != v {
@@ -158,7 +158,7 @@
 }
 
 func TestRollingReplacementOfAll(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		last := api.Version(0)
 		for i := range b.vms {
 			b.vms[i].stop()
@@ -184,7 +184,7 @@
 func TestQuietFleetCosts(t *testing.T) {
 	for _, n := range []int{3, 9, 27} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			fleet(t, n, func(t *testing.T, b *bed) {
+			fleet(t, n, func(t *testing.T, b *testbed) {
 				const span = 3 * time.Minute
 				before, bytes := b.platform.Calls(), b.net.bytes.Load()
 				suspected := 0
--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -21,9 +21,9 @@
 	"github.com/wardridge/wardridge/internal/settings"
 )
 
-// hostedBed is a fleet of entry VMs behind a hosting platform's wire, on a network in
+// hostedTestbed is a fleet of entry VMs behind a hosting platform's wire, on a network in
 // memory, before servers that some contents crash.
-type hostedBed struct {
+type hostedTestbed struct {
 	t     *testing.T
 	net   *network
 	group *duty.Group
@@ -41,11 +41,11 @@
 	stops map[int]func()
 }
 
-// newHostedBed starts n entry VMs in three failure domains over a pool of servers; it
+// newHostedTestbed starts n entry VMs in three failure domains over a pool of servers; it
 // has to run in a bubble of virtual time.
-func newHostedBed(t *testing.T, n int, p *pool) *hostedBed {
+func newHostedTestbed(t *testing.T, n int, p *pool) *hostedTestbed {
 	t.Helper()
-	b := prepareHostedBed(t, p)
+	b := prepareHostedTestbed(t, p)
 	for i := range n {
 		b.start(i)
 	}
@@ -53,10 +53,10 @@
 	return b
 }
 
-// prepareHostedBed is newHostedBed without entry VMs.
-func prepareHostedBed(t *testing.T, p *pool) *hostedBed {
+// prepareHostedTestbed is newHostedBed without entry VMs.
+func prepareHostedTestbed(t *testing.T, p *pool) *hostedTestbed {
 	t.Helper()
-	b := &hostedBed{t: t, net: newNetwork(), pool: p, kept: newKind[quarantine.Entry](), vms: map[int]*gateway.Gateway{}, stops: map[int]func(){}}
+	b := &hostedTestbed{t: t, net: newNetwork(), pool: p, kept: newKind[quarantine.Entry](), vms: map[int]*gateway.Gateway{}, stops: map[int]func(){}}
 	var end func()
 	b.group, end = duty.New(context.Background())
 	t.Cleanup(end)
@@ -69,7 +69,7 @@
 func hostedHost(i int) string { return fmt.Sprintf("10.0.2.%d", i+1) }
 
 // start starts entry VM i, which knows the addresses of the first three.
-func (b *hostedBed) start(i int) {
+func (b *hostedTestbed) start(i int) {
 	b.t.Helper()
 	h := hostedHost(i)
 	var seeds []string
@@ -98,7 +98,7 @@
 }
 
 // wire is that of entry VM i.
-func (b *hostedBed) wire(i int, l node.AdapterDeps) node.Adapter {
+func (b *hostedTestbed) wire(i int, l node.AdapterDeps) node.Adapter {
 	if b.over != nil {
 		return b.over(i, l)
 	}
@@ -107,7 +107,7 @@
 
 // adapt is the wire of entry VM i: callers' requests are handed to its gateway by the
 // test.
-func (b *hostedBed) adapt(i int) node.Adapter {
+func (b *hostedTestbed) adapt(i int) node.Adapter {
 	return node.Adapter{
 		Config: b.pool.config, Servers: b.pool.entries, Backends: b.pool,
 		QuarantineSource: b.kept, QuarantineStore: keeper{b.kept},
@@ -117,7 +117,7 @@
 }
 
 // ingress remembers the gateway of entry VM i, which the test asks itself.
-func (b *hostedBed) ingress(i int, g *gateway.Gateway) http.Handler {
+func (b *hostedTestbed) ingress(i int, g *gateway.Gateway) http.Handler {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.vms[i] = g
@@ -140,7 +140,7 @@
 }
 
 // ask sends a request to entry VM i and gives what its caller got.
-func (b *hostedBed) ask(i int, r *port.Request) *asker {
+func (b *hostedTestbed) ask(i int, r *port.Request) *asker {
 	b.mutex.Lock()
 	g := b.vms[i]
 	b.mutex.Unlock()
@@ -166,7 +166,7 @@
 func (a *asker) refused(c fault.Code) bool { return a.fault != nil && a.fault.Code == c }
 
 // isolate cuts entry VM i off from the others, which the platform and servers are not.
-func (b *hostedBed) isolate(i, of int) {
+func (b *hostedTestbed) isolate(i, of int) {
 	for k := range of {
 		if k != i {
 			b.net.cut(hostedHost(i), hostedHost(k), true)
--- a/fleet/requests_test.go
+++ b/fleet/requests_test.go
@@ -15,7 +15,7 @@
 
 // work serves the sample's engines and service on the network in memory, and
 // waits until every entry VM sees the engines ready.
-func (b *bed) work() {
+func (b *testbed) work() {
 	b.t.Helper()
 	for i := range 2 {
 		o := engine.Defaults()
@@ -41,7 +41,7 @@
 }
 
 // callers sends a mix of work through all entry VMs.
-func (b *bed) callers(n int, perSecond float64) load.Report {
+func (b *testbed) callers(n int, perSecond float64) load.Report {
 	b.t.Helper()
 	m, ok := load.Find("both")
 	if !ok {
@@ -67,7 +67,7 @@
 
 // A third of the entry VMs is cut off from engines, peers and the platform, and from their callers.
 func TestWorkLostWithAFailureDomain(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		b.work()
 		b.group.Go(func(context.Context) error {
 			time.Sleep(5 * time.Second)
@@ -91,7 +91,7 @@
 }
 
 func TestNoWorkLostThroughARollingReplacement(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		b.work()
 		done := make(chan struct{})
 		b.group.Go(func(context.Context) error {
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -40,10 +40,10 @@
 	signals  port.Signals
 }
 
-// signalBed is a fleet of hosted entry VMs before stand-ins of backend servers that are
+// signalTestbed is a fleet of hosted entry VMs before stand-ins of backend servers that are
 // reached over the platform's own wire.
-type signalBed struct {
-	*hostedBed
+type signalTestbed struct {
+	*hostedTestbed
 	servers []*hosted.Server
 
 	mutex    sync.Mutex
@@ -53,8 +53,8 @@
 // watched notes what entry VM vm sends.
 type watched struct {
 	port.Backends
-	bed *signalBed
-	vm  int
+	testbed *signalTestbed
+	vm      int
 }
 
 // Send notes the request and its answer.
@@ -64,18 +64,18 @@
 	if fault.Has(err, fault.NotStarted) {
 		return x, err
 	}
-	w.bed.mutex.Lock()
-	defer w.bed.mutex.Unlock()
+	w.testbed.mutex.Lock()
+	defer w.testbed.mutex.Unlock()
 	n := a.Server.Name
-	w.bed.arrivals[n] = append(w.bed.arrivals[n], arrival{vm: w.vm, at: began, done: time.Now(), signals: x.Signals})
+	w.testbed.arrivals[n] = append(w.testbed.arrivals[n], arrival{vm: w.vm, at: began, done: time.Now(), signals: x.Signals})
 	return x, err
 }
 
-// newSignalBed starts n entry VMs before so many plain servers and engines, in three failure
+// newSignalTestbed starts n entry VMs before so many plain servers and engines, in three failure
 // domains.
-func newSignalBed(t *testing.T, n, plain, engines int) *signalBed {
+func newSignalTestbed(t *testing.T, n, plain, engines int) *signalTestbed {
 	t.Helper()
-	b := &signalBed{hostedBed: prepareHostedBed(t, newPool(0, 0)), arrivals: map[api.ServerName][]arrival{}}
+	b := &signalTestbed{hostedTestbed: prepareHostedTestbed(t, newPool(0, 0)), arrivals: map[api.ServerName][]arrival{}}
 	f := hosted.NewFleet(hosted.NewStore(standin.Wire{}), hosted.Pace{PlainAnswer: workTime, EventInterval: stepTime, Copy: stepTime})
 	for i := range plain + engines {
 		b.serve(t, f, i, i >= plain)
@@ -89,7 +89,7 @@
 }
 
 // serve starts server i.
-func (b *signalBed) serve(t *testing.T, f *hosted.Fleet, i int, engine bool) {
+func (b *signalTestbed) serve(t *testing.T, f *hosted.Fleet, i int, engine bool) {
 	t.Helper()
 	a := fmt.Sprintf("10.0.4.%d:80", i+1)
 	s := roster.Server{ID: api.ServerID(fmt.Sprintf("s-%d", i)), Address: a, Domain: api.DomainName(fmt.Sprintf("hall-%d", i%3)), Service: "plain", Slots: 24}
@@ -107,8 +107,8 @@
 	b.pool.entries.put(string(s.ID), s)
 }
 
-func (b *signalBed) adapt(i int, l node.AdapterDeps) node.Adapter {
-	a := b.hostedBed.adapt(i)
+func (b *signalTestbed) adapt(i int, l node.AdapterDeps) node.Adapter {
+	a := b.hostedTestbed.adapt(i)
 	a.Backends = watched{platform.NewBackends(l.Pool), b, i}
 	a.Ingress = func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) }
 	return a
@@ -125,7 +125,7 @@
 }
 
 // load sends so many requests a second at n entry VMs for a time and waits for the answers.
-func (b *signalBed) load(n int, perSecond float64, d time.Duration, path string) *outcomes {
+func (b *signalTestbed) load(n int, perSecond float64, d time.Duration, path string) *outcomes {
 	var o outcomes
 	g, end := duty.New(context.Background())
 	defer end()
@@ -160,7 +160,7 @@
 
 // most gives the most requests that a server got in a span from entry VMs that it had told
 // its limit, from a time on.
-func (b *signalBed) most(n api.ServerName, from time.Time) int {
+func (b *signalTestbed) most(n api.ServerName, from time.Time) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	told := map[int]time.Time{}
@@ -180,7 +180,7 @@
 }
 
 // name lets the servers from one on to another one name a limit, or none.
-func (b *signalBed) name(perSecond *float64, from, to int) time.Time {
+func (b *signalTestbed) name(perSecond *float64, from, to int) time.Time {
 	for _, s := range b.servers[from:to] {
 		s.SetSignals(hosted.Signals{Limit: perSecond})
 	}
@@ -188,7 +188,7 @@
 }
 
 // keeps checks that the servers from one on to another one got no more than they take.
-func (b *signalBed) keeps(from, to int, perSecond float64, since time.Time) {
+func (b *signalTestbed) keeps(from, to int, perSecond float64, since time.Time) {
 	b.t.Helper()
 	allowed := int(1.5*perSecond*limitSpan.Seconds()) + limitSlack
 	for _, s := range b.servers[from:to] {
@@ -218,7 +218,7 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newSignalBed(t, c.vms, c.plain, c.engines)
+				b := newSignalTestbed(t, c.vms, c.plain, c.engines)
 				b.load(c.vms, c.load, 2*time.Second, c.path)
 				since := b.name(&c.perSecond, 0, c.limited)
 				o := b.load(c.vms, c.load, 20*time.Second, c.path)
@@ -245,7 +245,7 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newSignalBed(t, 6, servers, 0)
+				b := newSignalTestbed(t, 6, servers, 0)
 				rate := perSecond
 				b.name(&rate, 0, servers)
 				b.load(6, 30, time.Second, c.path)
@@ -269,7 +269,7 @@
 func TestLimitIsTakenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
-		b := newSignalBed(t, n, 3, 0)
+		b := newSignalTestbed(t, n, 3, 0)
 		rate := 1.0
 		b.name(&rate, 0, 3)
 		b.load(n, 30, 5*time.Second, "/safe/")
@@ -284,7 +284,7 @@
 func TestLimitsHoldWhileEntryVMsComeAndGo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
-		b := newSignalBed(t, n, 3, 0)
+		b := newSignalTestbed(t, n, 3, 0)
 		b.load(n, 30, time.Second, "/safe/")
 		rate := 2.0
 		since := b.name(&rate, 0, 3)
@@ -311,7 +311,7 @@
 
 // sentTo counts the requests that entry VMs sent to a server more than a time after they had
 // an answer that says so, and before another time.
-func (b *signalBed) sentTo(n api.ServerName, says func(x port.Signals) bool, from, until time.Duration) map[int]int {
+func (b *signalTestbed) sentTo(n api.ServerName, says func(x port.Signals) bool, from, until time.Duration) map[int]int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	told := map[int]time.Time{}
@@ -339,7 +339,7 @@
 				if path == "/stream/" {
 					plain, engines = 0, 3
 				}
-				b := newSignalBed(t, n, plain, engines)
+				b := newSignalTestbed(t, n, plain, engines)
 				b.load(n, 20, time.Second, path)
 				b.servers[0].SetSignals(hosted.Signals{Leaving: true})
 				b.load(n, 20, 3*time.Second, path)
@@ -387,7 +387,7 @@
 				if c.path == "/stream/" {
 					plain, engines = 0, 3
 				}
-				b := newSignalBed(t, n, plain, engines)
+				b := newSignalTestbed(t, n, plain, engines)
 				b.load(n, 30, time.Second, c.path)
 				for _, s := range b.servers[:c.resting] {
 					s.SetSignals(hosted.Signals{Backoff: restTime})
--- a/fleet/standalone_restore_faults_test.go
+++ b/fleet/standalone_restore_faults_test.go
@@ -13,7 +13,7 @@
 
 // ownMix plays a drawn course over a fleet of the own interface.
 type ownMix struct {
-	*bed
+	*testbed
 	t      *testing.T
 	rand   *rand.Rand
 	copies []platform.Copy
@@ -106,9 +106,9 @@
 func TestOwnRestoresAmongOtherFaults(t *testing.T) {
 	for seed := range *restoreSeeds / 2 {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			fleet(t, 4, func(t *testing.T, b *bed) {
+			fleet(t, 4, func(t *testing.T, b *testbed) {
 				b.work()
-				m := &ownMix{bed: b, t: t, rand: rand.New(rand.NewPCG(seed, 2)), cut: map[*vm]bool{}}
+				m := &ownMix{testbed: b, t: t, rand: rand.New(rand.NewPCG(seed, 2)), cut: map[*vm]bool{}}
 				for range 30 {
 					m.step()
 					m.again()
--- a/fleet/standalone_restore_test.go
+++ b/fleet/standalone_restore_test.go
@@ -16,7 +16,7 @@
 )
 
 // restoreBed has the platform go away for a moment and come back from a copy.
-func (b *bed) restoreBed(c platform.Copy) {
+func (b *testbed) restoreBed(c platform.Copy) {
 	b.platform.Set(platform.Faults{Outage: true})
 	time.Sleep(2 * time.Second)
 	b.store.Restore(c)
@@ -25,7 +25,7 @@
 
 // weighed reports whether an entry VM has the weights of the model in force, as it tells
 // its peers.
-func (b *bed) weighed(v *vm, w string) bool {
+func (b *testbed) weighed(v *vm, w string) bool {
 	l, err := b.peers.Config(context.Background(), v.host+":81")
 	if err != nil {
 		return false
@@ -48,7 +48,7 @@
 
 // A model's change that the platform's copy lost must stay in force.
 func TestDeclaredResourcesOutlastTheStore(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		c := b.store.Copy()
 		b.within(force, "the change", b.inForce(b.change("second")))
 		b.restoreBed(c)
@@ -72,7 +72,7 @@
 }
 
 func TestStatusOutlastsTheStore(t *testing.T) {
-	fleet(t, 3, func(t *testing.T, b *bed) {
+	fleet(t, 3, func(t *testing.T, b *testbed) {
 		status := func() string {
 			text := ""
 			for _, o := range b.store.List([]api.ResourceKind{api.ResourceKindStatus}).Items {
@@ -96,7 +96,7 @@
 
 // confirm asks an entry VM to confirm an order under a key and gives the status of the answer,
 // zero for none.
-func (b *bed) confirm(v *vm, key string) int {
+func (b *testbed) confirm(v *vm, key string) int {
 	t := &http.Transport{DialContext: machine{b.net, "callers"}.dial, DisableKeepAlives: true}
 	defer t.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -119,7 +119,7 @@
 func TestClaimsOutlastTheStore(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("answer lost %v", lost), func(t *testing.T) {
-			fleet(t, 4, func(t *testing.T, b *bed) {
+			fleet(t, 4, func(t *testing.T, b *testbed) {
 				b.work()
 				c := b.store.Copy()
 				if lost {
--- a/fleet/standalone_signals_test.go
+++ b/fleet/standalone_signals_test.go
@@ -25,7 +25,7 @@
 }
 
 // call sends one call to the plain service over entry VM i.
-func (b *bed) call(c *http.Client, i int, id string) (*http.Response, error) {
+func (b *testbed) call(c *http.Client, i int, id string) (*http.Response, error) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+b.vms[i].host+":80/services/orders/look", http.NoBody)
 	if err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 }
 
 // order sends so many calls a second over all entry VMs for a time.
-func (b *bed) order(name string, perSecond int, d time.Duration) *calls {
+func (b *testbed) order(name string, perSecond int, d time.Duration) *calls {
 	b.t.Helper()
 	client, closer := wire.NewClientWithDial(machine{b.net, "callers"}.dial, false)
 	defer closer()
@@ -81,7 +81,7 @@
 
 func TestPlainServiceGetsNoMoreThanItNamed(t *testing.T) {
 	const perSecond, seconds = 4.0, 20
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		b.work()
 		b.orders.Set(service.Faults{Limit: perSecond})
 		b.order("before", 30, limitSettle)
@@ -105,7 +105,7 @@
 }
 
 func TestPlainServiceThatLeavesGetsNoMoreCalls(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		b.work()
 		b.order("before", 30, time.Second)
 		b.orders.Set(service.Faults{Leaving: true})
@@ -122,7 +122,7 @@
 }
 
 func TestPlainServiceThatAskedForRestIsLeftAlone(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *bed) {
+	fleet(t, 6, func(t *testing.T, b *testbed) {
 		b.work()
 		b.order("before", 30, time.Second)
 		b.orders.Set(service.Faults{RestS: restTime.Seconds()})
--- a/fleet/store_restore_faults_test.go
+++ b/fleet/store_restore_faults_test.go
@@ -21,7 +21,7 @@
 // mix plays a drawn course of restores, cuts, restarts and changes over a fleet, and knows
 // what operators and servers last wrote.
 type mix struct {
-	*storeBed
+	*storeTestbed
 	t    *testing.T
 	rand *rand.Rand
 	n    int
@@ -271,7 +271,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				const n = 6
 				m := &mix{
-					storeBed: newStoreBed(t, n), t: t, rand: rand.New(rand.NewPCG(seed, 1)), n: n, newest: 1,
+					storeTestbed: newStoreTestbed(t, n), t: t, rand: rand.New(rand.NewPCG(seed, 1)), n: n, newest: 1,
 					servers: map[api.ServerID]roster.Server{}, left: map[api.ServerID]roster.Server{}, leftAt: map[api.ServerID]time.Time{}, cut: map[int]bool{}, disturbed: map[int]time.Time{}, forced: map[int]int64{},
 				}
 				for i := range 4 {
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -31,10 +31,10 @@
 // closeTime is the time within which a closed failure domain has to get nothing new.
 const closeTime = 5 * time.Second
 
-// storeBed is a fleet of hosted entry VMs over a platform's store that can come back from a
+// storeTestbed is a fleet of hosted entry VMs over a platform's store that can come back from a
 // copy.
-type storeBed struct {
-	*hostedBed
+type storeTestbed struct {
+	*hostedTestbed
 	store    *hosted.Store
 	endpoint *hosted.Endpoint
 	sent     *record
@@ -94,17 +94,17 @@
 	return roster.Server{ID: api.ServerID(id), Service: "plain", Address: "10.0.9." + id + ":80", Domain: api.DomainName(domain), Slots: 6}
 }
 
-// newStoreBed starts n entry VMs over a store that holds a configuration of version 1 and
+// newStoreTestbed starts n entry VMs over a store that holds a configuration of version 1 and
 // four servers.
-func newStoreBed(t *testing.T, n int) *storeBed {
+func newStoreTestbed(t *testing.T, n int) *storeTestbed {
 	t.Helper()
 	s := hosted.NewStore(standin.Wire{})
-	b := &storeBed{store: s, endpoint: s.NewEndpoint(), sent: &record{}}
+	b := &storeTestbed{store: s, endpoint: s.NewEndpoint(), sent: &record{}}
 	b.configure(t, 1)
 	for i := range 4 {
 		b.register(t, plainServer(fmt.Sprint(i+1), fmt.Sprintf("hall-%d", i%3)))
 	}
-	b.hostedBed = prepareHostedBed(t, newPool(0, 0))
+	b.hostedTestbed = prepareHostedTestbed(t, newPool(0, 0))
 	b.over, b.settings = b.adapt, fmt.Sprintf("close_ms = %d\n", closeTime.Milliseconds())
 	b.serve(t)
 	for i := range n {
@@ -115,7 +115,7 @@
 }
 
 // serve answers for the store on the network.
-func (b *storeBed) serve(t *testing.T) {
+func (b *storeTestbed) serve(t *testing.T) {
 	t.Helper()
 	l, err := machine{b.net, platformHost}.listen(context.Background(), platformHost+":80")
 	if err != nil {
@@ -131,7 +131,7 @@
 }
 
 // adapt is the platform's own adapter for entry VM i, over servers that record.
-func (b *storeBed) adapt(i int, l node.AdapterDeps) node.Adapter {
+func (b *storeTestbed) adapt(i int, l node.AdapterDeps) node.Adapter {
 	o := platform.NewStoreClient(l.Platform, l.Address)
 	bad := func(kind, name string, err error) { b.t.Errorf("%s/%s: %v", kind, name, err) }
 	return node.Adapter{
@@ -144,7 +144,7 @@
 }
 
 // configure writes a configuration as operators do.
-func (b *storeBed) configure(t *testing.T, v int64) {
+func (b *storeTestbed) configure(t *testing.T, v int64) {
 	t.Helper()
 	if err := b.store.WriteConfig(configuration(v)); err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 }
 
 // register writes a server's entry as the server does.
-func (b *storeBed) register(t *testing.T, s roster.Server) {
+func (b *storeTestbed) register(t *testing.T, s roster.Server) {
 	t.Helper()
 	e, err := standin.Wire{}.EncodeServer(s)
 	if err != nil {
@@ -162,7 +162,7 @@
 }
 
 // restore brings the store back from a copy after it was away for a moment.
-func (b *storeBed) restore(c hosted.Backup) {
+func (b *storeTestbed) restore(c hosted.Backup) {
 	b.endpoint.SetOutcome(hosted.Disconnected, 0)
 	time.Sleep(2 * time.Second)
 	b.store.Restore(c)
@@ -170,13 +170,13 @@
 }
 
 // serves reports whether entry VM i knows the route of a configuration's version.
-func (b *storeBed) serves(i int, v int64) bool {
+func (b *storeTestbed) serves(i int, v int64) bool {
 	p := fmt.Sprintf("/v%d/", v)
 	return b.ask(i, call(fmt.Sprint("probe-", v, "-", time.Now().UnixNano()), p, "")).served()
 }
 
 // want checks that every entry VM serves by a version and no longer by an earlier one.
-func (b *storeBed) want(when string, n int, v, not int64) {
+func (b *storeTestbed) want(when string, n int, v, not int64) {
 	b.t.Helper()
 	for i := range n {
 		if !b.serves(i, v) {
@@ -195,7 +195,7 @@
 func TestChangesAfterTheStoreCameBackFromACopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
-		b := newStoreBed(t, n)
+		b := newStoreTestbed(t, n)
 		c := b.store.Backup()
 		for v := range int64(8) {
 			b.configure(t, v+2)
@@ -217,7 +217,7 @@
 func TestStoreBackFromACopyBeyondKnownVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
-		b := newStoreBed(t, n)
+		b := newStoreTestbed(t, n)
 		c := b.store.Backup()
 		b.configure(t, 2)
 		time.Sleep(inForceTime)
@@ -237,14 +237,14 @@
 }
 
 // load sends thirty requests to each entry VM, by which every server in use gets some.
-func (b *storeBed) load(n int) {
+func (b *storeTestbed) load(n int) {
 	for i := range 30 * n {
 		b.ask(i%n, call(fmt.Sprint("load-", i), "/always/", ""))
 	}
 }
 
 // unregister removes a server's entry as its end does.
-func (b *storeBed) unregister(t *testing.T, s roster.Server) {
+func (b *storeTestbed) unregister(t *testing.T, s roster.Server) {
 	t.Helper()
 	e, err := standin.Wire{}.EncodeServer(s)
 	if err != nil {
@@ -256,7 +256,7 @@
 func TestVMStartedAfterTheStoreCameBackFromACopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
-		b := newStoreBed(t, n)
+		b := newStoreTestbed(t, n)
 		c := b.store.Backup()
 		b.configure(t, 2)
 		b.configure(t, 3)
@@ -286,7 +286,7 @@
 		t.Run(w.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const n = 6
-				b := newStoreBed(t, n)
+				b := newStoreTestbed(t, n)
 				c := b.store.Backup()
 				leaving := plainServer("1", "hall-0")
 				leaving.Draining = true
@@ -335,7 +335,7 @@
 		t.Run(w.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const n = 6
-				b := newStoreBed(t, n)
+				b := newStoreTestbed(t, n)
 				c := b.store.Backup()
 				b.close(t, true)
 				time.Sleep(closeTime)
@@ -375,7 +375,7 @@
 }
 
 // close closes the failure domain of servers 1 and 4, or opens it.
-func (b *storeBed) close(t *testing.T, closed bool) {
+func (b *storeTestbed) close(t *testing.T, closed bool) {
 	t.Helper()
 	f := b.store.CloseDomain
 	if !closed {
@@ -387,7 +387,7 @@
 }
 
 // quarantines writes refused contents to the store as an entry VM does.
-func (b *storeBed) quarantines(t *testing.T) (platform.QuarantineWriter, *platform.Source[quarantine.Entry]) {
+func (b *storeTestbed) quarantines(t *testing.T) (platform.QuarantineWriter, *platform.Source[quarantine.Entry]) {
 	t.Helper()
 	c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 	t.Cleanup(closer)
@@ -403,7 +403,7 @@
 func TestRefusedContentsOutlastTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
-		b := newStoreBed(t, n)
+		b := newStoreTestbed(t, n)
 		q, kept := b.quarantines(t)
 		ctx := context.Background()
 		deadly, released := call("x", "/always/", "deadly"), call("y", "/always/", "released")
@@ -461,7 +461,7 @@
 		t.Run(fmt.Sprintf("noticed %v", noticed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const n, span = 24, 5 * time.Second
-				b := newStoreBed(t, n)
+				b := newStoreTestbed(t, n)
 				c := b.store.Backup()
 				b.configure(t, 2)
 				time.Sleep(inForceTime)
--- a/fleet/testbed_test.go
+++ b/fleet/testbed_test.go
@@ -32,8 +32,8 @@
 	done       chan error
 }
 
-// bed is a fleet of entry VMs on a network in memory.
-type bed struct {
+// testbed is a fleet of entry VMs on a network in memory.
+type testbed struct {
 	t        *testing.T
 	net      *network
 	store    *platform.Store
@@ -45,11 +45,11 @@
 	orders *service.Service
 }
 
-// newBed starts a platform and n entry VMs in three failure domains; it has to
+// newTestbed starts a platform and n entry VMs in three failure domains; it has to
 // run in a bubble of virtual time.
-func newBed(t *testing.T, n int) *bed {
+func newTestbed(t *testing.T, n int) *testbed {
 	t.Helper()
-	b := &bed{t: t, net: newNetwork(), store: platform.NewStore()}
+	b := &testbed{t: t, net: newNetwork(), store: platform.NewStore()}
 	b.platform = platform.New(b.store, platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, ListLag: 2 * time.Second})
 	var end func()
 	b.group, end = duty.New(context.Background())
@@ -73,7 +73,7 @@
 	return b
 }
 
-func (b *bed) serve(a string, h http.Handler) *http.Server {
+func (b *testbed) serve(a string, h http.Handler) *http.Server {
 	b.t.Helper()
 	l, err := machine{b.net, host(a)}.listen(context.Background(), a)
 	if err != nil {
@@ -86,7 +86,7 @@
 }
 
 // start starts entry VM i, or a new one in its place.
-func (b *bed) start(i int) *vm {
+func (b *testbed) start(i int) *vm {
 	b.t.Helper()
 	v := &vm{name: fmt.Sprintf("entry-%d", i), host: fmt.Sprintf("10.0.1.%d", i), domain: api.DomainName(fmt.Sprintf("hall-%d", i%3)), done: make(chan error, 1)}
 	text := fmt.Sprintf("[node]\nname = %s\ndomain = %s\nlisten = %s:80\ncontrol = %s:81\n[platform]\naddress = %s:80\n", v.name, v.domain, v.host, v.host, platformHost)
@@ -121,13 +121,13 @@
 }
 
 // status asks an entry VM from outside the fleet.
-func (b *bed) status(v *vm) (api.NodeStatus, error) {
+func (b *testbed) status(v *vm) (api.NodeStatus, error) {
 	return b.peers.Status(context.Background(), v.host+":81")
 }
 
 // within waits until a condition holds and gives the virtual time it took; a
 // condition that does not come within the limit fails the test.
-func (b *bed) within(limit time.Duration, what string, ok func() bool) time.Duration {
+func (b *testbed) within(limit time.Duration, what string, ok func() bool) time.Duration {
 	b.t.Helper()
 	began := time.Now()
 	for time.Since(began) <= limit {
@@ -141,7 +141,7 @@
 }
 
 // settled waits until every entry VM serves and sees every other one.
-func (b *bed) settled() {
+func (b *testbed) settled() {
 	b.t.Helper()
 	b.within(2*time.Minute, "the fleet to settle", func() bool {
 		return b.every(func(s api.NodeStatus) bool {
@@ -156,7 +156,7 @@
 	})
 }
 
-func (b *bed) every(ok func(s api.NodeStatus) bool, except ...*vm) bool {
+func (b *testbed) every(ok func(s api.NodeStatus) bool, except ...*vm) bool {
 	for _, v := range b.vms {
 		if slices.Contains(except, v) {
 			continue
@@ -170,7 +170,7 @@
 }
 
 // change changes a model and gives its version.
-func (b *bed) change(weights string) api.Version {
+func (b *testbed) change(weights string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindModel, "desk")
 	if err != nil {
@@ -185,14 +185,14 @@
 }
 
 // inForce reports whether a version is in force on every entry VM.
-func (b *bed) inForce(n api.Version, except ...*vm) func() bool {
+func (b *testbed) inForce(n api.Version, except ...*vm) func() bool {
 	return func() bool {
 		return b.every(func(s api.NodeStatus) bool { return s.ConfigVersion >= n }, except...)
 	}
 }
 
 // holders counts the entry VMs that hold a duty.
-func (b *bed) holders(name string) int {
+func (b *testbed) holders(name string) int {
 	n := 0
 	for _, v := range b.vms {
 		if s, err := b.status(v); err == nil && slices.Contains(s.Leases, name) {
