--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -300,14 +300,14 @@
 }
 
 func TestCrashingCompletionIsStopped(t *testing.T) {
-	fleet(t, 3, func(t *testing.T, b *testbed) {
+	withFleet(t, 3, func(t *testing.T, b *testbed) {
 		var l []*fragile
 		for i := range 2 {
 			f := &fragile{testbed: b, name: api.ServerName(fmt.Sprintf("engine-%d", i+1)), address: fmt.Sprintf("127.0.0.1:701%d", i+1)}
 			f.start()
 			l = append(l, f)
 		}
-		b.within(time.Minute, "the engines to be seen", func() bool { return b.every(func(s api.NodeStatus) bool { return len(s.Servers) > 1 }) })
+		b.waitFor(time.Minute, "the engines to be seen", func() bool { return b.allVMs(func(s api.NodeStatus) bool { return len(s.Servers) > 1 }) })
 		c := &http.Client{Transport: &http.Transport{DialContext: machine{b.net, "callers"}.dial, DisableKeepAlives: true}}
 		refused := 0
 		for i := range comebacks {
--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -15,14 +15,14 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// handover is the longest time without a holder after one is gone: the lease's
+// maxHandover is the longest time without a holder after one is gone: the lease's
 // duration and skew, and the time between a candidate's reads.
-const handover = 10 * time.Second
+const maxHandover = 10 * time.Second
 
-func (b *testbed) holder() *vm {
+func (b *testbed) waitHolder() *vm {
 	b.t.Helper()
 	var out *vm
-	b.within(time.Minute, "a holder of the orders", func() bool {
+	b.waitFor(time.Minute, "a holder of the orders", func() bool {
 		for _, v := range b.vms {
 			if s, err := b.status(v); err == nil && slices.Contains(s.Leases, orders.Duty) {
 				out = v
@@ -35,14 +35,14 @@
 }
 
 func TestHandoverIsBoundedAndNeverDouble(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		for range 3 {
-			old := b.holder()
+			old := b.waitHolder()
 			b.isolate(old, true)
 			began := time.Now()
 			took := time.Duration(0)
-			for time.Since(began) < 2*handover {
-				n := b.holders(orders.Duty)
+			for time.Since(began) < 2*maxHandover {
+				n := b.countHolders(orders.Duty)
 				if n > 1 {
 					t.Fatalf("holders of the orders: got %d, want at most 1", n)
 				}
@@ -52,22 +52,22 @@
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			if took == 0 || took > handover {
-				t.Errorf("handover: got %v, want at most %v", took, handover)
+			if took == 0 || took > maxHandover {
+				t.Errorf("handover: got %v, want at most %v", took, maxHandover)
 			}
 			t.Logf("orders handed over %v after the holder was cut off", took)
 			b.isolate(old, false)
-			b.settled()
+			b.waitConverged()
 		}
 	})
 }
 
 func TestPausedVMIsSuspectedOnceAndBackOnce(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		v := b.vms[3]
 		changes := map[string]int{}
 		last := map[string]api.MemberStatusState{}
-		look := func(d time.Duration) {
+		observe := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 				for _, o := range b.vms {
 					s, err := b.status(o)
@@ -83,12 +83,12 @@
 				}
 			}
 		}
-		look(time.Second)
+		observe(time.Second)
 		// A paused VM answers nobody and asks nobody.
 		b.isolate(v, true)
-		look(30 * time.Second)
+		observe(30 * time.Second)
 		b.isolate(v, false)
-		look(30 * time.Second)
+		observe(30 * time.Second)
 		for n, c := range changes {
 			// Seen serving, then suspect, then serving.
 			if c != 3 || last[n] != api.MemberStatusStateServing {
@@ -99,7 +99,7 @@
 }
 
 func TestOperatorsRaceOverTheFleet(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 		defer closer()
 		p := objectapi.Over(c, platformHost+":80", time.Second)
@@ -135,7 +135,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.within(force, "the last change", b.inForce(last.Version))
+		b.waitFor(maxChangeDelay, "the last change", b.inForceOnAll(last.Version))
 		for _, v := range b.vms {
 			l, err := b.peers.Config(context.Background(), v.host+":81")
 			i := slices.IndexFunc(l.Items, func(o api.Object) bool { return o.Kind == last.Kind && o.Name == last.Name })
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,47 +11,47 @@
 	"github.com/wardridge/wardridge/internal/standin/platform"
 )
 
-// force is the time within which an accepted change is in force everywhere.
-const force = 5 * time.Second
+// maxChangeDelay is the time within which an accepted change is in maxChangeDelay everywhere.
+const maxChangeDelay = 5 * time.Second
 
-// fleet runs a test of n entry VMs in virtual time.
-func fleet(t *testing.T, n int, f func(t *testing.T, b *testbed)) {
+// withFleet runs a test of n entry VMs in virtual time.
+func withFleet(t *testing.T, n int, f func(t *testing.T, b *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, n)
-		b.settled()
+		b.waitConverged()
 		f(t, b)
 	})
 }
 
 func TestChangeIsInForceEverywhere(t *testing.T) {
-	fleet(t, 9, func(t *testing.T, b *testbed) {
+	withFleet(t, 9, func(t *testing.T, b *testbed) {
 		for i := range 5 {
-			d := b.within(force, "the change", b.inForce(b.change(fmt.Sprint(i))))
+			d := b.waitFor(maxChangeDelay, "the change", b.inForceOnAll(b.changeModel(fmt.Sprint(i))))
 			t.Logf("in force on 9 entry VMs after %v", d)
 		}
 	})
 }
 
 func TestPlatformDownForAnHour(t *testing.T) {
-	fleet(t, 9, func(t *testing.T, b *testbed) {
+	withFleet(t, 9, func(t *testing.T, b *testbed) {
 		b.platform.Set(platform.Faults{Outage: true})
 		time.Sleep(time.Hour)
-		if !b.every(func(s api.NodeStatus) bool { return s.State == api.PeerStateServing }) {
+		if !b.allVMs(func(s api.NodeStatus) bool { return s.State == api.PeerStateServing }) {
 			t.Errorf("after an hour: got entry VMs that do not serve")
 		}
-		if got := b.holders(orders.Duty); got != 0 {
+		if got := b.countHolders(orders.Duty); got != 0 {
 			t.Errorf("holders of the orders without the platform: got %d, want 0", got)
 		}
 		b.platform.Set(platform.Faults{})
-		d := b.within(force, "the change", b.inForce(b.change("after")))
+		d := b.waitFor(maxChangeDelay, "the change", b.inForceOnAll(b.changeModel("after")))
 		t.Logf("in force on 9 entry VMs %v after the outage", d)
-		b.within(30*time.Second, "a holder of the orders", func() bool { return b.holders(orders.Duty) == 1 })
+		b.waitFor(30*time.Second, "a holder of the orders", func() bool { return b.countHolders(orders.Duty) == 1 })
 	})
 }
 
 func TestFailureDomainGone(t *testing.T) {
-	fleet(t, 9, func(t *testing.T, b *testbed) {
+	withFleet(t, 9, func(t *testing.T, b *testbed) {
 		// A third of the entry VMs is cut off from everything at once.
 		var lost []*vm
 		for _, v := range b.vms {
@@ -60,10 +60,10 @@
 				b.isolate(v, true)
 			}
 		}
-		d := b.within(force, "the change", b.inForce(b.change("without"), lost...))
+		d := b.waitFor(maxChangeDelay, "the change", b.inForceOnAll(b.changeModel("without"), lost...))
 		t.Logf("in force on the other two thirds after %v", d)
-		b.within(20*time.Second, "the loss to be seen", func() bool {
-			return b.every(func(s api.NodeStatus) bool {
+		b.waitFor(20*time.Second, "the loss to be seen", func() bool {
+			return b.allVMs(func(s api.NodeStatus) bool {
 				n := 0
 				for _, m := range s.Members {
 					if m.State == api.MemberStatusStateSuspect {
@@ -73,12 +73,12 @@
 				return n == len(lost)
 			}, lost...)
 		})
-		b.within(30*time.Second, "one holder of the orders", func() bool { return b.holders(orders.Duty) == 1 })
+		b.waitFor(30*time.Second, "one holder of the orders", func() bool { return b.countHolders(orders.Duty) == 1 })
 		for _, v := range lost {
 			b.isolate(v, false)
 		}
-		b.within(30*time.Second, "the lost to catch up", b.inForce(b.change("with")))
-		b.settled()
+		b.waitFor(30*time.Second, "the lost to catch up", b.inForceOnAll(b.changeModel("with")))
+		b.waitConverged()
 	})
 }
 
@@ -97,15 +97,15 @@
 }
 
 func TestCutOffVMSaysWhatItServesAndCatchesUp(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		v := b.vms[2]
 		before, err := b.status(v)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.isolate(v, true)
-		n := b.change("new")
-		b.within(force, "the others", b.inForce(n, v))
+		n := b.changeModel("new")
+		b.waitFor(maxChangeDelay, "the others", b.inForceOnAll(n, v))
 		time.Sleep(10 * time.Minute)
 		s, err := b.status(v)
 		if err != nil || s.ConfigVersion < before.ConfigVersion || s.ConfigVersion >= n {
@@ -115,12 +115,12 @@
 			t.Errorf("cut off: got platform heard %d ms ago, want long ago", s.PlatformAgeMS)
 		}
 		b.isolate(v, false)
-		b.within(30*time.Second, "it to catch up", b.inForce(n))
+		b.waitFor(30*time.Second, "it to catch up", b.inForceOnAll(n))
 	})
 }
 
 func TestOneWayCutNeitherFlapsNorStopsServing(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		v := b.vms[1]
 		for _, o := range b.vms {
 			if o != v {
@@ -150,22 +150,22 @@
 		if changes != 0 {
 			t.Errorf("changes of views under a steady cut: got %d, want 0", changes)
 		}
-		if got := b.holders(orders.Duty); got != 1 {
+		if got := b.countHolders(orders.Duty); got != 1 {
 			t.Errorf("holders of the orders: got %d, want 1", got)
 		}
-		b.within(force, "a change", b.inForce(b.change("x")))
+		b.waitFor(maxChangeDelay, "a change", b.inForceOnAll(b.changeModel("x")))
 	})
 }
 
 func TestRollingReplacementOfAll(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		last := api.Version(0)
 		for i := range b.vms {
 			b.vms[i].stop()
-			n := b.change(fmt.Sprint("during ", i))
-			b.within(force, "the change on the others", b.inForce(n, b.vms[i]))
-			v := b.start(i)
-			b.within(time.Minute, "the new one to serve by it", func() bool {
+			n := b.changeModel(fmt.Sprint("during ", i))
+			b.waitFor(maxChangeDelay, "the change on the others", b.inForceOnAll(n, b.vms[i]))
+			v := b.startVM(i)
+			b.waitFor(time.Minute, "the new one to serve by it", func() bool {
 				s, err := b.status(v)
 				return err == nil && s.State == api.PeerStateServing && s.ConfigVersion >= n
 			})
@@ -174,8 +174,8 @@
 			}
 			last = n
 		}
-		b.settled()
-		b.within(30*time.Second, "one holder of the orders", func() bool { return b.holders(orders.Duty) == 1 })
+		b.waitConverged()
+		b.waitFor(30*time.Second, "one holder of the orders", func() bool { return b.countHolders(orders.Duty) == 1 })
 	})
 }
 
@@ -184,13 +184,13 @@
 func TestQuietFleetCosts(t *testing.T) {
 	for _, n := range []int{3, 9, 27} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			fleet(t, n, func(t *testing.T, b *testbed) {
+			withFleet(t, n, func(t *testing.T, b *testbed) {
 				const span = 3 * time.Minute
 				before, bytes := b.platform.Calls(), b.net.bytes.Load()
 				suspected := 0
 				for range 12 {
 					time.Sleep(span / 12)
-					if !b.every(func(s api.NodeStatus) bool {
+					if !b.allVMs(func(s api.NodeStatus) bool {
 						for _, m := range s.Members {
 							if m.State == api.MemberStatusStateSuspect {
 								suspected++
--- a/fleet/requests_test.go
+++ b/fleet/requests_test.go
@@ -13,9 +13,9 @@
 	"github.com/wardridge/wardridge/internal/standin/service"
 )
 
-// work serves the sample's engines and service on the network in memory, and
+// startBackends serves the sample's engines and service on the network in memory, and
 // waits until every entry VM sees the engines ready.
-func (b *testbed) work() {
+func (b *testbed) startBackends() {
 	b.t.Helper()
 	for i := range 2 {
 		o := engine.Defaults()
@@ -27,8 +27,8 @@
 	}
 	b.orders = service.New("orders-1")
 	b.serve("127.0.0.1:7021", b.orders.Handler())
-	b.within(time.Minute, "the engines to be seen", func() bool {
-		return b.every(func(s api.NodeStatus) bool {
+	b.waitFor(time.Minute, "the engines to be seen", func() bool {
+		return b.allVMs(func(s api.NodeStatus) bool {
 			n := 0
 			for _, x := range s.Servers {
 				if x.State == api.ServerStatusStateReady {
@@ -40,8 +40,8 @@
 	})
 }
 
-// callers sends a mix of work through all entry VMs.
-func (b *testbed) callers(n int, perSecond float64) load.Report {
+// runLoad sends a mix of work through all entry VMs.
+func (b *testbed) runLoad(n int, perSecond float64) load.Report {
 	b.t.Helper()
 	m, ok := load.Find("both")
 	if !ok {
@@ -67,8 +67,8 @@
 
 // A third of the entry VMs is cut off from engines, peers and the platform, and from their callers.
 func TestWorkLostWithAFailureDomain(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
-		b.work()
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
+		b.startBackends()
 		b.group.Go(func(context.Context) error {
 			time.Sleep(5 * time.Second)
 			for _, v := range b.vms {
@@ -81,31 +81,31 @@
 			}
 			return nil
 		})
-		r := b.callers(300, 15)
+		r := b.runLoad(300, 15)
 		// Callers whose connection broke hear nothing typed; the rest is whole.
 		lost := r.Requests - r.Whole
-		if most := r.Requests / 10; lost > most {
-			t.Errorf("work lost: got %d requests of %d, want at most %d", lost, r.Requests, most)
+		if maxLost := r.Requests / 10; lost > maxLost {
+			t.Errorf("work lost: got %d requests of %d, want at most %d", lost, r.Requests, maxLost)
 		}
 	})
 }
 
 func TestNoWorkLostThroughARollingReplacement(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
-		b.work()
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
+		b.startBackends()
 		done := make(chan struct{})
 		b.group.Go(func(context.Context) error {
 			defer close(done)
 			for i := range b.vms {
 				time.Sleep(2 * time.Second)
 				b.vms[i].stop()
-				b.start(i)
+				b.startVM(i)
 			}
 			return nil
 		})
 		// Nothing may be started any more when the test ends.
 		defer func() { <-done }()
-		if r := b.callers(400, 15); r.Whole != r.Requests {
+		if r := b.runLoad(400, 15); r.Whole != r.Requests {
 			t.Errorf("through a replacement of all: got %d of %d whole, want all", r.Whole, r.Requests)
 		}
 	})
--- a/fleet/standalone_restore_faults_test.go
+++ b/fleet/standalone_restore_faults_test.go
@@ -33,7 +33,7 @@
 	case 0:
 		m.weights++
 		m.note("weights %d", m.weights)
-		m.change(fmt.Sprint("w", m.weights))
+		m.changeModel(fmt.Sprint("w", m.weights))
 	case 1:
 		m.note("copy %d", len(m.copies))
 		m.copies = append(m.copies, m.store.Copy())
@@ -75,7 +75,7 @@
 		m.orders.Set(service.Faults{LoseAnswers: 1})
 	}
 	v := m.vms[m.rand.IntN(len(m.vms))]
-	got := m.confirm(v, fmt.Sprint("k", m.keys))
+	got := m.confirmOrder(v, fmt.Sprint("k", m.keys))
 	m.orders.Set(service.Faults{})
 	m.note("order %d at %s: %d", m.keys, v.name, got)
 }
@@ -85,7 +85,7 @@
 	for range 3 {
 		k := max(1, m.keys-m.rand.IntN(6))
 		v := m.vms[m.rand.IntN(len(m.vms))]
-		if got := m.confirm(v, fmt.Sprint("k", k)); got != 0 {
+		if got := m.confirmOrder(v, fmt.Sprint("k", k)); got != 0 {
 			m.note("order %d again at %s: %d", k, v.name, got)
 		}
 	}
@@ -98,7 +98,7 @@
 			m.t.Errorf("order %s: got it confirmed %d times, want once\n%v", k, n, m.told)
 		}
 	}
-	if got := m.holders(orders.Duty); got > 1 {
+	if got := m.countHolders(orders.Duty); got > 1 {
 		m.t.Errorf("holders of the orders: got %d, want one at most\n%v", got, m.told)
 	}
 }
@@ -106,8 +106,8 @@
 func TestOwnRestoresAmongOtherFaults(t *testing.T) {
 	for seed := range *restoreSeeds / 2 {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			fleet(t, 4, func(t *testing.T, b *testbed) {
-				b.work()
+			withFleet(t, 4, func(t *testing.T, b *testbed) {
+				b.startBackends()
 				m := &ownMix{testbed: b, t: t, rand: rand.New(rand.NewPCG(seed, 2)), cut: map[*vm]bool{}}
 				for range 30 {
 					m.step()
@@ -120,8 +120,8 @@
 				}
 				m.note("calm")
 				time.Sleep(10 * time.Second)
-				b.within(force, "the last change", b.inForce(b.change("last")))
-				b.within(30*time.Second, "a holder of the orders", func() bool { return b.holders(orders.Duty) == 1 })
+				b.waitFor(maxChangeDelay, "the last change", b.inForceOnAll(b.changeModel("last")))
+				b.waitFor(30*time.Second, "a holder of the orders", func() bool { return b.countHolders(orders.Duty) == 1 })
 				m.check()
 				if t.Failed() {
 					t.Log(m.told)
--- a/fleet/standalone_restore_test.go
+++ b/fleet/standalone_restore_test.go
@@ -15,17 +15,17 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// restoreBed has the platform go away for a moment and come back from a copy.
-func (b *testbed) restoreBed(c platform.Copy) {
+// restore has the platform go away for a moment and come back from a copy.
+func (b *testbed) restore(c platform.Copy) {
 	b.platform.Set(platform.Faults{Outage: true})
 	time.Sleep(2 * time.Second)
 	b.store.Restore(c)
 	b.platform.Set(platform.Faults{})
 }
 
-// weighed reports whether an entry VM has the weights of the model in force, as it tells
+// hasWeights reports whether an entry VM has the weights of the model in force, as it tells
 // its peers.
-func (b *testbed) weighed(v *vm, w string) bool {
+func (b *testbed) hasWeights(v *vm, w string) bool {
 	l, err := b.peers.Config(context.Background(), v.host+":81")
 	if err != nil {
 		return false
@@ -48,31 +48,31 @@
 
 // A model's change that the platform's copy lost must stay in force.
 func TestDeclaredResourcesOutlastTheStore(t *testing.T) {
-	fleet(t, 6, func(t *testing.T, b *testbed) {
+	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		c := b.store.Copy()
-		b.within(force, "the change", b.inForce(b.change("second")))
-		b.restoreBed(c)
-		time.Sleep(force)
-		all := func(when, w string) {
+		b.waitFor(maxChangeDelay, "the change", b.inForceOnAll(b.changeModel("second")))
+		b.restore(c)
+		time.Sleep(maxChangeDelay)
+		checkAll := func(when, w string) {
 			t.Helper()
 			for _, v := range b.vms {
-				if !b.weighed(v, w) {
+				if !b.hasWeights(v, w) {
 					t.Errorf("%s, %s: got other weights in force than %q, want them", when, v.name, w)
 				}
 			}
 		}
-		all("after the copy came back", "second")
+		checkAll("after the copy came back", "second")
 		b.vms[5].stop()
-		b.start(5)
-		time.Sleep(force)
-		all("after an entry VM started", "second")
-		b.within(force, "the next change", b.inForce(b.change("third")))
-		all("after the next change", "third")
+		b.startVM(5)
+		time.Sleep(maxChangeDelay)
+		checkAll("after an entry VM started", "second")
+		b.waitFor(maxChangeDelay, "the next change", b.inForceOnAll(b.changeModel("third")))
+		checkAll("after the next change", "third")
 	})
 }
 
 func TestStatusOutlastsTheStore(t *testing.T) {
-	fleet(t, 3, func(t *testing.T, b *testbed) {
+	withFleet(t, 3, func(t *testing.T, b *testbed) {
 		status := func() string {
 			text := ""
 			for _, o := range b.store.List([]api.ResourceKind{api.ResourceKindStatus}).Items {
@@ -80,23 +80,23 @@
 			}
 			return text
 		}
-		b.within(time.Minute, "a status", func() bool { return status() != "" })
+		b.waitFor(time.Minute, "a status", func() bool { return status() != "" })
 		time.Sleep(10 * time.Second)
 		c, before := b.store.Copy(), status()
-		b.work()
+		b.startBackends()
 		time.Sleep(10 * time.Second)
 		now := status()
 		if now == before {
 			t.Fatalf("got status %s still, want another one of engines that serve", now)
 		}
-		b.restoreBed(c)
-		b.within(time.Minute, "the status after the copy came back", func() bool { return status() == now })
+		b.restore(c)
+		b.waitFor(time.Minute, "the status after the copy came back", func() bool { return status() == now })
 	})
 }
 
-// confirm asks an entry VM to confirm an order under a key and gives the status of the answer,
+// confirmOrder asks an entry VM to confirmOrder an order under a key and gives the status of the answer,
 // zero for none.
-func (b *testbed) confirm(v *vm, key string) int {
+func (b *testbed) confirmOrder(v *vm, key string) int {
 	t := &http.Transport{DialContext: machine{b.net, "callers"}.dial, DisableKeepAlives: true}
 	defer t.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -119,30 +119,30 @@
 func TestClaimsOutlastTheStore(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("answer lost %v", lost), func(t *testing.T) {
-			fleet(t, 4, func(t *testing.T, b *testbed) {
-				b.work()
+			withFleet(t, 4, func(t *testing.T, b *testbed) {
+				b.startBackends()
 				c := b.store.Copy()
 				if lost {
 					b.orders.Set(service.Faults{LoseAnswers: 1})
 				}
-				if got := b.confirm(b.vms[0], "k"); (got == http.StatusOK) == lost {
+				if got := b.confirmOrder(b.vms[0], "k"); (got == http.StatusOK) == lost {
 					t.Fatalf("the first request: got status %d, want an answer %v", got, !lost)
 				}
 				time.Sleep(time.Second)
-				b.restoreBed(c)
+				b.restore(c)
 				for range 30 {
 					for _, v := range b.vms {
-						b.confirm(v, "k")
+						b.confirmOrder(v, "k")
 					}
 					time.Sleep(500 * time.Millisecond)
 				}
 				if got := b.orders.Counts()["k"]; got != 1 {
 					t.Errorf("confirmations of one order: got %d, want 1", got)
 				}
-				if got := b.confirm(b.vms[1], "k"); (got == http.StatusOK) == lost {
+				if got := b.confirmOrder(b.vms[1], "k"); (got == http.StatusOK) == lost {
 					t.Errorf("the claimed request in the end: got status %d, want its answer %v", got, !lost)
 				}
-				if got := b.confirm(b.vms[1], "another"); got != http.StatusOK {
+				if got := b.confirmOrder(b.vms[1], "another"); got != http.StatusOK {
 					t.Errorf("a first request: got status %d, want 200", got)
 				}
 			})
--- a/fleet/testbed_test.go
+++ b/fleet/testbed_test.go
@@ -68,7 +68,7 @@
 	t.Cleanup(closer)
 	b.peers = peer.NewWithClient(c, time.Second)
 	for i := range n {
-		b.start(i)
+		b.startVM(i)
 	}
 	return b
 }
@@ -85,8 +85,8 @@
 	return s
 }
 
-// start starts entry VM i, or a new one in its place.
-func (b *testbed) start(i int) *vm {
+// startVM starts entry VM i, or a new one in its place.
+func (b *testbed) startVM(i int) *vm {
 	b.t.Helper()
 	v := &vm{name: fmt.Sprintf("entry-%d", i), host: fmt.Sprintf("10.0.1.%d", i), domain: api.DomainName(fmt.Sprintf("hall-%d", i%3)), done: make(chan error, 1)}
 	text := fmt.Sprintf("[node]\nname = %s\ndomain = %s\nlisten = %s:80\ncontrol = %s:81\n[platform]\naddress = %s:80\n", v.name, v.domain, v.host, v.host, platformHost)
@@ -125,9 +125,9 @@
 	return b.peers.Status(context.Background(), v.host+":81")
 }
 
-// within waits until a condition holds and gives the virtual time it took; a
-// condition that does not come within the limit fails the test.
-func (b *testbed) within(limit time.Duration, what string, ok func() bool) time.Duration {
+// waitFor waits until a condition holds and gives the virtual time it took; a
+// condition that does not come waitFor the limit fails the test.
+func (b *testbed) waitFor(limit time.Duration, what string, ok func() bool) time.Duration {
 	b.t.Helper()
 	began := time.Now()
 	for time.Since(began) <= limit {
@@ -140,11 +140,11 @@
 	return limit
 }
 
-// settled waits until every entry VM serves and sees every other one.
-func (b *testbed) settled() {
+// waitConverged waits until every entry VM serves and sees every other one.
+func (b *testbed) waitConverged() {
 	b.t.Helper()
-	b.within(2*time.Minute, "the fleet to settle", func() bool {
-		return b.every(func(s api.NodeStatus) bool {
+	b.waitFor(2*time.Minute, "the fleet to settle", func() bool {
+		return b.allVMs(func(s api.NodeStatus) bool {
 			n := 0
 			for _, m := range s.Members {
 				if m.State == api.MemberStatusStateServing {
@@ -156,7 +156,7 @@
 	})
 }
 
-func (b *testbed) every(ok func(s api.NodeStatus) bool, except ...*vm) bool {
+func (b *testbed) allVMs(ok func(s api.NodeStatus) bool, except ...*vm) bool {
 	for _, v := range b.vms {
 		if slices.Contains(except, v) {
 			continue
@@ -169,8 +169,8 @@
 	return true
 }
 
-// change changes a model and gives its version.
-func (b *testbed) change(weights string) api.Version {
+// changeModel changes a model and gives its version.
+func (b *testbed) changeModel(weights string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindModel, "desk")
 	if err != nil {
@@ -184,15 +184,15 @@
 	return o.Version
 }
 
-// inForce reports whether a version is in force on every entry VM.
-func (b *testbed) inForce(n api.Version, except ...*vm) func() bool {
+// inForceOnAll reports whether a version is in force on every entry VM.
+func (b *testbed) inForceOnAll(n api.Version, except ...*vm) func() bool {
 	return func() bool {
-		return b.every(func(s api.NodeStatus) bool { return s.ConfigVersion >= n }, except...)
+		return b.allVMs(func(s api.NodeStatus) bool { return s.ConfigVersion >= n }, except...)
 	}
 }
 
-// holders counts the entry VMs that hold a duty.
-func (b *testbed) holders(name string) int {
+// countHolders counts the entry VMs that hold a duty.
+func (b *testbed) countHolders(name string) int {
 	n := 0
 	for _, v := range b.vms {
 		if s, err := b.status(v); err == nil && slices.Contains(s.Leases, name) {
