--- a/fleet/standalone_restore_faults_test.go
+++ b/fleet/standalone_restore_faults_test.go
@@ -11,95 +11,95 @@
 	"github.com/wardridge/wardridge/internal/standin/service"
 )
 
-// ownMix plays a drawn course over a fleet of the own interface.
-type ownMix struct {
+// standaloneScenario plays a drawn course over a fleet of the own interface.
+type standaloneScenario struct {
 	*testbed
-	t      *testing.T
-	rand   *rand.Rand
-	copies []platform.Copy
-	// weights counts the changes of the model, keys the orders that were asked for.
-	weights, keys int
-	cut           map[*vm]bool
-	told          []string
+	t       *testing.T
+	rand    *rand.Rand
+	backups []platform.Copy
+	// modelChanges counts the changes of the model, orderCount the orders that were asked for.
+	modelChanges, orderCount int
+	isolated                 map[*vm]bool
+	history                  []string
 }
 
-func (m *ownMix) note(format string, a ...any) {
-	m.told = append(m.told, fmt.Sprintf(format, a...))
+func (m *standaloneScenario) logf(format string, a ...any) {
+	m.history = append(m.history, fmt.Sprintf(format, a...))
 }
 
 // step makes one drawn change.
-func (m *ownMix) step() {
+func (m *standaloneScenario) step() {
 	switch m.rand.IntN(7) {
 	case 0:
-		m.weights++
-		m.note("weights %d", m.weights)
-		m.changeModel(fmt.Sprint("w", m.weights))
+		m.modelChanges++
+		m.logf("weights %d", m.modelChanges)
+		m.changeModel(fmt.Sprint("w", m.modelChanges))
 	case 1:
-		m.note("copy %d", len(m.copies))
-		m.copies = append(m.copies, m.store.Copy())
+		m.logf("copy %d", len(m.backups))
+		m.backups = append(m.backups, m.store.Copy())
 	case 2:
-		m.comeBack()
+		m.restoreRandomBackup()
 	case 3:
 		v := m.vms[m.rand.IntN(len(m.vms))]
-		m.cut[v] = !m.cut[v]
-		m.note("%s cut off: %v", v.name, m.cut[v])
-		m.isolate(v, m.cut[v])
+		m.isolated[v] = !m.isolated[v]
+		m.logf("%s cut off: %v", v.name, m.isolated[v])
+		m.isolate(v, m.isolated[v])
 	case 4, 5:
-		m.order(m.rand.IntN(2) == 0)
+		m.sendOrder(m.rand.IntN(2) == 0)
 	case 6:
-		m.order(false)
-		m.comeBack()
+		m.sendOrder(false)
+		m.restoreRandomBackup()
 	}
 }
 
-// comeBack has the platform come back from a copy.
-func (m *ownMix) comeBack() {
-	if len(m.copies) == 0 {
+// restoreRandomBackup has the platform come back from a copy.
+func (m *standaloneScenario) restoreRandomBackup() {
+	if len(m.backups) == 0 {
 		return
 	}
-	k := m.rand.IntN(len(m.copies))
-	m.note("back from copy %d", k)
+	k := m.rand.IntN(len(m.backups))
+	m.logf("back from copy %d", k)
 	if m.rand.IntN(2) == 0 {
 		m.platform.Set(platform.Faults{Outage: true})
 		time.Sleep(time.Duration(m.rand.IntN(3)) * time.Second)
 	}
-	m.store.Restore(m.copies[k])
+	m.store.Restore(m.backups[k])
 	m.platform.Set(platform.Faults{})
-	m.copies = nil
+	m.backups = nil
 }
 
-// order asks for a new order, whose answer may be lost.
-func (m *ownMix) order(lost bool) {
-	m.keys++
+// sendOrder asks for a new sendOrder, whose answer may be lost.
+func (m *standaloneScenario) sendOrder(lost bool) {
+	m.orderCount++
 	if lost {
 		m.orders.Set(service.Faults{LoseAnswers: 1})
 	}
 	v := m.vms[m.rand.IntN(len(m.vms))]
-	got := m.confirmOrder(v, fmt.Sprint("k", m.keys))
+	got := m.confirmOrder(v, fmt.Sprint("k", m.orderCount))
 	m.orders.Set(service.Faults{})
-	m.note("order %d at %s: %d", m.keys, v.name, got)
+	m.logf("order %d at %s: %d", m.orderCount, v.name, got)
 }
 
-// again asks once more for some of the last orders, at any entry VM.
-func (m *ownMix) again() {
+// repeatOrders asks once more for some of the last orders, at any entry VM.
+func (m *standaloneScenario) repeatOrders() {
 	for range 3 {
-		k := max(1, m.keys-m.rand.IntN(6))
+		k := max(1, m.orderCount-m.rand.IntN(6))
 		v := m.vms[m.rand.IntN(len(m.vms))]
 		if got := m.confirmOrder(v, fmt.Sprint("k", k)); got != 0 {
-			m.note("order %d again at %s: %d", k, v.name, got)
+			m.logf("order %d again at %s: %d", k, v.name, got)
 		}
 	}
 }
 
-// check looks at what must always hold.
-func (m *ownMix) check() {
+// checkInvariants looks at what must always hold.
+func (m *standaloneScenario) checkInvariants() {
 	for k, n := range m.orders.Counts() {
 		if n > 1 {
-			m.t.Errorf("order %s: got it confirmed %d times, want once\n%v", k, n, m.told)
+			m.t.Errorf("order %s: got it confirmed %d times, want once\n%v", k, n, m.history)
 		}
 	}
 	if got := m.countHolders(orders.Duty); got > 1 {
-		m.t.Errorf("holders of the orders: got %d, want one at most\n%v", got, m.told)
+		m.t.Errorf("holders of the orders: got %d, want one at most\n%v", got, m.history)
 	}
 }
 
@@ -108,23 +108,23 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			withFleet(t, 4, func(t *testing.T, b *testbed) {
 				b.startBackends()
-				m := &ownMix{testbed: b, t: t, rand: rand.New(rand.NewPCG(seed, 2)), cut: map[*vm]bool{}}
+				m := &standaloneScenario{testbed: b, t: t, rand: rand.New(rand.NewPCG(seed, 2)), isolated: map[*vm]bool{}}
 				for range 30 {
 					m.step()
-					m.again()
-					m.check()
+					m.repeatOrders()
+					m.checkInvariants()
 					time.Sleep(time.Duration(100+m.rand.IntN(1500)) * time.Millisecond)
 				}
 				for _, v := range b.vms {
 					m.isolate(v, false)
 				}
-				m.note("calm")
+				m.logf("calm")
 				time.Sleep(10 * time.Second)
 				b.waitFor(maxChangeDelay, "the last change", b.inForceOnAll(b.changeModel("last")))
 				b.waitFor(30*time.Second, "a holder of the orders", func() bool { return b.countHolders(orders.Duty) == 1 })
-				m.check()
+				m.checkInvariants()
 				if t.Failed() {
-					t.Log(m.told)
+					t.Log(m.history)
 				}
 			})
 		})
