--- a/fleet/store_restore_faults_test.go
+++ b/fleet/store_restore_faults_test.go
@@ -18,94 +18,94 @@
 // restoreSeeds is the number of courses that TestRestoresAmongOtherFaults plays.
 var restoreSeeds = flag.Uint64("restore-seeds", 12, "courses of restores among other faults")
 
-// mix plays a drawn course of restores, cuts, restarts and changes over a fleet, and knows
+// scenario plays a drawn course of restores, cuts, restarts and changes over a fleet, and knows
 // what operators and servers last wrote.
-type mix struct {
+type scenario struct {
 	*storeTestbed
-	t    *testing.T
-	rand *rand.Rand
-	n    int
-	// newest is the configuration that was confirmed last.
-	newest  int64
-	written time.Time
-	copies  []hosted.Backup
+	t       *testing.T
+	rand    *rand.Rand
+	vmCount int
+	// newestConfig is the configuration that was confirmed last.
+	newestConfig int64
+	configuredAt time.Time
+	backups      []hosted.Backup
 	// servers are those that live, with what they last wrote; left are those that ended or
 	// said that they will.
-	servers map[api.ServerID]roster.Server
-	left    map[api.ServerID]roster.Server
-	leftAt  map[api.ServerID]time.Time
-	made    int
-	// back is when the platform last came back from a copy.
-	back time.Time
-	// cut holds the entry VMs that the platform or peers don't reach, and disturbed when each
-	// was last cut, healed or started.
-	cut       map[int]bool
-	disturbed map[int]time.Time
-	// forced is the newest configuration that each entry VM was seen to serve by.
-	forced map[int]int64
-	// told is the course so far.
-	told []string
+	servers    map[api.ServerID]roster.Server
+	departed   map[api.ServerID]roster.Server
+	departedAt map[api.ServerID]time.Time
+	added      int
+	// restoredAt is when the platform last came restoredAt from a copy.
+	restoredAt time.Time
+	// isolated holds the entry VMs that the platform or peers don't reach, and disturbed when each
+	// was last isolated, healed or started.
+	isolated    map[int]bool
+	disturbedAt map[int]time.Time
+	// servedConfig is the newest configuration that each entry VM was seen to serve by.
+	servedConfig map[int]int64
+	// history is the course so far.
+	history []string
 }
 
-// note adds to the course.
-func (m *mix) note(format string, a ...any) {
-	m.told = append(m.told, fmt.Sprintf(format, a...))
+// logf adds to the course.
+func (m *scenario) logf(format string, a ...any) {
+	m.history = append(m.history, fmt.Sprintf(format, a...))
 }
 
 // step makes one drawn change.
-func (m *mix) step() {
+func (m *scenario) step() {
 	switch m.rand.IntN(8) {
 	case 0, 1:
-		m.newest++
-		m.note("configuration %d", m.newest)
-		m.configure(m.t, m.newest)
-		m.written = time.Now()
+		m.newestConfig++
+		m.logf("configuration %d", m.newestConfig)
+		m.configure(m.t, m.newestConfig)
+		m.configuredAt = time.Now()
 	case 2:
-		m.note("copy %d", len(m.copies))
-		m.copies = append(m.copies, m.store.Backup())
+		m.logf("copy %d", len(m.backups))
+		m.backups = append(m.backups, m.store.Backup())
 	case 3:
-		m.comeBack()
+		m.restoreRandomBackup()
 	case 4:
-		m.leave()
+		m.removeServer()
 	case 5:
-		m.made++
-		s := plainServer(fmt.Sprint(100+m.made), fmt.Sprintf("hall-%d", m.made%3))
-		m.note("server %s starts", s.ID)
+		m.added++
+		s := plainServer(fmt.Sprint(100+m.added), fmt.Sprintf("hall-%d", m.added%3))
+		m.logf("server %s starts", s.ID)
 		m.servers[s.ID] = s
 		m.register(m.t, s)
 	case 6:
-		m.link()
+		m.toggleLinks()
 	case 7:
-		i := m.rand.IntN(m.n)
-		m.note("entry VM %d restarts", i)
+		i := m.rand.IntN(m.vmCount)
+		m.logf("entry VM %d restarts", i)
 		m.stops[i]()
 		m.start(i)
-		m.disturbed[i] = time.Now()
-		delete(m.forced, i)
+		m.disturbedAt[i] = time.Now()
+		delete(m.servedConfig, i)
 	}
 }
 
-// comeBack has the platform come back from a copy of the last seconds, noticed or not.
-func (m *mix) comeBack() {
-	if len(m.copies) == 0 {
+// restoreRandomBackup has the platform come back from a copy of the last seconds, noticed or not.
+func (m *scenario) restoreRandomBackup() {
+	if len(m.backups) == 0 {
 		return
 	}
-	k := len(m.copies) - 1 - m.rand.IntN(min(2, len(m.copies)))
-	away := time.Duration(m.rand.IntN(3)) * time.Second
-	m.note("back from copy %d after %v", k, away)
-	if away > 0 {
+	k := len(m.backups) - 1 - m.rand.IntN(min(2, len(m.backups)))
+	outage := time.Duration(m.rand.IntN(3)) * time.Second
+	m.logf("back from copy %d after %v", k, outage)
+	if outage > 0 {
 		m.endpoint.SetOutcome(hosted.Disconnected, 0)
-		time.Sleep(away)
+		time.Sleep(outage)
 	}
-	m.store.Restore(m.copies[k])
+	m.store.Restore(m.backups[k])
 	m.endpoint.SetOutcome(hosted.Answered, 0)
 	// None of an earlier era is used again.
-	m.copies = m.copies[:0]
-	m.back = time.Now()
+	m.backups = m.backups[:0]
+	m.restoredAt = time.Now()
 }
 
-// leave has a server say that it leaves, or go without a word.
-func (m *mix) leave() {
+// removeServer has a server say that it leaves, or go without a word.
+func (m *scenario) removeServer() {
 	if len(m.servers) < 4 {
 		return
 	}
@@ -113,60 +113,60 @@
 	id := ids[m.rand.IntN(len(ids))]
 	s := m.servers[id]
 	delete(m.servers, id)
-	m.leftAt[id] = time.Now()
+	m.departedAt[id] = time.Now()
 	if m.rand.IntN(2) == 0 {
-		m.note("server %s drains", id)
+		m.logf("server %s drains", id)
 		s.Draining = true
-		m.left[id] = s
+		m.departed[id] = s
 		m.register(m.t, s)
 		return
 	}
-	m.left[id] = s
-	m.note("server %s is gone", id)
+	m.departed[id] = s
+	m.logf("server %s is gone", id)
 	m.unregister(m.t, s)
 }
 
-// link cuts an entry VM off from the platform, or from its peers, or heals it.
-func (m *mix) link() {
-	i := m.rand.IntN(m.n)
-	m.disturbed[i] = time.Now()
-	if m.cut[i] {
-		m.note("entry VM %d is whole again", i)
+// toggleLinks cuts an entry VM off from the platform, or from its peers, or heals it.
+func (m *scenario) toggleLinks() {
+	i := m.rand.IntN(m.vmCount)
+	m.disturbedAt[i] = time.Now()
+	if m.isolated[i] {
+		m.logf("entry VM %d is whole again", i)
 		m.net.cut(hostedHost(i), platformHost, false)
-		m.reach(i, true)
-		delete(m.cut, i)
+		m.connectPeers(i, true)
+		delete(m.isolated, i)
 		return
 	}
-	m.cut[i] = true
+	m.isolated[i] = true
 	if m.rand.IntN(2) == 0 {
-		m.note("entry VM %d loses the platform", i)
+		m.logf("entry VM %d loses the platform", i)
 		m.net.cut(hostedHost(i), platformHost, true)
 		return
 	}
-	m.note("entry VM %d loses its peers", i)
-	m.reach(i, false)
+	m.logf("entry VM %d loses its peers", i)
+	m.connectPeers(i, false)
 }
 
-// reach cuts or heals the links between an entry VM and its peers.
-func (m *mix) reach(i int, whole bool) {
-	for k := range m.n {
+// connectPeers cuts or heals the links between an entry VM and its peers.
+func (m *scenario) connectPeers(i int, connected bool) {
+	for k := range m.vmCount {
 		if k != i {
-			m.net.cut(hostedHost(i), hostedHost(k), !whole)
-			m.net.cut(hostedHost(k), hostedHost(i), !whole)
+			m.net.cut(hostedHost(i), hostedHost(k), !connected)
+			m.net.cut(hostedHost(k), hostedHost(i), !connected)
 		}
 	}
 }
 
-// lapseTime is how long the store keeps the entry of a server that no longer writes it.
-const lapseTime = 3600 * time.Millisecond
+// entryTTL is how long the store keeps the entry of a server that no longer writes it.
+const entryTTL = 3600 * time.Millisecond
 
 // heartbeat has live servers write again what the store lacks, as they do about every second;
 // entries of those that are gone lapse.
-func (m *mix) heartbeat() {
-	for _, id := range slices.Sorted(maps.Keys(m.left)) {
-		if s := m.left[id]; s.Draining {
+func (m *scenario) heartbeat() {
+	for _, id := range slices.Sorted(maps.Keys(m.departed)) {
+		if s := m.departed[id]; s.Draining {
 			m.register(m.t, s)
-		} else if time.Since(m.back) > lapseTime {
+		} else if time.Since(m.restoredAt) > entryTTL {
 			m.unregister(m.t, s)
 		}
 	}
@@ -175,61 +175,61 @@
 	}
 }
 
-// forward checks that no entry VM goes back to an earlier configuration than it served by.
-func (m *mix) forward() {
-	for i := range m.n {
-		for v := m.newest; v > m.forced[i]; v-- {
+// checkNoRollback checks that no entry VM goes back to an earlier configuration than it served by.
+func (m *scenario) checkNoRollback() {
+	for i := range m.vmCount {
+		for v := m.newestConfig; v > m.servedConfig[i]; v-- {
 			if m.serves(i, v) {
-				m.forced[i] = v
+				m.servedConfig[i] = v
 				break
 			}
 		}
-		if v := m.forced[i]; v > 0 && !m.serves(i, v) {
-			m.t.Errorf("entry VM %d: got the configuration %d, which it had in force, no longer served, want it or a later one\n%v", i, v, m.told)
+		if v := m.servedConfig[i]; v > 0 && !m.serves(i, v) {
+			m.t.Errorf("entry VM %d: got the configuration %d, which it had in force, no longer served, want it or a later one\n%v", i, v, m.history)
 		}
 	}
 }
 
-// whole reports whether an entry VM has been reached by all and not started again for long
+// isStable reports whether an entry VM has been reached by all and not started again for long
 // enough to know what the others do.
-func (m *mix) whole(i int) bool {
-	return !m.cut[i] && time.Since(m.disturbed[i]) > knownTime
+func (m *scenario) isStable(i int) bool {
+	return !m.isolated[i] && time.Since(m.disturbedAt[i]) > maxPropagation
 }
 
-// together checks that the configuration that one whole entry VM has in force is so at all of
+// checkSameConfig checks that the configuration that one whole entry VM has in force is so at all of
 // them, once there was time for it.
-func (m *mix) together() {
+func (m *scenario) checkSameConfig() {
 	newest := int64(0)
-	for i := range m.n {
-		if m.whole(i) {
-			newest = max(newest, m.forced[i])
+	for i := range m.vmCount {
+		if m.isStable(i) {
+			newest = max(newest, m.servedConfig[i])
 		}
 	}
-	if newest < m.newest || time.Since(m.written) < inForceTime {
+	if newest < m.newestConfig || time.Since(m.configuredAt) < inForceTime {
 		return
 	}
-	for i := range m.n {
-		if m.whole(i) && !m.serves(i, newest) {
-			m.t.Errorf("entry VM %d: got the configuration %d, which others have in force, not served, want it\n%v", i, newest, m.told)
+	for i := range m.vmCount {
+		if m.isStable(i) && !m.serves(i, newest) {
+			m.t.Errorf("entry VM %d: got the configuration %d, which others have in force, not served, want it\n%v", i, newest, m.history)
 		}
 	}
 }
 
-// knownTime is how long after a server left, or an entry VM was disturbed, the leave may be
+// maxPropagation is how long after a server left, or an entry VM was disturbed, the leave may be
 // unknown there: an outage of the platform is noticed, and servers are asked or peers tell.
-const knownTime = 4 * time.Second
+const maxPropagation = 4 * time.Second
 
-// spare checks that entry VMs which are whole send nothing to servers that left.
-func (m *mix) spare() {
+// checkDepartedUnused checks that entry VMs which are whole send nothing to servers that left.
+func (m *scenario) checkDepartedUnused() {
 	var known []api.ServerID
-	for _, id := range slices.Sorted(maps.Keys(m.leftAt)) {
-		if time.Since(m.leftAt[id]) > knownTime {
+	for _, id := range slices.Sorted(maps.Keys(m.departedAt)) {
+		if time.Since(m.departedAt[id]) > maxPropagation {
 			known = append(known, id)
 		}
 	}
 	m.sent.to()
-	for i := range m.n {
-		if !m.whole(i) {
+	for i := range m.vmCount {
+		if !m.isStable(i) {
 			continue
 		}
 		for k := range 8 {
@@ -237,31 +237,31 @@
 		}
 	}
 	if got := m.sent.to(known...); got > 0 {
-		m.t.Errorf("requests to servers that left over %v ago: got %d, want none\n%v", knownTime, got, m.told)
+		m.t.Errorf("requests to servers that left over %v ago: got %d, want none\n%v", maxPropagation, got, m.history)
 	}
 }
 
-// settled heals all, and checks that every entry VM has what was written last.
-func (m *mix) settled() {
-	for i := range m.n {
+// checkRecovery heals all, and checks that every entry VM has what was written last.
+func (m *scenario) checkRecovery() {
+	for i := range m.vmCount {
 		m.net.cut(hostedHost(i), platformHost, false)
-		m.reach(i, true)
+		m.connectPeers(i, true)
 	}
-	clear(m.cut)
+	clear(m.isolated)
 	for range 6 {
 		m.heartbeat()
 		time.Sleep(time.Second)
 	}
-	m.note("calm")
-	for i := range m.n {
-		if !m.serves(i, m.newest) {
-			m.t.Errorf("entry VM %d: got the newest configuration %d not in force, want it\n%v", i, m.newest, m.told)
+	m.logf("calm")
+	for i := range m.vmCount {
+		if !m.serves(i, m.newestConfig) {
+			m.t.Errorf("entry VM %d: got the newest configuration %d not in force, want it\n%v", i, m.newestConfig, m.history)
 		}
 	}
 	m.sent.to()
-	m.load(m.n)
-	if got := m.sent.to(slices.Collect(maps.Keys(m.left))...); got > 0 {
-		m.t.Errorf("requests to servers that left: got %d, want none\n%v", got, m.told)
+	m.load(m.vmCount)
+	if got := m.sent.to(slices.Collect(maps.Keys(m.departed))...); got > 0 {
+		m.t.Errorf("requests to servers that left: got %d, want none\n%v", got, m.history)
 	}
 }
 
@@ -270,9 +270,9 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const n = 6
-				m := &mix{
-					storeTestbed: newStoreTestbed(t, n), t: t, rand: rand.New(rand.NewPCG(seed, 1)), n: n, newest: 1,
-					servers: map[api.ServerID]roster.Server{}, left: map[api.ServerID]roster.Server{}, leftAt: map[api.ServerID]time.Time{}, cut: map[int]bool{}, disturbed: map[int]time.Time{}, forced: map[int]int64{},
+				m := &scenario{
+					storeTestbed: newStoreTestbed(t, n), t: t, rand: rand.New(rand.NewPCG(seed, 1)), vmCount: n, newestConfig: 1,
+					servers: map[api.ServerID]roster.Server{}, departed: map[api.ServerID]roster.Server{}, departedAt: map[api.ServerID]time.Time{}, isolated: map[int]bool{}, disturbedAt: map[int]time.Time{}, servedConfig: map[int]int64{},
 				}
 				for i := range 4 {
 					s := plainServer(fmt.Sprint(i+1), fmt.Sprintf("hall-%d", i%3))
@@ -283,14 +283,14 @@
 						m.step()
 						m.heartbeat()
 						time.Sleep(time.Duration(200+m.rand.IntN(1500)) * time.Millisecond)
-						m.forward()
-						m.together()
-						m.spare()
+						m.checkNoRollback()
+						m.checkSameConfig()
+						m.checkDepartedUnused()
 					}
 					// Operators write again what the platform may have lost.
-					m.newest++
-					m.configure(m.t, m.newest)
-					m.settled()
+					m.newestConfig++
+					m.configure(m.t, m.newestConfig)
+					m.checkRecovery()
 				}
 			})
 		})
