--- a/fleet/store_restore_faults_test.go
+++ b/fleet/store_restore_faults_test.go
@@ -205,7 +205,7 @@
 			newest = max(newest, m.servedConfig[i])
 		}
 	}
-	if newest < m.newestConfig || time.Since(m.configuredAt) < inForceTime {
+	if newest < m.newestConfig || time.Since(m.configuredAt) < maxHostedChangeDelay {
 		return
 	}
 	for i := range m.vmCount {
@@ -227,7 +227,7 @@
 			known = append(known, id)
 		}
 	}
-	m.sent.to()
+	m.sent.takeCount()
 	for i := range m.vmCount {
 		if !m.isStable(i) {
 			continue
@@ -236,7 +236,7 @@
 			m.ask(i, call(fmt.Sprint("spare-", i, k), "/always/", ""))
 		}
 	}
-	if got := m.sent.to(known...); got > 0 {
+	if got := m.sent.takeCount(known...); got > 0 {
 		m.t.Errorf("requests to servers that left over %v ago: got %d, want none\n%v", maxPropagation, got, m.history)
 	}
 }
@@ -258,9 +258,9 @@
 			m.t.Errorf("entry VM %d: got the newest configuration %d not in force, want it\n%v", i, m.newestConfig, m.history)
 		}
 	}
-	m.sent.to()
-	m.load(m.vmCount)
-	if got := m.sent.to(slices.Collect(maps.Keys(m.departed))...); got > 0 {
+	m.sent.takeCount()
+	m.sendRequests(m.vmCount)
+	if got := m.sent.takeCount(slices.Collect(maps.Keys(m.departed))...); got > 0 {
 		m.t.Errorf("requests to servers that left: got %d, want none\n%v", got, m.history)
 	}
 }
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -25,11 +25,11 @@
 	"github.com/wardridge/wardridge/platform/standin"
 )
 
-// inForceTime is the time within which operators may count on a confirmed change.
-const inForceTime = 2 * time.Second
+// maxHostedChangeDelay is the time within which operators may count on a confirmed change.
+const maxHostedChangeDelay = 2 * time.Second
 
-// closeTime is the time within which a closed failure domain has to get nothing new.
-const closeTime = 5 * time.Second
+// maxCloseDelay is the time within which a closed failure domain has to get nothing new.
+const maxCloseDelay = 5 * time.Second
 
 // storeTestbed is a fleet of hosted entry VMs over a platform's store that can come back from a
 // copy.
@@ -37,51 +37,51 @@
 	*hostedTestbed
 	store    *hosted.Store
 	endpoint *hosted.Endpoint
-	sent     *record
+	sent     *recorder
 	calls    atomic.Int64
 }
 
-// record is what entry VMs sent to backend servers.
-type record struct {
-	mutex sync.Mutex
-	l     []port.Attempt
+// recorder is what entry VMs sent to backend servers.
+type recorder struct {
+	mutex    sync.Mutex
+	attempts []port.Attempt
 }
 
 // Send notes an attempt and answers it.
-func (r *record) Send(_ context.Context, a port.Attempt) (port.Answer, error) {
+func (r *recorder) Send(_ context.Context, a port.Attempt) (port.Answer, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.l = append(r.l, a)
+	r.attempts = append(r.attempts, a)
 	return port.Answer{Head: port.Head{Status: http.StatusOK}, Body: []byte("done")}, nil
 }
 
-// to counts the attempts at servers since the last look.
-func (r *record) to(ids ...api.ServerID) int {
+// takeCount counts the attempts at servers since the last look.
+func (r *recorder) takeCount(ids ...api.ServerID) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	n := 0
-	for _, a := range r.l {
+	for _, a := range r.attempts {
 		if slices.Contains(ids, a.Server.ID) {
 			n++
 		}
 	}
-	r.l = nil
+	r.attempts = nil
 	return n
 }
 
-// recording is a pool whose plain requests are only recorded.
-type recording struct {
+// recordingPool is a pool whose plain requests are only recorded.
+type recordingPool struct {
 	*pool
-	*record
+	*recorder
 }
 
-func (r recording) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
-	return r.record.Send(ctx, a)
+func (r recordingPool) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
+	return r.recorder.Send(ctx, a)
 }
 
-// configuration is one of the operators', of a version: its route, and the key of its
+// newConfig is one of the operators', of a version: its route, and the key of its
 // workspace, have the version's name.
-func configuration(v int64) directory.Config {
+func newConfig(v int64) directory.Config {
 	n := fmt.Sprintf("/v%d/", v)
 	r := func(p string) directory.Route {
 		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: directory.Safe, Timeout: 10 * time.Second, LatencyTarget: time.Second, MaxServers: 2, Anonymous: true, Targets: []directory.Target{{Service: "plain", Weight: 1}}}
@@ -99,14 +99,14 @@
 func newStoreTestbed(t *testing.T, n int) *storeTestbed {
 	t.Helper()
 	s := hosted.NewStore(standin.Wire{})
-	b := &storeTestbed{store: s, endpoint: s.NewEndpoint(), sent: &record{}}
+	b := &storeTestbed{store: s, endpoint: s.NewEndpoint(), sent: &recorder{}}
 	b.configure(t, 1)
 	for i := range 4 {
 		b.register(t, plainServer(fmt.Sprint(i+1), fmt.Sprintf("hall-%d", i%3)))
 	}
 	b.hostedTestbed = prepareHostedTestbed(t, newPool(0, 0))
-	b.over, b.settings = b.adapt, fmt.Sprintf("close_ms = %d\n", closeTime.Milliseconds())
-	b.serve(t)
+	b.over, b.settings = b.newStoreAdapter, fmt.Sprintf("close_ms = %d\n", maxCloseDelay.Milliseconds())
+	b.serveStore(t)
 	for i := range n {
 		b.start(i)
 	}
@@ -114,8 +114,8 @@
 	return b
 }
 
-// serve answers for the store on the network.
-func (b *storeTestbed) serve(t *testing.T) {
+// serveStore answers for the store on the network.
+func (b *storeTestbed) serveStore(t *testing.T) {
 	t.Helper()
 	l, err := machine{b.net, platformHost}.listen(context.Background(), platformHost+":80")
 	if err != nil {
@@ -130,14 +130,14 @@
 	t.Cleanup(func() { _ = h.Close() })
 }
 
-// adapt is the platform's own adapter for entry VM i, over servers that record.
-func (b *storeTestbed) adapt(i int, l node.AdapterDeps) node.Adapter {
+// newStoreAdapter is the platform's own adapter for entry VM i, over servers that record.
+func (b *storeTestbed) newStoreAdapter(i int, l node.AdapterDeps) node.Adapter {
 	o := platform.NewStoreClient(l.Platform, l.Address)
 	bad := func(kind, name string, err error) { b.t.Errorf("%s/%s: %v", kind, name, err) }
 	return node.Adapter{
 		Config: platform.NewConfigSource(o, bad), Servers: platform.NewServerSource(o, bad), Closures: platform.NewClosureSource(o, bad),
 		QuarantineSource: platform.NewQuarantineSource(o, bad), QuarantineStore: platform.NewQuarantineWriter(o),
-		Backends:  recording{b.pool, b.sent},
+		Backends:  recordingPool{b.pool, b.sent},
 		Ingress:   func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) },
 		Readiness: func(*gateway.Gateway) http.Handler { return http.NotFoundHandler() },
 	}
@@ -146,7 +146,7 @@
 // configure writes a configuration as operators do.
 func (b *storeTestbed) configure(t *testing.T, v int64) {
 	t.Helper()
-	if err := b.store.WriteConfig(configuration(v)); err != nil {
+	if err := b.store.WriteConfig(newConfig(v)); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -175,22 +175,22 @@
 	return b.ask(i, call(fmt.Sprint("probe-", v, "-", time.Now().UnixNano()), p, "")).served()
 }
 
-// want checks that every entry VM serves by a version and no longer by an earlier one.
-func (b *storeTestbed) want(when string, n int, v, not int64) {
+// checkVersion checks that every entry VM serves by a version and no longer by an earlier one.
+func (b *storeTestbed) checkVersion(when string, n int, v, gone int64) {
 	b.t.Helper()
 	for i := range n {
 		if !b.serves(i, v) {
 			b.t.Errorf("%s, entry VM %d: got the route of version %d not served, want it", when, i, v)
 		}
-		if not > 0 && b.serves(i, not) {
-			b.t.Errorf("%s, entry VM %d: got the route of version %d served, want it gone", when, i, not)
+		if gone > 0 && b.serves(i, gone) {
+			b.t.Errorf("%s, entry VM %d: got the route of version %d served, want it gone", when, i, gone)
 		}
 	}
 }
 
-// restoredSlow is how long the platform's return takes to be noticed: the pause after a failed
+// maxRestoreDelay is how long the platform's return takes to be noticed: the pause after a failed
 // call, a list, and the exchange with peers.
-const restoredSlow = 3 * time.Second
+const maxRestoreDelay = 3 * time.Second
 
 func TestChangesAfterTheStoreCameBackFromACopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -199,18 +199,18 @@
 		c := b.store.Backup()
 		for v := range int64(8) {
 			b.configure(t, v+2)
-			time.Sleep(inForceTime)
+			time.Sleep(maxHostedChangeDelay)
 		}
-		b.want("before", n, 9, 8)
+		b.checkVersion("before", n, 9, 8)
 		b.restore(c)
-		time.Sleep(restoredSlow)
-		b.want("after the copy came back", n, 9, 1)
+		time.Sleep(maxRestoreDelay)
+		b.checkVersion("after the copy came back", n, 9, 1)
 		b.configure(t, 10)
-		time.Sleep(inForceTime)
-		b.want("after the next change", n, 10, 9)
+		time.Sleep(maxHostedChangeDelay)
+		b.checkVersion("after the next change", n, 10, 9)
 		b.configure(t, 11)
-		time.Sleep(inForceTime)
-		b.want("after the one that follows", n, 11, 10)
+		time.Sleep(maxHostedChangeDelay)
+		b.checkVersion("after the one that follows", n, 11, 10)
 	})
 }
 
@@ -220,24 +220,24 @@
 		b := newStoreTestbed(t, n)
 		c := b.store.Backup()
 		b.configure(t, 2)
-		time.Sleep(inForceTime)
+		time.Sleep(maxHostedChangeDelay)
 		b.store.Restore(c)
 		b.unregister(t, plainServer("4", "hall-0"))
 		for v := range int64(8) {
 			b.configure(t, v+3)
 		}
-		time.Sleep(restoredSlow + inForceTime)
-		b.want("after the copy came back", n, 10, 2)
-		b.sent.to("4")
-		b.load(n)
-		if got := b.sent.to("4"); got > 0 {
+		time.Sleep(maxRestoreDelay + maxHostedChangeDelay)
+		b.checkVersion("after the copy came back", n, 10, 2)
+		b.sent.takeCount("4")
+		b.sendRequests(n)
+		if got := b.sent.takeCount("4"); got > 0 {
 			t.Errorf("requests to a server that left: got %d, want none", got)
 		}
 	})
 }
 
-// load sends thirty requests to each entry VM, by which every server in use gets some.
-func (b *storeTestbed) load(n int) {
+// sendRequests sends thirty requests to each entry VM, by which every server in use gets some.
+func (b *storeTestbed) sendRequests(n int) {
 	for i := range 30 * n {
 		b.ask(i%n, call(fmt.Sprint("load-", i), "/always/", ""))
 	}
@@ -260,18 +260,18 @@
 		c := b.store.Backup()
 		b.configure(t, 2)
 		b.configure(t, 3)
-		time.Sleep(inForceTime)
+		time.Sleep(maxHostedChangeDelay)
 		b.restore(c)
-		time.Sleep(restoredSlow)
+		time.Sleep(maxRestoreDelay)
 		for _, i := range []int{0, 5} {
 			b.stops[i]()
 			b.start(i)
 		}
-		time.Sleep(inForceTime)
-		b.want("after two VMs started", n, 3, 1)
+		time.Sleep(maxHostedChangeDelay)
+		b.checkVersion("after two VMs started", n, 3, 1)
 		b.configure(t, 4)
-		time.Sleep(inForceTime)
-		b.want("after the next change", n, 4, 3)
+		time.Sleep(maxHostedChangeDelay)
+		b.checkVersion("after the next change", n, 4, 3)
 	})
 }
 
@@ -301,17 +301,17 @@
 				b.stops[n-1]()
 				b.start(n - 1)
 				time.Sleep(time.Second)
-				b.sent.to("1", "2")
-				b.load(n)
-				if got := b.sent.to("1", "2"); got > 0 {
+				b.sent.takeCount("1", "2")
+				b.sendRequests(n)
+				if got := b.sent.takeCount("1", "2"); got > 0 {
 					t.Errorf("requests to servers that are leaving or gone, before they write: got %d, want none", got)
 				}
 				// The one that serves on writes again; the other's entry lapses.
 				b.register(t, leaving)
 				time.Sleep(3 * time.Second)
 				b.unregister(t, plainServer("2", "hall-1"))
-				b.load(n)
-				if got := b.sent.to("1", "2"); got > 0 {
+				b.sendRequests(n)
+				if got := b.sent.takeCount("1", "2"); got > 0 {
 					t.Errorf("requests to servers that are leaving or gone, later: got %d, want none", got)
 				}
 			})
@@ -323,12 +323,12 @@
 func TestClosedDomainBeforeTheStoreCameBackFromACopy(t *testing.T) {
 	for _, w := range []struct {
 		name string
-		// again is when operators write it again, and open when they take it back; zero for never.
-		again, open time.Duration
-		// opened is how long after the return the domain may be closed at most.
-		opened time.Duration
+		// rewriteAfter is when operators write it rewriteAfter, and openAfter when they take it back; zero for never.
+		rewriteAfter, openAfter time.Duration
+		// maxClosed is how long after the return the domain may be closed at most.
+		maxClosed time.Duration
 	}{
-		{"written again and opened", 8 * time.Second, 12 * time.Second, 12*time.Second + closeTime},
+		{"written again and opened", 8 * time.Second, 12 * time.Second, 12*time.Second + maxCloseDelay},
 		{"written again and opened at once", 8 * time.Second, 8 * time.Second, time.Minute},
 		{"never written again", 0, 0, time.Minute},
 	} {
@@ -337,36 +337,36 @@
 				const n = 6
 				b := newStoreTestbed(t, n)
 				c := b.store.Backup()
-				b.close(t, true)
-				time.Sleep(closeTime)
+				b.setDomainClosed(t, true)
+				time.Sleep(maxCloseDelay)
 				b.restore(c)
 				back := time.Now()
 				b.stops[n-1]()
 				b.start(n - 1)
 				time.Sleep(2 * time.Second)
-				closed := func(when string) {
-					b.sent.to("1", "4")
-					b.load(n)
-					if got := b.sent.to("1", "4"); got > 0 {
+				checkClosed := func(when string) {
+					b.sent.takeCount("1", "4")
+					b.sendRequests(n)
+					if got := b.sent.takeCount("1", "4"); got > 0 {
 						t.Errorf("%s: got %d requests to the closed domain, want none", when, got)
 					}
 				}
-				closed("after the copy came back")
-				if w.again > 0 {
-					time.Sleep(time.Until(back.Add(w.again)))
-					closed("before operators write again")
-					b.close(t, true)
-					if w.open > w.again {
-						time.Sleep(closeTime / 2)
-						closed("after they did")
-						time.Sleep(time.Until(back.Add(w.open)))
+				checkClosed("after the copy came back")
+				if w.rewriteAfter > 0 {
+					time.Sleep(time.Until(back.Add(w.rewriteAfter)))
+					checkClosed("before operators write again")
+					b.setDomainClosed(t, true)
+					if w.openAfter > w.rewriteAfter {
+						time.Sleep(maxCloseDelay / 2)
+						checkClosed("after they did")
+						time.Sleep(time.Until(back.Add(w.openAfter)))
 					}
-					b.close(t, false)
+					b.setDomainClosed(t, false)
 				}
-				time.Sleep(time.Until(back.Add(w.opened)))
-				b.sent.to("1", "4")
-				b.load(n)
-				if got := b.sent.to("1", "4"); got == 0 {
+				time.Sleep(time.Until(back.Add(w.maxClosed)))
+				b.sent.takeCount("1", "4")
+				b.sendRequests(n)
+				if got := b.sent.takeCount("1", "4"); got == 0 {
 					t.Error("after it was opened: got no request there, want some")
 				}
 			})
@@ -374,8 +374,8 @@
 	}
 }
 
-// close closes the failure domain of servers 1 and 4, or opens it.
-func (b *storeTestbed) close(t *testing.T, closed bool) {
+// setDomainClosed closes the failure domain of servers 1 and 4, or opens it.
+func (b *storeTestbed) setDomainClosed(t *testing.T, closed bool) {
 	t.Helper()
 	f := b.store.CloseDomain
 	if !closed {
@@ -386,8 +386,8 @@
 	}
 }
 
-// quarantines writes refused contents to the store as an entry VM does.
-func (b *storeTestbed) quarantines(t *testing.T) (platform.QuarantineWriter, *platform.Source[quarantine.Entry]) {
+// newQuarantineClient writes refused contents to the store as an entry VM does.
+func (b *storeTestbed) newQuarantineClient(t *testing.T) (platform.QuarantineWriter, *platform.Source[quarantine.Entry]) {
 	t.Helper()
 	c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 	t.Cleanup(closer)
@@ -395,8 +395,8 @@
 	return platform.NewQuarantineWriter(o), platform.NewQuarantineSource(o, func(_, name string, err error) { t.Errorf("%s: %v", name, err) })
 }
 
-// content names a request's content as entry VMs do.
-func content(r *port.Request) api.ContentHash {
+// contentHash names a request's contentHash as entry VMs do.
+func contentHash(r *port.Request) api.ContentHash {
 	return quarantine.Hash("", r.Method, r.Host, r.Target, r.Body)
 }
 
@@ -404,23 +404,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreTestbed(t, n)
-		q, kept := b.quarantines(t)
+		q, kept := b.newQuarantineClient(t)
 		ctx := context.Background()
 		deadly, released := call("x", "/always/", "deadly"), call("y", "/always/", "released")
 		until := time.Now().Add(time.Hour)
-		if err := q.Put(ctx, quarantine.Entry{Content: content(released), Until: until}); err != nil {
+		if err := q.Put(ctx, quarantine.Entry{Content: contentHash(released), Until: until}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(inForceTime)
+		time.Sleep(maxHostedChangeDelay)
 		c := b.store.Backup()
-		if err := q.Put(ctx, quarantine.Entry{Content: content(deadly), Until: until}); err != nil {
+		if err := q.Put(ctx, quarantine.Entry{Content: contentHash(deadly), Until: until}); err != nil {
 			t.Fatal(err)
 		}
-		if err := q.Delete(ctx, content(released)); err != nil {
+		if err := q.Delete(ctx, contentHash(released)); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(inForceTime)
-		want := func(when string) {
+		time.Sleep(maxHostedChangeDelay)
+		check := func(when string) {
 			t.Helper()
 			for i := range n {
 				if !b.ask(i, call("x", "/always/", "deadly")).refused(fault.Quarantined) {
@@ -431,22 +431,22 @@
 				}
 			}
 		}
-		want("before")
+		check("before")
 		b.restore(c)
-		time.Sleep(restoredSlow)
-		want("after the copy came back")
+		time.Sleep(maxRestoreDelay)
+		check("after the copy came back")
 		b.stops[0]()
 		b.start(0)
-		time.Sleep(restoredSlow)
-		want("after a VM started")
+		time.Sleep(maxRestoreDelay)
+		check("after a VM started")
 		l, err := kept.List(ctx)
-		if err != nil || len(l.Items) != 1 || l.Items[0].Value.Content != content(deadly) {
+		if err != nil || len(l.Items) != 1 || l.Items[0].Value.Content != contentHash(deadly) {
 			t.Errorf("the platform's objects: got %+v, %v, want the content that ends servers alone", l.Items, err)
 		}
-		if err := q.Delete(ctx, content(deadly)); err != nil {
+		if err := q.Delete(ctx, contentHash(deadly)); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(restoredSlow)
+		time.Sleep(maxRestoreDelay)
 		for i := range n {
 			if !b.ask(i, call("x", "/always/", "deadly")).served() {
 				t.Errorf("released in the later era, entry VM %d: got it refused, want it served", i)
@@ -464,7 +464,7 @@
 				b := newStoreTestbed(t, n)
 				c := b.store.Backup()
 				b.configure(t, 2)
-				time.Sleep(inForceTime)
+				time.Sleep(maxHostedChangeDelay)
 				before := b.calls.Load()
 				time.Sleep(span)
 				calm := b.calls.Load() - before
@@ -478,8 +478,8 @@
 				after := b.calls.Load() - before
 				t.Logf("%d entry VMs: %d calls in %v of calm, %d after the return", n, calm, span, after)
 				// One list and one watch beyond those of calm for each VM and kind.
-				if most := calm + 2*4*n; after > most {
-					t.Errorf("calls after the return: got %d, want at most %d", after, most)
+				if allowed := calm + 2*4*n; after > allowed {
+					t.Errorf("calls after the return: got %d, want at most %d", after, allowed)
 				}
 			})
 		})
