--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -49,7 +49,7 @@
 func (b *hostedTestbed) comeBack(times, n int, path string, pause time.Duration) {
 	for i := range times {
 		b.group.Go(func(context.Context) error {
-			b.ask(i%n, call(fmt.Sprintf("d-%d", i), path, b.pool.deadly))
+			b.send(i%n, call(fmt.Sprintf("d-%d", i), path, b.pool.deadly))
 			return nil
 		})
 		time.Sleep(pause)
@@ -98,7 +98,7 @@
 		time.Sleep(10 * time.Second)
 		b.comeBack(6, n-1, "/unsafe/", comebackEvery)
 		before := p.crashes()
-		if a := b.ask(n-1, call("cut", "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) || a.fault.Ran != api.RanNo || a.fault.RetryAfter <= 0 {
+		if a := b.send(n-1, call("cut", "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) || a.fault.Ran != api.RanNo || a.fault.RetryAfter <= 0 {
 			t.Errorf("at the entry VM that is cut off: got %+v, want it refused as not run, with a time to come back", a)
 		}
 		for i := range n {
@@ -109,22 +109,22 @@
 		}
 		time.Sleep(10 * time.Second)
 		for i := range n {
-			if a := b.ask(i, call(fmt.Sprintf("again-%d", i), "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) {
+			if a := b.send(i, call(fmt.Sprintf("again-%d", i), "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) {
 				t.Errorf("at entry VM %d after a restart of all: got %+v, want it refused", i, a)
 			}
-			if a := b.ask(i, call(fmt.Sprintf("other-%d", i), "/unsafe/", "other")); !a.served() {
+			if a := b.send(i, call(fmt.Sprintf("other-%d", i), "/unsafe/", "other")); !a.served() {
 				t.Errorf("another content: got %+v, want it served", a)
 			}
 		}
 		if got := p.crashes(); got != before {
 			t.Errorf("crashes: got %d, want %d as before", got, before)
 		}
-		l, _ := b.kept.List(t.Context())
+		l, _ := b.quarantined.List(t.Context())
 		for _, o := range l.Items {
-			b.kept.drop(o.Name)
+			b.quarantined.remove(o.Name)
 		}
 		time.Sleep(5 * time.Second)
-		b.ask(0, call("released", "/unsafe/", p.deadly))
+		b.send(0, call("released", "/unsafe/", p.deadly))
 		if got := p.crashes(); got != before+1 {
 			t.Errorf("crashes after operators released it: got %d, want %d", got, before+1)
 		}
@@ -148,11 +148,11 @@
 // same once more.
 func (w *wave) ask(i, n int, id, path, body string) {
 	w.testbed.group.Go(func(ctx context.Context) error {
-		a := w.testbed.ask(i%n, short(call(id, path, body)))
-		if a.broken {
+		a := w.testbed.send(i%n, short(call(id, path, body)))
+		if a.aborted {
 			w.again.Add(1)
 			duty.Sleep(ctx, comebackEvery)
-			a = w.testbed.ask((i+1)%n, short(call(id+"-again", path, body)))
+			a = w.testbed.send((i+1)%n, short(call(id+"-again", path, body)))
 		}
 		if a.refused(fault.Quarantined) {
 			w.refused.Add(1)
@@ -212,11 +212,11 @@
 		for i := range callers {
 			b.group.Go(func(ctx context.Context) error {
 				for k := range tries {
-					a := b.ask((i+k)%n, short(call(fmt.Sprintf("%d-%d", i, k), "/stream/", fmt.Sprint(i))))
+					a := b.send((i+k)%n, short(call(fmt.Sprintf("%d-%d", i, k), "/stream/", fmt.Sprint(i))))
 					switch {
 					case a.refused(fault.Quarantined):
 						refused.Add(1)
-					case a.broken:
+					case a.aborted:
 						cut.Add(1)
 						duty.Sleep(ctx, comebackEvery)
 						continue
--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -28,17 +28,17 @@
 	net   *network
 	group *duty.Group
 	pool  *pool
-	// kept holds the refused contents in the platform's store.
-	kept *kind[quarantine.Entry]
+	// quarantined holds the refused contents in the platform's store.
+	quarantined *objectKind[quarantine.Entry]
 
-	// over makes the wire of an entry VM in place of adapt, and settings are added to those
+	// newAdapter makes the wire of an entry VM in place of adapt, and settings are added to those
 	// of its gateway.
-	over     func(i int, l node.AdapterDeps) node.Adapter
-	settings string
+	newAdapter func(i int, l node.AdapterDeps) node.Adapter
+	settings   string
 
-	mutex sync.Mutex
-	vms   map[int]*gateway.Gateway
-	stops map[int]func()
+	mutex    sync.Mutex
+	gateways map[int]*gateway.Gateway
+	stops    map[int]func()
 }
 
 // newHostedTestbed starts n entry VMs in three failure domains over a pool of servers; it
@@ -56,7 +56,7 @@
 // prepareHostedTestbed is newHostedBed without entry VMs.
 func prepareHostedTestbed(t *testing.T, p *pool) *hostedTestbed {
 	t.Helper()
-	b := &hostedTestbed{t: t, net: newNetwork(), pool: p, kept: newKind[quarantine.Entry](), vms: map[int]*gateway.Gateway{}, stops: map[int]func(){}}
+	b := &hostedTestbed{t: t, net: newNetwork(), pool: p, quarantined: newObjectKind[quarantine.Entry](), gateways: map[int]*gateway.Gateway{}, stops: map[int]func(){}}
 	var end func()
 	b.group, end = duty.New(context.Background())
 	t.Cleanup(end)
@@ -87,7 +87,7 @@
 	m := machine{b.net, h}
 	b.group.Go(func(context.Context) error {
 		defer close(done)
-		return node.RunHosted(ctx, node.Machine{Dial: m.dial, Listen: m.listen, Now: time.Now}, s, event.Discard(), node.SettingsReload{}, func(l node.AdapterDeps) node.Adapter { return b.wire(i, l) })
+		return node.RunHosted(ctx, node.Machine{Dial: m.dial, Listen: m.listen, Now: time.Now}, s, event.Discard(), node.SettingsReload{}, func(l node.AdapterDeps) node.Adapter { return b.adapter(i, l) })
 	})
 	stop := func() {
 		cancel()
@@ -97,20 +97,20 @@
 	b.t.Cleanup(stop)
 }
 
-// wire is that of entry VM i.
-func (b *hostedTestbed) wire(i int, l node.AdapterDeps) node.Adapter {
-	if b.over != nil {
-		return b.over(i, l)
+// adapter is that of entry VM i.
+func (b *hostedTestbed) adapter(i int, l node.AdapterDeps) node.Adapter {
+	if b.newAdapter != nil {
+		return b.newAdapter(i, l)
 	}
-	return b.adapt(i)
+	return b.newPoolAdapter(i)
 }
 
-// adapt is the wire of entry VM i: callers' requests are handed to its gateway by the
+// newPoolAdapter is the wire of entry VM i: callers' requests are handed to its gateway by the
 // test.
-func (b *hostedTestbed) adapt(i int) node.Adapter {
+func (b *hostedTestbed) newPoolAdapter(i int) node.Adapter {
 	return node.Adapter{
 		Config: b.pool.config, Servers: b.pool.entries, Backends: b.pool,
-		QuarantineSource: b.kept, QuarantineStore: keeper{b.kept},
+		QuarantineSource: b.quarantined, QuarantineStore: quarantineStore{b.quarantined},
 		Ingress:   func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) },
 		Readiness: func(*gateway.Gateway) http.Handler { return http.NotFoundHandler() },
 	}
@@ -120,50 +120,50 @@
 func (b *hostedTestbed) ingress(i int, g *gateway.Gateway) http.Handler {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.vms[i] = g
+	b.gateways[i] = g
 	return http.NotFoundHandler()
 }
 
-// keeper writes refused contents to the store.
-type keeper struct {
-	kept *kind[quarantine.Entry]
+// quarantineStore writes refused contents to the store.
+type quarantineStore struct {
+	entries *objectKind[quarantine.Entry]
 }
 
-func (k keeper) Put(_ context.Context, e quarantine.Entry) error {
-	k.kept.put(string(e.Content), e)
+func (k quarantineStore) Put(_ context.Context, e quarantine.Entry) error {
+	k.entries.put(string(e.Content), e)
 	return nil
 }
 
-func (k keeper) Delete(_ context.Context, c api.ContentHash) error {
-	k.kept.drop(string(c))
+func (k quarantineStore) Delete(_ context.Context, c api.ContentHash) error {
+	k.entries.remove(string(c))
 	return nil
 }
 
-// ask sends a request to entry VM i and gives what its caller got.
-func (b *hostedTestbed) ask(i int, r *port.Request) *asker {
+// send sends a request to entry VM i and gives what its caller got.
+func (b *hostedTestbed) send(i int, r *port.Request) *caller {
 	b.mutex.Lock()
-	g := b.vms[i]
+	g := b.gateways[i]
 	b.mutex.Unlock()
-	a := &asker{}
+	a := &caller{}
 	r.Arrived = time.Now()
 	g.Handle(context.Background(), r, a)
 	return a
 }
 
-// asker takes one answer.
-type asker struct {
-	whole, broken bool
-	fault         *fault.Error
+// caller takes one answer.
+type caller struct {
+	complete, aborted bool
+	fault             *fault.Error
 }
 
-func (a *asker) WriteAnswer(x port.Answer) { a.whole = x.Status == http.StatusOK }
-func (*asker) BeginStream(port.Head)       {}
-func (*asker) WriteEvent(port.Event) error { return nil }
-func (a *asker) EndStream()                { a.whole = true }
-func (a *asker) Abort()                    { a.broken = true }
-func (a *asker) Refuse(f *fault.Error)     { a.fault = f }
-func (a *asker) served() bool              { return a.whole && !a.broken }
-func (a *asker) refused(c fault.Code) bool { return a.fault != nil && a.fault.Code == c }
+func (a *caller) WriteAnswer(x port.Answer) { a.complete = x.Status == http.StatusOK }
+func (*caller) BeginStream(port.Head)       {}
+func (*caller) WriteEvent(port.Event) error { return nil }
+func (a *caller) EndStream()                { a.complete = true }
+func (a *caller) Abort()                    { a.aborted = true }
+func (a *caller) Refuse(f *fault.Error)     { a.fault = f }
+func (a *caller) served() bool              { return a.complete && !a.aborted }
+func (a *caller) refused(c fault.Code) bool { return a.fault != nil && a.fault.Code == c }
 
 // isolate cuts entry VM i off from the others, which the platform and servers are not.
 func (b *hostedTestbed) isolate(i, of int) {
@@ -175,26 +175,26 @@
 	}
 }
 
-// kind is a kind of objects in the platform's store.
-type kind[T any] struct {
+// objectKind is a objectKind of objects in the platform's store.
+type objectKind[T any] struct {
 	mutex sync.Mutex
 	store *replica.Store[T]
 	wake  chan struct{}
 }
 
-func newKind[T any](l ...replica.Object[T]) *kind[T] {
-	k := &kind[T]{store: replica.New[T](), wake: make(chan struct{})}
+func newObjectKind[T any](l ...replica.Object[T]) *objectKind[T] {
+	k := &objectKind[T]{store: replica.New[T](), wake: make(chan struct{})}
 	k.store.Replace(replica.Snapshot[T]{At: 1, Items: l})
 	return k
 }
 
-func (k *kind[T]) List(context.Context) (replica.Snapshot[T], error) {
+func (k *objectKind[T]) List(context.Context) (replica.Snapshot[T], error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.store.Snapshot(), nil
 }
 
-func (k *kind[T]) Watch(ctx context.Context, from api.Version, wait time.Duration) (replica.Changes[T], error) {
+func (k *objectKind[T]) Watch(ctx context.Context, from api.Version, wait time.Duration) (replica.Changes[T], error) {
 	k.mutex.Lock()
 	w := k.wake
 	if k.store.At() <= from {
@@ -215,19 +215,19 @@
 }
 
 // put writes an object, drop removes one.
-func (k *kind[T]) put(name string, v T) { k.change(name, v, false) }
+func (k *objectKind[T]) put(name string, v T) { k.change(name, v, false) }
 
-func (k *kind[T]) drop(name string) {
+func (k *objectKind[T]) remove(name string) {
 	var none T
 	k.change(name, none, true)
 }
 
-func (k *kind[T]) change(name string, v T, gone bool) {
+func (k *objectKind[T]) change(name string, v T, removed bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	n := k.store.At() + 1
 	o := replica.Object[T]{Name: name, Version: n, Value: v}
-	k.store.Apply(replica.Changes[T]{At: n, Items: []replica.Change[T]{{Object: o, Removed: gone}}})
+	k.store.Apply(replica.Changes[T]{At: n, Items: []replica.Change[T]{{Object: o, Removed: removed}}})
 	close(k.wake)
 	k.wake = make(chan struct{})
 }
--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -43,8 +43,8 @@
 
 // pool stands for all backend servers: what runs a deadly body crashes.
 type pool struct {
-	config  *kind[directory.Config]
-	entries *kind[roster.Server]
+	config  *objectKind[directory.Config]
+	entries *objectKind[roster.Server]
 	group   *duty.Group
 	net     *network
 	deadly  string
@@ -77,8 +77,8 @@
 		Services: []directory.Service{{Name: "engines", Engine: &directory.Engine{Slots: 24, Memory: 34000, SupportsMoves: true, SupportsBackups: true, TokensPerEvent: 4}}, {Name: "plain"}},
 	}
 	p := &pool{
-		config:  newKind(replica.Object[directory.Config]{Name: "main", Version: 1, Value: c}),
-		entries: newKind[roster.Server](), deadly: "deadly",
+		config:  newObjectKind(replica.Object[directory.Config]{Name: "main", Version: 1, Value: c}),
+		entries: newObjectKind[roster.Server](), deadly: "deadly",
 		live: map[api.ServerName]context.CancelFunc{}, ends: map[api.ServerName]context.Context{},
 		size: map[api.ServiceName]int{"engines": engines, "plain": plain},
 	}
@@ -156,7 +156,7 @@
 			p.add(s.Service)
 		}
 		if duty.Sleep(ctx, lapseAfter-returnAfter) {
-			p.entries.drop(string(s.Name))
+			p.entries.remove(string(s.Name))
 		}
 		return nil
 	})
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -80,7 +80,7 @@
 	for i := range plain + engines {
 		b.serve(t, f, i, i >= plain)
 	}
-	b.over, b.settings = b.adapt, "retry_window_s = 10\nretry_ratio = 0.2\nretry_slack = 60\n"
+	b.newAdapter, b.settings = b.adapt, "retry_window_s = 10\nretry_ratio = 0.2\nretry_slack = 60\n"
 	for i := range n {
 		b.start(i)
 	}
@@ -108,7 +108,7 @@
 }
 
 func (b *signalTestbed) adapt(i int, l node.AdapterDeps) node.Adapter {
-	a := b.hostedTestbed.adapt(i)
+	a := b.hostedTestbed.newPoolAdapter(i)
 	a.Backends = watched{platform.NewBackends(l.Pool), b, i}
 	a.Ingress = func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) }
 	return a
@@ -132,7 +132,7 @@
 	for i := range int(perSecond * d.Seconds()) {
 		r := call(fmt.Sprintf("%s-%d-%d", path, time.Now().UnixNano(), i), path, fmt.Sprint(i))
 		g.Go(func(context.Context) error {
-			o.note(b.ask(i%n, r), time.Since(r.Arrived))
+			o.note(b.send(i%n, r), time.Since(r.Arrived))
 			return nil
 		})
 		time.Sleep(time.Duration(float64(time.Second) / perSecond))
@@ -141,7 +141,7 @@
 	return &o
 }
 
-func (o *outcomes) note(a *asker, took time.Duration) {
+func (o *outcomes) note(a *caller, took time.Duration) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	switch {
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -105,7 +105,7 @@
 		b.register(t, plainServer(fmt.Sprint(i+1), fmt.Sprintf("hall-%d", i%3)))
 	}
 	b.hostedTestbed = prepareHostedTestbed(t, newPool(0, 0))
-	b.over, b.settings = b.newStoreAdapter, fmt.Sprintf("close_ms = %d\n", maxCloseDelay.Milliseconds())
+	b.newAdapter, b.settings = b.newStoreAdapter, fmt.Sprintf("close_ms = %d\n", maxCloseDelay.Milliseconds())
 	b.serveStore(t)
 	for i := range n {
 		b.start(i)
@@ -172,7 +172,7 @@
 // serves reports whether entry VM i knows the route of a configuration's version.
 func (b *storeTestbed) serves(i int, v int64) bool {
 	p := fmt.Sprintf("/v%d/", v)
-	return b.ask(i, call(fmt.Sprint("probe-", v, "-", time.Now().UnixNano()), p, "")).served()
+	return b.send(i, call(fmt.Sprint("probe-", v, "-", time.Now().UnixNano()), p, "")).served()
 }
 
 // checkVersion checks that every entry VM serves by a version and no longer by an earlier one.
@@ -239,7 +239,7 @@
 // sendRequests sends thirty requests to each entry VM, by which every server in use gets some.
 func (b *storeTestbed) sendRequests(n int) {
 	for i := range 30 * n {
-		b.ask(i%n, call(fmt.Sprint("load-", i), "/always/", ""))
+		b.send(i%n, call(fmt.Sprint("load-", i), "/always/", ""))
 	}
 }
 
@@ -423,10 +423,10 @@
 		check := func(when string) {
 			t.Helper()
 			for i := range n {
-				if !b.ask(i, call("x", "/always/", "deadly")).refused(fault.Quarantined) {
+				if !b.send(i, call("x", "/always/", "deadly")).refused(fault.Quarantined) {
 					t.Errorf("%s, entry VM %d: got the content that ends servers sent, want it refused", when, i)
 				}
-				if !b.ask(i, call("y", "/always/", "released")).served() {
+				if !b.send(i, call("y", "/always/", "released")).served() {
 					t.Errorf("%s, entry VM %d: got the released content not served, want it served", when, i)
 				}
 			}
@@ -448,7 +448,7 @@
 		}
 		time.Sleep(maxRestoreDelay)
 		for i := range n {
-			if !b.ask(i, call("x", "/always/", "deadly")).served() {
+			if !b.send(i, call("x", "/always/", "deadly")).served() {
 				t.Errorf("released in the later era, entry VM %d: got it refused, want it served", i)
 			}
 		}
