--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -22,34 +22,34 @@
 	"github.com/wardridge/wardridge/internal/standin/engine"
 )
 
-// comebacks is how often a caller asks again for what crashes servers, and comebackEvery
+// retries is how often a caller asks again for what crashes servers, and retryInterval
 // how long it waits in between.
 const (
-	comebacks     = 30
-	comebackEvery = 1500 * time.Millisecond
+	retries       = 30
+	retryInterval = 1500 * time.Millisecond
 )
 
-// settleTime is how long after its third crash a content may still reach servers: in it
+// maxQuarantineDelay is how long after its third crash a content may still reach servers: in it
 // every entry VM has to learn what it does.
-const settleTime = 3 * time.Second
+const maxQuarantineDelay = 3 * time.Second
 
-// lateMost is how many of its requests may reach servers after that.
-const lateMost = 3
+// maxLateRequests is how many of its requests may reach servers after that.
+const maxLateRequests = 3
 
-// call is a request of a body at a path.
-func call(id, path, body string) *port.Request {
+// newRequest is a request of a body at a path.
+func newRequest(id, path, body string) *port.Request {
 	return &port.Request{
 		ID: api.RequestID(id), Method: http.MethodPost, Host: "h", Path: path + "x", Target: path + "x", Header: http.Header{}, Body: []byte(body),
 		MaxWait: 20 * time.Second, Prompt: port.Prompt{Tokens: 3000, MaxTokens: 2000, ExpectedTokens: 900},
 	}
 }
 
-// comeBack asks for what crashes servers so many times, at the first n entry VMs in turn,
+// sendCrashing asks for what crashes servers so many times, at the first n entry VMs in turn,
 // with a pause in between.
-func (b *hostedTestbed) comeBack(times, n int, path string, pause time.Duration) {
+func (b *hostedTestbed) sendCrashing(times, n int, path string, pause time.Duration) {
 	for i := range times {
 		b.group.Go(func(context.Context) error {
-			b.send(i%n, call(fmt.Sprintf("d-%d", i), path, b.pool.deadly))
+			b.send(i%n, newRequest(fmt.Sprintf("d-%d", i), path, b.pool.deadly))
 			return nil
 		})
 		time.Sleep(pause)
@@ -59,7 +59,7 @@
 func TestCrashingRequestIsStopped(t *testing.T) {
 	for _, path := range []string{"/stream/", "/safe/", "/unsafe/"} {
 		t.Run(path, func(t *testing.T) {
-			stopped(t, path, comebacks, comebackEvery)
+			testCrashingContent(t, path, retries, retryInterval)
 		})
 	}
 }
@@ -68,23 +68,23 @@
 func TestHastyCrashingRequestIsStopped(t *testing.T) {
 	for _, path := range []string{"/stream/", "/safe/", "/unsafe/"} {
 		t.Run(path, func(t *testing.T) {
-			stopped(t, path, 10*comebacks, comebackEvery/10)
+			testCrashingContent(t, path, 10*retries, retryInterval/10)
 		})
 	}
 }
 
-// stopped plays a caller that asks so many times for what crashes servers.
-func stopped(t *testing.T, path string, times int, pause time.Duration) {
+// testCrashingContent plays a caller that asks so many times for what crashes servers.
+func testCrashingContent(t *testing.T, path string, times int, pause time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(12, 12)
 		b := newHostedTestbed(t, 6, p)
-		b.comeBack(times, 6, path, pause)
+		b.sendCrashing(times, 6, path, pause)
 		t.Logf("%d servers crashed", p.crashes())
 		if p.crashes() < 1 {
 			t.Errorf("crashes: got none, want the content to crash what runs it")
 		}
-		if got := p.after(3, settleTime); got > lateMost {
-			t.Errorf("requests to servers %v after the third crash: got %d, want at most %d", settleTime, got, lateMost)
+		if got := p.after(3, maxQuarantineDelay); got > maxLateRequests {
+			t.Errorf("requests to servers %v after the third crash: got %d, want at most %d", maxQuarantineDelay, got, maxLateRequests)
 		}
 	})
 }
@@ -96,9 +96,9 @@
 		b := newHostedTestbed(t, n, p)
 		b.isolate(n-1, n)
 		time.Sleep(10 * time.Second)
-		b.comeBack(6, n-1, "/unsafe/", comebackEvery)
+		b.sendCrashing(6, n-1, "/unsafe/", retryInterval)
 		before := p.crashes()
-		if a := b.send(n-1, call("cut", "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) || a.fault.Ran != api.RanNo || a.fault.RetryAfter <= 0 {
+		if a := b.send(n-1, newRequest("cut", "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) || a.fault.Ran != api.RanNo || a.fault.RetryAfter <= 0 {
 			t.Errorf("at the entry VM that is cut off: got %+v, want it refused as not run, with a time to come back", a)
 		}
 		for i := range n {
@@ -109,10 +109,10 @@
 		}
 		time.Sleep(10 * time.Second)
 		for i := range n {
-			if a := b.send(i, call(fmt.Sprintf("again-%d", i), "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) {
+			if a := b.send(i, newRequest(fmt.Sprintf("again-%d", i), "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) {
 				t.Errorf("at entry VM %d after a restart of all: got %+v, want it refused", i, a)
 			}
-			if a := b.send(i, call(fmt.Sprintf("other-%d", i), "/unsafe/", "other")); !a.served() {
+			if a := b.send(i, newRequest(fmt.Sprintf("other-%d", i), "/unsafe/", "other")); !a.served() {
 				t.Errorf("another content: got %+v, want it served", a)
 			}
 		}
@@ -124,35 +124,35 @@
 			b.quarantined.remove(o.Name)
 		}
 		time.Sleep(5 * time.Second)
-		b.send(0, call("released", "/unsafe/", p.deadly))
+		b.send(0, newRequest("released", "/unsafe/", p.deadly))
 		if got := p.crashes(); got != before+1 {
 			t.Errorf("crashes after operators released it: got %d, want %d", got, before+1)
 		}
 	})
 }
 
-// short makes a request one of a short answer, whose run is not copied as it grows.
-func short(r *port.Request) *port.Request {
+// withShortAnswer makes a request one of a withShortAnswer answer, whose run is not copied as it grows.
+func withShortAnswer(r *port.Request) *port.Request {
 	r.Prompt.MaxTokens, r.Prompt.ExpectedTokens = 100, 20
 	return r
 }
 
-// wave counts what callers got while servers crashed for other reasons.
-type wave struct {
+// crashWave counts what callers got while servers crashed for other reasons.
+type crashWave struct {
 	testbed         *hostedTestbed
 	refused, served atomic.Int64
-	again           atomic.Int64
+	retried         atomic.Int64
 }
 
-// ask sends a request at one of n entry VMs; a caller whose stream broke off asks for the
+// send sends a request at one of n entry VMs; a caller whose stream broke off asks for the
 // same once more.
-func (w *wave) ask(i, n int, id, path, body string) {
+func (w *crashWave) send(i, n int, id, path, body string) {
 	w.testbed.group.Go(func(ctx context.Context) error {
-		a := w.testbed.send(i%n, short(call(id, path, body)))
+		a := w.testbed.send(i%n, withShortAnswer(newRequest(id, path, body)))
 		if a.aborted {
-			w.again.Add(1)
-			duty.Sleep(ctx, comebackEvery)
-			a = w.testbed.send((i+1)%n, short(call(id+"-again", path, body)))
+			w.retried.Add(1)
+			duty.Sleep(ctx, retryInterval)
+			a = w.testbed.send((i+1)%n, withShortAnswer(newRequest(id+"-again", path, body)))
 		}
 		if a.refused(fault.Quarantined) {
 			w.refused.Add(1)
@@ -171,15 +171,15 @@
 		// be lost while those of others are answered.
 		const n, hot, warm = 6, 48, 12
 		p := newPool(12, 12)
-		w := &wave{testbed: newHostedTestbed(t, n, p)}
+		w := &crashWave{testbed: newHostedTestbed(t, n, p)}
 		for i := range 300 {
-			w.ask(i, n, fmt.Sprintf("own-%d", i), "/stream/", fmt.Sprint(i))
+			w.send(i, n, fmt.Sprintf("own-%d", i), "/stream/", fmt.Sprint(i))
 			if i%20 == 10 {
 				for k := range hot {
-					w.ask(k, n, fmt.Sprintf("hot-%d-%d", i, k), "/safe/", "hot")
+					w.send(k, n, fmt.Sprintf("hot-%d-%d", i, k), "/safe/", "hot")
 				}
 				for k := range warm {
-					w.ask(k, n, fmt.Sprintf("warm-%d-%d", i, k), "/unsafe/", "warm")
+					w.send(k, n, fmt.Sprintf("warm-%d-%d", i, k), "/unsafe/", "warm")
 				}
 				time.Sleep(workTime / 3)
 				for _, s := range append(p.some(2, "engines"), p.some(2, "plain")...) {
@@ -189,8 +189,8 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(30 * time.Second)
-		t.Logf("%d servers crashed; %d streams were asked for again; %d of 1200 requests served", p.crashes(), w.again.Load(), w.served.Load())
-		if w.again.Load() == 0 {
+		t.Logf("%d servers crashed; %d streams were asked for again; %d of 1200 requests served", p.crashes(), w.retried.Load(), w.served.Load())
+		if w.retried.Load() == 0 {
 			t.Error("streams that broke off: got none, want some to be asked for again")
 		}
 		if got := w.refused.Load(); got > 0 {
@@ -212,13 +212,13 @@
 		for i := range callers {
 			b.group.Go(func(ctx context.Context) error {
 				for k := range tries {
-					a := b.send((i+k)%n, short(call(fmt.Sprintf("%d-%d", i, k), "/stream/", fmt.Sprint(i))))
+					a := b.send((i+k)%n, withShortAnswer(newRequest(fmt.Sprintf("%d-%d", i, k), "/stream/", fmt.Sprint(i))))
 					switch {
 					case a.refused(fault.Quarantined):
 						refused.Add(1)
 					case a.aborted:
 						cut.Add(1)
-						duty.Sleep(ctx, comebackEvery)
+						duty.Sleep(ctx, retryInterval)
 						continue
 					}
 					break
@@ -237,9 +237,9 @@
 	})
 }
 
-// fragile is an engine of the own interface that a deadly prompt crashes, and that is back
+// crashingEngine is an engine of the own interface that a deadly prompt crashes, and that is back
 // after some seconds.
-type fragile struct {
+type crashingEngine struct {
 	testbed *testbed
 	name    api.ServerName
 	address string
@@ -251,7 +251,7 @@
 }
 
 // start serves a new life of the engine.
-func (f *fragile) start() {
+func (f *crashingEngine) start() {
 	o := engine.Defaults()
 	o.Name = f.name
 	o.Loaded = []string{"model/desk@2026-10", "adapter/permits@7"}
@@ -276,7 +276,7 @@
 }
 
 // crash ends the engine a moment after it has begun a deadly prompt.
-func (f *fragile) crash() {
+func (f *crashingEngine) crash() {
 	f.mutex.Lock()
 	f.began = append(f.began, time.Now())
 	f.mutex.Unlock()
@@ -301,16 +301,16 @@
 
 func TestCrashingCompletionIsStopped(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, b *testbed) {
-		var l []*fragile
+		var l []*crashingEngine
 		for i := range 2 {
-			f := &fragile{testbed: b, name: api.ServerName(fmt.Sprintf("engine-%d", i+1)), address: fmt.Sprintf("127.0.0.1:701%d", i+1)}
+			f := &crashingEngine{testbed: b, name: api.ServerName(fmt.Sprintf("engine-%d", i+1)), address: fmt.Sprintf("127.0.0.1:701%d", i+1)}
 			f.start()
 			l = append(l, f)
 		}
 		b.waitFor(time.Minute, "the engines to be seen", func() bool { return b.allVMs(func(s api.NodeStatus) bool { return len(s.Servers) > 1 }) })
 		c := &http.Client{Transport: &http.Transport{DialContext: machine{b.net, "callers"}.dial, DisableKeepAlives: true}}
 		refused := 0
-		for i := range comebacks {
+		for i := range retries {
 			u := "http://" + b.vms[i%3].host + ":80/v1/chat/completions"
 			r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, u, strings.NewReader(`{"model":"desk","max_tokens":50,"messages":[{"role":"user","content":"deadly"}]}`))
 			if err != nil {
@@ -329,7 +329,7 @@
 			if strings.Contains(string(body), "quarantined") {
 				refused++
 			}
-			time.Sleep(comebackEvery)
+			time.Sleep(retryInterval)
 		}
 		var crashes, began []time.Time
 		for _, f := range l {
@@ -338,18 +338,18 @@
 			f.mutex.Unlock()
 		}
 		slices.SortFunc(crashes, time.Time.Compare)
-		t.Logf("%d crashes, %d of %d refused", len(crashes), refused, comebacks)
+		t.Logf("%d crashes, %d of %d refused", len(crashes), refused, retries)
 		if refused == 0 {
 			t.Error("refused: got none, want the content to be refused in the end")
 		}
 		late := 0
 		for _, x := range began {
-			if len(crashes) > 2 && x.Sub(crashes[2]) > settleTime {
+			if len(crashes) > 2 && x.Sub(crashes[2]) > maxQuarantineDelay {
 				late++
 			}
 		}
-		if late > lateMost {
-			t.Errorf("requests to engines %v after the third crash: got %d, want at most %d", settleTime, late, lateMost)
+		if late > maxLateRequests {
+			t.Errorf("requests to engines %v after the third crash: got %d, want at most %d", maxQuarantineDelay, late, maxLateRequests)
 		}
 	})
 }
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -130,7 +130,7 @@
 	g, end := duty.New(context.Background())
 	defer end()
 	for i := range int(perSecond * d.Seconds()) {
-		r := call(fmt.Sprintf("%s-%d-%d", path, time.Now().UnixNano(), i), path, fmt.Sprint(i))
+		r := newRequest(fmt.Sprintf("%s-%d-%d", path, time.Now().UnixNano(), i), path, fmt.Sprint(i))
 		g.Go(func(context.Context) error {
 			o.note(b.send(i%n, r), time.Since(r.Arrived))
 			return nil
--- a/fleet/store_restore_faults_test.go
+++ b/fleet/store_restore_faults_test.go
@@ -233,7 +233,7 @@
 			continue
 		}
 		for k := range 8 {
-			m.send(i, call(fmt.Sprint("spare-", i, k), "/always/", ""))
+			m.send(i, newRequest(fmt.Sprint("spare-", i, k), "/always/", ""))
 		}
 	}
 	if got := m.sent.takeCount(known...); got > 0 {
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -172,7 +172,7 @@
 // serves reports whether entry VM i knows the route of a configuration's version.
 func (b *storeTestbed) serves(i int, v int64) bool {
 	p := fmt.Sprintf("/v%d/", v)
-	return b.send(i, call(fmt.Sprint("probe-", v, "-", time.Now().UnixNano()), p, "")).served()
+	return b.send(i, newRequest(fmt.Sprint("probe-", v, "-", time.Now().UnixNano()), p, "")).served()
 }
 
 // checkVersion checks that every entry VM serves by a version and no longer by an earlier one.
@@ -239,7 +239,7 @@
 // sendRequests sends thirty requests to each entry VM, by which every server in use gets some.
 func (b *storeTestbed) sendRequests(n int) {
 	for i := range 30 * n {
-		b.send(i%n, call(fmt.Sprint("load-", i), "/always/", ""))
+		b.send(i%n, newRequest(fmt.Sprint("load-", i), "/always/", ""))
 	}
 }
 
@@ -406,7 +406,7 @@
 		b := newStoreTestbed(t, n)
 		q, kept := b.newQuarantineClient(t)
 		ctx := context.Background()
-		deadly, released := call("x", "/always/", "deadly"), call("y", "/always/", "released")
+		deadly, released := newRequest("x", "/always/", "deadly"), newRequest("y", "/always/", "released")
 		until := time.Now().Add(time.Hour)
 		if err := q.Put(ctx, quarantine.Entry{Content: contentHash(released), Until: until}); err != nil {
 			t.Fatal(err)
@@ -423,10 +423,10 @@
 		check := func(when string) {
 			t.Helper()
 			for i := range n {
-				if !b.send(i, call("x", "/always/", "deadly")).refused(fault.Quarantined) {
+				if !b.send(i, newRequest("x", "/always/", "deadly")).refused(fault.Quarantined) {
 					t.Errorf("%s, entry VM %d: got the content that ends servers sent, want it refused", when, i)
 				}
-				if !b.send(i, call("y", "/always/", "released")).served() {
+				if !b.send(i, newRequest("y", "/always/", "released")).served() {
 					t.Errorf("%s, entry VM %d: got the released content not served, want it served", when, i)
 				}
 			}
@@ -448,7 +448,7 @@
 		}
 		time.Sleep(maxRestoreDelay)
 		for i := range n {
-			if !b.send(i, call("x", "/always/", "deadly")).served() {
+			if !b.send(i, newRequest("x", "/always/", "deadly")).served() {
 				t.Errorf("released in the later era, entry VM %d: got it refused, want it served", i)
 			}
 		}
