--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -79,11 +79,11 @@
 		p := newPool(12, 12)
 		b := newHostedTestbed(t, 6, p)
 		b.sendCrashing(times, 6, path, pause)
-		t.Logf("%d servers crashed", p.crashes())
-		if p.crashes() < 1 {
+		t.Logf("%d servers crashed", p.crashCount())
+		if p.crashCount() < 1 {
 			t.Errorf("crashes: got none, want the content to crash what runs it")
 		}
-		if got := p.after(3, maxQuarantineDelay); got > maxLateRequests {
+		if got := p.countLate(3, maxQuarantineDelay); got > maxLateRequests {
 			t.Errorf("requests to servers %v after the third crash: got %d, want at most %d", maxQuarantineDelay, got, maxLateRequests)
 		}
 	})
@@ -97,7 +97,7 @@
 		b.isolate(n-1, n)
 		time.Sleep(10 * time.Second)
 		b.sendCrashing(6, n-1, "/unsafe/", retryInterval)
-		before := p.crashes()
+		before := p.crashCount()
 		if a := b.send(n-1, newRequest("cut", "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) || a.fault.Ran != api.RanNo || a.fault.RetryAfter <= 0 {
 			t.Errorf("at the entry VM that is cut off: got %+v, want it refused as not run, with a time to come back", a)
 		}
@@ -116,7 +116,7 @@
 				t.Errorf("another content: got %+v, want it served", a)
 			}
 		}
-		if got := p.crashes(); got != before {
+		if got := p.crashCount(); got != before {
 			t.Errorf("crashes: got %d, want %d as before", got, before)
 		}
 		l, _ := b.quarantined.List(t.Context())
@@ -125,7 +125,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		b.send(0, newRequest("released", "/unsafe/", p.deadly))
-		if got := p.crashes(); got != before+1 {
+		if got := p.crashCount(); got != before+1 {
 			t.Errorf("crashes after operators released it: got %d, want %d", got, before+1)
 		}
 	})
@@ -181,15 +181,15 @@
 				for k := range warm {
 					w.send(k, n, fmt.Sprintf("warm-%d-%d", i, k), "/unsafe/", "warm")
 				}
-				time.Sleep(workTime / 3)
-				for _, s := range append(p.some(2, "engines"), p.some(2, "plain")...) {
+				time.Sleep(plainDuration / 3)
+				for _, s := range append(p.liveServers(2, "engines"), p.liveServers(2, "plain")...) {
 					p.crash(s)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(30 * time.Second)
-		t.Logf("%d servers crashed; %d streams were asked for again; %d of 1200 requests served", p.crashes(), w.retried.Load(), w.served.Load())
+		t.Logf("%d servers crashed; %d streams were asked for again; %d of 1200 requests served", p.crashCount(), w.retried.Load(), w.served.Load())
 		if w.retried.Load() == 0 {
 			t.Error("streams that broke off: got none, want some to be asked for again")
 		}
@@ -292,7 +292,7 @@
 		return
 	}
 	f.testbed.group.Go(func(ctx context.Context) error {
-		duty.Sleep(ctx, returnAfter)
+		duty.Sleep(ctx, restartDelay)
 		f.start()
 		return nil
 	})
--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -24,19 +24,19 @@
 const (
 	// crashAfter is how long a server runs a request that crashes it.
 	crashAfter = 100 * time.Millisecond
-	// lapseAfter is when the entry of a server that has crashed is gone, and
+	// entryLapse is when the entry of a server that has crashed is gone, and
 	// returnAfter when its successor starts.
-	lapseAfter  = 3500 * time.Millisecond
-	returnAfter = 3 * time.Second
-	// workTime is what a plain request takes, stepTime the time between two events
+	entryLapse   = 3500 * time.Millisecond
+	restartDelay = 3 * time.Second
+	// plainDuration is what a plain request takes, stepTime the time between two events
 	// of a stream, and steps their number.
-	workTime = 15 * time.Millisecond
-	stepTime = 30 * time.Millisecond
-	steps    = 30
+	plainDuration = 15 * time.Millisecond
+	eventInterval = 30 * time.Millisecond
+	eventCount    = 30
 )
 
-// reached is one request that a server began to run.
-type reached struct {
+// begunRequest is one request that a server began to run.
+type begunRequest struct {
 	at   time.Time
 	body string
 }
@@ -55,12 +55,12 @@
 
 	mutex sync.Mutex
 	// live holds what ends with each server.
-	live    map[api.ServerName]context.CancelFunc
-	ends    map[api.ServerName]context.Context
-	made    int
-	began   []reached
-	cancels []func()
-	crashed []time.Time
+	live     map[api.ServerName]context.CancelFunc
+	contexts map[api.ServerName]context.Context
+	added    int
+	begun    []begunRequest
+	cancels  []func()
+	crashed  []time.Time
 }
 
 // newPool makes a pool of engines and plain servers, so many each, in three failure
@@ -79,7 +79,7 @@
 	p := &pool{
 		config:  newObjectKind(replica.Object[directory.Config]{Name: "main", Version: 1, Value: c}),
 		entries: newObjectKind[roster.Server](), deadly: "deadly",
-		live: map[api.ServerName]context.CancelFunc{}, ends: map[api.ServerName]context.Context{},
+		live: map[api.ServerName]context.CancelFunc{}, contexts: map[api.ServerName]context.Context{},
 		size: map[api.ServiceName]int{"engines": engines, "plain": plain},
 	}
 	return p
@@ -110,12 +110,12 @@
 // add starts a server of a service.
 func (p *pool) add(s api.ServiceName) {
 	p.mutex.Lock()
-	p.made++
-	n := api.ServerName(fmt.Sprintf("i-%03d", p.made))
+	p.added++
+	n := api.ServerName(fmt.Sprintf("i-%03d", p.added))
 	ctx, end := context.WithCancel(context.Background())
-	a := fmt.Sprintf("10.0.3.%d:80", p.made)
-	p.ends[n], p.live[n] = ctx, p.listen(a, end)
-	x := roster.Server{Name: n, ID: api.ServerID(n), Service: s, Address: a, Domain: api.DomainName(fmt.Sprintf("hall-%d", p.made%3)), Slots: 24}
+	a := fmt.Sprintf("10.0.3.%d:80", p.added)
+	p.contexts[n], p.live[n] = ctx, p.listen(a, end)
+	x := roster.Server{Name: n, ID: api.ServerID(n), Service: s, Address: a, Domain: api.DomainName(fmt.Sprintf("hall-%d", p.added%3)), Slots: 24}
 	p.mutex.Unlock()
 	p.entries.put(string(n), x)
 }
@@ -152,43 +152,43 @@
 	}
 	end()
 	p.group.Go(func(ctx context.Context) error {
-		if duty.Sleep(ctx, returnAfter) {
+		if duty.Sleep(ctx, restartDelay) {
 			p.add(s.Service)
 		}
-		if duty.Sleep(ctx, lapseAfter-returnAfter) {
+		if duty.Sleep(ctx, entryLapse-restartDelay) {
 			p.entries.remove(string(s.Name))
 		}
 		return nil
 	})
 }
 
-// begin notes that a server begins to run a request; it reports false for a server that
+// beginRequest notes that a server begins to run a request; it reports false for a server that
 // has ended.
-func (p *pool) begin(a port.Attempt) (context.Context, bool) {
+func (p *pool) beginRequest(a port.Attempt) (context.Context, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if _, ok := p.live[a.Server.Name]; !ok {
 		return nil, false
 	}
-	p.began = append(p.began, reached{time.Now(), string(a.Request.Body)})
-	if p.resetting && len(p.began)%3 != 0 {
-		ctx, cancel := context.WithTimeout(p.ends[a.Server.Name], workTime/2)
+	p.begun = append(p.begun, begunRequest{time.Now(), string(a.Request.Body)})
+	if p.resetting && len(p.begun)%3 != 0 {
+		ctx, cancel := context.WithTimeout(p.contexts[a.Server.Name], plainDuration/2)
 		p.cancels = append(p.cancels, cancel)
 		return ctx, true
 	}
-	return p.ends[a.Server.Name], true
+	return p.contexts[a.Server.Name], true
 }
 
-// after counts the deadly requests that reached a server more than a time after the n-th
+// countLate counts the deadly requests that reached a server more than a time countLate the n-th
 // crash.
-func (p *pool) after(n int, d time.Duration) int {
+func (p *pool) countLate(n int, d time.Duration) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if len(p.crashed) < n {
 		return 0
 	}
 	late := 0
-	for _, x := range p.began {
+	for _, x := range p.begun {
 		if x.body == p.deadly && x.at.Sub(p.crashed[n-1]) > d {
 			late++
 		}
@@ -196,8 +196,8 @@
 	return late
 }
 
-// some gives n live servers of a service.
-func (p *pool) some(n int, s api.ServiceName) []roster.Server {
+// liveServers gives n live servers of a service.
+func (p *pool) liveServers(n int, s api.ServiceName) []roster.Server {
 	var l []roster.Server
 	x, _ := p.entries.List(context.Background())
 	p.mutex.Lock()
@@ -210,8 +210,8 @@
 	return l
 }
 
-// crashes counts the servers that have crashed.
-func (p *pool) crashes() int {
+// crashCount counts the servers that have crashed.
+func (p *pool) crashCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.crashed)
@@ -219,7 +219,7 @@
 
 // Send runs a request on a server.
 func (p *pool) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
-	end, ok := p.begin(a)
+	end, ok := p.beginRequest(a)
 	if !ok {
 		err := &net.OpError{Op: "dial", Net: "memory", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 		return port.Answer{}, fault.Wrap(fault.NotStarted, err, "connecting to "+a.Server.Address)
@@ -233,13 +233,13 @@
 		})
 	}
 	if a.Stream {
-		s := &poolStream{end: end, deadly: deadly, closed: make(chan struct{})}
+		s := &poolStream{serverCtx: end, deadly: deadly, closed: make(chan struct{})}
 		if x := a.Resume; x != nil {
-			s.made, _ = strconv.Atoi(x.LastEventID)
+			s.sent, _ = strconv.Atoi(x.LastEventID)
 		}
 		return port.Answer{Head: port.Head{Status: http.StatusOK}, Stream: s}, nil
 	}
-	work := workTime
+	work := plainDuration
 	if deadly {
 		work = 2 * crashAfter
 	}
@@ -275,15 +275,15 @@
 
 // poolStream is the stream of one run; a deadly one has no event.
 type poolStream struct {
-	end    context.Context
-	deadly bool
-	made   int
-	once   sync.Once
-	closed chan struct{}
+	serverCtx context.Context
+	deadly    bool
+	sent      int
+	once      sync.Once
+	closed    chan struct{}
 }
 
 func (s *poolStream) Next() (port.Event, error) {
-	step := stepTime
+	step := eventInterval
 	if s.deadly {
 		step = time.Minute
 	}
@@ -291,16 +291,16 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-s.end.Done():
+	case <-s.serverCtx.Done():
 		return port.Event{}, fault.Wrap(fault.GenerationLost, io.ErrUnexpectedEOF, "the stream broke off")
 	case <-s.closed:
 		return port.Event{}, fault.New(fault.GenerationLost, "closed")
 	}
-	if s.made == steps {
+	if s.sent == eventCount {
 		return port.Event{}, io.EOF
 	}
-	s.made++
-	return port.Event{ID: strconv.Itoa(s.made)}, nil
+	s.sent++
+	return port.Event{ID: strconv.Itoa(s.sent)}, nil
 }
 
 func (*poolStream) HasUnread() bool { return false }
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -76,7 +76,7 @@
 func newSignalTestbed(t *testing.T, n, plain, engines int) *signalTestbed {
 	t.Helper()
 	b := &signalTestbed{hostedTestbed: prepareHostedTestbed(t, newPool(0, 0)), arrivals: map[api.ServerName][]arrival{}}
-	f := hosted.NewFleet(hosted.NewStore(standin.Wire{}), hosted.Pace{PlainAnswer: workTime, EventInterval: stepTime, Copy: stepTime})
+	f := hosted.NewFleet(hosted.NewStore(standin.Wire{}), hosted.Pace{PlainAnswer: plainDuration, EventInterval: eventInterval, Copy: eventInterval})
 	for i := range plain + engines {
 		b.serve(t, f, i, i >= plain)
 	}
