--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -11,15 +11,15 @@
 
 const (
 	// coldRate is what cold servers bear, in requests a second, and coldTime for how long.
-	coldRate = 4.0
-	coldTime = 4 * time.Second
+	coldRate     = 4.0
+	coldDuration = 4 * time.Second
 	// coldFactor and coldSlack are what is allowed beyond the rate in any second.
 	coldFactor = 1.5
 	coldSlack  = 5
 )
 
-// within gives the most requests that a server got in a span, from a time on.
-func (b *signalTestbed) within(n api.ServerName, from, until time.Time, span time.Duration) int {
+// maxWithin gives the most requests that a server got in a span, from a time on.
+func (b *signalTestbed) maxWithin(n api.ServerName, from, until time.Time, span time.Duration) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var l []time.Time
@@ -29,20 +29,20 @@
 		}
 	}
 	slices.SortFunc(l, time.Time.Compare)
-	return mostIn(l, span)
+	return maxInWindow(l, span)
 }
 
-// mostIn is the most of some times in order within a span.
-func mostIn(l []time.Time, span time.Duration) int {
-	most := 0
+// maxInWindow is the most of some times in order within a span.
+func maxInWindow(l []time.Time, span time.Duration) int {
+	highest := 0
 	for i, t := range l {
 		k := i
 		for k < len(l) && l[k].Sub(t) < span {
 			k++
 		}
-		most = max(most, k-i)
+		highest = max(highest, k-i)
 	}
-	return most
+	return highest
 }
 
 func TestColdServersOfAFleetGetWhatTheyBear(t *testing.T) {
@@ -73,16 +73,16 @@
 					d.Services[i].ColdRate = coldRate
 				}
 				b.pool.config.put("main", d)
-				b.load(c.vms, c.load, 2*time.Second, c.path)
+				b.sendAtRate(c.vms, c.load, 2*time.Second, c.path)
 				s := b.servers[0]
 				e := s.Server
-				e.ColdFor = coldTime
+				e.ColdFor = coldDuration
 				b.pool.entries.put(string(s.ID), e)
 				// What was on its way when it wrote its entry is not counted.
 				from := time.Now().Add(time.Second)
-				until := time.Now().Add(coldTime)
-				o := b.load(c.vms, c.load, coldTime, c.path)
-				if got, allowed := b.within(s.Name, from, until, time.Second), int(coldFactor*coldRate)+coldSlack; got > allowed {
+				until := time.Now().Add(coldDuration)
+				o := b.sendAtRate(c.vms, c.load, coldDuration, c.path)
+				if got, allowed := b.maxWithin(s.Name, from, until, time.Second), int(coldFactor*coldRate)+coldSlack; got > allowed {
 					t.Errorf("requests in a second: got %d, want at most %d", got, allowed)
 				}
 				if o.refused+o.failed > 0 {
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// limitSettle is how long after a server first named its limit it has to hold.
-	limitSettle = 3 * time.Second
-	// toldTime is how long after its first answer with a limit an entry VM has to keep to it.
-	toldTime = 500 * time.Millisecond
+	// limitSettleTime is how long after a server first named its limit it has to hold.
+	limitSettleTime = 3 * time.Second
+	// limitNoticeTime is how long after its first answer with a limit an entry VM has to keep to it.
+	limitNoticeTime = 500 * time.Millisecond
 	// limitSpan is the time over which a limit is judged, and limitSlack the requests that
 	// may come in it beyond one and a half times the limit.
 	limitSpan  = 4 * time.Second
@@ -50,15 +50,15 @@
 	arrivals map[api.ServerName][]arrival
 }
 
-// watched notes what entry VM vm sends.
-type watched struct {
+// recordingBackends notes what entry VM vm sends.
+type recordingBackends struct {
 	port.Backends
 	testbed *signalTestbed
 	vm      int
 }
 
 // Send notes the request and its answer.
-func (w watched) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
+func (w recordingBackends) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	began := time.Now()
 	x, err := w.Backends.Send(ctx, a)
 	if fault.Has(err, fault.NotStarted) {
@@ -78,9 +78,9 @@
 	b := &signalTestbed{hostedTestbed: prepareHostedTestbed(t, newPool(0, 0)), arrivals: map[api.ServerName][]arrival{}}
 	f := hosted.NewFleet(hosted.NewStore(standin.Wire{}), hosted.Pace{PlainAnswer: plainDuration, EventInterval: eventInterval, Copy: eventInterval})
 	for i := range plain + engines {
-		b.serve(t, f, i, i >= plain)
+		b.startServer(t, f, i, i >= plain)
 	}
-	b.newAdapter, b.settings = b.adapt, "retry_window_s = 10\nretry_ratio = 0.2\nretry_slack = 60\n"
+	b.newAdapter, b.settings = b.newSignalAdapter, "retry_window_s = 10\nretry_ratio = 0.2\nretry_slack = 60\n"
 	for i := range n {
 		b.start(i)
 	}
@@ -88,8 +88,8 @@
 	return b
 }
 
-// serve starts server i.
-func (b *signalTestbed) serve(t *testing.T, f *hosted.Fleet, i int, engine bool) {
+// startServer starts server i.
+func (b *signalTestbed) startServer(t *testing.T, f *hosted.Fleet, i int, engine bool) {
 	t.Helper()
 	a := fmt.Sprintf("10.0.4.%d:80", i+1)
 	s := roster.Server{ID: api.ServerID(fmt.Sprintf("s-%d", i)), Address: a, Domain: api.DomainName(fmt.Sprintf("hall-%d", i%3)), Service: "plain", Slots: 24}
@@ -107,9 +107,9 @@
 	b.pool.entries.put(string(s.ID), s)
 }
 
-func (b *signalTestbed) adapt(i int, l node.AdapterDeps) node.Adapter {
+func (b *signalTestbed) newSignalAdapter(i int, l node.AdapterDeps) node.Adapter {
 	a := b.hostedTestbed.newPoolAdapter(i)
-	a.Backends = watched{platform.NewBackends(l.Pool), b, i}
+	a.Backends = recordingBackends{platform.NewBackends(l.Pool), b, i}
 	a.Ingress = func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) }
 	return a
 }
@@ -118,21 +118,21 @@
 type outcomes struct {
 	mutex                   sync.Mutex
 	served, refused, failed int
-	// slowest is the longest time that a refusal took, and hints how many told when to
+	// slowestRefusal is the longest time that a refusal took, and hints how many told when to
 	// come back.
-	slowest time.Duration
-	hints   int
+	slowestRefusal time.Duration
+	withRetryAfter int
 }
 
-// load sends so many requests a second at n entry VMs for a time and waits for the answers.
-func (b *signalTestbed) load(n int, perSecond float64, d time.Duration, path string) *outcomes {
+// sendAtRate sends so many requests a second at n entry VMs for a time and waits for the answers.
+func (b *signalTestbed) sendAtRate(n int, perSecond float64, d time.Duration, path string) *outcomes {
 	var o outcomes
 	g, end := duty.New(context.Background())
 	defer end()
 	for i := range int(perSecond * d.Seconds()) {
 		r := newRequest(fmt.Sprintf("%s-%d-%d", path, time.Now().UnixNano(), i), path, fmt.Sprint(i))
 		g.Go(func(context.Context) error {
-			o.note(b.send(i%n, r), time.Since(r.Arrived))
+			o.record(b.send(i%n, r), time.Since(r.Arrived))
 			return nil
 		})
 		time.Sleep(time.Duration(float64(time.Second) / perSecond))
@@ -141,7 +141,7 @@
 	return &o
 }
 
-func (o *outcomes) note(a *caller, took time.Duration) {
+func (o *outcomes) record(a *caller, took time.Duration) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	switch {
@@ -149,50 +149,50 @@
 		o.served++
 	case a.fault != nil && a.fault.Ran == api.RanNo:
 		o.refused++
-		o.slowest = max(o.slowest, took)
+		o.slowestRefusal = max(o.slowestRefusal, took)
 		if a.fault.RetryAfter > 0 {
-			o.hints++
+			o.withRetryAfter++
 		}
 	default:
 		o.failed++
 	}
 }
 
-// most gives the most requests that a server got in a span from entry VMs that it had told
+// maxAfterLimit gives the maxAfterLimit requests that a server got in a span from entry VMs that it had told
 // its limit, from a time on.
-func (b *signalTestbed) most(n api.ServerName, from time.Time) int {
+func (b *signalTestbed) maxAfterLimit(n api.ServerName, from time.Time) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	told := map[int]time.Time{}
+	firstSignal := map[int]time.Time{}
 	var l []time.Time
 	for _, a := range b.arrivals[n] {
-		if t, ok := told[a.vm]; a.signals.Limited && (!ok || a.done.Before(t)) {
-			told[a.vm] = a.done
+		if t, ok := firstSignal[a.vm]; a.signals.Limited && (!ok || a.done.Before(t)) {
+			firstSignal[a.vm] = a.done
 		}
 	}
 	for _, a := range b.arrivals[n] {
-		if t, ok := told[a.vm]; ok && a.at.Sub(t) >= toldTime && !a.at.Before(from) {
+		if t, ok := firstSignal[a.vm]; ok && a.at.Sub(t) >= limitNoticeTime && !a.at.Before(from) {
 			l = append(l, a.at)
 		}
 	}
 	slices.SortFunc(l, time.Time.Compare)
-	return mostIn(l, limitSpan)
+	return maxInWindow(l, limitSpan)
 }
 
-// name lets the servers from one on to another one name a limit, or none.
-func (b *signalTestbed) name(perSecond *float64, from, to int) time.Time {
+// setLimit lets the servers from one on to another one setLimit a limit, or none.
+func (b *signalTestbed) setLimit(perSecond *float64, from, to int) time.Time {
 	for _, s := range b.servers[from:to] {
 		s.SetSignals(hosted.Signals{Limit: perSecond})
 	}
 	return time.Now()
 }
 
-// keeps checks that the servers from one on to another one got no more than they take.
-func (b *signalTestbed) keeps(from, to int, perSecond float64, since time.Time) {
+// checkLimit checks that the servers from one on to another one got no more than they take.
+func (b *signalTestbed) checkLimit(from, to int, perSecond float64, since time.Time) {
 	b.t.Helper()
 	allowed := int(1.5*perSecond*limitSpan.Seconds()) + limitSlack
 	for _, s := range b.servers[from:to] {
-		if got := b.most(s.Name, since.Add(limitSettle)); got > allowed {
+		if got := b.maxAfterLimit(s.Name, since.Add(limitSettleTime)); got > allowed {
 			b.t.Errorf("requests to %s in %v, which takes %.1f a second: got %d, want at most %d", s.Name, limitSpan, perSecond, got, allowed)
 		}
 	}
@@ -219,11 +219,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newSignalTestbed(t, c.vms, c.plain, c.engines)
-				b.load(c.vms, c.load, 2*time.Second, c.path)
-				since := b.name(&c.perSecond, 0, c.limited)
-				o := b.load(c.vms, c.load, 20*time.Second, c.path)
-				t.Logf("%d served, %d refused, %d failed; the slowest refusal took %v", o.served, o.refused, o.failed, o.slowest)
-				b.keeps(0, c.limited, c.perSecond, since)
+				b.sendAtRate(c.vms, c.load, 2*time.Second, c.path)
+				since := b.setLimit(&c.perSecond, 0, c.limited)
+				o := b.sendAtRate(c.vms, c.load, 20*time.Second, c.path)
+				t.Logf("%d served, %d refused, %d failed; the slowest refusal took %v", o.served, o.refused, o.failed, o.slowestRefusal)
+				b.checkLimit(0, c.limited, c.perSecond, since)
 			})
 		})
 	}
@@ -232,10 +232,10 @@
 func TestCallersOfServersAtTheirLimits(t *testing.T) {
 	tests := []struct {
 		name string
-		// at is how many of the six entry VMs callers reach.
-		at   int
-		load float64
-		path string
+		// reached is how many of the six entry VMs callers reach.
+		reached int
+		load    float64
+		path    string
 	}{
 		{"callers everywhere", 6, 30, "/safe/"},
 		{"callers at one entry VM", 1, 30, "/unsafe/"},
@@ -247,19 +247,19 @@
 			synctest.Test(t, func(t *testing.T) {
 				b := newSignalTestbed(t, 6, servers, 0)
 				rate := perSecond
-				b.name(&rate, 0, servers)
-				b.load(6, 30, time.Second, c.path)
-				o := b.load(c.at, c.load, seconds*time.Second, c.path)
+				b.setLimit(&rate, 0, servers)
+				b.sendAtRate(6, 30, time.Second, c.path)
+				o := b.sendAtRate(c.reached, c.load, seconds*time.Second, c.path)
 				t.Logf("%d served, %d refused", o.served, o.refused)
 				if got, want := o.served, int(0.9*seconds*min(c.load, perSecond*servers)); got < want {
 					t.Errorf("served: got %d, want at least %d", got, want)
 				}
-				if o.failed > 0 || o.hints != o.refused {
-					t.Errorf("got %d failed and %d of %d refusals that tell when to come back, want none and all", o.failed, o.hints, o.refused)
+				if o.failed > 0 || o.withRetryAfter != o.refused {
+					t.Errorf("got %d failed and %d of %d refusals that tell when to come back, want none and all", o.failed, o.withRetryAfter, o.refused)
 				}
 				// A route's aim is two seconds, of which half may be waited for a turn.
-				if o.slowest > time.Second/2 {
-					t.Errorf("slowest refusal: got %v, want it at once", o.slowest)
+				if o.slowestRefusal > time.Second/2 {
+					t.Errorf("slowest refusal: got %v, want it at once", o.slowestRefusal)
 				}
 			})
 		})
@@ -271,11 +271,11 @@
 		const n = 6
 		b := newSignalTestbed(t, n, 3, 0)
 		rate := 1.0
-		b.name(&rate, 0, 3)
-		b.load(n, 30, 5*time.Second, "/safe/")
-		b.name(nil, 0, 3)
-		b.load(n, 30, 3*time.Second, "/safe/")
-		if o := b.load(n, 30, 5*time.Second, "/safe/"); o.refused+o.failed > 0 {
+		b.setLimit(&rate, 0, 3)
+		b.sendAtRate(n, 30, 5*time.Second, "/safe/")
+		b.setLimit(nil, 0, 3)
+		b.sendAtRate(n, 30, 3*time.Second, "/safe/")
+		if o := b.sendAtRate(n, 30, 5*time.Second, "/safe/"); o.refused+o.failed > 0 {
 			t.Errorf("after the limits were taken back: got %d of %d not served, want none", o.refused+o.failed, o.refused+o.failed+o.served)
 		}
 	})
@@ -285,9 +285,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newSignalTestbed(t, n, 3, 0)
-		b.load(n, 30, time.Second, "/safe/")
+		b.sendAtRate(n, 30, time.Second, "/safe/")
 		rate := 2.0
-		since := b.name(&rate, 0, 3)
+		since := b.setLimit(&rate, 0, 3)
 		b.group.Go(func(context.Context) error {
 			time.Sleep(5 * time.Second)
 			for i := range 3 {
@@ -299,19 +299,19 @@
 			b.isolate(n-1, n)
 			return nil
 		})
-		o := b.load(n, 30, 40*time.Second, "/safe/")
+		o := b.sendAtRate(n, 30, 40*time.Second, "/safe/")
 		t.Logf("%d served, %d refused, %d failed", o.served, o.refused, o.failed)
-		b.keeps(0, 3, rate, since)
+		b.checkLimit(0, 3, rate, since)
 	})
 }
 
-// leaveTime is how long after an entry VM had its word a server that leaves may get new
+// maxLeaveDelay is how long after an entry VM had its word a server that leaves may get new
 // requests of it.
-const leaveTime = 2 * time.Second
+const maxLeaveDelay = 2 * time.Second
 
-// sentTo counts the requests that entry VMs sent to a server more than a time after they had
+// sentAfterSignal counts the requests that entry VMs sent to a server more than a time after they had
 // an answer that says so, and before another time.
-func (b *signalTestbed) sentTo(n api.ServerName, says func(x port.Signals) bool, from, until time.Duration) map[int]int {
+func (b *signalTestbed) sentAfterSignal(n api.ServerName, says func(x port.Signals) bool, from, until time.Duration) map[int]int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	told := map[int]time.Time{}
@@ -340,15 +340,15 @@
 					plain, engines = 0, 3
 				}
 				b := newSignalTestbed(t, n, plain, engines)
-				b.load(n, 20, time.Second, path)
+				b.sendAtRate(n, 20, time.Second, path)
 				b.servers[0].SetSignals(hosted.Signals{Leaving: true})
-				b.load(n, 20, 3*time.Second, path)
+				b.sendAtRate(n, 20, 3*time.Second, path)
 				// The server writes its entry again, as it is.
 				b.pool.entries.put(string(b.servers[0].ID), b.servers[0].Server)
-				o := b.load(n, 20, 10*time.Second, path)
-				sent := b.sentTo(b.servers[0].Name, func(x port.Signals) bool { return x.Leaving }, leaveTime, time.Hour)
+				o := b.sendAtRate(n, 20, 10*time.Second, path)
+				sent := b.sentAfterSignal(b.servers[0].Name, func(x port.Signals) bool { return x.Leaving }, maxLeaveDelay, time.Hour)
 				if len(sent) > 0 {
-					t.Errorf("requests to it %v after it said that it leaves, by entry VM: got %v, want none", leaveTime, sent)
+					t.Errorf("requests to it %v after it said that it leaves, by entry VM: got %v, want none", maxLeaveDelay, sent)
 				}
 				if o.refused+o.failed > 0 {
 					t.Errorf("got %d refused and %d failed of %d, want all served by the others", o.refused, o.failed, o.refused+o.failed+o.served)
@@ -359,19 +359,19 @@
 }
 
 const (
-	// restTime is the rest that servers ask for, restFrom when it has to be kept at the latest,
+	// backoffTime is the rest that servers ask for, restFrom when it has to be kept at the latest,
 	// and restSlack how many requests may reach the server in it all the same.
-	restTime  = 3 * time.Second
-	restFrom  = 500 * time.Millisecond
-	restSlack = 2
+	backoffTime     = 3 * time.Second
+	maxBackoffDelay = 500 * time.Millisecond
+	backoffSlack    = 2
 )
 
 func TestServerThatAskedForRestIsLeftAlone(t *testing.T) {
 	tests := []struct {
 		name string
 		path string
-		// resting servers of three turn all requests away.
-		resting int
+		// backingOff servers of three turn all requests away.
+		backingOff int
 	}{
 		{"a plain server of three", "/safe/", 1},
 		{"requests that may run once", "/unsafe/", 1},
@@ -388,27 +388,27 @@
 					plain, engines = 0, 3
 				}
 				b := newSignalTestbed(t, n, plain, engines)
-				b.load(n, 30, time.Second, c.path)
-				for _, s := range b.servers[:c.resting] {
-					s.SetSignals(hosted.Signals{Backoff: restTime})
+				b.sendAtRate(n, 30, time.Second, c.path)
+				for _, s := range b.servers[:c.backingOff] {
+					s.SetSignals(hosted.Signals{Backoff: backoffTime})
 				}
-				o := b.load(n, 30, restTime, c.path)
-				for _, s := range b.servers[:c.resting] {
+				o := b.sendAtRate(n, 30, backoffTime, c.path)
+				for _, s := range b.servers[:c.backingOff] {
 					s.SetSignals(hosted.Signals{})
-					for vm, got := range b.sentTo(s.Name, func(x port.Signals) bool { return x.BackoffRequested }, restFrom, restTime) {
-						if got > restSlack {
-							t.Errorf("requests of entry VM %d to %s in its rest: got %d, want at most %d", vm, s.Name, got, restSlack)
+					for vm, got := range b.sentAfterSignal(s.Name, func(x port.Signals) bool { return x.BackoffRequested }, maxBackoffDelay, backoffTime) {
+						if got > backoffSlack {
+							t.Errorf("requests of entry VM %d to %s in its rest: got %d, want at most %d", vm, s.Name, got, backoffSlack)
 						}
 					}
 				}
-				t.Logf("%d served, %d refused, %d failed; the slowest refusal took %v", o.served, o.refused, o.failed, o.slowest)
-				if c.resting < 3 && o.refused+o.failed > 0 {
+				t.Logf("%d served, %d refused, %d failed; the slowest refusal took %v", o.served, o.refused, o.failed, o.slowestRefusal)
+				if c.backingOff < 3 && o.refused+o.failed > 0 {
 					t.Errorf("beside servers that take requests: got %d refused and %d failed, want none", o.refused, o.failed)
 				}
-				if o.hints != o.refused || o.slowest > time.Second/2 {
-					t.Errorf("refusals: got %d of %d with a time to come back, the slowest after %v; want all, at once", o.hints, o.refused, o.slowest)
+				if o.withRetryAfter != o.refused || o.slowestRefusal > time.Second/2 {
+					t.Errorf("refusals: got %d of %d with a time to come back, the slowest after %v; want all, at once", o.withRetryAfter, o.refused, o.slowestRefusal)
 				}
-				if o := b.load(n, 30, 3*time.Second, c.path); o.refused+o.failed > 0 {
+				if o := b.sendAtRate(n, 30, 3*time.Second, c.path); o.refused+o.failed > 0 {
 					t.Errorf("after the rest: got %d refused and %d failed, want none", o.refused, o.failed)
 				}
 			})
--- a/fleet/standalone_signals_test.go
+++ b/fleet/standalone_signals_test.go
@@ -84,7 +84,7 @@
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
 		b.orders.Set(service.Faults{Limit: perSecond})
-		b.sendOrders("before", 30, limitSettle)
+		b.sendOrders("before", 30, limitSettleTime)
 		o := b.sendOrders("limited", 30, seconds*time.Second)
 		t.Logf("%d served, %d refused, at most %d in %v", o.served, o.refused, o.maxInSpan, limitSpan)
 		if allowed := int(1.5*perSecond*limitSpan.Seconds()) + limitSlack; o.maxInSpan > allowed {
@@ -125,9 +125,9 @@
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
 		b.sendOrders("before", 30, time.Second)
-		b.orders.Set(service.Faults{RestS: restTime.Seconds()})
-		o := b.sendOrders("rest", 30, restTime)
-		if got, allowed := b.orders.Refused(), (1+restSlack)*len(b.vms); got > allowed {
+		b.orders.Set(service.Faults{RestS: backoffTime.Seconds()})
+		o := b.sendOrders("rest", 30, backoffTime)
+		if got, allowed := b.orders.Refused(), (1+backoffSlack)*len(b.vms); got > allowed {
 			t.Errorf("calls in the rest: got %d, want at most %d", got, allowed)
 		}
 		b.orders.Set(service.Faults{})
