--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -45,7 +45,7 @@
 	return highest
 }
 
-func TestColdServersOfAFleetGetWhatTheyBear(t *testing.T) {
+func TestColdServersStayBelowTheirRate(t *testing.T) {
 	tests := []struct {
 		name           string
 		vms            int
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestCrashingRequestIsStopped(t *testing.T) {
+func TestCrashingContentIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/stream/", "/safe/", "/unsafe/"} {
 		t.Run(path, func(t *testing.T) {
 			testCrashingContent(t, path, retries, retryInterval)
@@ -65,7 +65,7 @@
 }
 
 // The same where callers come back faster than word of a crash goes round.
-func TestHastyCrashingRequestIsStopped(t *testing.T) {
+func TestCrashingContentWithFastRetriesIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/stream/", "/safe/", "/unsafe/"} {
 		t.Run(path, func(t *testing.T) {
 			testCrashingContent(t, path, 10*retries, retryInterval/10)
@@ -89,7 +89,7 @@
 	})
 }
 
-func TestCrashingRequestIsRememberedByThePlatform(t *testing.T) {
+func TestQuarantineSurvivesRestartOfAllVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		p := newPool(12, 12)
@@ -165,7 +165,7 @@
 }
 
 // Servers that crash for other reasons, two at a time, take requests along.
-func TestWaveOfCrashesRefusesNobody(t *testing.T) {
+func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// Of the calls that are not repeated each entry VM has two at a time, which may both
 		// be lost while those of others are answered.
@@ -200,7 +200,7 @@
 }
 
 // Servers that cut requests off and live on end nobody's requests for good.
-func TestServersThatResetRefuseNobody(t *testing.T) {
+func TestConnectionResetsQuarantineNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n, callers, tries = 6, 40, 5
 		p := newPool(12, 12)
@@ -299,7 +299,7 @@
 	_ = s.Close()
 }
 
-func TestCrashingCompletionIsStopped(t *testing.T) {
+func TestCrashingCompletionIsQuarantined(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, b *testbed) {
 		var l []*crashingEngine
 		for i := range 2 {
--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -34,7 +34,7 @@
 	return out
 }
 
-func TestHandoverIsBoundedAndNeverDouble(t *testing.T) {
+func TestLeaseHandoverIsBoundedWithOneHolder(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		for range 3 {
 			old := b.waitHolder()
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestPausedVMIsSuspectedOnceAndBackOnce(t *testing.T) {
+func TestPausedVMChangesStateOnceEachWay(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		v := b.vms[3]
 		changes := map[string]int{}
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestOperatorsRaceOverTheFleet(t *testing.T) {
+func TestConcurrentOperatorsConflict(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 		defer closer()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestFailureDomainGone(t *testing.T) {
+func TestFailureDomainLost(t *testing.T) {
 	withFleet(t, 9, func(t *testing.T, b *testbed) {
 		// A third of the entry VMs is cut off from everything at once.
 		var lost []*vm
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestCutOffVMSaysWhatItServesAndCatchesUp(t *testing.T) {
+func TestIsolatedVMReportsItsConfigAndCatchesUp(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		v := b.vms[2]
 		before, err := b.status(v)
--- a/fleet/requests_test.go
+++ b/fleet/requests_test.go
@@ -66,7 +66,7 @@
 }
 
 // A third of the entry VMs is cut off from engines, peers and the platform, and from their callers.
-func TestWorkLostWithAFailureDomain(t *testing.T) {
+func TestRequestsLostWithAFailureDomain(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
 		b.group.Go(func(context.Context) error {
@@ -90,7 +90,7 @@
 	})
 }
 
-func TestNoWorkLostThroughARollingReplacement(t *testing.T) {
+func TestNoRequestLostInRollingReplacement(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
 		done := make(chan struct{})
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestServersGetNoMoreThanTheyNamed(t *testing.T) {
+func TestServerRateLimitIsNotExceeded(t *testing.T) {
 	tests := []struct {
 		name                string
 		vms, plain, engines int
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestCallersOfServersAtTheirLimits(t *testing.T) {
+func TestCallersOfRateLimitedServers(t *testing.T) {
 	tests := []struct {
 		name string
 		// reached is how many of the six entry VMs callers reach.
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestLimitIsTakenBack(t *testing.T) {
+func TestRateLimitIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newSignalTestbed(t, n, 3, 0)
@@ -281,7 +281,7 @@
 	})
 }
 
-func TestLimitsHoldWhileEntryVMsComeAndGo(t *testing.T) {
+func TestRateLimitsHoldWhileEntryVMsRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newSignalTestbed(t, n, 3, 0)
@@ -330,7 +330,7 @@
 }
 
 // A server says in its answers that it leaves, while its entry still says that it is ready.
-func TestServerThatSaysItLeavesGetsNoMoreRequests(t *testing.T) {
+func TestLeavingServerGetsNoMoreRequests(t *testing.T) {
 	for _, path := range []string{"/safe/", "/unsafe/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -366,7 +366,7 @@
 	backoffSlack    = 2
 )
 
-func TestServerThatAskedForRestIsLeftAlone(t *testing.T) {
+func TestServerBackoffIsHonored(t *testing.T) {
 	tests := []struct {
 		name string
 		path string
--- a/fleet/standalone_restore_faults_test.go
+++ b/fleet/standalone_restore_faults_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestOwnRestoresAmongOtherFaults(t *testing.T) {
+func TestStandaloneStoreRestoresWithOtherFaults(t *testing.T) {
 	for seed := range *restoreSeeds / 2 {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			withFleet(t, 4, func(t *testing.T, b *testbed) {
--- a/fleet/standalone_restore_test.go
+++ b/fleet/standalone_restore_test.go
@@ -47,7 +47,7 @@
 }
 
 // A model's change that the platform's copy lost must stay in force.
-func TestDeclaredResourcesOutlastTheStore(t *testing.T) {
+func TestDeclaredResourcesSurviveStoreRestore(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		c := b.store.Copy()
 		b.waitFor(maxChangeDelay, "the change", b.inForceOnAll(b.changeModel("second")))
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestStatusOutlastsTheStore(t *testing.T) {
+func TestStatusSurvivesStoreRestore(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, b *testbed) {
 		status := func() string {
 			text := ""
@@ -116,7 +116,7 @@
 }
 
 // A confirmed order asked for again with its key must not be sent twice.
-func TestClaimsOutlastTheStore(t *testing.T) {
+func TestClaimsSurviveStoreRestore(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("answer lost %v", lost), func(t *testing.T) {
 			withFleet(t, 4, func(t *testing.T, b *testbed) {
--- a/fleet/standalone_signals_test.go
+++ b/fleet/standalone_signals_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestPlainServiceGetsNoMoreThanItNamed(t *testing.T) {
+func TestPlainServiceRateLimitIsNotExceeded(t *testing.T) {
 	const perSecond, seconds = 4.0, 20
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestPlainServiceThatLeavesGetsNoMoreCalls(t *testing.T) {
+func TestLeavingPlainServiceGetsNoMoreCalls(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
 		b.sendOrders("before", 30, time.Second)
@@ -121,7 +121,7 @@
 	})
 }
 
-func TestPlainServiceThatAskedForRestIsLeftAlone(t *testing.T) {
+func TestPlainServiceBackoffIsHonored(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
 		b.sendOrders("before", 30, time.Second)
--- a/fleet/store_restore_faults_test.go
+++ b/fleet/store_restore_faults_test.go
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestRestoresAmongOtherFaults(t *testing.T) {
+func TestStoreRestoresWithOtherFaults(t *testing.T) {
 	for seed := range *restoreSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -192,7 +192,7 @@
 // call, a list, and the exchange with peers.
 const maxRestoreDelay = 3 * time.Second
 
-func TestChangesAfterTheStoreCameBackFromACopy(t *testing.T) {
+func TestConfigChangesAfterStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreTestbed(t, n)
@@ -214,7 +214,7 @@
 	})
 }
 
-func TestStoreBackFromACopyBeyondKnownVersions(t *testing.T) {
+func TestRestoredStorePassesKnownVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreTestbed(t, n)
@@ -253,7 +253,7 @@
 	b.store.Delete(e)
 }
 
-func TestVMStartedAfterTheStoreCameBackFromACopy(t *testing.T) {
+func TestVMStartedAfterStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreTestbed(t, n)
@@ -275,7 +275,7 @@
 	})
 }
 
-func TestServersThatLeftBeforeTheStoreCameBackFromACopy(t *testing.T) {
+func TestDepartedServersAfterStoreRestore(t *testing.T) {
 	for _, w := range []struct {
 		name string
 		// noticed is set where calls of entry VMs fail meanwhile; wait is from the leaves to the
@@ -320,7 +320,7 @@
 }
 
 // A failure domain's closure that the platform's copy lost must stay in force.
-func TestClosedDomainBeforeTheStoreCameBackFromACopy(t *testing.T) {
+func TestClosedDomainAfterStoreRestore(t *testing.T) {
 	for _, w := range []struct {
 		name string
 		// rewriteAfter is when operators write it rewriteAfter, and openAfter when they take it back; zero for never.
@@ -400,7 +400,7 @@
 	return quarantine.Hash("", r.Method, r.Host, r.Target, r.Body)
 }
 
-func TestRefusedContentsOutlastTheStore(t *testing.T) {
+func TestQuarantinesSurviveStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreTestbed(t, n)
@@ -456,7 +456,7 @@
 }
 
 // The return of the store from a copy costs no burst of calls.
-func TestCallsAfterTheStoreCameBackFromACopy(t *testing.T) {
+func TestNoCallBurstAfterStoreRestore(t *testing.T) {
 	for _, noticed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("noticed %v", noticed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
