--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -314,15 +314,15 @@
 func (b *signalTestbed) sentAfterSignal(n api.ServerName, says func(x port.Signals) bool, from, until time.Duration) map[int]int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	told := map[int]time.Time{}
+	firstSignal := map[int]time.Time{}
 	for _, a := range b.arrivals[n] {
-		if t, ok := told[a.vm]; says(a.signals) && (!ok || a.done.Before(t)) {
-			told[a.vm] = a.done
+		if t, ok := firstSignal[a.vm]; says(a.signals) && (!ok || a.done.Before(t)) {
+			firstSignal[a.vm] = a.done
 		}
 	}
 	sent := map[int]int{}
 	for _, a := range b.arrivals[n] {
-		if t, ok := told[a.vm]; ok && a.at.Sub(t) > from && a.at.Sub(t) < until {
+		if t, ok := firstSignal[a.vm]; ok && a.at.Sub(t) > from && a.at.Sub(t) < until {
 			sent[a.vm]++
 		}
 	}
