--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -11,7 +11,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-func TestWholePathWithMixedRequests(t *testing.T) {
+func TestMixedRequestsEndToEnd(t *testing.T) {
 	s := newSystem(t, options{entries: 3, engines: 3, settings: patientSettings})
 	whole(t, s.load(1000, 40, 1))
 	var counts map[string]int
@@ -46,7 +46,7 @@
 
 const ask = `{"model":"desk","messages":[{"role":"user","content":"When will the skip be collected?"}],"metadata":{"standin_tokens":"12"}}`
 
-func TestOperatorsCommands(t *testing.T) {
+func TestOperatorCommands(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 2, settings: patientSettings})
 	a := post(t, s.entries[1].listen, sample.KeyDispatch, ask)
 	if a.StatusCode != http.StatusOK {
@@ -85,7 +85,7 @@
 	whole(t, s.load(20, 20, 3))
 }
 
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+func TestPlannedStopCutsNoStreamOff(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 2, settings: patientSettings})
 	long := strings.Replace(ask, `"12"`, `"400"`, 1)
 	type outcome struct {
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func TestEngineKilledInMidStreamEndsWithATypedFault(t *testing.T) {
+func TestEngineKilledMidStreamEndsWithTypedError(t *testing.T) {
 	s := newSystem(t, options{entries: 1, engines: 2, settings: strings.Replace(quickSettings, "20000", "1000", 1)})
 	x := s.open(s.entries[0], 5000)
 	x.read(20)
@@ -155,7 +155,7 @@
 	inOrder(t, y.tokens, 10)
 }
 
-func TestEngineFrozenAndWokenGoesOnWithTheSameGeneration(t *testing.T) {
+func TestSuspendedEngineContinuesSameGeneration(t *testing.T) {
 	s := newSystem(t, options{entries: 1, engines: 2, settings: quickSettings})
 	x := s.open(s.entries[0], 600)
 	x.read(20)
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestEngineFrozenBeforeTheFirstTokenIsTriedElsewhere(t *testing.T) {
+func TestEngineSuspendedBeforeFirstTokenIsRetriedElsewhere(t *testing.T) {
 	s := newSystem(t, options{entries: 1, engines: 2, settings: strings.Replace(quickSettings, "first_token_ms = 4000", "first_token_ms = 500", 1)})
 	s.engines[0].signal(syscall.SIGSTOP)
 	defer s.engines[0].signal(syscall.SIGCONT)
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestEntryVMKilledAndCallerBackThroughAnother(t *testing.T) {
+func TestStreamResumesAtAnotherEntryVMAfterKill(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 2, settings: quickSettings})
 	x := s.open(s.entries[0], 800)
 	x.read(50)
@@ -304,7 +304,7 @@
 	}
 }
 
-func TestRollingRestartOfAllCutsNothingOff(t *testing.T) {
+func TestRollingRestartLosesNoRequest(t *testing.T) {
 	s := newSystem(t, options{entries: 3, engines: 3, settings: patientSettings})
 	second := s.startService("orders-2", address(t))
 	s.inForce(s.apply(fmt.Sprintf("kind: backend-server\nname: orders-2\nspec: {type: service, address: %q, domain: hall-a}\n---\nkind: service\nname: orders\nspec: {servers: [orders-1, orders-2], not_repeatable: [{method: POST, path: /confirm}, {method: POST, path: /bookings/*}]}\n", second.listen), "--replace"))
@@ -340,7 +340,7 @@
 	w.Wait()
 }
 
-func TestServingGoesOnThroughALongOutageOfThePlatform(t *testing.T) {
+func TestServingContinuesDuringPlatformOutage(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 2, settings: patientSettings})
 	s.put("http://"+s.platform.listen+"/dev/faults", map[string]bool{"outage": true})
 	r := s.load(150, 30, 9)
@@ -362,7 +362,7 @@
 
 // A key is revoked while an entry VM is suspended; the request that waits for
 // it when it wakes must not be served by the old configuration.
-func TestSuspendedEntryVMDoesNotServeByAnOldView(t *testing.T) {
+func TestResumedEntryVMDoesNotServeStaleConfig(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 1, settings: quickSettings})
 	e := s.entries[0]
 	e.signal(syscall.SIGSTOP)
@@ -409,7 +409,7 @@
 
 // The holder of the orders is suspended for longer than its lease, twice; the
 // next holder's orders stand, and the one that wakes believing sends no more.
-func TestSuspendedHolderOfOrdersIsFencedOff(t *testing.T) {
+func TestSuspendedOrderHolderIsFenced(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 2, settings: quickSettings + "[lease]\nduration_ms = 1500\nskew_ms = 300\n"})
 	weights := []string{"2026-11", "2026-12"}
 	for _, w := range weights {
