--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -12,10 +12,10 @@
 )
 
 func TestMixedRequestsEndToEnd(t *testing.T) {
-	s := newSystem(t, options{entries: 3, engines: 3, settings: patientSettings})
-	whole(t, s.load(1000, 40, 1))
+	s := newSystem(t, options{entries: 3, engines: 3, settings: longTimeouts})
+	checkComplete(t, s.runLoad(1000, 40, 1))
 	var counts map[string]int
-	if err := get("http://"+s.service.listen+"/dev/counts", &counts); err != nil {
+	if err := getJSON("http://"+s.service.listen+"/dev/counts", &counts); err != nil {
 		t.Fatal(err)
 	}
 	for k, n := range counts {
@@ -47,30 +47,30 @@
 const ask = `{"model":"desk","messages":[{"role":"user","content":"When will the skip be collected?"}],"metadata":{"standin_tokens":"12"}}`
 
 func TestOperatorCommands(t *testing.T) {
-	s := newSystem(t, options{entries: 2, engines: 2, settings: patientSettings})
+	s := newSystem(t, options{entries: 2, engines: 2, settings: longTimeouts})
 	a := post(t, s.entries[1].listen, sample.KeyDispatch, ask)
 	if a.StatusCode != http.StatusOK {
 		t.Fatalf("status: got %s, want 200", a.Status)
 	}
 	// The other entry VM is asked, so the answer comes through its peer.
-	out := s.mustCtl("explain", a.Header.Get(wire.HeaderRequestID))
+	out := s.mustWardctl("explain", a.Header.Get(wire.HeaderRequestID))
 	for _, want := range []string{"entry-2", "dispatch", "answered whole"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("explain: got %q, want it to contain %q", out, want)
 		}
 	}
-	out = s.mustCtl("drain", "engine-1", "--wait")
+	out = s.mustWardctl("drain", "engine-1", "--wait")
 	if !strings.Contains(out, "draining") || !strings.Contains(out, "runs nothing") {
 		t.Errorf("drain: got %q", out)
 	}
-	until(t, "the drain to be seen", func() bool { return strings.Contains(s.mustCtl("status"), "engine-1: draining") })
-	s.mustCtl("drain", "engine-1", "--undo")
-	s.mustCtl("close", "hall-a")
-	until(t, "the closed domain to be seen", func() bool { return strings.Contains(s.mustCtl("status"), ": draining") })
-	s.mustCtl("close", "hall-a", "--undo")
-	s.ready()
+	waitFor(t, "the drain to be seen", func() bool { return strings.Contains(s.mustWardctl("status"), "engine-1: draining") })
+	s.mustWardctl("drain", "engine-1", "--undo")
+	s.mustWardctl("close", "hall-a")
+	waitFor(t, "the closed domain to be seen", func() bool { return strings.Contains(s.mustWardctl("status"), ": draining") })
+	s.mustWardctl("close", "hall-a", "--undo")
+	s.waitReady()
 	conflicting := "kind: model\nname: desk\nspec: {weights: other}\n"
-	out, err := s.ctl("apply", "-f", s.file(conflicting))
+	out, err := s.wardctl("apply", "-f", s.writeFile(conflicting))
 	if err == nil || !strings.Contains(out, "version_conflict") || !strings.Contains(out, "2026-10") {
 		t.Errorf("conflicting apply: got %q, %v, want the present resource shown", out, err)
 	}
@@ -78,15 +78,15 @@
 	if !strings.Contains(out, "in force on every entry VM") {
 		t.Errorf("apply --wait: got %q", out)
 	}
-	until(t, "the new weights to be loaded", func() bool {
-		out := s.mustCtl("get", "status")
+	waitFor(t, "the new weights to be loaded", func() bool {
+		out := s.mustWardctl("get", "status")
 		return strings.Count(out, "model/desk@2026-11") == 2 && !strings.Contains(out, "model/desk@2026-10")
 	})
-	whole(t, s.load(20, 20, 3))
+	checkComplete(t, s.runLoad(20, 20, 3))
 }
 
 func TestPlannedStopCutsNoStreamOff(t *testing.T) {
-	s := newSystem(t, options{entries: 2, engines: 2, settings: patientSettings})
+	s := newSystem(t, options{entries: 2, engines: 2, settings: longTimeouts})
 	long := strings.Replace(ask, `"12"`, `"400"`, 1)
 	type outcome struct {
 		status int
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -132,7 +132,7 @@
 		var c struct {
 			Active int `json:"active"`
 		}
-		if get("http://"+e.listen+"/dev/counts", &c) == nil && c.Active > 0 {
+		if getJSON("http://"+e.listen+"/dev/counts", &c) == nil && c.Active > 0 {
 			return e
 		}
 	}
@@ -205,7 +205,7 @@
 	}
 	r.Header.Set("Authorization", "Bearer "+sample.KeyField)
 	r.Header.Set(wire.HeaderIdempotencyKey, key)
-	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := http.Client{Timeout: maxWait, Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := c.Do(r)
 	if err != nil {
 		return 0, api.ErrorDetail{}
@@ -220,7 +220,7 @@
 func (s *system) counts() map[string]int {
 	s.t.Helper()
 	var m map[string]int
-	if err := get("http://"+s.service.listen+"/dev/counts", &m); err != nil {
+	if err := getJSON("http://"+s.service.listen+"/dev/counts", &m); err != nil {
 		s.t.Fatal(err)
 	}
 	return m
@@ -230,7 +230,7 @@
 // the caller asks again through the other entry VM, and the holder wakes.
 func TestNotRepeatableRunsAtMostOnceWhileAHolderIsSuspended(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 1, settings: quickSettings})
-	s.put("http://"+s.service.listen+"/dev/faults", map[string]int{"delay_ms": 5})
+	s.putJSON("http://"+s.service.listen+"/dev/faults", map[string]int{"delay_ms": 5})
 	var w sync.WaitGroup
 	const rounds = 14
 	for i := range rounds {
@@ -260,7 +260,7 @@
 // the call runs at most once, and "no" means that it did not run.
 func TestNotRepeatableRunsAtMostOnceWhileHoldersAreKilled(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 1, settings: quickSettings})
-	s.put("http://"+s.service.listen+"/dev/faults", map[string]int{"delay_ms": 10})
+	s.putJSON("http://"+s.service.listen+"/dev/faults", map[string]int{"delay_ms": 10})
 	for i := range 6 {
 		key := fmt.Sprintf("order-%d", i)
 		var w sync.WaitGroup
@@ -278,14 +278,14 @@
 			t.Errorf("%s: told that it did not run, got %d runs", key, n)
 		}
 		s.entries[0] = s.startEntry("entry-1", victim.listen, victim.control)
-		s.ready()
+		s.waitReady()
 	}
 }
 
 // drained takes a backend server out of work on every entry VM.
 func (s *system) drained(name string) {
 	s.t.Helper()
-	s.inForce(s.mustCtl("drain", name))
+	s.inForce(s.mustWardctl("drain", name))
 }
 
 // inForce waits until every entry VM has the version that wardctl told.
@@ -297,27 +297,27 @@
 		s.t.Fatalf("no version in %q", out)
 	}
 	for _, e := range s.entries {
-		until(s.t, "the change on "+e.name, func() bool {
-			v, err := status(e)
+		waitFor(s.t, "the change on "+e.name, func() bool {
+			v, err := nodeStatus(e)
 			return err == nil && v.ConfigVersion >= api.Version(n)
 		})
 	}
 }
 
 func TestRollingRestartLosesNoRequest(t *testing.T) {
-	s := newSystem(t, options{entries: 3, engines: 3, settings: patientSettings})
-	second := s.startService("orders-2", address(t))
+	s := newSystem(t, options{entries: 3, engines: 3, settings: longTimeouts})
+	second := s.startService("orders-2", freeAddress(t))
 	s.inForce(s.apply(fmt.Sprintf("kind: backend-server\nname: orders-2\nspec: {type: service, address: %q, domain: hall-a}\n---\nkind: service\nname: orders\nspec: {servers: [orders-1, orders-2], not_repeatable: [{method: POST, path: /confirm}, {method: POST, path: /bookings/*}]}\n", second.listen), "--replace"))
 	done := make(chan load.Report, 1)
 	var w sync.WaitGroup
-	w.Go(func() { done <- s.load(900, 25, 5) })
+	w.Go(func() { done <- s.runLoad(900, 25, 5) })
 	for i, e := range s.entries {
 		if got := e.stop(t); got != 0 {
 			t.Errorf("%s: got exit status %d, want 0", e.name, got)
 		}
 		s.entries[i] = s.startEntry(e.name, e.listen, e.control)
-		until(t, e.name+" to serve", func() bool {
-			v, err := status(s.entries[i])
+		waitFor(t, e.name+" to serve", func() bool {
+			v, err := nodeStatus(s.entries[i])
 			return err == nil && v.State == api.PeerStateServing
 		})
 	}
@@ -326,7 +326,7 @@
 			t.Errorf("%s: got exit status %d, want 0", e.name, got)
 		}
 		s.engines[i] = s.startEngine(e.name, e.listen)
-		s.ready()
+		s.waitReady()
 	}
 	for _, p := range []*process{s.service, second} {
 		s.drained(p.name)
@@ -334,16 +334,16 @@
 			t.Errorf("%s: got exit status %d, want 0", p.name, got)
 		}
 		s.startService(p.name, p.listen)
-		s.inForce(s.mustCtl("drain", p.name, "--undo"))
+		s.inForce(s.mustWardctl("drain", p.name, "--undo"))
 	}
-	whole(t, <-done)
+	checkComplete(t, <-done)
 	w.Wait()
 }
 
 func TestServingContinuesDuringPlatformOutage(t *testing.T) {
-	s := newSystem(t, options{entries: 2, engines: 2, settings: patientSettings})
-	s.put("http://"+s.platform.listen+"/dev/faults", map[string]bool{"outage": true})
-	r := s.load(150, 30, 9)
+	s := newSystem(t, options{entries: 2, engines: 2, settings: longTimeouts})
+	s.putJSON("http://"+s.platform.listen+"/dev/faults", map[string]bool{"outage": true})
+	r := s.runLoad(150, 30, 9)
 	if len(r.Wrong) != 0 {
 		t.Errorf("wrong answers: got %v, want none", r.Wrong)
 	}
@@ -352,12 +352,12 @@
 			t.Errorf("error: got %+v, want only claims refused as not run", e)
 		}
 	}
-	s.put("http://"+s.platform.listen+"/dev/faults", map[string]bool{"outage": false})
+	s.putJSON("http://"+s.platform.listen+"/dev/faults", map[string]bool{"outage": false})
 	out := s.apply("kind: model\nname: extra\nspec: {weights: \"1\"}\n", "--wait", "--wait-for", "30s")
 	if !strings.Contains(out, "in force on every entry VM") {
 		t.Errorf("after the outage: got %q", out)
 	}
-	whole(t, s.load(50, 30, 10))
+	checkComplete(t, s.runLoad(50, 30, 10))
 }
 
 // A key is revoked while an entry VM is suspended; the request that waits for
@@ -366,7 +366,7 @@
 	s := newSystem(t, options{entries: 2, engines: 1, settings: quickSettings})
 	e := s.entries[0]
 	e.signal(syscall.SIGSTOP)
-	out := s.mustCtl("get", "workspace", "dispatch")
+	out := s.mustWardctl("get", "workspace", "dispatch")
 	_, rest, _ := strings.Cut(out, "key_sha256: ")
 	old, _, _ := strings.Cut(rest, "\n")
 	s.apply(strings.Replace(out, old, strings.Repeat("f", 64), 1))
@@ -384,7 +384,7 @@
 			t.Errorf("request with the revoked key: got 200, want it refused")
 		}
 	}
-	until(t, "the entry VM to serve again", func() bool {
+	waitFor(t, "the entry VM to serve again", func() bool {
 		n, _ := s.book(e, "after")
 		return n == http.StatusOK
 	})
@@ -394,9 +394,9 @@
 func (s *system) holder(except *process) *process {
 	s.t.Helper()
 	var p *process
-	until(s.t, "a holder of the orders", func() bool {
+	waitFor(s.t, "a holder of the orders", func() bool {
 		for _, e := range s.entries {
-			v, err := status(e)
+			v, err := nodeStatus(e)
 			if e != except && err == nil && slices.Contains(v.Leases, "orders") {
 				p = e
 				return true
@@ -417,13 +417,13 @@
 		old.signal(syscall.SIGSTOP)
 		s.apply(fmt.Sprintf("kind: model\nname: desk\nspec: {weights: %q, context_tokens: 16384}\n", w), "--replace")
 		next := s.holder(old)
-		until(t, "the new weights on both engines", func() bool { return s.loaded(w) == len(s.engines) })
+		waitFor(t, "the new weights on both engines", func() bool { return s.loaded(w) == len(s.engines) })
 		old.signal(syscall.SIGCONT)
-		until(t, "the old holder to know", func() bool {
-			v, err := status(old)
+		waitFor(t, "the old holder to know", func() bool {
+			v, err := nodeStatus(old)
 			return err == nil && !slices.Contains(v.Leases, "orders") && v.State == api.PeerStateServing
 		})
-		if v, err := status(next); err != nil || !slices.Contains(v.Leases, "orders") {
+		if v, err := nodeStatus(next); err != nil || !slices.Contains(v.Leases, "orders") {
 			t.Errorf("the next holder: got leases %v, %v, want orders", v.Leases, err)
 		}
 		time.Sleep(time.Second)
@@ -438,7 +438,7 @@
 	n := 0
 	for _, e := range s.engines {
 		var r api.LoadReport
-		if get("http://"+e.listen+"/v1/load", &r) != nil {
+		if getJSON("http://"+e.listen+"/v1/load", &r) != nil {
 			continue
 		}
 		models := slices.DeleteFunc(slices.Clone(r.Loaded), func(i string) bool { return !strings.HasPrefix(i, "model/desk@") })
--- a/e2e/idle_bench_test.go
+++ b/e2e/idle_bench_test.go
@@ -14,7 +14,7 @@
 	const span = 20 * time.Second
 	for range b.N {
 		var before, after platform.Calls
-		if err := get("http://"+s.platform.listen+"/dev/calls", &before); err != nil {
+		if err := getJSON("http://"+s.platform.listen+"/dev/calls", &before); err != nil {
 			b.Fatal(err)
 		}
 		used := time.Duration(0)
@@ -27,7 +27,7 @@
 			used += cpu(b, e)
 			memory += resident(b, e)
 		}
-		if err := get("http://"+s.platform.listen+"/dev/calls", &after); err != nil {
+		if err := getJSON("http://"+s.platform.listen+"/dev/calls", &after); err != nil {
 			b.Fatal(err)
 		}
 		n := float64(len(s.entries))
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -30,7 +30,7 @@
 			share float64
 		}{{"0.9", 0.9}, {"1.1", 1.1}} {
 			b.Run(p.name+"/"+f.name, func(b *testing.B) {
-				s := newSystem(b, options{entries: size.Entries, engines: size.Engines, settings: p.settings, engine: []string{"--step", "12ms"}})
+				s := newSystem(b, options{entries: size.Entries, engines: size.Engines, settings: p.settings, engineArgs: []string{"--step", "12ms"}})
 				for range b.N {
 					rate := measure.Capacity(size, m) * f.share
 					const span = 40 * time.Second
@@ -61,7 +61,7 @@
 	n := int64(0)
 	for _, e := range s.entries {
 		m := map[string]int64{}
-		if get("http://"+e.control+peer.PathMetrics, &m) == nil {
+		if getJSON("http://"+e.control+peer.PathMetrics, &m) == nil {
 			n += m["preemptions_seen_total"]
 		}
 	}
--- a/e2e/relay_bench_test.go
+++ b/e2e/relay_bench_test.go
@@ -118,8 +118,8 @@
 func BenchmarkRelay(b *testing.B) {
 	s := newSystem(b, options{
 		entries: 1, engines: 1,
-		settings: patientSettings + "admission = slots\nslots = 10000\n",
-		engine:   []string{"--step", "5ms", "--step-more", "0s", "--batch", "2000", "--memory", "10000000"},
+		settings:   longTimeouts + "admission = slots\nslots = 10000\n",
+		engineArgs: []string{"--step", "5ms", "--step-more", "0s", "--batch", "2000", "--memory", "10000000"},
 	})
 	const tokens = 1000
 	straight := "http://" + s.engines[0].listen + "/v1/generations"
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -17,7 +17,7 @@
 // The real programs under a seed's faults keep every property that can be checked without a clock.
 func TestShortSoak(t *testing.T) {
 	for _, seed := range soakSeeds {
-		o := soak.Options{Program: filepath.Join(bin, "wardridge"), Wire: standin.Wire{}, Dir: t.TempDir(), Log: event.Discard()}
+		o := soak.Options{Program: filepath.Join(binDir, "wardridge"), Wire: standin.Wire{}, Dir: t.TempDir(), Log: event.Discard()}
 		r, err := soak.Run(t.Context(), o, soak.New(seed, soak.Usual(), 16*time.Second))
 		if err != nil {
 			t.Fatal(err)
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -22,21 +22,21 @@
 	"github.com/wardridge/wardridge/internal/sample"
 )
 
-// bin is the folder that TestMain builds the programs into.
-var bin string
+// binDir is the folder that TestMain builds the programs into.
+var binDir string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(buildAndRun(m))
 }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	d, err := os.MkdirTemp("", "wardridge-e2e")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(d) }()
-	bin = d
+	binDir = d
 	c := exec.Command("go", "build", "-o", d+"/", "../cmd/...")
 	if b, err := c.CombinedOutput(); err != nil {
 		fmt.Fprintln(os.Stderr, string(b), err)
@@ -45,8 +45,8 @@
 	return m.Run()
 }
 
-// patience bounds every wait of a test; nothing is asserted about times.
-const patience = 60 * time.Second
+// maxWait bounds every wait of a test; nothing is asserted about times.
+const maxWait = 60 * time.Second
 
 // process is one running program.
 type process struct {
@@ -62,20 +62,20 @@
 
 // system is a set of processes.
 type system struct {
-	t        testing.TB
-	dir      string
-	platform *process
-	service  *process
-	engines  []*process
-	entries  []*process
-	extra    string
+	t             testing.TB
+	dir           string
+	platform      *process
+	service       *process
+	engines       []*process
+	entries       []*process
+	extraSettings string
 }
 
 // ports gives addresses to the processes of all tests here.
 var ports = loopback.New()
 
-// address finds an address that nobody else is given.
-func address(t testing.TB) string {
+// freeAddress finds an freeAddress that nobody else is given.
+func freeAddress(t testing.TB) string {
 	t.Helper()
 	a, err := ports.Free()
 	if err != nil {
@@ -96,10 +96,10 @@
 	return b.buf.Write(p)
 }
 
-func (s *system) start(name, listen, program string, args ...string) *process {
+func (s *system) startProcess(name, listen, program string, args ...string) *process {
 	s.t.Helper()
 	p := &process{name: name, listen: listen, log: &bytes.Buffer{}, done: make(chan struct{}), mutex: &sync.Mutex{}}
-	p.cmd = exec.Command(filepath.Join(bin, program), args...)
+	p.cmd = exec.Command(filepath.Join(binDir, program), args...)
 	out := lockedBuffer{p.mutex, p.log}
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	if err := p.cmd.Start(); err != nil {
@@ -114,18 +114,18 @@
 		p.kill()
 		wait.Wait()
 		if s.t.Failed() {
-			s.t.Logf("log of %s:\n%s", name, p.text())
+			s.t.Logf("log of %s:\n%s", name, p.logTail())
 		}
 	})
 	return p
 }
 
-func (p *process) text() string {
+func (p *process) logTail() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	const most = 8000
+	const maxBytes = 8000
 	b := p.log.String()
-	return b[max(0, len(b)-most):]
+	return b[max(0, len(b)-maxBytes):]
 }
 
 func (p *process) signal(s syscall.Signal) {
@@ -144,16 +144,16 @@
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(patience):
+	case <-time.After(maxWait):
 		t.Fatalf("%s did not stop", p.name)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// until waits for a condition.
-func until(t testing.TB, what string, ok func() bool) {
+// waitFor waits for a condition.
+func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(maxWait)
 	for time.Now().Before(end) {
 		if ok() {
 			return
@@ -163,8 +163,8 @@
 	t.Fatalf("waited too long for %s", what)
 }
 
-// get reads JSON from a URL.
-func get(url string, out any) error {
+// getJSON reads JSON from a URL.
+func getJSON(url string, out any) error {
 	c := http.Client{Timeout: 2 * time.Second}
 	r, err := c.Get(url)
 	if err != nil {
@@ -174,7 +174,7 @@
 	return json.NewDecoder(r.Body).Decode(out)
 }
 
-func (s *system) put(url string, v any) {
+func (s *system) putJSON(url string, v any) {
 	s.t.Helper()
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -199,12 +199,12 @@
 	entries, engines int
 	// settings are added to each entry VM's INI file.
 	settings string
-	// engine are added to each engine's arguments.
-	engine []string
+	// engineArgs are added to each engineArgs's arguments.
+	engineArgs []string
 }
 
-// patientSettings keep a slow machine from turning into refusals.
-const patientSettings = `
+// longTimeouts keep a slow machine from turning into refusals.
+const longTimeouts = `
 [entry]
 queue_wait_ms = 60000
 [engine]
@@ -218,83 +218,83 @@
 // them, and waits until all serve.
 func newSystem(t testing.TB, o options) *system {
 	t.Helper()
-	s := &system{t: t, dir: t.TempDir(), extra: o.settings}
-	a := address(t)
-	s.platform = s.start("platform", a, "wardctl", "dev", "platform", "--listen", a, "--list-lag", "200ms")
-	until(t, "the platform", func() bool { var v any; return get("http://"+a+"/dev/calls", &v) == nil })
+	s := &system{t: t, dir: t.TempDir(), extraSettings: o.settings}
+	a := freeAddress(t)
+	s.platform = s.startProcess("platform", a, "wardctl", "dev", "platform", "--listen", a, "--list-lag", "200ms")
+	waitFor(t, "the platform", func() bool { var v any; return getJSON("http://"+a+"/dev/calls", &v) == nil })
 	for i := range o.engines {
-		s.engines = append(s.engines, s.startEngine(fmt.Sprintf("engine-%d", i+1), address(t), o.engine...))
+		s.engines = append(s.engines, s.startEngine(fmt.Sprintf("engine-%d", i+1), freeAddress(t), o.engineArgs...))
 	}
-	s.service = s.startService("orders-1", address(t))
-	s.apply(s.resources())
+	s.service = s.startService("orders-1", freeAddress(t))
+	s.apply(s.declarations())
 	for i := range o.entries {
-		s.entries = append(s.entries, s.startEntry(fmt.Sprintf("entry-%d", i+1), address(t), address(t)))
+		s.entries = append(s.entries, s.startEntry(fmt.Sprintf("entry-%d", i+1), freeAddress(t), freeAddress(t)))
 	}
-	s.ready()
+	s.waitReady()
 	return s
 }
 
 func (s *system) startEngine(name, a string, extra ...string) *process {
 	args := append([]string{"dev", "engine", "--listen", a, "--name", name, "--step", "3ms", "--loaded", "model/desk@2026-10", "--loaded", "adapter/permits@7"}, extra...)
-	return s.start(name, a, "wardctl", args...)
+	return s.startProcess(name, a, "wardctl", args...)
 }
 
 func (s *system) startService(name, a string) *process {
-	return s.start(name, a, "wardctl", "dev", "service", "--listen", a, "--name", name)
+	return s.startProcess(name, a, "wardctl", "dev", "service", "--listen", a, "--name", name)
 }
 
 func (s *system) startEntry(name, listen, control string) *process {
 	s.t.Helper()
-	ini := fmt.Sprintf("[node]\nname = %s\ndomain = hall-a\nlisten = %s\ncontrol = %s\n[platform]\naddress = %s\n%s", name, listen, control, s.platform.listen, s.extra)
+	ini := fmt.Sprintf("[node]\nname = %s\ndomain = hall-a\nlisten = %s\ncontrol = %s\n[platform]\naddress = %s\n%s", name, listen, control, s.platform.listen, s.extraSettings)
 	f := filepath.Join(s.dir, name+".ini")
 	if err := os.WriteFile(f, []byte(ini), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	s.put("http://"+s.platform.listen+"/dev/vms/"+name, api.VM{Name: name, Role: api.VMRoleEntry, State: api.VMStateLive, Address: control, Domain: "hall-a"})
-	p := s.start(name, listen, "wardridge", f)
+	s.putJSON("http://"+s.platform.listen+"/dev/vms/"+name, api.VM{Name: name, Role: api.VMRoleEntry, State: api.VMStateLive, Address: control, Domain: "hall-a"})
+	p := s.startProcess(name, listen, "wardridge", f)
 	p.control = control
 	return p
 }
 
-// resources are the sample's with this system's addresses.
-func (s *system) resources() string {
+// declarations are the sample's with this system's addresses.
+func (s *system) declarations() string {
 	parts := strings.Split(string(sample.Resources), "---\n")
-	var keep []string
+	var documents []string
 	for _, p := range parts {
 		if !strings.Contains(p, "kind: backend-server") {
-			keep = append(keep, p)
+			documents = append(documents, p)
 		}
 	}
 	for _, e := range s.engines {
-		keep = append(keep, fmt.Sprintf("kind: backend-server\nname: %s\nspec: {type: engine, address: %q, domain: hall-a, checks_fence: true, models: [desk], adapters: [permits]}\n", e.name, e.listen))
+		documents = append(documents, fmt.Sprintf("kind: backend-server\nname: %s\nspec: {type: engine, address: %q, domain: hall-a, checks_fence: true, models: [desk], adapters: [permits]}\n", e.name, e.listen))
 	}
-	keep = append(keep, fmt.Sprintf("kind: backend-server\nname: orders-1\nspec: {type: service, address: %q, domain: hall-a}\n", s.service.listen))
-	return strings.Join(keep, "---\n")
+	documents = append(documents, fmt.Sprintf("kind: backend-server\nname: orders-1\nspec: {type: service, address: %q, domain: hall-a}\n", s.service.listen))
+	return strings.Join(documents, "---\n")
 }
 
-// ctl runs wardctl.
-func (s *system) ctl(args ...string) (string, error) {
+// wardctl runs wardctl.
+func (s *system) wardctl(args ...string) (string, error) {
 	all := []string{"--platform", s.platform.listen}
 	if len(s.entries) > 0 {
 		all = append(all, "--entry", s.entries[0].control)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), maxWait)
 	defer cancel()
-	b, err := exec.CommandContext(ctx, filepath.Join(bin, "wardctl"), append(all, args...)...).CombinedOutput()
+	b, err := exec.CommandContext(ctx, filepath.Join(binDir, "wardctl"), append(all, args...)...).CombinedOutput()
 	return string(b), err
 }
 
-func (s *system) mustCtl(args ...string) string {
+func (s *system) mustWardctl(args ...string) string {
 	s.t.Helper()
-	out, err := s.ctl(args...)
+	out, err := s.wardctl(args...)
 	if err != nil {
 		s.t.Fatalf("wardctl %v: %v\n%s", args, err, out)
 	}
 	return out
 }
 
-// file writes a resources file and gives its path.
-func (s *system) file(text string) string {
+// writeFile writes a resources writeFile and gives its path.
+func (s *system) writeFile(text string) string {
 	s.t.Helper()
 	f, err := os.CreateTemp(s.dir, "*.yaml")
 	if err != nil {
@@ -309,30 +309,30 @@
 
 func (s *system) apply(text string, args ...string) string {
 	s.t.Helper()
-	return s.mustCtl(append([]string{"apply", "-f", s.file(text)}, args...)...)
+	return s.mustWardctl(append([]string{"apply", "-f", s.writeFile(text)}, args...)...)
 }
 
-func status(p *process) (api.NodeStatus, error) {
+func nodeStatus(p *process) (api.NodeStatus, error) {
 	var v api.NodeStatus
-	err := get("http://"+p.control+peer.PathStatus, &v)
+	err := getJSON("http://"+p.control+peer.PathStatus, &v)
 	return v, err
 }
 
-// ready waits until every entry VM serves, sees every engine loaded and every
+// waitReady waits until every entry VM serves, sees every engine loaded and every
 // other entry VM.
-func (s *system) ready() {
+func (s *system) waitReady() {
 	s.t.Helper()
-	until(s.t, "the engines to be loaded", func() bool {
-		out, err := s.ctl("get", "status")
+	waitFor(s.t, "the engines to be loaded", func() bool {
+		out, err := s.wardctl("get", "status")
 		return err == nil && strings.Count(out, "state: ready") == len(s.engines)
 	})
 	for _, e := range s.entries {
-		until(s.t, e.name+" to serve", func() bool { return s.serves(e) })
+		waitFor(s.t, e.name+" to serve", func() bool { return s.isReady(e) })
 	}
 }
 
-func (s *system) serves(e *process) bool {
-	v, err := status(e)
+func (s *system) isReady(e *process) bool {
+	v, err := nodeStatus(e)
 	if err != nil || v.State != api.PeerStateServing {
 		return false
 	}
@@ -359,8 +359,8 @@
 	return out
 }
 
-// load runs a mix against all entry VMs.
-func (s *system) load(n int, perSecond float64, seed uint64) load.Report {
+// runLoad runs a mix against all entry VMs.
+func (s *system) runLoad(n int, perSecond float64, seed uint64) load.Report {
 	s.t.Helper()
 	m, ok := load.Find("both")
 	if !ok {
@@ -376,8 +376,8 @@
 	return r
 }
 
-// whole checks that every request of a run was answered whole and right.
-func whole(t *testing.T, r load.Report) {
+// checkComplete checks that every request of a run was answered checkComplete and right.
+func checkComplete(t *testing.T, r load.Report) {
 	t.Helper()
 	if len(r.Wrong) != 0 || r.Whole != r.Requests {
 		t.Errorf("answers: got %d whole of %d, wrong %v, errors %v; want all whole", r.Whole, r.Requests, r.Wrong, r.Errors)
