--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -44,11 +44,11 @@
 	return a
 }
 
-const ask = `{"model":"desk","messages":[{"role":"user","content":"When will the skip be collected?"}],"metadata":{"standin_tokens":"12"}}`
+const completionBody = `{"model":"desk","messages":[{"role":"user","content":"When will the skip be collected?"}],"metadata":{"standin_tokens":"12"}}`
 
 func TestOperatorCommands(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 2, settings: longTimeouts})
-	a := post(t, s.entries[1].listen, sample.KeyDispatch, ask)
+	a := post(t, s.entries[1].listen, sample.KeyDispatch, completionBody)
 	if a.StatusCode != http.StatusOK {
 		t.Fatalf("status: got %s, want 200", a.Status)
 	}
@@ -87,7 +87,7 @@
 
 func TestPlannedStopCutsNoStreamOff(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 2, settings: longTimeouts})
-	long := strings.Replace(ask, `"12"`, `"400"`, 1)
+	long := strings.Replace(completionBody, `"12"`, `"400"`, 1)
 	type outcome struct {
 		status int
 		tokens int
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -20,8 +20,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// quickSettings notice broken streams soon.
-const quickSettings = `
+// shortTimeouts notice broken streams soon.
+const shortTimeouts = `
 [entry]
 queue_wait_ms = 60000
 [engine]
@@ -31,17 +31,17 @@
 resume_ms = 20000
 `
 
-// streaming is a stream that a caller reads.
-type streaming struct {
-	answer *http.Response
-	lines  *bufio.Scanner
-	id     string
-	tokens []string
-	end    string
-	fault  api.ErrorDetail
+// tokenStream is a stream that a caller reads.
+type tokenStream struct {
+	answer      *http.Response
+	lines       *bufio.Scanner
+	lastEventID string
+	tokens      []string
+	endMarker   string
+	streamError api.ErrorDetail
 }
 
-func (s *system) open(e *process, tokens int) *streaming {
+func (s *system) openStream(e *process, tokens int) *tokenStream {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"model":"desk","stream":true,"messages":[{"role":"user","content":"x"}],"metadata":{"standin_tokens":"%d"}}`, tokens)
 	r, err := http.NewRequest(http.MethodPost, "http://"+e.listen+entry.PathChat, strings.NewReader(body))
@@ -49,11 +49,11 @@
 		s.t.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+sample.KeyDispatch)
-	return s.follow(r)
+	return s.startStream(r)
 }
 
-// back resumes a stream through another entry VM.
-func (s *system) back(e *process, x *streaming) *streaming {
+// resumeStream resumes a stream through another entry VM.
+func (s *system) resumeStream(e *process, x *tokenStream) *tokenStream {
 	s.t.Helper()
 	u := "http://" + e.listen + entry.PathChat + "/" + x.answer.Header.Get(wire.HeaderRequestID)
 	r, err := http.NewRequest(http.MethodGet, u, nil)
@@ -61,11 +61,11 @@
 		s.t.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+sample.KeyDispatch)
-	r.Header.Set(wire.HeaderLastEventID, x.id)
-	return s.follow(r)
+	r.Header.Set(wire.HeaderLastEventID, x.lastEventID)
+	return s.startStream(r)
 }
 
-func (s *system) follow(r *http.Request) *streaming {
+func (s *system) startStream(r *http.Request) *tokenStream {
 	s.t.Helper()
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -75,11 +75,11 @@
 	if a.StatusCode != http.StatusOK {
 		s.t.Fatalf("status: got %s, want 200", a.Status)
 	}
-	return &streaming{answer: a, lines: bufio.NewScanner(a.Body)}
+	return &tokenStream{answer: a, lines: bufio.NewScanner(a.Body)}
 }
 
 // read reads so many tokens, or to the end with -1.
-func (x *streaming) read(n int) {
+func (x *tokenStream) read(n int) {
 	failed := false
 	for n != 0 && x.lines.Scan() {
 		l := x.lines.Text()
@@ -87,20 +87,20 @@
 			failed = true
 		}
 		if v, ok := strings.CutPrefix(l, "id: "); ok {
-			x.id = v
+			x.lastEventID = v
 		}
 		d, ok := strings.CutPrefix(l, "data: ")
 		if !ok {
 			continue
 		}
 		if d == "[DONE]" {
-			x.end = d
+			x.endMarker = d
 			return
 		}
 		if failed {
 			var e api.ErrorBody
 			_ = json.Unmarshal([]byte(d), &e)
-			x.fault = e.Error
+			x.streamError = e.Error
 			return
 		}
 		var c api.ChatChunk
@@ -111,8 +111,8 @@
 	}
 }
 
-// inOrder checks that tokens are all of one generation from 0 on.
-func inOrder(t *testing.T, tokens []string, want int) {
+// checkTokens checks that tokens are all of one generation from 0 on.
+func checkTokens(t *testing.T, tokens []string, want int) {
 	t.Helper()
 	if want >= 0 && len(tokens) != want {
 		t.Errorf("tokens: got %d, want %d", len(tokens), want)
@@ -125,8 +125,8 @@
 	}
 }
 
-// runs finds the engine that runs a generation.
-func (s *system) runs() *process {
+// activeEngine finds the engine that activeEngine a generation.
+func (s *system) activeEngine() *process {
 	s.t.Helper()
 	for _, e := range s.engines {
 		var c struct {
@@ -141,25 +141,25 @@
 }
 
 func TestEngineKilledMidStreamEndsWithTypedError(t *testing.T) {
-	s := newSystem(t, options{entries: 1, engines: 2, settings: strings.Replace(quickSettings, "20000", "1000", 1)})
-	x := s.open(s.entries[0], 5000)
+	s := newSystem(t, options{entries: 1, engines: 2, settings: strings.Replace(shortTimeouts, "20000", "1000", 1)})
+	x := s.openStream(s.entries[0], 5000)
 	x.read(20)
-	s.runs().kill()
+	s.activeEngine().kill()
 	x.read(-1)
-	inOrder(t, x.tokens, -1)
-	if x.end != "" || x.fault.Type != "generation_lost" || x.fault.Ran != api.RanYes {
-		t.Errorf("end: got %q and %+v, want generation_lost that ran", x.end, x.fault)
+	checkTokens(t, x.tokens, -1)
+	if x.endMarker != "" || x.streamError.Type != "generation_lost" || x.streamError.Ran != api.RanYes {
+		t.Errorf("end: got %q and %+v, want generation_lost that ran", x.endMarker, x.streamError)
 	}
-	y := s.open(s.entries[0], 10)
+	y := s.openStream(s.entries[0], 10)
 	y.read(-1)
-	inOrder(t, y.tokens, 10)
+	checkTokens(t, y.tokens, 10)
 }
 
 func TestSuspendedEngineContinuesSameGeneration(t *testing.T) {
-	s := newSystem(t, options{entries: 1, engines: 2, settings: quickSettings})
-	x := s.open(s.entries[0], 600)
+	s := newSystem(t, options{entries: 1, engines: 2, settings: shortTimeouts})
+	x := s.openStream(s.entries[0], 600)
 	x.read(20)
-	e := s.runs()
+	e := s.activeEngine()
 	for range 2 {
 		e.signal(syscall.SIGSTOP)
 		time.Sleep(time.Second)
@@ -167,38 +167,38 @@
 		x.read(20)
 	}
 	x.read(-1)
-	inOrder(t, x.tokens, 600)
-	if x.end != "[DONE]" {
-		t.Errorf("end: got %q, want [DONE]", x.end)
+	checkTokens(t, x.tokens, 600)
+	if x.endMarker != "[DONE]" {
+		t.Errorf("end: got %q, want [DONE]", x.endMarker)
 	}
 }
 
 func TestEngineSuspendedBeforeFirstTokenIsRetriedElsewhere(t *testing.T) {
-	s := newSystem(t, options{entries: 1, engines: 2, settings: strings.Replace(quickSettings, "first_token_ms = 4000", "first_token_ms = 500", 1)})
+	s := newSystem(t, options{entries: 1, engines: 2, settings: strings.Replace(shortTimeouts, "first_token_ms = 4000", "first_token_ms = 500", 1)})
 	s.engines[0].signal(syscall.SIGSTOP)
 	defer s.engines[0].signal(syscall.SIGCONT)
 	for range 4 {
-		x := s.open(s.entries[0], 10)
+		x := s.openStream(s.entries[0], 10)
 		x.read(-1)
-		inOrder(t, x.tokens, 10)
+		checkTokens(t, x.tokens, 10)
 	}
 }
 
 func TestStreamResumesAtAnotherEntryVMAfterKill(t *testing.T) {
-	s := newSystem(t, options{entries: 2, engines: 2, settings: quickSettings})
-	x := s.open(s.entries[0], 800)
+	s := newSystem(t, options{entries: 2, engines: 2, settings: shortTimeouts})
+	x := s.openStream(s.entries[0], 800)
 	x.read(50)
 	s.entries[0].kill()
-	y := s.back(s.entries[1], x)
+	y := s.resumeStream(s.entries[1], x)
 	y.read(-1)
-	inOrder(t, append(x.tokens, y.tokens...), 800)
-	if y.end != "[DONE]" {
-		t.Errorf("end: got %q, want [DONE]", y.end)
+	checkTokens(t, append(x.tokens, y.tokens...), 800)
+	if y.endMarker != "[DONE]" {
+		t.Errorf("end: got %q, want [DONE]", y.endMarker)
 	}
 }
 
-// book sends a call that is not repeatable and gives its status and error.
-func (s *system) book(e *process, key string) (int, api.ErrorDetail) {
+// confirmOrder sends a call that is not repeatable and gives its status and error.
+func (s *system) confirmOrder(e *process, key string) (int, api.ErrorDetail) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+e.listen+"/services/orders/confirm", strings.NewReader("airend"))
 	if err != nil {
 		return 0, api.ErrorDetail{}
@@ -217,7 +217,7 @@
 	return a.StatusCode, b.Error
 }
 
-func (s *system) counts() map[string]int {
+func (s *system) orderRuns() map[string]int {
 	s.t.Helper()
 	var m map[string]int
 	if err := getJSON("http://"+s.service.listen+"/dev/counts", &m); err != nil {
@@ -229,23 +229,23 @@
 // A holder of a claim is suspended at a moment that differs from run to run;
 // the caller asks again through the other entry VM, and the holder wakes.
 func TestNotRepeatableRunsAtMostOnceWhileAHolderIsSuspended(t *testing.T) {
-	s := newSystem(t, options{entries: 2, engines: 1, settings: quickSettings})
+	s := newSystem(t, options{entries: 2, engines: 1, settings: shortTimeouts})
 	s.putJSON("http://"+s.service.listen+"/dev/faults", map[string]int{"delay_ms": 5})
 	var w sync.WaitGroup
 	const rounds = 14
 	for i := range rounds {
 		key := fmt.Sprintf("order-%d", i)
 		a, b := s.entries[i%2], s.entries[(i+1)%2]
-		w.Go(func() { s.book(a, key) })
+		w.Go(func() { s.confirmOrder(a, key) })
 		time.Sleep(time.Duration(i%12) * time.Millisecond / 2)
 		a.signal(syscall.SIGSTOP)
-		s.book(b, key)
+		s.confirmOrder(b, key)
 		a.signal(syscall.SIGCONT)
-		s.book(b, key)
+		s.confirmOrder(b, key)
 	}
 	w.Wait()
 	ran := 0
-	for k, n := range s.counts() {
+	for k, n := range s.orderRuns() {
 		ran++
 		if n > 1 {
 			t.Errorf("%s: got %d runs, want at most 1", k, n)
@@ -259,18 +259,18 @@
 // Entry VMs are killed while they hold claims; whatever the caller is told,
 // the call runs at most once, and "no" means that it did not run.
 func TestNotRepeatableRunsAtMostOnceWhileHoldersAreKilled(t *testing.T) {
-	s := newSystem(t, options{entries: 2, engines: 1, settings: quickSettings})
+	s := newSystem(t, options{entries: 2, engines: 1, settings: shortTimeouts})
 	s.putJSON("http://"+s.service.listen+"/dev/faults", map[string]int{"delay_ms": 10})
 	for i := range 6 {
 		key := fmt.Sprintf("order-%d", i)
 		var w sync.WaitGroup
 		victim := s.entries[0]
-		w.Go(func() { s.book(victim, key) })
+		w.Go(func() { s.confirmOrder(victim, key) })
 		time.Sleep(time.Duration(3*i) * time.Millisecond)
 		victim.kill()
 		w.Wait()
-		status, f := s.book(s.entries[1], key)
-		n := s.counts()[key]
+		status, f := s.confirmOrder(s.entries[1], key)
+		n := s.orderRuns()[key]
 		if n > 1 {
 			t.Errorf("%s: got %d runs, want at most 1", key, n)
 		}
@@ -282,14 +282,14 @@
 	}
 }
 
-// drained takes a backend server out of work on every entry VM.
-func (s *system) drained(name string) {
+// drain takes a backend server out of work on every entry VM.
+func (s *system) drain(name string) {
 	s.t.Helper()
-	s.inForce(s.mustWardctl("drain", name))
+	s.waitInForce(s.mustWardctl("drain", name))
 }
 
-// inForce waits until every entry VM has the version that wardctl told.
-func (s *system) inForce(out string) {
+// waitInForce waits until every entry VM has the version that wardctl told.
+func (s *system) waitInForce(out string) {
 	s.t.Helper()
 	f := strings.Fields(out)
 	n, err := strconv.Atoi(f[len(f)-1])
@@ -307,7 +307,7 @@
 func TestRollingRestartLosesNoRequest(t *testing.T) {
 	s := newSystem(t, options{entries: 3, engines: 3, settings: longTimeouts})
 	second := s.startService("orders-2", freeAddress(t))
-	s.inForce(s.apply(fmt.Sprintf("kind: backend-server\nname: orders-2\nspec: {type: service, address: %q, domain: hall-a}\n---\nkind: service\nname: orders\nspec: {servers: [orders-1, orders-2], not_repeatable: [{method: POST, path: /confirm}, {method: POST, path: /bookings/*}]}\n", second.listen), "--replace"))
+	s.waitInForce(s.apply(fmt.Sprintf("kind: backend-server\nname: orders-2\nspec: {type: service, address: %q, domain: hall-a}\n---\nkind: service\nname: orders\nspec: {servers: [orders-1, orders-2], not_repeatable: [{method: POST, path: /confirm}, {method: POST, path: /bookings/*}]}\n", second.listen), "--replace"))
 	done := make(chan load.Report, 1)
 	var w sync.WaitGroup
 	w.Go(func() { done <- s.runLoad(900, 25, 5) })
@@ -329,12 +329,12 @@
 		s.waitReady()
 	}
 	for _, p := range []*process{s.service, second} {
-		s.drained(p.name)
+		s.drain(p.name)
 		if got := p.stop(t); got != 0 {
 			t.Errorf("%s: got exit status %d, want 0", p.name, got)
 		}
 		s.startService(p.name, p.listen)
-		s.inForce(s.mustWardctl("drain", p.name, "--undo"))
+		s.waitInForce(s.mustWardctl("drain", p.name, "--undo"))
 	}
 	checkComplete(t, <-done)
 	w.Wait()
@@ -363,7 +363,7 @@
 // A key is revoked while an entry VM is suspended; the request that waits for
 // it when it wakes must not be served by the old configuration.
 func TestResumedEntryVMDoesNotServeStaleConfig(t *testing.T) {
-	s := newSystem(t, options{entries: 2, engines: 1, settings: quickSettings})
+	s := newSystem(t, options{entries: 2, engines: 1, settings: shortTimeouts})
 	e := s.entries[0]
 	e.signal(syscall.SIGSTOP)
 	out := s.mustWardctl("get", "workspace", "dispatch")
@@ -374,7 +374,7 @@
 	got := make(chan int, 8)
 	var w sync.WaitGroup
 	for range cap(got) {
-		w.Go(func() { got <- post(t, e.listen, sample.KeyDispatch, ask).StatusCode })
+		w.Go(func() { got <- post(t, e.listen, sample.KeyDispatch, completionBody).StatusCode })
 	}
 	time.Sleep(100 * time.Millisecond)
 	e.signal(syscall.SIGCONT)
@@ -385,13 +385,13 @@
 		}
 	}
 	waitFor(t, "the entry VM to serve again", func() bool {
-		n, _ := s.book(e, "after")
+		n, _ := s.confirmOrder(e, "after")
 		return n == http.StatusOK
 	})
 }
 
-// holder finds the entry VM that holds the lease on orders.
-func (s *system) holder(except *process) *process {
+// waitHolder finds the entry VM that holds the lease on orders.
+func (s *system) waitHolder(except *process) *process {
 	s.t.Helper()
 	var p *process
 	waitFor(s.t, "a holder of the orders", func() bool {
@@ -410,14 +410,14 @@
 // The holder of the orders is suspended for longer than its lease, twice; the
 // next holder's orders stand, and the one that wakes believing sends no more.
 func TestSuspendedOrderHolderIsFenced(t *testing.T) {
-	s := newSystem(t, options{entries: 2, engines: 2, settings: quickSettings + "[lease]\nduration_ms = 1500\nskew_ms = 300\n"})
+	s := newSystem(t, options{entries: 2, engines: 2, settings: shortTimeouts + "[lease]\nduration_ms = 1500\nskew_ms = 300\n"})
 	weights := []string{"2026-11", "2026-12"}
 	for _, w := range weights {
-		old := s.holder(nil)
+		old := s.waitHolder(nil)
 		old.signal(syscall.SIGSTOP)
 		s.apply(fmt.Sprintf("kind: model\nname: desk\nspec: {weights: %q, context_tokens: 16384}\n", w), "--replace")
-		next := s.holder(old)
-		waitFor(t, "the new weights on both engines", func() bool { return s.loaded(w) == len(s.engines) })
+		next := s.waitHolder(old)
+		waitFor(t, "the new weights on both engines", func() bool { return s.enginesWithWeights(w) == len(s.engines) })
 		old.signal(syscall.SIGCONT)
 		waitFor(t, "the old holder to know", func() bool {
 			v, err := nodeStatus(old)
@@ -427,14 +427,14 @@
 			t.Errorf("the next holder: got leases %v, %v, want orders", v.Leases, err)
 		}
 		time.Sleep(time.Second)
-		if got := s.loaded(w); got != len(s.engines) {
+		if got := s.enginesWithWeights(w); got != len(s.engines) {
 			t.Errorf("engines with weights %s after the old holder woke: got %d, want %d", w, got, len(s.engines))
 		}
 	}
 }
 
-// loaded counts the engines that have only these weights of the model.
-func (s *system) loaded(w string) int {
+// enginesWithWeights counts the engines that have only these weights of the model.
+func (s *system) enginesWithWeights(w string) int {
 	n := 0
 	for _, e := range s.engines {
 		var r api.LoadReport
