--- a/e2e/idle_bench_test.go
+++ b/e2e/idle_bench_test.go
@@ -19,13 +19,13 @@
 		}
 		used := time.Duration(0)
 		for _, e := range s.entries {
-			used -= cpu(b, e)
+			used -= cpuTime(b, e)
 		}
 		time.Sleep(span)
 		memory := 0
 		for _, e := range s.entries {
-			used += cpu(b, e)
-			memory += resident(b, e)
+			used += cpuTime(b, e)
+			memory += residentKB(b, e)
 		}
 		if err := getJSON("http://"+s.platform.listen+"/dev/calls", &after); err != nil {
 			b.Fatal(err)
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -45,7 +45,7 @@
 						b.Errorf("wrong answers: got %v", r.Wrong)
 					}
 					b.ReportMetric(r.All.StallSum/1000, "stall-s")
-					b.ReportMetric(1000*float64(s.preemptions())/float64(r.Requests), "preempted/1000")
+					b.ReportMetric(1000*float64(s.sumPreemptions())/float64(r.Requests), "preempted/1000")
 					b.ReportMetric(r.All.Gaps.P99, "gap-p99-ms")
 					b.ReportMetric(r.All.First.P95, "first-p95-ms")
 					b.ReportMetric(float64(r.Tokens)/r.Seconds, "tokens/s")
@@ -56,8 +56,8 @@
 	}
 }
 
-// preemptions sums what the entry VMs were told.
-func (s *system) preemptions() int64 {
+// sumPreemptions sums what the entry VMs were told.
+func (s *system) sumPreemptions() int64 {
 	n := int64(0)
 	for _, e := range s.entries {
 		m := map[string]int64{}
--- a/e2e/relay_bench_test.go
+++ b/e2e/relay_bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/wardridge/wardridge/internal/sample"
 )
 
-// cpu is the processor time of a process so far.
-func cpu(t testing.TB, p *process) time.Duration {
+// cpuTime is the processor time of a process so far.
+func cpuTime(t testing.TB, p *process) time.Duration {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -32,8 +32,8 @@
 	return time.Duration(u+s) * tick
 }
 
-// resident is the memory of a process in KB.
-func resident(t testing.TB, p *process) int {
+// residentKB is the memory of a process in KB.
+func residentKB(t testing.TB, p *process) int {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -48,28 +48,28 @@
 	return 0
 }
 
-// seen is what one reader saw.
-type seen struct {
+// streamTimes is what one reader saw.
+type streamTimes struct {
 	first time.Duration
 	gaps  []time.Duration
 }
 
-// read opens a stream and takes the times of its tokens.
-func read(t testing.TB, url, body string) seen {
+// timeStream opens a stream and takes the times of its tokens.
+func timeStream(t testing.TB, url, body string) streamTimes {
 	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		t.Error(err)
-		return seen{}
+		return streamTimes{}
 	}
 	r.Header.Set("Authorization", "Bearer "+sample.KeyDispatch)
 	began := time.Now()
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Error(err)
-		return seen{}
+		return streamTimes{}
 	}
 	defer func() { _ = a.Body.Close() }()
-	var s seen
+	var s streamTimes
 	var last time.Time
 	x := bufio.NewScanner(a.Body)
 	for x.Scan() {
@@ -87,14 +87,14 @@
 	return s
 }
 
-// many opens n streams at once.
-func many(t testing.TB, n int, url string, body func(i int) string) (first, gap time.Duration) {
+// medianTimes opens n streams at once.
+func medianTimes(t testing.TB, n int, url string, body func(i int) string) (first, gap time.Duration) {
 	var mutex sync.Mutex
 	var firsts, gaps []time.Duration
 	var w sync.WaitGroup
 	for i := range n {
 		w.Go(func() {
-			s := read(t, url, body(i))
+			s := timeStream(t, url, body(i))
 			mutex.Lock()
 			defer mutex.Unlock()
 			firsts = append(firsts, s.first)
@@ -122,26 +122,26 @@
 		engineArgs: []string{"--step", "5ms", "--step-more", "0s", "--batch", "2000", "--memory", "10000000"},
 	})
 	const tokens = 1000
-	straight := "http://" + s.engines[0].listen + "/v1/generations"
-	through := "http://" + s.entries[0].listen + entry.PathChat
+	direct := "http://" + s.engines[0].listen + "/v1/generations"
+	relayed := "http://" + s.entries[0].listen + entry.PathChat
 	for _, n := range []int{1, 64, 256} {
 		b.Run(fmt.Sprintf("streams=%d", n), func(b *testing.B) {
 			for k := range b.N {
-				f0, g0 := many(b, n, straight, func(i int) string {
+				f0, g0 := medianTimes(b, n, direct, func(i int) string {
 					return fmt.Sprintf(`{"generation":"%d-%d-%d","model":"desk","prompt":"x","prompt_tokens":5,"max_tokens":%d,"priority":"standard","metadata":{"standin_tokens":"%d"}}`, n, k, i, tokens, tokens)
 				})
-				c := cpu(b, s.entries[0])
-				m := resident(b, s.entries[0])
-				f1, g1 := many(b, n, through, func(int) string {
+				c := cpuTime(b, s.entries[0])
+				m := residentKB(b, s.entries[0])
+				f1, g1 := medianTimes(b, n, relayed, func(int) string {
 					return fmt.Sprintf(`{"model":"desk","stream":true,"messages":[{"role":"user","content":"x"}],"metadata":{"standin_tokens":"%d"}}`, tokens)
 				})
-				used := cpu(b, s.entries[0]) - c
+				used := cpuTime(b, s.entries[0]) - c
 				b.ReportMetric(float64((f1 - f0).Microseconds()), "added-first-us")
 				b.ReportMetric(float64((g1 - g0).Microseconds()), "added-gap-us")
 				b.ReportMetric(float64(f1)/float64(f0), "first-ratio")
 				b.ReportMetric(float64(g1)/float64(g0), "gap-ratio")
 				b.ReportMetric(float64(n*tokens)/used.Seconds(), "tokens/core-s")
-				b.ReportMetric(float64(resident(b, s.entries[0])-m)/float64(n), "KB/stream")
+				b.ReportMetric(float64(residentKB(b, s.entries[0])-m)/float64(n), "KB/stream")
 			}
 		})
 	}
