--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// coldRate is what cold servers bear, in requests a second, and coldTime for how long.
+	// coldRate is the rate that a cold server can take, in requests per second, and
+	// coldDuration how long it stays cold.
 	coldRate     = 4.0
 	coldDuration = 4 * time.Second
-	// coldFactor and coldSlack are what is allowed beyond the rate in any second.
+	// In any second a cold server may get coldFactor times its rate plus coldSlack requests.
 	coldFactor = 1.5
 	coldSlack  = 5
 )
 
-// maxWithin gives the most requests that a server got in a span, from a time on.
+// maxWithin returns the highest number of requests that a server got in any window of
+// length span, counting those between from and until.
 func (b *signalTestbed) maxWithin(n api.ServerName, from, until time.Time, span time.Duration) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -32,7 +34,7 @@
 	return maxInWindow(l, span)
 }
 
-// maxInWindow is the most of some times in order within a span.
+// maxInWindow returns the highest number of the sorted times in any window of length span.
 func maxInWindow(l []time.Time, span time.Duration) int {
 	highest := 0
 	for i, t := range l {
@@ -78,15 +80,15 @@
 				e := s.Server
 				e.ColdFor = coldDuration
 				b.pool.entries.put(string(s.ID), e)
-				// What was on its way when it wrote its entry is not counted.
+				// Requests that were in flight when the server wrote its entry don't count.
 				from := time.Now().Add(time.Second)
 				until := time.Now().Add(coldDuration)
 				o := b.sendAtRate(c.vms, c.load, coldDuration, c.path)
 				if got, allowed := b.maxWithin(s.Name, from, until, time.Second), int(coldFactor*coldRate)+coldSlack; got > allowed {
-					t.Errorf("requests in a second: got %d, want at most %d", got, allowed)
+					t.Errorf("requests to the cold server in one second: got %d, want at most %d", got, allowed)
 				}
 				if o.refused+o.failed > 0 {
-					t.Errorf("beside warm servers: got %d refused and %d failed, want none", o.refused, o.failed)
+					t.Errorf("with warm servers left: got %d refused and %d failed, want none", o.refused, o.failed)
 				}
 			})
 		})
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -22,21 +22,21 @@
 	"github.com/wardridge/wardridge/internal/standin/engine"
 )
 
-// retries is how often a caller asks again for what crashes servers, and retryInterval
-// how long it waits in between.
+// retries is how often a caller sends a request that crashes servers, and retryInterval the
+// time between two of them.
 const (
 	retries       = 30
 	retryInterval = 1500 * time.Millisecond
 )
 
-// maxQuarantineDelay is how long after its third crash a content may still reach servers: in it
-// every entry VM has to learn what it does.
+// maxQuarantineDelay is how long after its third crash a content may still reach servers.
+// Within this time every entry VM has to learn that it crashes servers.
 const maxQuarantineDelay = 3 * time.Second
 
-// maxLateRequests is how many of its requests may reach servers after that.
+// maxLateRequests is the number of its requests that may reach servers after that time.
 const maxLateRequests = 3
 
-// newRequest is a request of a body at a path.
+// newRequest returns a request with a body at a path.
 func newRequest(id, path, body string) *port.Request {
 	return &port.Request{
 		ID: api.RequestID(id), Method: http.MethodPost, Host: "h", Path: path + "x", Target: path + "x", Header: http.Header{}, Body: []byte(body),
@@ -44,8 +44,8 @@
 	}
 }
 
-// sendCrashing asks for what crashes servers so many times, at the first n entry VMs in turn,
-// with a pause in between.
+// sendCrashing sends a request that crashes servers the given number of times, to the first
+// n entry VMs in turn, with a pause after each.
 func (b *hostedTestbed) sendCrashing(times, n int, path string, pause time.Duration) {
 	for i := range times {
 		b.group.Go(func(context.Context) error {
@@ -64,7 +64,7 @@
 	}
 }
 
-// The same where callers come back faster than word of a crash goes round.
+// Callers retry faster than the report of a crash reaches the other entry VMs.
 func TestCrashingContentWithFastRetriesIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/stream/", "/safe/", "/unsafe/"} {
 		t.Run(path, func(t *testing.T) {
@@ -73,7 +73,8 @@
 	}
 }
 
-// testCrashingContent plays a caller that asks so many times for what crashes servers.
+// testCrashingContent checks that a content stops reaching servers after its third crash
+// while a caller keeps sending it.
 func testCrashingContent(t *testing.T, path string, times int, pause time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(12, 12)
@@ -81,7 +82,7 @@
 		b.sendCrashing(times, 6, path, pause)
 		t.Logf("%d servers crashed", p.crashCount())
 		if p.crashCount() < 1 {
-			t.Errorf("crashes: got none, want the content to crash what runs it")
+			t.Errorf("crashes: got none, want the content to crash the servers that run it")
 		}
 		if got := p.countLate(3, maxQuarantineDelay); got > maxLateRequests {
 			t.Errorf("requests to servers %v after the third crash: got %d, want at most %d", maxQuarantineDelay, got, maxLateRequests)
@@ -99,7 +100,7 @@
 		b.sendCrashing(6, n-1, "/unsafe/", retryInterval)
 		before := p.crashCount()
 		if a := b.send(n-1, newRequest("cut", "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) || a.fault.Ran != api.RanNo || a.fault.RetryAfter <= 0 {
-			t.Errorf("at the entry VM that is cut off: got %+v, want it refused as not run, with a time to come back", a)
+			t.Errorf("at the isolated entry VM: got %+v, want it refused as quarantined and not run, with a retry time", a)
 		}
 		for i := range n {
 			b.stops[i]()
@@ -110,14 +111,14 @@
 		time.Sleep(10 * time.Second)
 		for i := range n {
 			if a := b.send(i, newRequest(fmt.Sprintf("again-%d", i), "/unsafe/", p.deadly)); !a.refused(fault.Quarantined) {
-				t.Errorf("at entry VM %d after a restart of all: got %+v, want it refused", i, a)
+				t.Errorf("at entry VM %d after a restart of all: got %+v, want it refused as quarantined", i, a)
 			}
 			if a := b.send(i, newRequest(fmt.Sprintf("other-%d", i), "/unsafe/", "other")); !a.served() {
 				t.Errorf("another content: got %+v, want it served", a)
 			}
 		}
 		if got := p.crashCount(); got != before {
-			t.Errorf("crashes: got %d, want %d as before", got, before)
+			t.Errorf("crashes after the restart: got %d, want %d as before", got, before)
 		}
 		l, _ := b.quarantined.List(t.Context())
 		for _, o := range l.Items {
@@ -126,26 +127,27 @@
 		time.Sleep(5 * time.Second)
 		b.send(0, newRequest("released", "/unsafe/", p.deadly))
 		if got := p.crashCount(); got != before+1 {
-			t.Errorf("crashes after operators released it: got %d, want %d", got, before+1)
+			t.Errorf("crashes after operators released the content: got %d, want %d", got, before+1)
 		}
 	})
 }
 
-// withShortAnswer makes a request one of a withShortAnswer answer, whose run is not copied as it grows.
+// withShortAnswer changes a request to one with a short answer, for whose run no backup
+// copies are made as it grows.
 func withShortAnswer(r *port.Request) *port.Request {
 	r.Prompt.MaxTokens, r.Prompt.ExpectedTokens = 100, 20
 	return r
 }
 
-// crashWave counts what callers got while servers crashed for other reasons.
+// crashWave counts the outcomes of requests while servers crash for other reasons.
 type crashWave struct {
 	testbed         *hostedTestbed
 	refused, served atomic.Int64
 	retried         atomic.Int64
 }
 
-// send sends a request at one of n entry VMs; a caller whose stream broke off asks for the
-// same once more.
+// send sends a request to one of n entry VMs. A caller whose stream broke off retries it
+// once at the next one.
 func (w *crashWave) send(i, n int, id, path, body string) {
 	w.testbed.group.Go(func(ctx context.Context) error {
 		a := w.testbed.send(i%n, withShortAnswer(newRequest(id, path, body)))
@@ -164,11 +166,12 @@
 	})
 }
 
-// Servers that crash for other reasons, two at a time, take requests along.
+// Servers crash for other reasons, two of each service at a time, and the requests that they
+// run fail. No content may be quarantined for that.
 func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Of the calls that are not repeated each entry VM has two at a time, which may both
-		// be lost while those of others are answered.
+		// Each entry VM has two calls of the warm content, which are not repeated, in flight
+		// at a time. Both may be lost while those of other entry VMs are answered.
 		const n, hot, warm = 6, 48, 12
 		p := newPool(12, 12)
 		w := &crashWave{testbed: newHostedTestbed(t, n, p)}
@@ -189,17 +192,17 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(30 * time.Second)
-		t.Logf("%d servers crashed; %d streams were asked for again; %d of 1200 requests served", p.crashCount(), w.retried.Load(), w.served.Load())
+		t.Logf("%d servers crashed; %d streams were retried; %d of 1200 requests served", p.crashCount(), w.retried.Load(), w.served.Load())
 		if w.retried.Load() == 0 {
-			t.Error("streams that broke off: got none, want some to be asked for again")
+			t.Error("retried streams: got none, want some to break off")
 		}
 		if got := w.refused.Load(); got > 0 {
-			t.Errorf("refused contents: got %d requests, want none", got)
+			t.Errorf("requests refused as quarantined: got %d, want none", got)
 		}
 	})
 }
 
-// Servers that cut requests off and live on end nobody's requests for good.
+// Servers that reset connections without crashing must not get contents quarantined.
 func TestConnectionResetsQuarantineNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n, callers, tries = 6, 40, 5
@@ -229,16 +232,16 @@
 		time.Sleep(30 * time.Second)
 		t.Logf("%d streams cut off", cut.Load())
 		if cut.Load() < callers {
-			t.Errorf("streams cut off: got %d, want more than one a caller", cut.Load())
+			t.Errorf("streams cut off: got %d, want at least one per caller", cut.Load())
 		}
 		if got := refused.Load(); got > 0 {
-			t.Errorf("refused contents: got %d, want none", got)
+			t.Errorf("requests refused as quarantined: got %d, want none", got)
 		}
 	})
 }
 
-// crashingEngine is an engine of the own interface that a deadly prompt crashes, and that is back
-// after some seconds.
+// crashingEngine is an engine of a standalone fleet that a deadly prompt crashes and that
+// restarts after restartDelay.
 type crashingEngine struct {
 	testbed *testbed
 	name    api.ServerName
@@ -250,7 +253,7 @@
 	began   []time.Time
 }
 
-// start serves a new life of the engine.
+// start starts a new incarnation of the engine.
 func (f *crashingEngine) start() {
 	o := engine.Defaults()
 	o.Name = f.name
@@ -275,7 +278,7 @@
 	f.server = s
 }
 
-// crash ends the engine a moment after it has begun a deadly prompt.
+// crash records the begin of a deadly prompt, and ends the engine crashAfter later.
 func (f *crashingEngine) crash() {
 	f.mutex.Lock()
 	f.began = append(f.began, time.Now())
@@ -307,7 +310,7 @@
 			f.start()
 			l = append(l, f)
 		}
-		b.waitFor(time.Minute, "the engines to be seen", func() bool { return b.allVMs(func(s api.NodeStatus) bool { return len(s.Servers) > 1 }) })
+		b.waitFor(time.Minute, "every entry VM to see the engines", func() bool { return b.allVMs(func(s api.NodeStatus) bool { return len(s.Servers) > 1 }) })
 		c := &http.Client{Transport: &http.Transport{DialContext: machine{b.net, "callers"}.dial, DisableKeepAlives: true}}
 		refused := 0
 		for i := range retries {
@@ -338,9 +341,9 @@
 			f.mutex.Unlock()
 		}
 		slices.SortFunc(crashes, time.Time.Compare)
-		t.Logf("%d crashes, %d of %d refused", len(crashes), refused, retries)
+		t.Logf("%d crashes, %d of %d requests refused", len(crashes), refused, retries)
 		if refused == 0 {
-			t.Error("refused: got none, want the content to be refused in the end")
+			t.Error("requests refused as quarantined: got none, want the content to be quarantined")
 		}
 		late := 0
 		for _, x := range began {
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet tests how entry VMs act together: their whole process runs in
-// virtual time over a network in memory whose links can be cut.
+// Package fleet tests how several entry VMs work together. Each runs its whole process
+// in virtual time, over an in-memory network whose links can be cut.
 package fleet
--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -15,14 +15,15 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// maxHandover is the longest time without a holder after one is gone: the lease's
-// duration and skew, and the time between a candidate's reads.
+// maxHandover is the longest time without a holder after the previous one was lost: the
+// lease's duration and clock skew, and the time between a candidate's reads.
 const maxHandover = 10 * time.Second
 
+// waitHolder waits until an entry VM holds the orders lease, and returns it.
 func (b *testbed) waitHolder() *vm {
 	b.t.Helper()
 	var out *vm
-	b.waitFor(time.Minute, "a holder of the orders", func() bool {
+	b.waitFor(time.Minute, "a holder of the orders lease", func() bool {
 		for _, v := range b.vms {
 			if s, err := b.status(v); err == nil && slices.Contains(s.Leases, orders.Duty) {
 				out = v
@@ -44,7 +45,7 @@
 			for time.Since(began) < 2*maxHandover {
 				n := b.countHolders(orders.Duty)
 				if n > 1 {
-					t.Fatalf("holders of the orders: got %d, want at most 1", n)
+					t.Fatalf("holders of the orders lease: got %d, want at most 1", n)
 				}
 				if s, err := b.status(old); n == 1 && err == nil && !slices.Contains(s.Leases, orders.Duty) {
 					took = time.Since(began)
@@ -55,7 +56,7 @@
 			if took == 0 || took > maxHandover {
 				t.Errorf("handover: got %v, want at most %v", took, maxHandover)
 			}
-			t.Logf("orders handed over %v after the holder was cut off", took)
+			t.Logf("the orders lease was taken over %v after its holder was cut off", took)
 			b.isolate(old, false)
 			b.waitConverged()
 		}
@@ -84,15 +85,15 @@
 			}
 		}
 		observe(time.Second)
-		// A paused VM answers nobody and asks nobody.
+		// A paused VM neither answers nor sends requests, as an isolated one.
 		b.isolate(v, true)
 		observe(30 * time.Second)
 		b.isolate(v, false)
 		observe(30 * time.Second)
 		for n, c := range changes {
-			// Seen serving, then suspect, then serving.
+			// The expected states are serving, suspect, serving.
 			if c != 3 || last[n] != api.MemberStatusStateServing {
-				t.Errorf("%s saw %d states and %s at the end, want 3 and serving", n, c, last[n])
+				t.Errorf("%s: got %d states of the paused VM and %s at the end, want 3 and serving", n, c, last[n])
 			}
 		}
 	})
@@ -124,11 +125,11 @@
 				case err == nil:
 					won++
 				case !fault.Has(err, fault.VersionConflict):
-					t.Errorf("round %d: got %v, want a conflict", i, err)
+					t.Errorf("round %d: got %v, want a version conflict", i, err)
 				}
 			}
 			if won != 1 {
-				t.Errorf("round %d: got %d operators who won, want 1", i, won)
+				t.Errorf("round %d: got %d operators whose change was accepted, want 1", i, won)
 			}
 		}
 		last, err := b.store.Get(api.ResourceKindModel, "desk")
@@ -140,7 +141,7 @@
 			l, err := b.peers.Config(context.Background(), v.host+":81")
 			i := slices.IndexFunc(l.Items, func(o api.Object) bool { return o.Kind == last.Kind && o.Name == last.Name })
 			if err != nil || i < 0 || string(l.Items[i].Spec) != string(last.Spec) {
-				t.Errorf("%s: got another model in force than the platform's", v.name)
+				t.Errorf("%s: got a model in force that differs from the platform's, want the same", v.name)
 			}
 		}
 	})
--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -21,18 +21,18 @@
 	"github.com/wardridge/wardridge/internal/settings"
 )
 
-// hostedTestbed is a fleet of entry VMs behind a hosting platform's wire, on a network in
-// memory, before servers that some contents crash.
+// hostedTestbed is a fleet of hosted entry VMs on an in-memory network, in front of a pool
+// of servers that some contents crash.
 type hostedTestbed struct {
 	t     *testing.T
 	net   *network
 	group *duty.Group
 	pool  *pool
-	// quarantined holds the refused contents in the platform's store.
+	// quarantined holds the quarantined contents in the platform's store.
 	quarantined *objectKind[quarantine.Entry]
 
-	// newAdapter makes the wire of an entry VM in place of adapt, and settings are added to those
-	// of its gateway.
+	// newAdapter, if set, makes the adapter of an entry VM in place of newPoolAdapter, and
+	// settings are added to those of its gateway.
 	newAdapter func(i int, l node.AdapterDeps) node.Adapter
 	settings   string
 
@@ -41,8 +41,8 @@
 	stops    map[int]func()
 }
 
-// newHostedTestbed starts n entry VMs in three failure domains over a pool of servers; it
-// has to run in a bubble of virtual time.
+// newHostedTestbed starts n entry VMs in three failure domains in front of a pool of
+// servers. It must be called in a synctest bubble.
 func newHostedTestbed(t *testing.T, n int, p *pool) *hostedTestbed {
 	t.Helper()
 	b := prepareHostedTestbed(t, p)
@@ -53,7 +53,7 @@
 	return b
 }
 
-// prepareHostedTestbed is newHostedBed without entry VMs.
+// prepareHostedTestbed returns a hosted testbed without entry VMs.
 func prepareHostedTestbed(t *testing.T, p *pool) *hostedTestbed {
 	t.Helper()
 	b := &hostedTestbed{t: t, net: newNetwork(), pool: p, quarantined: newObjectKind[quarantine.Entry](), gateways: map[int]*gateway.Gateway{}, stops: map[int]func(){}}
@@ -65,10 +65,10 @@
 	return b
 }
 
-// hostedHost is the machine of entry VM i.
+// hostedHost returns the machine of entry VM i.
 func hostedHost(i int) string { return fmt.Sprintf("10.0.2.%d", i+1) }
 
-// start starts entry VM i, which knows the addresses of the first three.
+// start starts entry VM i, whose seeds are the first three entry VMs.
 func (b *hostedTestbed) start(i int) {
 	b.t.Helper()
 	h := hostedHost(i)
@@ -97,7 +97,7 @@
 	b.t.Cleanup(stop)
 }
 
-// adapter is that of entry VM i.
+// adapter returns the platform adapter of entry VM i.
 func (b *hostedTestbed) adapter(i int, l node.AdapterDeps) node.Adapter {
 	if b.newAdapter != nil {
 		return b.newAdapter(i, l)
@@ -105,8 +105,8 @@
 	return b.newPoolAdapter(i)
 }
 
-// newPoolAdapter is the wire of entry VM i: callers' requests are handed to its gateway by the
-// test.
+// newPoolAdapter returns an adapter of entry VM i over the pool. It serves no callers: the
+// test passes their requests to the gateway.
 func (b *hostedTestbed) newPoolAdapter(i int) node.Adapter {
 	return node.Adapter{
 		Config: b.pool.config, Servers: b.pool.entries, Backends: b.pool,
@@ -116,7 +116,7 @@
 	}
 }
 
-// ingress remembers the gateway of entry VM i, which the test asks itself.
+// ingress records the gateway of entry VM i, to which the test passes requests directly.
 func (b *hostedTestbed) ingress(i int, g *gateway.Gateway) http.Handler {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -124,7 +124,7 @@
 	return http.NotFoundHandler()
 }
 
-// quarantineStore writes refused contents to the store.
+// quarantineStore writes quarantined contents to the store.
 type quarantineStore struct {
 	entries *objectKind[quarantine.Entry]
 }
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// send sends a request to entry VM i and gives what its caller got.
+// send passes a request to the gateway of entry VM i and returns what its caller got.
 func (b *hostedTestbed) send(i int, r *port.Request) *caller {
 	b.mutex.Lock()
 	g := b.gateways[i]
@@ -150,7 +150,7 @@
 	return a
 }
 
-// caller takes one answer.
+// caller records the answer to one request.
 type caller struct {
 	complete, aborted bool
 	fault             *fault.Error
@@ -165,7 +165,8 @@
 func (a *caller) served() bool              { return a.complete && !a.aborted }
 func (a *caller) refused(c fault.Code) bool { return a.fault != nil && a.fault.Code == c }
 
-// isolate cuts entry VM i off from the others, which the platform and servers are not.
+// isolate cuts the links between entry VM i and its peers, but not those to the platform
+// and the servers.
 func (b *hostedTestbed) isolate(i, of int) {
 	for k := range of {
 		if k != i {
@@ -175,7 +176,7 @@
 	}
 }
 
-// objectKind is a objectKind of objects in the platform's store.
+// objectKind simulates one kind of objects in the platform's store.
 type objectKind[T any] struct {
 	mutex sync.Mutex
 	store *replica.Store[T]
@@ -188,12 +189,14 @@
 	return k
 }
 
+// List returns all objects.
 func (k *objectKind[T]) List(context.Context) (replica.Snapshot[T], error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.store.Snapshot(), nil
 }
 
+// Watch returns the changes since a version, and waits for one up to the given time.
 func (k *objectKind[T]) Watch(ctx context.Context, from api.Version, wait time.Duration) (replica.Changes[T], error) {
 	k.mutex.Lock()
 	w := k.wake
@@ -214,9 +217,10 @@
 	return replica.Changes[T]{At: d.At, Items: d.Items}, nil
 }
 
-// put writes an object, drop removes one.
+// put writes an object.
 func (k *objectKind[T]) put(name string, v T) { k.change(name, v, false) }
 
+// remove deletes an object.
 func (k *objectKind[T]) remove(name string) {
 	var none T
 	k.change(name, none, true)
--- a/fleet/network_test.go
+++ b/fleet/network_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// network joins machines in memory; links can be cut in one direction.
+// network connects machines in memory; each link can be cut per direction.
 type network struct {
 	mutex     sync.Mutex
 	listeners map[string]*listener
@@ -23,13 +23,13 @@
 	return &network{listeners: map[string]*listener{}, cuts: map[[2]string]bool{}, conns: map[*conn]struct{}{}}
 }
 
-// machine is one end of the network; addresses are machine:port.
+// machine is a host on the network; an address is the name of its machine and a port.
 type machine struct {
 	net  *network
 	name string
 }
 
-// listener takes connections to one address.
+// listener accepts the connections to one address.
 type listener struct {
 	net     *network
 	address string
@@ -61,12 +61,14 @@
 
 func (l *listener) Addr() net.Addr { return address(l.address) }
 
+// address is the net.Addr of a listener.
 type address string
 
 func (a address) Network() string { return "memory" }
 func (a address) String() string  { return string(a) }
 
-// conn counts the bytes that it carries and is broken when its link is cut.
+// conn is one end of a connection; it counts the bytes written and is closed when its link
+// is cut.
 type conn struct {
 	net.Conn
 	net  *network
@@ -85,6 +87,7 @@
 	return c.Conn.Close()
 }
 
+// listen listens at an address; it replaces an earlier listener there.
 func (m machine) listen(_ context.Context, a string) (net.Listener, error) {
 	l := &listener{net: m.net, address: a, conns: make(chan net.Conn), closed: make(chan struct{})}
 	m.net.mutex.Lock()
@@ -93,16 +96,17 @@
 	return l, nil
 }
 
+// host returns the machine of an address.
 func host(a string) string {
 	h, _, _ := net.SplitHostPort(a)
 	return h
 }
 
-// dialTime bounds a dial over a cut link, as the real machine does.
+// dialTime is the timeout of a dial over a cut link, as on a real machine.
 const dialTime = time.Second
 
-// dial connects to an address; over a cut link it hangs for a while, and where
-// nobody listens it is refused.
+// dial connects to an address. Over a cut link it times out, and without a listener the
+// connection is refused.
 func (m machine) dial(ctx context.Context, _, a string) (net.Conn, error) {
 	m.net.mutex.Lock()
 	cut := m.net.cuts[[2]string{m.name, host(a)}]
@@ -135,8 +139,8 @@
 	}
 }
 
-// cut cuts or mends the link from one machine to another, and breaks the
-// connections over it.
+// cut cuts or restores the link from one machine to another. Cutting it closes the
+// connections that were dialed over it.
 func (n *network) cut(from, to string, is bool) {
 	n.mutex.Lock()
 	n.cuts[[2]string{from, to}] = is
--- a/fleet/pool_test.go
+++ b/fleet/pool_test.go
@@ -24,12 +24,12 @@
 const (
 	// crashAfter is how long a server runs a request that crashes it.
 	crashAfter = 100 * time.Millisecond
-	// entryLapse is when the entry of a server that has crashed is gone, and
-	// returnAfter when its successor starts.
+	// entryLapse is the time from a server's crash until its entry lapses, and
+	// restartDelay until its successor starts.
 	entryLapse   = 3500 * time.Millisecond
 	restartDelay = 3 * time.Second
-	// plainDuration is what a plain request takes, stepTime the time between two events
-	// of a stream, and steps their number.
+	// plainDuration is the duration of a plain request, eventInterval the time between
+	// two events of a stream, and eventCount their number.
 	plainDuration = 15 * time.Millisecond
 	eventInterval = 30 * time.Millisecond
 	eventCount    = 30
@@ -41,20 +41,22 @@
 	body string
 }
 
-// pool stands for all backend servers: what runs a deadly body crashes.
+// pool simulates all backend servers. A server that runs a request with the deadly body
+// crashes.
 type pool struct {
 	config  *objectKind[directory.Config]
 	entries *objectKind[roster.Server]
 	group   *duty.Group
 	net     *network
 	deadly  string
-	// resetting servers cut two of three requests off, and live on.
+	// resetting makes servers cut off two of three requests without crashing.
 	resetting bool
-	// size is how many servers each service starts with.
+	// size is the number of servers that each service starts with.
 	size map[api.ServiceName]int
 
 	mutex sync.Mutex
-	// live holds what ends with each server.
+	// live holds the functions that stop the live servers, and contexts the context that
+	// ends with each server.
 	live     map[api.ServerName]context.CancelFunc
 	contexts map[api.ServerName]context.Context
 	added    int
@@ -63,8 +65,8 @@
 	crashed  []time.Time
 }
 
-// newPool makes a pool of engines and plain servers, so many each, in three failure
-// domains.
+// newPool returns a pool with the given numbers of engines and plain servers in three
+// failure domains.
 func newPool(engines, plain int) *pool {
 	route := func(p string, k directory.Kind, s api.ServiceName) directory.Route {
 		return directory.Route{Name: p, Host: "h", Prefix: p, Kind: k, Timeout: 30 * time.Second, LatencyTarget: 2 * time.Second, GapTarget: 180 * time.Millisecond, MaxServers: 2, Anonymous: true, Targets: []directory.Target{{Service: s, Weight: 1}}}
@@ -95,7 +97,7 @@
 	}
 }
 
-// close ends all servers.
+// close stops all servers.
 func (p *pool) close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -120,7 +122,8 @@
 	p.entries.put(string(n), x)
 }
 
-// listen takes connections at an address until the end of its server.
+// listen accepts connections at an address of a server. It returns a function that stops
+// listening and then calls end.
 func (p *pool) listen(a string, end func()) func() {
 	l, err := machine{p.net, host(a)}.listen(context.Background(), a)
 	if err != nil {
@@ -138,7 +141,8 @@
 	}
 }
 
-// crash ends a server without a word; its entry lapses, and another one starts.
+// crash ends a server without notice. A successor starts after restartDelay, and the entry
+// lapses after entryLapse.
 func (p *pool) crash(s roster.Server) {
 	p.mutex.Lock()
 	end, ok := p.live[s.Name]
@@ -162,8 +166,8 @@
 	})
 }
 
-// beginRequest notes that a server begins to run a request; it reports false for a server that
-// has ended.
+// beginRequest records that a server begins to run a request. It returns the context that
+// ends when the server cuts the request off, or false if the server has ended.
 func (p *pool) beginRequest(a port.Attempt) (context.Context, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -179,7 +183,7 @@
 	return p.contexts[a.Server.Name], true
 }
 
-// countLate counts the deadly requests that reached a server more than a time countLate the n-th
+// countLate counts the deadly requests that reached a server later than d after the n-th
 // crash.
 func (p *pool) countLate(n int, d time.Duration) int {
 	p.mutex.Lock()
@@ -196,7 +200,7 @@
 	return late
 }
 
-// liveServers gives n live servers of a service.
+// liveServers returns up to n live servers of a service.
 func (p *pool) liveServers(n int, s api.ServiceName) []roster.Server {
 	var l []roster.Server
 	x, _ := p.entries.List(context.Background())
@@ -247,33 +251,33 @@
 	case <-time.After(work):
 		return port.Answer{Head: port.Head{Status: http.StatusOK}, Body: []byte("done")}, nil
 	case <-end.Done():
-		return port.Answer{}, fault.Wrap(fault.OutcomeUnknown, io.EOF, "the connection was closed without a whole answer")
+		return port.Answer{}, fault.Wrap(fault.OutcomeUnknown, io.EOF, "the connection was closed before the end of the answer")
 	case <-ctx.Done():
 		return port.Answer{}, fault.Wrap(fault.OutcomeUnknown, ctx.Err(), "no answer in time")
 	}
 }
 
-// Copy has no room for copies on order.
+// Copy refuses every backup copy for lack of memory.
 func (*pool) Copy(context.Context, port.CopyRequest) (port.Copy, error) {
-	return port.Copy{}, fault.New(fault.ServerRefused, "no room")
+	return port.Copy{}, fault.New(fault.ServerRefused, "no free memory")
 }
 
-// Report tells that the server serves.
+// Report returns an empty report of a live server, and an error for one that has ended.
 func (p *pool) Report(_ context.Context, s roster.Server, _ bool) (port.Report, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if _, ok := p.live[s.Name]; !ok {
-		return port.Report{}, fault.New(fault.NotStarted, "ended")
+		return port.Report{}, fault.New(fault.NotStarted, "the server has ended")
 	}
 	return port.Report{EventCounts: map[api.RequestID]int{}}, nil
 }
 
-// ReleaseCopy frees nothing.
+// ReleaseCopy does nothing, because there are no backup copies.
 func (*pool) ReleaseCopy(context.Context, roster.Server, string) (port.Signals, error) {
 	return port.Signals{}, nil
 }
 
-// poolStream is the stream of one run; a deadly one has no event.
+// poolStream is the event stream of one run; a deadly run has no events.
 type poolStream struct {
 	serverCtx context.Context
 	deadly    bool
@@ -282,6 +286,7 @@
 	closed    chan struct{}
 }
 
+// Next returns the next event after eventInterval, and io.EOF after eventCount events.
 func (s *poolStream) Next() (port.Event, error) {
 	step := eventInterval
 	if s.deadly {
@@ -294,7 +299,7 @@
 	case <-s.serverCtx.Done():
 		return port.Event{}, fault.Wrap(fault.GenerationLost, io.ErrUnexpectedEOF, "the stream broke off")
 	case <-s.closed:
-		return port.Event{}, fault.New(fault.GenerationLost, "closed")
+		return port.Event{}, fault.New(fault.GenerationLost, "the stream was closed")
 	}
 	if s.sent == eventCount {
 		return port.Event{}, io.EOF
--- a/fleet/requests_test.go
+++ b/fleet/requests_test.go
@@ -13,8 +13,8 @@
 	"github.com/wardridge/wardridge/internal/standin/service"
 )
 
-// startBackends serves the sample's engines and service on the network in memory, and
-// waits until every entry VM sees the engines ready.
+// startBackends starts the engines and the service of the sample configuration, and waits
+// until every entry VM sees the engines ready.
 func (b *testbed) startBackends() {
 	b.t.Helper()
 	for i := range 2 {
@@ -27,7 +27,7 @@
 	}
 	b.orders = service.New("orders-1")
 	b.serve("127.0.0.1:7021", b.orders.Handler())
-	b.waitFor(time.Minute, "the engines to be seen", func() bool {
+	b.waitFor(time.Minute, "every entry VM to see the engines ready", func() bool {
 		return b.allVMs(func(s api.NodeStatus) bool {
 			n := 0
 			for _, x := range s.Servers {
@@ -40,12 +40,12 @@
 	})
 }
 
-// runLoad sends a mix of work through all entry VMs.
+// runLoad sends n requests of the mix of completions and calls through all entry VMs.
 func (b *testbed) runLoad(n int, perSecond float64) load.Report {
 	b.t.Helper()
 	m, ok := load.Find("both")
 	if !ok {
-		b.t.Fatal("no mix")
+		b.t.Fatal("the load mix \"both\" does not exist")
 	}
 	var l []string
 	for _, v := range b.vms {
@@ -58,14 +58,15 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.t.Logf("%d of %d whole, errors %v", r.Whole, r.Requests, r.Errors)
+	b.t.Logf("%d of %d requests complete, errors %v", r.Whole, r.Requests, r.Errors)
 	if len(r.Wrong) > 0 {
 		b.t.Errorf("wrong answers: got %v, want none", r.Wrong)
 	}
 	return r
 }
 
-// A third of the entry VMs is cut off from engines, peers and the platform, and from their callers.
+// A third of the entry VMs loses its connections to engines, peers, the platform and its
+// callers; only requests that these entry VMs held may be lost.
 func TestRequestsLostWithAFailureDomain(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
@@ -82,10 +83,10 @@
 			return nil
 		})
 		r := b.runLoad(300, 15)
-		// Callers whose connection broke hear nothing typed; the rest is whole.
+		// Callers whose connection broke get no typed error; all other requests complete.
 		lost := r.Requests - r.Whole
 		if maxLost := r.Requests / 10; lost > maxLost {
-			t.Errorf("work lost: got %d requests of %d, want at most %d", lost, r.Requests, maxLost)
+			t.Errorf("lost requests: got %d of %d, want at most %d", lost, r.Requests, maxLost)
 		}
 	})
 }
@@ -103,10 +104,10 @@
 			}
 			return nil
 		})
-		// Nothing may be started any more when the test ends.
+		// No entry VM may be started after the test has ended.
 		defer func() { <-done }()
 		if r := b.runLoad(400, 15); r.Whole != r.Requests {
-			t.Errorf("through a replacement of all: got %d of %d whole, want all", r.Whole, r.Requests)
+			t.Errorf("requests during the replacement of all entry VMs: got %d of %d complete, want all", r.Whole, r.Requests)
 		}
 	})
 }
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -23,25 +23,26 @@
 )
 
 const (
-	// limitSettleTime is how long after a server first named its limit it has to hold.
+	// limitSettleTime is how long after a server sets its limit the whole fleet may exceed it.
 	limitSettleTime = 3 * time.Second
-	// limitNoticeTime is how long after its first answer with a limit an entry VM has to keep to it.
+	// limitNoticeTime is how long after its first answer with a limit an entry VM may
+	// exceed it.
 	limitNoticeTime = 500 * time.Millisecond
-	// limitSpan is the time over which a limit is judged, and limitSlack the requests that
-	// may come in it beyond one and a half times the limit.
+	// limitSpan is the window over which requests are counted against a limit, and
+	// limitSlack how many may arrive in it beyond one and a half times the limit.
 	limitSpan  = 4 * time.Second
 	limitSlack = 5
 )
 
-// arrival is one request of an entry VM at a server.
+// arrival is one request that an entry VM sent to a server, with the signals of its answer.
 type arrival struct {
 	vm       int
 	at, done time.Time
 	signals  port.Signals
 }
 
-// signalTestbed is a fleet of hosted entry VMs before stand-ins of backend servers that are
-// reached over the platform's own wire.
+// signalTestbed is a fleet of hosted entry VMs in front of simulated backend servers that
+// use the hosting platform's wire format.
 type signalTestbed struct {
 	*hostedTestbed
 	servers []*hosted.Server
@@ -50,14 +51,15 @@
 	arrivals map[api.ServerName][]arrival
 }
 
-// recordingBackends notes what entry VM vm sends.
+// recordingBackends records the requests that entry VM vm sends.
 type recordingBackends struct {
 	port.Backends
 	testbed *signalTestbed
 	vm      int
 }
 
-// Send notes the request and its answer.
+// Send records the request and the signals of its answer. Requests that were not started are
+// left out.
 func (w recordingBackends) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	began := time.Now()
 	x, err := w.Backends.Send(ctx, a)
@@ -71,8 +73,8 @@
 	return x, err
 }
 
-// newSignalTestbed starts n entry VMs before so many plain servers and engines, in three failure
-// domains.
+// newSignalTestbed starts n entry VMs in front of the given numbers of plain servers and
+// engines, in three failure domains.
 func newSignalTestbed(t *testing.T, n, plain, engines int) *signalTestbed {
 	t.Helper()
 	b := &signalTestbed{hostedTestbed: prepareHostedTestbed(t, newPool(0, 0)), arrivals: map[api.ServerName][]arrival{}}
@@ -88,7 +90,7 @@
 	return b
 }
 
-// startServer starts server i.
+// startServer starts server i and registers it.
 func (b *signalTestbed) startServer(t *testing.T, f *hosted.Fleet, i int, engine bool) {
 	t.Helper()
 	a := fmt.Sprintf("10.0.4.%d:80", i+1)
@@ -107,6 +109,7 @@
 	b.pool.entries.put(string(s.ID), s)
 }
 
+// newSignalAdapter returns an adapter of entry VM i that records what it sends to servers.
 func (b *signalTestbed) newSignalAdapter(i int, l node.AdapterDeps) node.Adapter {
 	a := b.hostedTestbed.newPoolAdapter(i)
 	a.Backends = recordingBackends{platform.NewBackends(l.Pool), b, i}
@@ -114,17 +117,18 @@
 	return a
 }
 
-// outcomes count what callers got.
+// outcomes counts the outcomes of requests.
 type outcomes struct {
 	mutex                   sync.Mutex
 	served, refused, failed int
-	// slowestRefusal is the longest time that a refusal took, and hints how many told when to
-	// come back.
+	// slowestRefusal is the longest time that a refusal took, and withRetryAfter the number
+	// of refusals with a retry time.
 	slowestRefusal time.Duration
 	withRetryAfter int
 }
 
-// sendAtRate sends so many requests a second at n entry VMs for a time and waits for the answers.
+// sendAtRate sends requests at a rate to n entry VMs in turn for the duration d, and waits
+// for the answers.
 func (b *signalTestbed) sendAtRate(n int, perSecond float64, d time.Duration, path string) *outcomes {
 	var o outcomes
 	g, end := duty.New(context.Background())
@@ -141,6 +145,7 @@
 	return &o
 }
 
+// record counts the outcome of a request.
 func (o *outcomes) record(a *caller, took time.Duration) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -158,8 +163,9 @@
 	}
 }
 
-// maxAfterLimit gives the maxAfterLimit requests that a server got in a span from entry VMs that it had told
-// its limit, from a time on.
+// maxAfterLimit returns the highest number of requests that a server got in any limitSpan
+// after a time. It counts those of an entry VM from limitNoticeTime after the first answer
+// with a limit on.
 func (b *signalTestbed) maxAfterLimit(n api.ServerName, from time.Time) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -179,7 +185,8 @@
 	return maxInWindow(l, limitSpan)
 }
 
-// setLimit lets the servers from one on to another one setLimit a limit, or none.
+// setLimit sets or, with nil, removes the rate limit of servers from to to-1, and returns the
+// present time.
 func (b *signalTestbed) setLimit(perSecond *float64, from, to int) time.Time {
 	for _, s := range b.servers[from:to] {
 		s.SetSignals(hosted.Signals{Limit: perSecond})
@@ -187,13 +194,13 @@
 	return time.Now()
 }
 
-// checkLimit checks that the servers from one on to another one got no more than they take.
+// checkLimit checks that servers from to to-1 got no more requests than their limit allows.
 func (b *signalTestbed) checkLimit(from, to int, perSecond float64, since time.Time) {
 	b.t.Helper()
 	allowed := int(1.5*perSecond*limitSpan.Seconds()) + limitSlack
 	for _, s := range b.servers[from:to] {
 		if got := b.maxAfterLimit(s.Name, since.Add(limitSettleTime)); got > allowed {
-			b.t.Errorf("requests to %s in %v, which takes %.1f a second: got %d, want at most %d", s.Name, limitSpan, perSecond, got, allowed)
+			b.t.Errorf("requests to %s in %v at a limit of %.1f per second: got %d, want at most %d", s.Name, limitSpan, perSecond, got, allowed)
 		}
 	}
 }
@@ -202,14 +209,14 @@
 	tests := []struct {
 		name                string
 		vms, plain, engines int
-		// limited servers of those name a limit.
+		// limited is how many of the servers set a limit.
 		limited   int
 		perSecond float64
 		load      float64
 		path      string
 	}{
 		{"two plain servers of three", 6, 3, 0, 2, 3.2, 30, "/safe/"},
-		{"requests that may run once", 6, 3, 0, 2, 3.2, 30, "/unsafe/"},
+		{"requests that are not repeatable", 6, 3, 0, 2, 3.2, 30, "/unsafe/"},
 		{"all plain servers", 6, 3, 0, 3, 3.2, 30, "/safe/"},
 		{"many entry VMs, a low limit", 24, 3, 0, 3, 1, 60, "/safe/"},
 		{"two engines of three", 6, 0, 3, 2, 1, 12, "/stream/"},
@@ -232,14 +239,14 @@
 func TestCallersOfRateLimitedServers(t *testing.T) {
 	tests := []struct {
 		name string
-		// reached is how many of the six entry VMs callers reach.
+		// reached is how many of the six entry VMs callers send to.
 		reached int
 		load    float64
 		path    string
 	}{
 		{"callers everywhere", 6, 30, "/safe/"},
 		{"callers at one entry VM", 1, 30, "/unsafe/"},
-		{"less than servers take", 6, 6, "/safe/"},
+		{"load below the limits", 6, 6, "/safe/"},
 	}
 	const perSecond, servers, seconds = 3.0, 3, 20
 	for _, c := range tests {
@@ -255,11 +262,12 @@
 					t.Errorf("served: got %d, want at least %d", got, want)
 				}
 				if o.failed > 0 || o.withRetryAfter != o.refused {
-					t.Errorf("got %d failed and %d of %d refusals that tell when to come back, want none and all", o.failed, o.withRetryAfter, o.refused)
+					t.Errorf("got %d failed and %d of %d refusals with a retry time, want none and all", o.failed, o.withRetryAfter, o.refused)
 				}
-				// A route's aim is two seconds, of which half may be waited for a turn.
+				// The route's latency target is two seconds, half of which a request may wait for a
+				// send slot.
 				if o.slowestRefusal > time.Second/2 {
-					t.Errorf("slowest refusal: got %v, want it at once", o.slowestRefusal)
+					t.Errorf("slowest refusal: got %v, want at most half a second", o.slowestRefusal)
 				}
 			})
 		})
@@ -276,7 +284,7 @@
 		b.setLimit(nil, 0, 3)
 		b.sendAtRate(n, 30, 3*time.Second, "/safe/")
 		if o := b.sendAtRate(n, 30, 5*time.Second, "/safe/"); o.refused+o.failed > 0 {
-			t.Errorf("after the limits were taken back: got %d of %d not served, want none", o.refused+o.failed, o.refused+o.failed+o.served)
+			t.Errorf("after the limits were removed: got %d of %d not served, want none", o.refused+o.failed, o.refused+o.failed+o.served)
 		}
 	})
 }
@@ -305,12 +313,12 @@
 	})
 }
 
-// maxLeaveDelay is how long after an entry VM had its word a server that leaves may get new
-// requests of it.
+// maxLeaveDelay is how long after the answer that announces its leave a server may get new
+// requests from the entry VM that got the answer.
 const maxLeaveDelay = 2 * time.Second
 
-// sentAfterSignal counts the requests that entry VMs sent to a server more than a time after they had
-// an answer that says so, and before another time.
+// sentAfterSignal counts by entry VM the requests sent to a server between the durations
+// from and until after its first answer whose signals satisfy says.
 func (b *signalTestbed) sentAfterSignal(n api.ServerName, says func(x port.Signals) bool, from, until time.Duration) map[int]int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -329,7 +337,8 @@
 	return sent
 }
 
-// A server says in its answers that it leaves, while its entry still says that it is ready.
+// A server announces in its answers that it leaves, while its entry still says that it is
+// ready.
 func TestLeavingServerGetsNoMoreRequests(t *testing.T) {
 	for _, path := range []string{"/safe/", "/unsafe/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
@@ -343,15 +352,15 @@
 				b.sendAtRate(n, 20, time.Second, path)
 				b.servers[0].SetSignals(hosted.Signals{Leaving: true})
 				b.sendAtRate(n, 20, 3*time.Second, path)
-				// The server writes its entry again, as it is.
+				// The server writes its unchanged entry again.
 				b.pool.entries.put(string(b.servers[0].ID), b.servers[0].Server)
 				o := b.sendAtRate(n, 20, 10*time.Second, path)
 				sent := b.sentAfterSignal(b.servers[0].Name, func(x port.Signals) bool { return x.Leaving }, maxLeaveDelay, time.Hour)
 				if len(sent) > 0 {
-					t.Errorf("requests to it %v after it said that it leaves, by entry VM: got %v, want none", maxLeaveDelay, sent)
+					t.Errorf("requests later than %v after the server announced that it leaves, by entry VM: got %v, want none", maxLeaveDelay, sent)
 				}
 				if o.refused+o.failed > 0 {
-					t.Errorf("got %d refused and %d failed of %d, want all served by the others", o.refused, o.failed, o.refused+o.failed+o.served)
+					t.Errorf("with other servers left: got %d refused and %d failed of %d, want all served", o.refused, o.failed, o.refused+o.failed+o.served)
 				}
 			})
 		})
@@ -359,8 +368,9 @@
 }
 
 const (
-	// backoffTime is the rest that servers ask for, restFrom when it has to be kept at the latest,
-	// and restSlack how many requests may reach the server in it all the same.
+	// backoffTime is the backoff that servers request, maxBackoffDelay how long after the
+	// request an entry VM may ignore it, and backoffSlack how many of its requests may reach the
+	// server during the rest of the backoff all the same.
 	backoffTime     = 3 * time.Second
 	maxBackoffDelay = 500 * time.Millisecond
 	backoffSlack    = 2
@@ -370,11 +380,11 @@
 	tests := []struct {
 		name string
 		path string
-		// backingOff servers of three turn all requests away.
+		// backingOff is how many of the three servers refuse all requests.
 		backingOff int
 	}{
 		{"a plain server of three", "/safe/", 1},
-		{"requests that may run once", "/unsafe/", 1},
+		{"requests that are not repeatable", "/unsafe/", 1},
 		{"all plain servers", "/safe/", 3},
 		{"an engine of three", "/stream/", 1},
 		{"all engines", "/stream/", 3},
@@ -397,19 +407,19 @@
 					s.SetSignals(hosted.Signals{})
 					for vm, got := range b.sentAfterSignal(s.Name, func(x port.Signals) bool { return x.BackoffRequested }, maxBackoffDelay, backoffTime) {
 						if got > backoffSlack {
-							t.Errorf("requests of entry VM %d to %s in its rest: got %d, want at most %d", vm, s.Name, got, backoffSlack)
+							t.Errorf("requests of entry VM %d to %s during its backoff: got %d, want at most %d", vm, s.Name, got, backoffSlack)
 						}
 					}
 				}
 				t.Logf("%d served, %d refused, %d failed; the slowest refusal took %v", o.served, o.refused, o.failed, o.slowestRefusal)
 				if c.backingOff < 3 && o.refused+o.failed > 0 {
-					t.Errorf("beside servers that take requests: got %d refused and %d failed, want none", o.refused, o.failed)
+					t.Errorf("with other servers left: got %d refused and %d failed, want none", o.refused, o.failed)
 				}
 				if o.withRetryAfter != o.refused || o.slowestRefusal > time.Second/2 {
-					t.Errorf("refusals: got %d of %d with a time to come back, the slowest after %v; want all, at once", o.withRetryAfter, o.refused, o.slowestRefusal)
+					t.Errorf("refusals: got %d of %d with a retry time, the slowest after %v; want all, within half a second", o.withRetryAfter, o.refused, o.slowestRefusal)
 				}
 				if o := b.sendAtRate(n, 30, 3*time.Second, c.path); o.refused+o.failed > 0 {
-					t.Errorf("after the rest: got %d refused and %d failed, want none", o.refused, o.failed)
+					t.Errorf("after the backoff: got %d refused and %d failed, want none", o.refused, o.failed)
 				}
 			})
 		})
--- a/fleet/standalone_restore_faults_test.go
+++ b/fleet/standalone_restore_faults_test.go
@@ -11,23 +11,25 @@
 	"github.com/wardridge/wardridge/internal/standin/service"
 )
 
-// standaloneScenario plays a drawn course over a fleet of the own interface.
+// standaloneScenario runs a random sequence of restores, cuts, changes and orders on a
+// standalone fleet.
 type standaloneScenario struct {
 	*testbed
 	t       *testing.T
 	rand    *rand.Rand
 	backups []platform.Copy
-	// modelChanges counts the changes of the model, orderCount the orders that were asked for.
+	// modelChanges counts the changes of the model, and orderCount the orders sent.
 	modelChanges, orderCount int
 	isolated                 map[*vm]bool
 	history                  []string
 }
 
+// logf adds an entry to the history.
 func (m *standaloneScenario) logf(format string, a ...any) {
 	m.history = append(m.history, fmt.Sprintf(format, a...))
 }
 
-// step makes one drawn change.
+// step makes one random change.
 func (m *standaloneScenario) step() {
 	switch m.rand.IntN(7) {
 	case 0:
@@ -35,14 +37,14 @@
 		m.logf("weights %d", m.modelChanges)
 		m.changeModel(fmt.Sprint("w", m.modelChanges))
 	case 1:
-		m.logf("copy %d", len(m.backups))
+		m.logf("backup %d", len(m.backups))
 		m.backups = append(m.backups, m.store.Copy())
 	case 2:
 		m.restoreRandomBackup()
 	case 3:
 		v := m.vms[m.rand.IntN(len(m.vms))]
 		m.isolated[v] = !m.isolated[v]
-		m.logf("%s cut off: %v", v.name, m.isolated[v])
+		m.logf("%s isolated: %v", v.name, m.isolated[v])
 		m.isolate(v, m.isolated[v])
 	case 4, 5:
 		m.sendOrder(m.rand.IntN(2) == 0)
@@ -52,13 +54,14 @@
 	}
 }
 
-// restoreRandomBackup has the platform come back from a copy.
+// restoreRandomBackup restores the platform from a random backup, half of the time after an
+// outage.
 func (m *standaloneScenario) restoreRandomBackup() {
 	if len(m.backups) == 0 {
 		return
 	}
 	k := m.rand.IntN(len(m.backups))
-	m.logf("back from copy %d", k)
+	m.logf("restore of backup %d", k)
 	if m.rand.IntN(2) == 0 {
 		m.platform.Set(platform.Faults{Outage: true})
 		time.Sleep(time.Duration(m.rand.IntN(3)) * time.Second)
@@ -68,7 +71,7 @@
 	m.backups = nil
 }
 
-// sendOrder asks for a new sendOrder, whose answer may be lost.
+// sendOrder sends the confirmation of a new order; with lost the service loses its answer.
 func (m *standaloneScenario) sendOrder(lost bool) {
 	m.orderCount++
 	if lost {
@@ -80,7 +83,7 @@
 	m.logf("order %d at %s: %d", m.orderCount, v.name, got)
 }
 
-// repeatOrders asks once more for some of the last orders, at any entry VM.
+// repeatOrders retries some of the last orders at random entry VMs.
 func (m *standaloneScenario) repeatOrders() {
 	for range 3 {
 		k := max(1, m.orderCount-m.rand.IntN(6))
@@ -91,15 +94,16 @@
 	}
 }
 
-// checkInvariants looks at what must always hold.
+// checkInvariants checks that no order was confirmed twice and that at most one entry VM
+// holds the orders lease.
 func (m *standaloneScenario) checkInvariants() {
 	for k, n := range m.orders.Counts() {
 		if n > 1 {
-			m.t.Errorf("order %s: got it confirmed %d times, want once\n%v", k, n, m.history)
+			m.t.Errorf("order %s: got %d confirmations, want at most one\n%v", k, n, m.history)
 		}
 	}
 	if got := m.countHolders(orders.Duty); got > 1 {
-		m.t.Errorf("holders of the orders: got %d, want one at most\n%v", got, m.history)
+		m.t.Errorf("holders of the orders lease: got %d, want one at most\n%v", got, m.history)
 	}
 }
 
@@ -118,10 +122,10 @@
 				for _, v := range b.vms {
 					m.isolate(v, false)
 				}
-				m.logf("calm")
+				m.logf("all links restored")
 				time.Sleep(10 * time.Second)
 				b.waitFor(maxChangeDelay, "the last change", b.inForceOnAll(b.changeModel("last")))
-				b.waitFor(30*time.Second, "a holder of the orders", func() bool { return b.countHolders(orders.Duty) == 1 })
+				b.waitFor(30*time.Second, "a holder of the orders lease", func() bool { return b.countHolders(orders.Duty) == 1 })
 				m.checkInvariants()
 				if t.Failed() {
 					t.Log(m.history)
--- a/fleet/standalone_restore_test.go
+++ b/fleet/standalone_restore_test.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// restore has the platform go away for a moment and come back from a copy.
+// restore restores the platform from a backup after an outage of two seconds.
 func (b *testbed) restore(c platform.Copy) {
 	b.platform.Set(platform.Faults{Outage: true})
 	time.Sleep(2 * time.Second)
@@ -23,8 +23,8 @@
 	b.platform.Set(platform.Faults{})
 }
 
-// hasWeights reports whether an entry VM has the weights of the model in force, as it tells
-// its peers.
+// hasWeights reports whether the configuration that an entry VM offers to its peers has
+// these weights of the model.
 func (b *testbed) hasWeights(v *vm, w string) bool {
 	l, err := b.peers.Config(context.Background(), v.host+":81")
 	if err != nil {
@@ -39,14 +39,15 @@
 	has := false
 	for _, o := range items {
 		if o.Kind == api.ResourceKindModel && o.Name == "desk" {
-			// What is kept comes last, and goes before the platform's.
+			// Retained objects come last and take precedence over the platform's.
 			has = strings.Contains(string(o.Spec), fmt.Sprintf("%q", w))
 		}
 	}
 	return has
 }
 
-// A model's change that the platform's copy lost must stay in force.
+// A change of a model that the backup doesn't contain must stay in force after the platform
+// was restored from it.
 func TestDeclaredResourcesSurviveStoreRestore(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		c := b.store.Copy()
@@ -57,11 +58,11 @@
 			t.Helper()
 			for _, v := range b.vms {
 				if !b.hasWeights(v, w) {
-					t.Errorf("%s, %s: got other weights in force than %q, want them", when, v.name, w)
+					t.Errorf("%s, %s: got weights in force other than %q, want these", when, v.name, w)
 				}
 			}
 		}
-		checkAll("after the copy came back", "second")
+		checkAll("after the restore", "second")
 		b.vms[5].stop()
 		b.startVM(5)
 		time.Sleep(maxChangeDelay)
@@ -80,22 +81,22 @@
 			}
 			return text
 		}
-		b.waitFor(time.Minute, "a status", func() bool { return status() != "" })
+		b.waitFor(time.Minute, "a status to be written", func() bool { return status() != "" })
 		time.Sleep(10 * time.Second)
 		c, before := b.store.Copy(), status()
 		b.startBackends()
 		time.Sleep(10 * time.Second)
 		now := status()
 		if now == before {
-			t.Fatalf("got status %s still, want another one of engines that serve", now)
+			t.Fatalf("status: got %s as before, want it changed by the engines that serve", now)
 		}
 		b.restore(c)
-		b.waitFor(time.Minute, "the status after the copy came back", func() bool { return status() == now })
+		b.waitFor(time.Minute, "the status to be written again after the restore", func() bool { return status() == now })
 	})
 }
 
-// confirmOrder asks an entry VM to confirmOrder an order under a key and gives the status of the answer,
-// zero for none.
+// confirmOrder sends the confirmation of an order with an idempotency key to an entry VM.
+// It returns the status of the answer, or zero without one.
 func (b *testbed) confirmOrder(v *vm, key string) int {
 	t := &http.Transport{DialContext: machine{b.net, "callers"}.dial, DisableKeepAlives: true}
 	defer t.CloseIdleConnections()
@@ -115,7 +116,8 @@
 	return a.StatusCode
 }
 
-// A confirmed order asked for again with its key must not be sent twice.
+// A confirmation that is retried with its key after the platform lost the claim must not
+// reach the service twice.
 func TestClaimsSurviveStoreRestore(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("answer lost %v", lost), func(t *testing.T) {
@@ -137,13 +139,13 @@
 					time.Sleep(500 * time.Millisecond)
 				}
 				if got := b.orders.Counts()["k"]; got != 1 {
-					t.Errorf("confirmations of one order: got %d, want 1", got)
+					t.Errorf("confirmations that reached the service: got %d, want 1", got)
 				}
 				if got := b.confirmOrder(b.vms[1], "k"); (got == http.StatusOK) == lost {
-					t.Errorf("the claimed request in the end: got status %d, want its answer %v", got, !lost)
+					t.Errorf("the claimed request after all retries: got status %d, want its answer %v", got, !lost)
 				}
 				if got := b.confirmOrder(b.vms[1], "another"); got != http.StatusOK {
-					t.Errorf("a first request: got status %d, want 200", got)
+					t.Errorf("a request with a new key: got status %d, want 200", got)
 				}
 			})
 		})
--- a/fleet/standalone_signals_test.go
+++ b/fleet/standalone_signals_test.go
@@ -14,17 +14,17 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// callStats counts what callers of a plain service got.
+// callStats counts the outcomes of calls to a plain service.
 type callStats struct {
 	mutex           sync.Mutex
 	served, refused int
-	// withRetryAfter counts the refusals that tell when to come back.
+	// withRetryAfter counts the refusals that have a Retry-After header.
 	withRetryAfter int
-	// maxInSpan is the maxInSpan calls that the service ran in limitSpan.
+	// maxInSpan is the highest number of calls that the service ran in any limitSpan.
 	maxInSpan int
 }
 
-// callOrders sends one callOrders to the plain service over entry VM i.
+// callOrders sends one call to the plain service through entry VM i.
 func (b *testbed) callOrders(c *http.Client, i int, id string) (*http.Response, error) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+b.vms[i].host+":80/services/orders/look", http.NoBody)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return a, err
 }
 
-// sendOrders sends so many calls a second over all entry VMs for a time.
+// sendOrders sends calls at a rate through all entry VMs in turn for the duration d.
 func (b *testbed) sendOrders(name string, perSecond int, d time.Duration) *callStats {
 	b.t.Helper()
 	client, closer := wire.NewClientWithDial(machine{b.net, "callers"}.dial, false)
@@ -64,6 +64,7 @@
 	return &o
 }
 
+// record counts the outcome of a call.
 func (o *callStats) record(a *http.Response, err error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -94,12 +95,12 @@
 			t.Errorf("served: got %d, want at least %d", o.served, want)
 		}
 		if o.refused == 0 || o.withRetryAfter != o.refused {
-			t.Errorf("refusals: got %d, of which %d tell when to come back, want all to", o.refused, o.withRetryAfter)
+			t.Errorf("refusals: got %d, of which %d with a retry time, want all with one", o.refused, o.withRetryAfter)
 		}
 		b.orders.Set(service.Faults{})
 		b.sendOrders("after", 30, 5*time.Second)
 		if o := b.sendOrders("free", 30, 5*time.Second); o.refused > 0 {
-			t.Errorf("after the limit was taken back: got %d of %d refused, want none", o.refused, o.refused+o.served)
+			t.Errorf("after the limit was removed: got %d of %d refused, want none", o.refused, o.refused+o.served)
 		}
 	})
 }
@@ -113,10 +114,10 @@
 		before := len(b.orders.Counts())
 		o := b.sendOrders("late", 30, 5*time.Second)
 		if got := len(b.orders.Counts()) - before; got > 0 {
-			t.Errorf("calls later than 5 s after it said that it leaves: got %d, want none", got)
+			t.Errorf("calls later than 5 s after the service announced that it leaves: got %d, want none", got)
 		}
 		if o.served > 0 || o.withRetryAfter != o.refused {
-			t.Errorf("got %d served and %d of %d refusals with a time to come back, want none and all", o.served, o.withRetryAfter, o.refused)
+			t.Errorf("calls to the leaving service: got %d served and %d of %d refusals with a retry time, want none and all", o.served, o.withRetryAfter, o.refused)
 		}
 	})
 }
@@ -128,14 +129,14 @@
 		b.orders.Set(service.Faults{RestS: backoffTime.Seconds()})
 		o := b.sendOrders("rest", 30, backoffTime)
 		if got, allowed := b.orders.Refused(), (1+backoffSlack)*len(b.vms); got > allowed {
-			t.Errorf("calls in the rest: got %d, want at most %d", got, allowed)
+			t.Errorf("calls during the backoff: got %d, want at most %d", got, allowed)
 		}
 		b.orders.Set(service.Faults{})
 		if o.refused == 0 || o.withRetryAfter != o.refused {
-			t.Errorf("refusals: got %d, of which %d tell when to come back, want all to", o.refused, o.withRetryAfter)
+			t.Errorf("refusals: got %d, of which %d with a retry time, want all with one", o.refused, o.withRetryAfter)
 		}
 		if o := b.sendOrders("after", 30, 3*time.Second); o.refused > 0 {
-			t.Errorf("after the rest: got %d of %d refused, want none", o.refused, o.refused+o.served)
+			t.Errorf("after the backoff: got %d of %d refused, want none", o.refused, o.refused+o.served)
 		}
 	})
 }
--- a/fleet/store_restore_faults_test.go
+++ b/fleet/store_restore_faults_test.go
@@ -15,44 +15,45 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// restoreSeeds is the number of courses that TestRestoresAmongOtherFaults plays.
-var restoreSeeds = flag.Uint64("restore-seeds", 12, "courses of restores among other faults")
+// restoreSeeds is the number of random scenarios that TestStoreRestoresWithOtherFaults runs.
+var restoreSeeds = flag.Uint64("restore-seeds", 12, "number of random scenarios of restores with other faults")
 
-// scenario plays a drawn course of restores, cuts, restarts and changes over a fleet, and knows
-// what operators and servers last wrote.
+// scenario runs a random sequence of restores, cuts, restarts and changes on a hosted fleet,
+// and records what operators and servers last wrote.
 type scenario struct {
 	*storeTestbed
 	t       *testing.T
 	rand    *rand.Rand
 	vmCount int
-	// newestConfig is the configuration that was confirmed last.
+	// newestConfig is the version of the configuration that was confirmed last, and
+	// configuredAt when it was written.
 	newestConfig int64
 	configuredAt time.Time
 	backups      []hosted.Backup
-	// servers are those that live, with what they last wrote; left are those that ended or
-	// said that they will.
+	// servers are the live servers with their last entries; departed are those that ended
+	// or announced it, and departedAt when they did.
 	servers    map[api.ServerID]roster.Server
 	departed   map[api.ServerID]roster.Server
 	departedAt map[api.ServerID]time.Time
 	added      int
-	// restoredAt is when the platform last came restoredAt from a copy.
+	// restoredAt is when the platform was last restored from a backup.
 	restoredAt time.Time
-	// isolated holds the entry VMs that the platform or peers don't reach, and disturbed when each
-	// was last isolated, healed or started.
+	// isolated holds the entry VMs that are cut off from the platform or from peers, and
+	// disturbedAt when each was last cut off, reconnected or started.
 	isolated    map[int]bool
 	disturbedAt map[int]time.Time
-	// servedConfig is the newest configuration that each entry VM was seen to serve by.
+	// servedConfig is the newest configuration that each entry VM was seen to serve.
 	servedConfig map[int]int64
-	// history is the course so far.
+	// history lists the steps so far; it is printed with failures.
 	history []string
 }
 
-// logf adds to the course.
+// logf adds a step to the history.
 func (m *scenario) logf(format string, a ...any) {
 	m.history = append(m.history, fmt.Sprintf(format, a...))
 }
 
-// step makes one drawn change.
+// step makes one random change.
 func (m *scenario) step() {
 	switch m.rand.IntN(8) {
 	case 0, 1:
@@ -61,7 +62,7 @@
 		m.configure(m.t, m.newestConfig)
 		m.configuredAt = time.Now()
 	case 2:
-		m.logf("copy %d", len(m.backups))
+		m.logf("backup %d", len(m.backups))
 		m.backups = append(m.backups, m.store.Backup())
 	case 3:
 		m.restoreRandomBackup()
@@ -85,26 +86,27 @@
 	}
 }
 
-// restoreRandomBackup has the platform come back from a copy of the last seconds, noticed or not.
+// restoreRandomBackup restores the platform from one of the last two backups, either at once,
+// so that no call fails, or after an outage.
 func (m *scenario) restoreRandomBackup() {
 	if len(m.backups) == 0 {
 		return
 	}
 	k := len(m.backups) - 1 - m.rand.IntN(min(2, len(m.backups)))
 	outage := time.Duration(m.rand.IntN(3)) * time.Second
-	m.logf("back from copy %d after %v", k, outage)
+	m.logf("restore of backup %d after %v", k, outage)
 	if outage > 0 {
 		m.endpoint.SetOutcome(hosted.Disconnected, 0)
 		time.Sleep(outage)
 	}
 	m.store.Restore(m.backups[k])
 	m.endpoint.SetOutcome(hosted.Answered, 0)
-	// None of an earlier era is used again.
+	// No backup from before the restore is used again.
 	m.backups = m.backups[:0]
 	m.restoredAt = time.Now()
 }
 
-// removeServer has a server say that it leaves, or go without a word.
+// removeServer makes a random server announce that it drains, or end without notice.
 func (m *scenario) removeServer() {
 	if len(m.servers) < 4 {
 		return
@@ -126,12 +128,13 @@
 	m.unregister(m.t, s)
 }
 
-// toggleLinks cuts an entry VM off from the platform, or from its peers, or heals it.
+// toggleLinks cuts a random entry VM off from the platform or from its peers, or reconnects
+// it if it was cut off.
 func (m *scenario) toggleLinks() {
 	i := m.rand.IntN(m.vmCount)
 	m.disturbedAt[i] = time.Now()
 	if m.isolated[i] {
-		m.logf("entry VM %d is whole again", i)
+		m.logf("entry VM %d is reconnected", i)
 		m.net.cut(hostedHost(i), platformHost, false)
 		m.connectPeers(i, true)
 		delete(m.isolated, i)
@@ -147,7 +150,7 @@
 	m.connectPeers(i, false)
 }
 
-// connectPeers cuts or heals the links between an entry VM and its peers.
+// connectPeers cuts or restores the links between an entry VM and its peers.
 func (m *scenario) connectPeers(i int, connected bool) {
 	for k := range m.vmCount {
 		if k != i {
@@ -160,8 +163,9 @@
 // entryTTL is how long the store keeps the entry of a server that no longer writes it.
 const entryTTL = 3600 * time.Millisecond
 
-// heartbeat has live servers write again what the store lacks, as they do about every second;
-// entries of those that are gone lapse.
+// heartbeat makes live and draining servers write their entries again, which a restore may
+// have lost; they do so about every second. Entries of ended servers lapse entryTTL after a
+// restore.
 func (m *scenario) heartbeat() {
 	for _, id := range slices.Sorted(maps.Keys(m.departed)) {
 		if s := m.departed[id]; s.Draining {
@@ -175,7 +179,8 @@
 	}
 }
 
-// checkNoRollback checks that no entry VM goes back to an earlier configuration than it served by.
+// checkNoRollback checks that no entry VM returns to an earlier configuration than the newest
+// that it served.
 func (m *scenario) checkNoRollback() {
 	for i := range m.vmCount {
 		for v := m.newestConfig; v > m.servedConfig[i]; v-- {
@@ -185,19 +190,19 @@
 			}
 		}
 		if v := m.servedConfig[i]; v > 0 && !m.serves(i, v) {
-			m.t.Errorf("entry VM %d: got the configuration %d, which it had in force, no longer served, want it or a later one\n%v", i, v, m.history)
+			m.t.Errorf("entry VM %d: got configuration %d, which it had in force, no longer served, want it or a later one\n%v", i, v, m.history)
 		}
 	}
 }
 
-// isStable reports whether an entry VM has been reached by all and not started again for long
-// enough to know what the others do.
+// isStable reports whether an entry VM has been connected and running for long enough to know
+// what its peers know.
 func (m *scenario) isStable(i int) bool {
 	return !m.isolated[i] && time.Since(m.disturbedAt[i]) > maxPropagation
 }
 
-// checkSameConfig checks that the configuration that one whole entry VM has in force is so at all of
-// them, once there was time for it.
+// checkSameConfig checks that the newest configuration, once one stable entry VM has it in
+// force, is in force on all stable ones after maxHostedChangeDelay.
 func (m *scenario) checkSameConfig() {
 	newest := int64(0)
 	for i := range m.vmCount {
@@ -210,16 +215,18 @@
 	}
 	for i := range m.vmCount {
 		if m.isStable(i) && !m.serves(i, newest) {
-			m.t.Errorf("entry VM %d: got the configuration %d, which others have in force, not served, want it\n%v", i, newest, m.history)
+			m.t.Errorf("entry VM %d: got configuration %d, which others have in force, not served, want it\n%v", i, newest, m.history)
 		}
 	}
 }
 
-// maxPropagation is how long after a server left, or an entry VM was disturbed, the leave may be
-// unknown there: an outage of the platform is noticed, and servers are asked or peers tell.
+// maxPropagation is how long an entry VM may not know that a server left, after the leave or
+// after the entry VM was disturbed: it has to notice an outage of the platform, and to query
+// the servers or hear from peers.
 const maxPropagation = 4 * time.Second
 
-// checkDepartedUnused checks that entry VMs which are whole send nothing to servers that left.
+// checkDepartedUnused checks that stable entry VMs send nothing to servers that left longer
+// than maxPropagation ago.
 func (m *scenario) checkDepartedUnused() {
 	var known []api.ServerID
 	for _, id := range slices.Sorted(maps.Keys(m.departedAt)) {
@@ -241,7 +248,8 @@
 	}
 }
 
-// checkRecovery heals all, and checks that every entry VM has what was written last.
+// checkRecovery reconnects all entry VMs, and checks that each serves the newest configuration
+// and sends nothing to servers that left.
 func (m *scenario) checkRecovery() {
 	for i := range m.vmCount {
 		m.net.cut(hostedHost(i), platformHost, false)
@@ -252,10 +260,10 @@
 		m.heartbeat()
 		time.Sleep(time.Second)
 	}
-	m.logf("calm")
+	m.logf("all links restored")
 	for i := range m.vmCount {
 		if !m.serves(i, m.newestConfig) {
-			m.t.Errorf("entry VM %d: got the newest configuration %d not in force, want it\n%v", i, m.newestConfig, m.history)
+			m.t.Errorf("entry VM %d: got the newest configuration %d not in force, want it in force\n%v", i, m.newestConfig, m.history)
 		}
 	}
 	m.sent.takeCount()
@@ -287,7 +295,7 @@
 						m.checkSameConfig()
 						m.checkDepartedUnused()
 					}
-					// Operators write again what the platform may have lost.
+					// Operators write a new configuration, since the platform may have lost the last.
 					m.newestConfig++
 					m.configure(m.t, m.newestConfig)
 					m.checkRecovery()
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -25,14 +25,15 @@
 	"github.com/wardridge/wardridge/platform/standin"
 )
 
-// maxHostedChangeDelay is the time within which operators may count on a confirmed change.
+// maxHostedChangeDelay is the time within which a confirmed change is in force on every hosted
+// entry VM; operators rely on it.
 const maxHostedChangeDelay = 2 * time.Second
 
-// maxCloseDelay is the time within which a closed failure domain has to get nothing new.
+// maxCloseDelay is the time after which a closed failure domain gets no new requests.
 const maxCloseDelay = 5 * time.Second
 
-// storeTestbed is a fleet of hosted entry VMs over a platform's store that can come back from a
-// copy.
+// storeTestbed is a fleet of hosted entry VMs with a platform's store that can be restored
+// from a backup.
 type storeTestbed struct {
 	*hostedTestbed
 	store    *hosted.Store
@@ -41,13 +42,13 @@
 	calls    atomic.Int64
 }
 
-// recorder is what entry VMs sent to backend servers.
+// recorder records the attempts that entry VMs send to backend servers.
 type recorder struct {
 	mutex    sync.Mutex
 	attempts []port.Attempt
 }
 
-// Send notes an attempt and answers it.
+// Send records an attempt and answers it.
 func (r *recorder) Send(_ context.Context, a port.Attempt) (port.Answer, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -55,7 +56,7 @@
 	return port.Answer{Head: port.Head{Status: http.StatusOK}, Body: []byte("done")}, nil
 }
 
-// takeCount counts the attempts at servers since the last look.
+// takeCount counts the attempts sent to the servers since the previous call.
 func (r *recorder) takeCount(ids ...api.ServerID) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -69,18 +70,19 @@
 	return n
 }
 
-// recordingPool is a pool whose plain requests are only recorded.
+// recordingPool is a pool that records and answers plain requests without running them.
 type recordingPool struct {
 	*pool
 	*recorder
 }
 
+// Send records an attempt and answers it.
 func (r recordingPool) Send(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	return r.recorder.Send(ctx, a)
 }
 
-// newConfig is one of the operators', of a version: its route, and the key of its
-// workspace, have the version's name.
+// newConfig returns a configuration of a version, with a route that is named after the
+// version and one that every version has.
 func newConfig(v int64) directory.Config {
 	n := fmt.Sprintf("/v%d/", v)
 	r := func(p string) directory.Route {
@@ -89,13 +91,13 @@
 	return directory.Config{Version: v, Routes: []directory.Route{r("/always/"), r(n)}, Services: []directory.Service{{Name: "plain"}}}
 }
 
-// plainServer is a plain server in a failure domain.
+// plainServer returns a plain server in a failure domain.
 func plainServer(id, domain string) roster.Server {
 	return roster.Server{ID: api.ServerID(id), Service: "plain", Address: "10.0.9." + id + ":80", Domain: api.DomainName(domain), Slots: 6}
 }
 
-// newStoreTestbed starts n entry VMs over a store that holds a configuration of version 1 and
-// four servers.
+// newStoreTestbed starts n entry VMs with a store that holds the configuration of version 1
+// and four servers.
 func newStoreTestbed(t *testing.T, n int) *storeTestbed {
 	t.Helper()
 	s := hosted.NewStore(standin.Wire{})
@@ -114,7 +116,7 @@
 	return b
 }
 
-// serveStore answers for the store on the network.
+// serveStore serves the store on the network and counts the calls.
 func (b *storeTestbed) serveStore(t *testing.T) {
 	t.Helper()
 	l, err := machine{b.net, platformHost}.listen(context.Background(), platformHost+":80")
@@ -130,7 +132,8 @@
 	t.Cleanup(func() { _ = h.Close() })
 }
 
-// newStoreAdapter is the platform's own adapter for entry VM i, over servers that record.
+// newStoreAdapter returns the hosting platform's adapter for entry VM i, with servers that
+// only record attempts.
 func (b *storeTestbed) newStoreAdapter(i int, l node.AdapterDeps) node.Adapter {
 	o := platform.NewStoreClient(l.Platform, l.Address)
 	bad := func(kind, name string, err error) { b.t.Errorf("%s/%s: %v", kind, name, err) }
@@ -143,7 +146,7 @@
 	}
 }
 
-// configure writes a configuration as operators do.
+// configure writes the configuration of a version as operators do.
 func (b *storeTestbed) configure(t *testing.T, v int64) {
 	t.Helper()
 	if err := b.store.WriteConfig(newConfig(v)); err != nil {
@@ -161,7 +164,7 @@
 	b.store.Write(e)
 }
 
-// restore brings the store back from a copy after it was away for a moment.
+// restore restores the store from a backup after an outage of two seconds.
 func (b *storeTestbed) restore(c hosted.Backup) {
 	b.endpoint.SetOutcome(hosted.Disconnected, 0)
 	time.Sleep(2 * time.Second)
@@ -169,13 +172,14 @@
 	b.endpoint.SetOutcome(hosted.Answered, 0)
 }
 
-// serves reports whether entry VM i knows the route of a configuration's version.
+// serves reports whether entry VM i serves the route of a configuration's version.
 func (b *storeTestbed) serves(i int, v int64) bool {
 	p := fmt.Sprintf("/v%d/", v)
 	return b.send(i, newRequest(fmt.Sprint("probe-", v, "-", time.Now().UnixNano()), p, "")).served()
 }
 
-// checkVersion checks that every entry VM serves by a version and no longer by an earlier one.
+// checkVersion checks that every entry VM serves the route of version v and, unless gone is
+// zero, no longer that of version gone.
 func (b *storeTestbed) checkVersion(when string, n int, v, gone int64) {
 	b.t.Helper()
 	for i := range n {
@@ -188,8 +192,8 @@
 	}
 }
 
-// maxRestoreDelay is how long the platform's return takes to be noticed: the pause after a failed
-// call, a list, and the exchange with peers.
+// maxRestoreDelay is how long entry VMs take to notice a restore of the platform: the pause
+// after a failed call, a list call, and the exchange with peers.
 const maxRestoreDelay = 3 * time.Second
 
 func TestConfigChangesAfterStoreRestore(t *testing.T) {
@@ -204,13 +208,13 @@
 		b.checkVersion("before", n, 9, 8)
 		b.restore(c)
 		time.Sleep(maxRestoreDelay)
-		b.checkVersion("after the copy came back", n, 9, 1)
+		b.checkVersion("after the restore", n, 9, 1)
 		b.configure(t, 10)
 		time.Sleep(maxHostedChangeDelay)
 		b.checkVersion("after the next change", n, 10, 9)
 		b.configure(t, 11)
 		time.Sleep(maxHostedChangeDelay)
-		b.checkVersion("after the one that follows", n, 11, 10)
+		b.checkVersion("after the second change", n, 11, 10)
 	})
 }
 
@@ -227,7 +231,7 @@
 			b.configure(t, v+3)
 		}
 		time.Sleep(maxRestoreDelay + maxHostedChangeDelay)
-		b.checkVersion("after the copy came back", n, 10, 2)
+		b.checkVersion("after the restore", n, 10, 2)
 		b.sent.takeCount("4")
 		b.sendRequests(n)
 		if got := b.sent.takeCount("4"); got > 0 {
@@ -236,14 +240,15 @@
 	})
 }
 
-// sendRequests sends thirty requests to each entry VM, by which every server in use gets some.
+// sendRequests sends thirty requests to each entry VM, enough that every server in use gets
+// some.
 func (b *storeTestbed) sendRequests(n int) {
 	for i := range 30 * n {
 		b.send(i%n, newRequest(fmt.Sprint("load-", i), "/always/", ""))
 	}
 }
 
-// unregister removes a server's entry as its end does.
+// unregister deletes a server's entry, as happens when the server ends.
 func (b *storeTestbed) unregister(t *testing.T, s roster.Server) {
 	t.Helper()
 	e, err := standin.Wire{}.EncodeServer(s)
@@ -278,8 +283,8 @@
 func TestDepartedServersAfterStoreRestore(t *testing.T) {
 	for _, w := range []struct {
 		name string
-		// noticed is set where calls of entry VMs fail meanwhile; wait is from the leaves to the
-		// return.
+		// noticed is set if calls of entry VMs fail during the restore; wait is the time from
+		// the servers' leave to the restore.
 		noticed bool
 		wait    time.Duration
 	}{{"in an outage", true, time.Second}, {"between two calls", false, time.Second}, {"long after they left", true, 18 * time.Second}} {
@@ -304,9 +309,10 @@
 				b.sent.takeCount("1", "2")
 				b.sendRequests(n)
 				if got := b.sent.takeCount("1", "2"); got > 0 {
-					t.Errorf("requests to servers that are leaving or gone, before they write: got %d, want none", got)
+					t.Errorf("requests to servers that are leaving or gone, before their entries are updated: got %d, want none", got)
 				}
-				// The one that serves on writes again; the other's entry lapses.
+				// The draining server, which still serves, writes its entry again; that of the other
+				// one lapses.
 				b.register(t, leaving)
 				time.Sleep(3 * time.Second)
 				b.unregister(t, plainServer("2", "hall-1"))
@@ -319,13 +325,15 @@
 	}
 }
 
-// A failure domain's closure that the platform's copy lost must stay in force.
+// A closure of a failure domain that the backup doesn't contain must stay in force after the
+// store was restored from it.
 func TestClosedDomainAfterStoreRestore(t *testing.T) {
 	for _, w := range []struct {
 		name string
-		// rewriteAfter is when operators write it rewriteAfter, and openAfter when they take it back; zero for never.
+		// rewriteAfter is how long after the restore operators write the closure again, and
+		// openAfter how long after it they remove it; zero is never.
 		rewriteAfter, openAfter time.Duration
-		// maxClosed is how long after the return the domain may be closed at most.
+		// maxClosed is how long after the restore the domain may stay closed.
 		maxClosed time.Duration
 	}{
 		{"written again and opened", 8 * time.Second, 12 * time.Second, 12*time.Second + maxCloseDelay},
@@ -351,14 +359,14 @@
 						t.Errorf("%s: got %d requests to the closed domain, want none", when, got)
 					}
 				}
-				checkClosed("after the copy came back")
+				checkClosed("after the restore")
 				if w.rewriteAfter > 0 {
 					time.Sleep(time.Until(back.Add(w.rewriteAfter)))
-					checkClosed("before operators write again")
+					checkClosed("before operators write the closure again")
 					b.setDomainClosed(t, true)
 					if w.openAfter > w.rewriteAfter {
 						time.Sleep(maxCloseDelay / 2)
-						checkClosed("after they did")
+						checkClosed("after operators wrote the closure again")
 						time.Sleep(time.Until(back.Add(w.openAfter)))
 					}
 					b.setDomainClosed(t, false)
@@ -367,14 +375,14 @@
 				b.sent.takeCount("1", "4")
 				b.sendRequests(n)
 				if got := b.sent.takeCount("1", "4"); got == 0 {
-					t.Error("after it was opened: got no request there, want some")
+					t.Error("after the domain was opened: got no request to it, want some")
 				}
 			})
 		})
 	}
 }
 
-// setDomainClosed closes the failure domain of servers 1 and 4, or opens it.
+// setDomainClosed closes or opens the failure domain of servers 1 and 4.
 func (b *storeTestbed) setDomainClosed(t *testing.T, closed bool) {
 	t.Helper()
 	f := b.store.CloseDomain
@@ -386,7 +394,8 @@
 	}
 }
 
-// newQuarantineClient writes refused contents to the store as an entry VM does.
+// newQuarantineClient returns a writer and a source of the quarantined contents in the store,
+// as entry VMs use them.
 func (b *storeTestbed) newQuarantineClient(t *testing.T) (platform.QuarantineWriter, *platform.Source[quarantine.Entry]) {
 	t.Helper()
 	c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
@@ -395,7 +404,7 @@
 	return platform.NewQuarantineWriter(o), platform.NewQuarantineSource(o, func(_, name string, err error) { t.Errorf("%s: %v", name, err) })
 }
 
-// contentHash names a request's contentHash as entry VMs do.
+// contentHash returns the hash by which entry VMs know a request's content.
 func contentHash(r *port.Request) api.ContentHash {
 	return quarantine.Hash("", r.Method, r.Host, r.Target, r.Body)
 }
@@ -424,7 +433,7 @@
 			t.Helper()
 			for i := range n {
 				if !b.send(i, newRequest("x", "/always/", "deadly")).refused(fault.Quarantined) {
-					t.Errorf("%s, entry VM %d: got the content that ends servers sent, want it refused", when, i)
+					t.Errorf("%s, entry VM %d: got the content that crashes servers not refused, want it refused as quarantined", when, i)
 				}
 				if !b.send(i, newRequest("y", "/always/", "released")).served() {
 					t.Errorf("%s, entry VM %d: got the released content not served, want it served", when, i)
@@ -434,14 +443,14 @@
 		check("before")
 		b.restore(c)
 		time.Sleep(maxRestoreDelay)
-		check("after the copy came back")
+		check("after the restore")
 		b.stops[0]()
 		b.start(0)
 		time.Sleep(maxRestoreDelay)
 		check("after a VM started")
 		l, err := kept.List(ctx)
 		if err != nil || len(l.Items) != 1 || l.Items[0].Value.Content != contentHash(deadly) {
-			t.Errorf("the platform's objects: got %+v, %v, want the content that ends servers alone", l.Items, err)
+			t.Errorf("quarantines in the store: got %+v, %v, want only the content that crashes servers", l.Items, err)
 		}
 		if err := q.Delete(ctx, contentHash(deadly)); err != nil {
 			t.Fatal(err)
@@ -449,13 +458,13 @@
 		time.Sleep(maxRestoreDelay)
 		for i := range n {
 			if !b.send(i, newRequest("x", "/always/", "deadly")).served() {
-				t.Errorf("released in the later era, entry VM %d: got it refused, want it served", i)
+				t.Errorf("content released after the restore, entry VM %d: got it not served, want it served", i)
 			}
 		}
 	})
 }
 
-// The return of the store from a copy costs no burst of calls.
+// A restore of the store must not cause a burst of calls from all entry VMs.
 func TestNoCallBurstAfterStoreRestore(t *testing.T) {
 	for _, noticed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("noticed %v", noticed), func(t *testing.T) {
@@ -476,10 +485,10 @@
 				before = b.calls.Load()
 				time.Sleep(span)
 				after := b.calls.Load() - before
-				t.Logf("%d entry VMs: %d calls in %v of calm, %d after the return", n, calm, span, after)
-				// One list and one watch beyond those of calm for each VM and kind.
+				t.Logf("%d entry VMs: %d calls in %v before the restore, %d after it", n, calm, span, after)
+				// Allowed beyond the calls before are one list and one watch for each VM and kind.
 				if allowed := calm + 2*4*n; after > allowed {
-					t.Errorf("calls after the return: got %d, want at most %d", after, allowed)
+					t.Errorf("calls after the restore: got %d, want at most %d", after, allowed)
 				}
 			})
 		})
--- a/fleet/testbed_test.go
+++ b/fleet/testbed_test.go
@@ -21,10 +21,10 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// platformHost is the platform's machine.
+// platformHost is the network address of the platform.
 const platformHost = "10.0.0.1"
 
-// vm is one entry VM.
+// vm is a running entry VM of a testbed.
 type vm struct {
 	name, host string
 	domain     api.DomainName
@@ -32,7 +32,7 @@
 	done       chan error
 }
 
-// testbed is a fleet of entry VMs on a network in memory.
+// testbed is a fleet of standalone entry VMs with its platform on an in-memory network.
 type testbed struct {
 	t        *testing.T
 	net      *network
@@ -41,12 +41,12 @@
 	group    *duty.Group
 	vms      []*vm
 	peers    *peer.Client
-	// orders is the plain service, once there is work.
+	// orders is the plain service; it is nil until startBackends.
 	orders *service.Service
 }
 
-// newTestbed starts a platform and n entry VMs in three failure domains; it has to
-// run in a bubble of virtual time.
+// newTestbed starts a platform and n entry VMs in three failure domains. It must be called
+// in a synctest bubble.
 func newTestbed(t *testing.T, n int) *testbed {
 	t.Helper()
 	b := &testbed{t: t, net: newNetwork(), store: platform.NewStore()}
@@ -73,6 +73,7 @@
 	return b
 }
 
+// serve serves a handler at an address of the network until the test ends.
 func (b *testbed) serve(a string, h http.Handler) *http.Server {
 	b.t.Helper()
 	l, err := machine{b.net, host(a)}.listen(context.Background(), a)
@@ -85,7 +86,7 @@
 	return s
 }
 
-// startVM starts entry VM i, or a new one in its place.
+// startVM starts entry VM i; a stopped one is replaced by a new process with the same name.
 func (b *testbed) startVM(i int) *vm {
 	b.t.Helper()
 	v := &vm{name: fmt.Sprintf("entry-%d", i), host: fmt.Sprintf("10.0.1.%d", i), domain: api.DomainName(fmt.Sprintf("hall-%d", i%3)), done: make(chan error, 1)}
@@ -112,7 +113,7 @@
 	return v
 }
 
-// stop stops an entry VM as planned.
+// stop performs a planned stop of the entry VM and waits for its end.
 func (v *vm) stop() {
 	v.cancel()
 	if err, ok := <-v.done; ok && err != nil {
@@ -120,13 +121,13 @@
 	}
 }
 
-// status asks an entry VM from outside the fleet.
+// status queries an entry VM from a machine outside the fleet.
 func (b *testbed) status(v *vm) (api.NodeStatus, error) {
 	return b.peers.Status(context.Background(), v.host+":81")
 }
 
-// waitFor waits until a condition holds and gives the virtual time it took; a
-// condition that does not come waitFor the limit fails the test.
+// waitFor waits until a condition holds and returns the virtual time that it took. The test
+// fails if the condition doesn't hold within the limit.
 func (b *testbed) waitFor(limit time.Duration, what string, ok func() bool) time.Duration {
 	b.t.Helper()
 	began := time.Now()
@@ -136,14 +137,14 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	b.t.Errorf("%s: got nothing within %v", what, limit)
+	b.t.Errorf("waiting for %s: got nothing within %v, want it by then", what, limit)
 	return limit
 }
 
-// waitConverged waits until every entry VM serves and sees every other one.
+// waitConverged waits until every entry VM serves and sees every other one serving.
 func (b *testbed) waitConverged() {
 	b.t.Helper()
-	b.waitFor(2*time.Minute, "the fleet to settle", func() bool {
+	b.waitFor(2*time.Minute, "the fleet to converge", func() bool {
 		return b.allVMs(func(s api.NodeStatus) bool {
 			n := 0
 			for _, m := range s.Members {
@@ -156,6 +157,7 @@
 	})
 }
 
+// allVMs reports whether a condition holds for the status of every entry VM but the excepted.
 func (b *testbed) allVMs(ok func(s api.NodeStatus) bool, except ...*vm) bool {
 	for _, v := range b.vms {
 		if slices.Contains(except, v) {
@@ -169,7 +171,7 @@
 	return true
 }
 
-// changeModel changes a model and gives its version.
+// changeModel writes new weights of the model to the platform and returns its new version.
 func (b *testbed) changeModel(weights string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindModel, "desk")
@@ -184,14 +186,15 @@
 	return o.Version
 }
 
-// inForceOnAll reports whether a version is in force on every entry VM.
+// inForceOnAll returns a condition that holds once a version is in force on every entry VM
+// but the excepted.
 func (b *testbed) inForceOnAll(n api.Version, except ...*vm) func() bool {
 	return func() bool {
 		return b.allVMs(func(s api.NodeStatus) bool { return s.ConfigVersion >= n }, except...)
 	}
 }
 
-// countHolders counts the entry VMs that hold a duty.
+// countHolders counts the entry VMs that report to hold the lease of a duty.
 func (b *testbed) countHolders(name string) int {
 	n := 0
 	for _, v := range b.vms {
