--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e runs the real programs as separate processes and checks what
-// their callers see; it asserts outcomes and never times.
+// Package e2e runs the real programs as separate processes and checks what their callers
+// get. It asserts outcomes, never times.
 package e2e
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// post sends a completion and gives the response.
+// post sends a completion request and returns the response.
 func post(t *testing.T, address, key, body string, headers ...string) *http.Response {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+entry.PathChat, strings.NewReader(body))
@@ -44,6 +44,7 @@
 	return a
 }
 
+// completionBody is the body of a short completion request.
 const completionBody = `{"model":"desk","messages":[{"role":"user","content":"When will the skip be collected?"}],"metadata":{"standin_tokens":"12"}}`
 
 func TestOperatorCommands(t *testing.T) {
@@ -52,7 +53,7 @@
 	if a.StatusCode != http.StatusOK {
 		t.Fatalf("status: got %s, want 200", a.Status)
 	}
-	// The other entry VM is asked, so the answer comes through its peer.
+	// wardctl queries the first entry VM, which gets the explanation from its peer.
 	out := s.mustWardctl("explain", a.Header.Get(wire.HeaderRequestID))
 	for _, want := range []string{"entry-2", "dispatch", "answered whole"} {
 		if !strings.Contains(out, want) {
@@ -61,22 +62,22 @@
 	}
 	out = s.mustWardctl("drain", "engine-1", "--wait")
 	if !strings.Contains(out, "draining") || !strings.Contains(out, "runs nothing") {
-		t.Errorf("drain: got %q", out)
+		t.Errorf("drain --wait: got %q, want it to contain \"draining\" and \"runs nothing\"", out)
 	}
-	waitFor(t, "the drain to be seen", func() bool { return strings.Contains(s.mustWardctl("status"), "engine-1: draining") })
+	waitFor(t, "the status to show the drain", func() bool { return strings.Contains(s.mustWardctl("status"), "engine-1: draining") })
 	s.mustWardctl("drain", "engine-1", "--undo")
 	s.mustWardctl("close", "hall-a")
-	waitFor(t, "the closed domain to be seen", func() bool { return strings.Contains(s.mustWardctl("status"), ": draining") })
+	waitFor(t, "the status to show the closed domain", func() bool { return strings.Contains(s.mustWardctl("status"), ": draining") })
 	s.mustWardctl("close", "hall-a", "--undo")
 	s.waitReady()
 	conflicting := "kind: model\nname: desk\nspec: {weights: other}\n"
 	out, err := s.wardctl("apply", "-f", s.writeFile(conflicting))
 	if err == nil || !strings.Contains(out, "version_conflict") || !strings.Contains(out, "2026-10") {
-		t.Errorf("conflicting apply: got %q, %v, want the present resource shown", out, err)
+		t.Errorf("conflicting apply: got %q, %v, want version_conflict and the present resource shown", out, err)
 	}
 	out = s.apply("kind: model\nname: desk\nspec: {weights: \"2026-11\", context_tokens: 16384}\n", "--replace", "--wait")
 	if !strings.Contains(out, "in force on every entry VM") {
-		t.Errorf("apply --wait: got %q", out)
+		t.Errorf("apply --wait: got %q, want it to be in force on every entry VM", out)
 	}
 	waitFor(t, "the new weights to be loaded", func() bool {
 		out := s.mustWardctl("get", "status")
@@ -120,6 +121,6 @@
 		t.Errorf("exit status: got %d, want 0", got)
 	}
 	if got := <-c; got.status != http.StatusOK {
-		t.Errorf("stream in flight: got cut off after %d events, want whole", got.tokens)
+		t.Errorf("stream in flight: got cut off after %d events, want it complete", got.tokens)
 	}
 }
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -20,7 +20,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// shortTimeouts notice broken streams soon.
+// shortTimeouts are settings with which broken streams are detected soon.
 const shortTimeouts = `
 [entry]
 queue_wait_ms = 60000
@@ -31,7 +31,7 @@
 resume_ms = 20000
 `
 
-// tokenStream is a stream that a caller reads.
+// tokenStream is a stream of tokens that a caller reads.
 type tokenStream struct {
 	answer      *http.Response
 	lines       *bufio.Scanner
@@ -41,6 +41,7 @@
 	streamError api.ErrorDetail
 }
 
+// openStream starts a completion with so many tokens through an entry VM.
 func (s *system) openStream(e *process, tokens int) *tokenStream {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"model":"desk","stream":true,"messages":[{"role":"user","content":"x"}],"metadata":{"standin_tokens":"%d"}}`, tokens)
@@ -52,7 +53,7 @@
 	return s.startStream(r)
 }
 
-// resumeStream resumes a stream through another entry VM.
+// resumeStream resumes a stream through another entry VM, after the last event that was read.
 func (s *system) resumeStream(e *process, x *tokenStream) *tokenStream {
 	s.t.Helper()
 	u := "http://" + e.listen + entry.PathChat + "/" + x.answer.Header.Get(wire.HeaderRequestID)
@@ -65,6 +66,7 @@
 	return s.startStream(r)
 }
 
+// startStream sends a request and returns the stream of its answer.
 func (s *system) startStream(r *http.Request) *tokenStream {
 	s.t.Helper()
 	a, err := http.DefaultClient.Do(r)
@@ -78,7 +80,7 @@
 	return &tokenStream{answer: a, lines: bufio.NewScanner(a.Body)}
 }
 
-// read reads so many tokens, or to the end with -1.
+// read reads n tokens, or with -1 up to the end of the stream.
 func (x *tokenStream) read(n int) {
 	failed := false
 	for n != 0 && x.lines.Scan() {
@@ -111,7 +113,8 @@
 	}
 }
 
-// checkTokens checks that tokens are all of one generation from 0 on.
+// checkTokens checks that the tokens are consecutive, start at 0 and belong to one generation.
+// Their number is checked unless want is negative.
 func checkTokens(t *testing.T, tokens []string, want int) {
 	t.Helper()
 	if want >= 0 && len(tokens) != want {
@@ -125,7 +128,7 @@
 	}
 }
 
-// activeEngine finds the engine that activeEngine a generation.
+// activeEngine returns the engine that runs a generation.
 func (s *system) activeEngine() *process {
 	s.t.Helper()
 	for _, e := range s.engines {
@@ -148,7 +151,7 @@
 	x.read(-1)
 	checkTokens(t, x.tokens, -1)
 	if x.endMarker != "" || x.streamError.Type != "generation_lost" || x.streamError.Ran != api.RanYes {
-		t.Errorf("end: got %q and %+v, want generation_lost that ran", x.endMarker, x.streamError)
+		t.Errorf("end: got %q and %+v, want the error generation_lost with ran yes", x.endMarker, x.streamError)
 	}
 	y := s.openStream(s.entries[0], 10)
 	y.read(-1)
@@ -197,7 +200,7 @@
 	}
 }
 
-// confirmOrder sends a call that is not repeatable and gives its status and error.
+// confirmOrder sends a call that is not repeatable and returns its status and error.
 func (s *system) confirmOrder(e *process, key string) (int, api.ErrorDetail) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+e.listen+"/services/orders/confirm", strings.NewReader("airend"))
 	if err != nil {
@@ -212,11 +215,12 @@
 	}
 	defer func() { _ = a.Body.Close() }()
 	var b api.ErrorBody
-	// An answer of the service is not an error's.
+	// An answer of the service itself has no error body.
 	_ = json.NewDecoder(a.Body).Decode(&b)
 	return a.StatusCode, b.Error
 }
 
+// orderRuns returns how often the service ran the call of each idempotency key.
 func (s *system) orderRuns() map[string]int {
 	s.t.Helper()
 	var m map[string]int
@@ -226,8 +230,8 @@
 	return m
 }
 
-// A holder of a claim is suspended at a moment that differs from run to run;
-// the caller asks again through the other entry VM, and the holder wakes.
+// The holder of a claim is suspended at a different moment of the call in each round. The
+// caller retries through the other entry VM, before and after the holder resumes.
 func TestNotRepeatableRunsAtMostOnceWhileAHolderIsSuspended(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 1, settings: shortTimeouts})
 	s.putJSON("http://"+s.service.listen+"/dev/faults", map[string]int{"delay_ms": 5})
@@ -256,8 +260,8 @@
 	}
 }
 
-// Entry VMs are killed while they hold claims; whatever the caller is told,
-// the call runs at most once, and "no" means that it did not run.
+// Entry VMs are killed while they hold claims. The call must run at most once whatever the
+// answer, and not at all if the answer says that it did not run.
 func TestNotRepeatableRunsAtMostOnceWhileHoldersAreKilled(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 1, settings: shortTimeouts})
 	s.putJSON("http://"+s.service.listen+"/dev/faults", map[string]int{"delay_ms": 10})
@@ -275,26 +279,27 @@
 			t.Errorf("%s: got %d runs, want at most 1", key, n)
 		}
 		if status != http.StatusOK && f.Ran == api.RanNo && n != 0 {
-			t.Errorf("%s: told that it did not run, got %d runs", key, n)
+			t.Errorf("%s: got %d runs after an answer that it did not run, want none", key, n)
 		}
 		s.entries[0] = s.startEntry("entry-1", victim.listen, victim.control)
 		s.waitReady()
 	}
 }
 
-// drain takes a backend server out of work on every entry VM.
+// drain drains a backend server and waits until this is in force on every entry VM.
 func (s *system) drain(name string) {
 	s.t.Helper()
 	s.waitInForce(s.mustWardctl("drain", name))
 }
 
-// waitInForce waits until every entry VM has the version that wardctl told.
+// waitInForce waits until the configuration version at the end of wardctl's output is in force
+// on every entry VM.
 func (s *system) waitInForce(out string) {
 	s.t.Helper()
 	f := strings.Fields(out)
 	n, err := strconv.Atoi(f[len(f)-1])
 	if err != nil {
-		s.t.Fatalf("no version in %q", out)
+		s.t.Fatalf("wardctl: got %q, want a version at the end", out)
 	}
 	for _, e := range s.entries {
 		waitFor(s.t, "the change on "+e.name, func() bool {
@@ -349,19 +354,19 @@
 	}
 	for _, e := range r.Errors {
 		if e.Type != "claim_unavailable" || e.Ran != api.RanNo {
-			t.Errorf("error: got %+v, want only claims refused as not run", e)
+			t.Errorf("error: got %+v, want only claim_unavailable with ran no", e)
 		}
 	}
 	s.putJSON("http://"+s.platform.listen+"/dev/faults", map[string]bool{"outage": false})
 	out := s.apply("kind: model\nname: extra\nspec: {weights: \"1\"}\n", "--wait", "--wait-for", "30s")
 	if !strings.Contains(out, "in force on every entry VM") {
-		t.Errorf("after the outage: got %q", out)
+		t.Errorf("apply after the outage: got %q, want it to be in force on every entry VM", out)
 	}
 	checkComplete(t, s.runLoad(50, 30, 10))
 }
 
-// A key is revoked while an entry VM is suspended; the request that waits for
-// it when it wakes must not be served by the old configuration.
+// A key is revoked while an entry VM is suspended. Requests that wait for the entry VM when it
+// resumes must not be served with the old configuration.
 func TestResumedEntryVMDoesNotServeStaleConfig(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 1, settings: shortTimeouts})
 	e := s.entries[0]
@@ -390,11 +395,11 @@
 	})
 }
 
-// waitHolder finds the entry VM that holds the lease on orders.
+// waitHolder waits until an entry VM other than except holds the orders lease, and returns it.
 func (s *system) waitHolder(except *process) *process {
 	s.t.Helper()
 	var p *process
-	waitFor(s.t, "a holder of the orders", func() bool {
+	waitFor(s.t, "a holder of the orders lease", func() bool {
 		for _, e := range s.entries {
 			v, err := nodeStatus(e)
 			if e != except && err == nil && slices.Contains(v.Leases, "orders") {
@@ -407,8 +412,8 @@
 	return p
 }
 
-// The holder of the orders is suspended for longer than its lease, twice; the
-// next holder's orders stand, and the one that wakes believing sends no more.
+// The holder of the orders lease is suspended for longer than the lease, twice. The orders of
+// the next holder must stay in effect, and the old one must send none after it resumes.
 func TestSuspendedOrderHolderIsFenced(t *testing.T) {
 	s := newSystem(t, options{entries: 2, engines: 2, settings: shortTimeouts + "[lease]\nduration_ms = 1500\nskew_ms = 300\n"})
 	weights := []string{"2026-11", "2026-12"}
@@ -419,21 +424,22 @@
 		next := s.waitHolder(old)
 		waitFor(t, "the new weights on both engines", func() bool { return s.enginesWithWeights(w) == len(s.engines) })
 		old.signal(syscall.SIGCONT)
-		waitFor(t, "the old holder to know", func() bool {
+		waitFor(t, "the old holder to give up the lease", func() bool {
 			v, err := nodeStatus(old)
 			return err == nil && !slices.Contains(v.Leases, "orders") && v.State == api.PeerStateServing
 		})
 		if v, err := nodeStatus(next); err != nil || !slices.Contains(v.Leases, "orders") {
-			t.Errorf("the next holder: got leases %v, %v, want orders", v.Leases, err)
+			t.Errorf("the next holder: got leases %v, %v, want the orders lease", v.Leases, err)
 		}
 		time.Sleep(time.Second)
 		if got := s.enginesWithWeights(w); got != len(s.engines) {
-			t.Errorf("engines with weights %s after the old holder woke: got %d, want %d", w, got, len(s.engines))
+			t.Errorf("engines with weights %s after the old holder resumed: got %d, want %d", w, got, len(s.engines))
 		}
 	}
 }
 
-// enginesWithWeights counts the engines that have only these weights of the model.
+// enginesWithWeights counts the engines that have loaded these weights of the model and no
+// others.
 func (s *system) enginesWithWeights(w string) int {
 	n := 0
 	for _, e := range s.engines {
--- a/e2e/idle_bench_test.go
+++ b/e2e/idle_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/wardridge/wardridge/internal/standin/platform"
 )
 
-// BenchmarkIdleControl is what control costs at today's size with no callers:
-// 9 entry VMs before 15 engines.
+// BenchmarkIdleControl measures the cost of the control traffic without callers, with 9 entry
+// VMs in front of 15 engines.
 func BenchmarkIdleControl(b *testing.B) {
 	s := newSystem(b, options{entries: 9, engines: 15})
 	const span = 20 * time.Second
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -10,18 +10,19 @@
 	"github.com/wardridge/wardridge/internal/peer"
 )
 
-// policies are the baseline and the default, as settings.
+// policies are the settings of the baseline policy and of the default one.
 var policies = []struct{ name, settings string }{
 	{"baseline", "[engine]\nadmission = slots\nslots = 41\nrouting = least-loaded\n"},
 	{"default", ""},
 }
 
-// BenchmarkPolicies confirms docs/MEASUREMENTS.md with real processes: 4 entry
-// VMs before 4 engines of the measured size, skip-hire at shares of capacity.
+// BenchmarkPolicies checks the figures of docs/MEASUREMENTS.md with real processes: 4 entry
+// VMs in front of 4 engines of the measured size, with the skip-hire mix at shares of the
+// capacity.
 func BenchmarkPolicies(b *testing.B) {
 	m, ok := load.Find("skip-hire")
 	if !ok {
-		b.Fatal("no mix")
+		b.Fatal("the load mix \"skip-hire\" does not exist")
 	}
 	size := measure.Today()
 	for _, p := range policies {
@@ -42,7 +43,7 @@
 						b.Fatal(err)
 					}
 					if len(r.Wrong) > 0 {
-						b.Errorf("wrong answers: got %v", r.Wrong)
+						b.Errorf("wrong answers: got %v, want none", r.Wrong)
 					}
 					b.ReportMetric(r.All.StallSum/1000, "stall-s")
 					b.ReportMetric(1000*float64(s.sumPreemptions())/float64(r.Requests), "preempted/1000")
@@ -56,7 +57,7 @@
 	}
 }
 
-// sumPreemptions sums what the entry VMs were told.
+// sumPreemptions returns the sum of the preemptions that the entry VMs counted.
 func (s *system) sumPreemptions() int64 {
 	n := int64(0)
 	for _, e := range s.entries {
--- a/e2e/relay_bench_test.go
+++ b/e2e/relay_bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/wardridge/wardridge/internal/sample"
 )
 
-// cpuTime is the processor time of a process so far.
+// cpuTime returns the processor time that a process has used.
 func cpuTime(t testing.TB, p *process) time.Duration {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
@@ -32,7 +32,7 @@
 	return time.Duration(u+s) * tick
 }
 
-// residentKB is the memory of a process in KB.
+// residentKB returns the resident memory of a process in KB.
 func residentKB(t testing.TB, p *process) int {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -48,13 +48,13 @@
 	return 0
 }
 
-// streamTimes is what one reader saw.
+// streamTimes holds the time to the first token of a stream and the gaps between its tokens.
 type streamTimes struct {
 	first time.Duration
 	gaps  []time.Duration
 }
 
-// timeStream opens a stream and takes the times of its tokens.
+// timeStream opens a stream and measures the times of its tokens.
 func timeStream(t testing.TB, url, body string) streamTimes {
 	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -87,7 +87,8 @@
 	return s
 }
 
-// medianTimes opens n streams at once.
+// medianTimes opens n streams at once and returns the medians of the times to the first token
+// and of the gaps.
 func medianTimes(t testing.TB, n int, url string, body func(i int) string) (first, gap time.Duration) {
 	var mutex sync.Mutex
 	var firsts, gaps []time.Duration
@@ -105,6 +106,7 @@
 	return median(firsts), median(gaps)
 }
 
+// median returns the median of some durations, which it sorts, or zero for none.
 func median(l []time.Duration) time.Duration {
 	if len(l) == 0 {
 		return 0
@@ -113,8 +115,8 @@
 	return l[len(l)/2]
 }
 
-// BenchmarkRelay compares streams through an entry VM with streams straight
-// from the engine's stand-in, in one run with real processes.
+// BenchmarkRelay compares streams through an entry VM with streams directly from the simulated
+// engine, in one run with real processes.
 func BenchmarkRelay(b *testing.B) {
 	s := newSystem(b, options{
 		entries: 1, engines: 1,
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -10,11 +10,12 @@
 	"github.com/wardridge/wardridge/platform/standin"
 )
 
-// soakSeeds are played in each run of the tests: one with every kind of fault,
-// one with planned work alone, and one whose store comes back from a copy.
+// soakSeeds are the seeds of the soak plans that every test run plays: one with every kind of
+// fault, one with planned operations only, and one whose store is restored from a backup.
 var soakSeeds = []uint64{2, 9, 7004}
 
-// The real programs under a seed's faults keep every property that can be checked without a clock.
+// The real programs must keep every property under the faults of a plan. A violation of a timed
+// property is only logged, since it depends on the speed of the machine.
 func TestShortSoak(t *testing.T) {
 	for _, seed := range soakSeeds {
 		o := soak.Options{Program: filepath.Join(binDir, "wardridge"), Wire: standin.Wire{}, Dir: t.TempDir(), Log: event.Discard()}
@@ -27,10 +28,10 @@
 		}
 		for _, v := range r.Violations {
 			if v.Property.Timed() {
-				t.Logf("seed %d, by the clock: %s %s: %s", seed, v.Property, v.Request, v.What)
+				t.Logf("seed %d, timed property: %s %s: %s", seed, v.Property, v.Request, v.What)
 				continue
 			}
-			t.Errorf("seed %d: got %s broken for %q, want it kept: %s", seed, v.Property, v.Request, v.What)
+			t.Errorf("seed %d: got property %s violated by request %q, want it to hold: %s", seed, v.Property, v.Request, v.What)
 		}
 	}
 }
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -22,13 +22,14 @@
 	"github.com/wardridge/wardridge/internal/sample"
 )
 
-// binDir is the folder that TestMain builds the programs into.
+// binDir is the directory into which TestMain builds the programs.
 var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
+// buildAndRun builds the programs and runs the tests.
 func buildAndRun(m *testing.M) int {
 	d, err := os.MkdirTemp("", "wardridge-e2e")
 	if err != nil {
@@ -45,7 +46,7 @@
 	return m.Run()
 }
 
-// maxWait bounds every wait of a test; nothing is asserted about times.
+// maxWait bounds every wait of a test. It only detects hangs: no test asserts times.
 const maxWait = 60 * time.Second
 
 // process is one running program.
@@ -53,14 +54,14 @@
 	name   string
 	cmd    *exec.Cmd
 	listen string
-	// control is the control address of an entry VM.
+	// control is the control address of an entry VM; other processes have none.
 	control string
 	log     *bytes.Buffer
 	done    chan struct{}
 	mutex   *sync.Mutex
 }
 
-// system is a set of processes.
+// system is a platform with engines, a service and entry VMs, each a process.
 type system struct {
 	t             testing.TB
 	dir           string
@@ -71,10 +72,10 @@
 	extraSettings string
 }
 
-// ports gives addresses to the processes of all tests here.
+// ports allocates the addresses of the processes of all tests.
 var ports = loopback.New()
 
-// freeAddress finds an freeAddress that nobody else is given.
+// freeAddress returns an address that no other process of the tests gets.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	a, err := ports.Free()
@@ -84,7 +85,7 @@
 	return a
 }
 
-// lockedBuffer takes a process's log.
+// lockedBuffer collects the log of a process.
 type lockedBuffer struct {
 	mutex *sync.Mutex
 	buf   *bytes.Buffer
@@ -96,6 +97,7 @@
 	return b.buf.Write(p)
 }
 
+// startProcess starts a program; its log is printed if the test fails.
 func (s *system) startProcess(name, listen, program string, args ...string) *process {
 	s.t.Helper()
 	p := &process{name: name, listen: listen, log: &bytes.Buffer{}, done: make(chan struct{}), mutex: &sync.Mutex{}}
@@ -120,6 +122,7 @@
 	return p
 }
 
+// logTail returns the end of the process's log.
 func (p *process) logTail() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -132,25 +135,25 @@
 	_ = p.cmd.Process.Signal(s)
 }
 
-// kill ends the process at once, also one that is stopped.
+// kill ends the process at once, even if it is suspended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// stop asks for a planned stop and gives the exit status.
+// stop requests a planned stop and returns the exit status.
 func (p *process) stop(t testing.TB) int {
 	t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 	case <-time.After(maxWait):
-		t.Fatalf("%s did not stop", p.name)
+		t.Fatalf("%s: got no exit within the maximum wait, want a planned stop", p.name)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// waitFor waits for a condition.
+// waitFor waits until a condition holds, and fails the test after maxWait.
 func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	end := time.Now().Add(maxWait)
@@ -160,10 +163,10 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("waited too long for %s", what)
+	t.Fatalf("waiting for %s: got nothing within the maximum wait", what)
 }
 
-// getJSON reads JSON from a URL.
+// getJSON gets JSON from a URL.
 func getJSON(url string, out any) error {
 	c := http.Client{Timeout: 2 * time.Second}
 	r, err := c.Get(url)
@@ -174,6 +177,7 @@
 	return json.NewDecoder(r.Body).Decode(out)
 }
 
+// putJSON puts a value as JSON to a URL.
 func (s *system) putJSON(url string, v any) {
 	s.t.Helper()
 	b, err := json.Marshal(v)
@@ -190,20 +194,20 @@
 	}
 	_ = a.Body.Close()
 	if a.StatusCode >= http.StatusBadRequest {
-		s.t.Fatalf("PUT %s: %s", url, a.Status)
+		s.t.Fatalf("PUT %s: got status %s, want success", url, a.Status)
 	}
 }
 
-// options size a system.
+// options are the size and settings of a system.
 type options struct {
 	entries, engines int
 	// settings are added to each entry VM's INI file.
 	settings string
-	// engineArgs are added to each engineArgs's arguments.
+	// engineArgs are added to the arguments of each engine.
 	engineArgs []string
 }
 
-// longTimeouts keep a slow machine from turning into refusals.
+// longTimeouts are settings with which a slow machine causes no refusals.
 const longTimeouts = `
 [entry]
 queue_wait_ms = 60000
@@ -214,8 +218,8 @@
 resume_ms = 60000
 `
 
-// newSystem starts a platform, engines, one service and entry VMs, declares
-// them, and waits until all serve.
+// newSystem starts a platform, engines, one service and entry VMs, declares them as resources,
+// and waits until all serve.
 func newSystem(t testing.TB, o options) *system {
 	t.Helper()
 	s := &system{t: t, dir: t.TempDir(), extraSettings: o.settings}
@@ -256,7 +260,7 @@
 	return p
 }
 
-// declarations are the sample's with this system's addresses.
+// declarations returns the sample's resources with the backend servers of this system.
 func (s *system) declarations() string {
 	parts := strings.Split(string(sample.Resources), "---\n")
 	var documents []string
@@ -272,7 +276,8 @@
 	return strings.Join(documents, "---\n")
 }
 
-// wardctl runs wardctl.
+// wardctl runs the command wardctl against the platform and the first entry VM, and returns its
+// output.
 func (s *system) wardctl(args ...string) (string, error) {
 	all := []string{"--platform", s.platform.listen}
 	if len(s.entries) > 0 {
@@ -284,6 +289,7 @@
 	return string(b), err
 }
 
+// mustWardctl runs wardctl, which must succeed, and returns its output.
 func (s *system) mustWardctl(args ...string) string {
 	s.t.Helper()
 	out, err := s.wardctl(args...)
@@ -293,7 +299,7 @@
 	return out
 }
 
-// writeFile writes a resources writeFile and gives its path.
+// writeFile writes a file of resources and returns its path.
 func (s *system) writeFile(text string) string {
 	s.t.Helper()
 	f, err := os.CreateTemp(s.dir, "*.yaml")
@@ -307,19 +313,21 @@
 	return f.Name()
 }
 
+// apply applies resources with wardctl and returns its output.
 func (s *system) apply(text string, args ...string) string {
 	s.t.Helper()
 	return s.mustWardctl(append([]string{"apply", "-f", s.writeFile(text)}, args...)...)
 }
 
+// nodeStatus returns the status that an entry VM reports.
 func nodeStatus(p *process) (api.NodeStatus, error) {
 	var v api.NodeStatus
 	err := getJSON("http://"+p.control+peer.PathStatus, &v)
 	return v, err
 }
 
-// waitReady waits until every entry VM serves, sees every engine loaded and every
-// other entry VM.
+// waitReady waits until all engines are loaded, and every entry VM serves and sees all engines
+// and all other entry VMs.
 func (s *system) waitReady() {
 	s.t.Helper()
 	waitFor(s.t, "the engines to be loaded", func() bool {
@@ -331,6 +339,7 @@
 	}
 }
 
+// isReady reports whether an entry VM serves and sees all engines and other entry VMs.
 func (s *system) isReady(e *process) bool {
 	v, err := nodeStatus(e)
 	if err != nil || v.State != api.PeerStateServing {
@@ -351,6 +360,7 @@
 	return n == len(s.engines) && m >= len(s.entries)-1
 }
 
+// addresses returns the addresses on which processes listen.
 func addresses(l []*process) []string {
 	var out []string
 	for _, p := range l {
@@ -359,12 +369,12 @@
 	return out
 }
 
-// runLoad runs a mix against all entry VMs.
+// runLoad sends n requests of the mix of completions and calls to all entry VMs.
 func (s *system) runLoad(n int, perSecond float64, seed uint64) load.Report {
 	s.t.Helper()
 	m, ok := load.Find("both")
 	if !ok {
-		s.t.Fatal("no mix")
+		s.t.Fatal("the load mix \"both\" does not exist")
 	}
 	r, err := load.Run(context.Background(), load.Options{
 		Entries: addresses(s.entries), Mix: m, Model: "desk", Requests: n,
@@ -376,10 +386,10 @@
 	return r
 }
 
-// checkComplete checks that every request of a run was answered checkComplete and right.
+// checkComplete checks that every request of a run got a complete and correct answer.
 func checkComplete(t *testing.T, r load.Report) {
 	t.Helper()
 	if len(r.Wrong) != 0 || r.Whole != r.Requests {
-		t.Errorf("answers: got %d whole of %d, wrong %v, errors %v; want all whole", r.Whole, r.Requests, r.Wrong, r.Errors)
+		t.Errorf("answers: got %d complete of %d, wrong %v, errors %v; want all complete", r.Whole, r.Requests, r.Wrong, r.Errors)
 	}
 }
