--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -105,14 +105,14 @@
 		defer closer()
 		p := objectapi.Over(c, platformHost+":80", time.Second)
 		for i := range 20 {
-			there, err := b.store.Get(api.ResourceKindModel, "desk")
+			current, err := b.store.Get(api.ResourceKindModel, "desk")
 			if err != nil {
 				t.Fatal(err)
 			}
 			done := make(chan error, 2)
-			for _, who := range []string{"a", "b"} {
-				o := there
-				o.Spec = fmt.Appendf(nil, `{"weights":"%s-%d"}`, who, i)
+			for _, operator := range []string{"a", "b"} {
+				o := current
+				o.Spec = fmt.Appendf(nil, `{"weights":"%s-%d"}`, operator, i)
 				b.group.Go(func(ctx context.Context) error {
 					_, err := resource.Apply(ctx, p, o)
 					done <- err
--- a/fleet/network_test.go
+++ b/fleet/network_test.go
@@ -122,9 +122,9 @@
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "memory", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	}
-	near, far := net.Pipe()
-	x := &conn{Conn: near, net: m.net, link: [2]string{m.name, host(a)}}
-	y := &conn{Conn: far, net: m.net, link: [2]string{m.name, host(a)}}
+	local, remote := net.Pipe()
+	x := &conn{Conn: local, net: m.net, link: [2]string{m.name, host(a)}}
+	y := &conn{Conn: remote, net: m.net, link: [2]string{m.name, host(a)}}
 	m.net.mutex.Lock()
 	m.net.conns[x] = struct{}{}
 	m.net.conns[y] = struct{}{}
--- a/fleet/standalone_restore_test.go
+++ b/fleet/standalone_restore_test.go
@@ -36,14 +36,14 @@
 			items = append(items, k.Object)
 		}
 	}
-	has := false
+	found := false
 	for _, o := range items {
 		if o.Kind == api.ResourceKindModel && o.Name == "desk" {
 			// Retained objects come last and take precedence over the platform's.
-			has = strings.Contains(string(o.Spec), fmt.Sprintf("%q", w))
+			found = strings.Contains(string(o.Spec), fmt.Sprintf("%q", w))
 		}
 	}
-	return has
+	return found
 }
 
 // A change of a model that the backup doesn't contain must stay in force after the platform
@@ -86,12 +86,12 @@
 		c, before := b.store.Copy(), status()
 		b.startBackends()
 		time.Sleep(10 * time.Second)
-		now := status()
-		if now == before {
-			t.Fatalf("status: got %s as before, want it changed by the engines that serve", now)
+		latest := status()
+		if latest == before {
+			t.Fatalf("status: got %s as before, want it changed by the engines that serve", latest)
 		}
 		b.restore(c)
-		b.waitFor(time.Minute, "the status to be written again after the restore", func() bool { return status() == now })
+		b.waitFor(time.Minute, "the status to be written again after the restore", func() bool { return status() == latest })
 	})
 }
 
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -413,7 +413,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const n = 6
 		b := newStoreTestbed(t, n)
-		q, kept := b.newQuarantineClient(t)
+		q, source := b.newQuarantineClient(t)
 		ctx := context.Background()
 		deadly, released := newRequest("x", "/always/", "deadly"), newRequest("y", "/always/", "released")
 		until := time.Now().Add(time.Hour)
@@ -448,7 +448,7 @@
 		b.start(0)
 		time.Sleep(maxRestoreDelay)
 		check("after a VM started")
-		l, err := kept.List(ctx)
+		l, err := source.List(ctx)
 		if err != nil || len(l.Items) != 1 || l.Items[0].Value.Content != contentHash(deadly) {
 			t.Errorf("quarantines in the store: got %+v, %v, want only the content that crashes servers", l.Items, err)
 		}
@@ -476,7 +476,7 @@
 				time.Sleep(maxHostedChangeDelay)
 				before := b.calls.Load()
 				time.Sleep(span)
-				calm := b.calls.Load() - before
+				usual := b.calls.Load() - before
 				if noticed {
 					b.restore(c)
 				} else {
@@ -485,9 +485,9 @@
 				before = b.calls.Load()
 				time.Sleep(span)
 				after := b.calls.Load() - before
-				t.Logf("%d entry VMs: %d calls in %v before the restore, %d after it", n, calm, span, after)
+				t.Logf("%d entry VMs: %d calls in %v before the restore, %d after it", n, usual, span, after)
 				// Allowed beyond the calls before are one list and one watch for each VM and kind.
-				if allowed := calm + 2*4*n; after > allowed {
+				if allowed := usual + 2*4*n; after > allowed {
 					t.Errorf("calls after the restore: got %d, want at most %d", after, allowed)
 				}
 			})
