--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -319,12 +319,12 @@
 
 // sentAfterSignal counts by entry VM the requests sent to a server between the durations
 // from and until after its first answer whose signals satisfy says.
-func (b *signalTestbed) sentAfterSignal(n api.ServerName, says func(x port.Signals) bool, from, until time.Duration) map[int]int {
+func (b *signalTestbed) sentAfterSignal(n api.ServerName, matches func(x port.Signals) bool, from, until time.Duration) map[int]int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	firstSignal := map[int]time.Time{}
 	for _, a := range b.arrivals[n] {
-		if t, ok := firstSignal[a.vm]; says(a.signals) && (!ok || a.done.Before(t)) {
+		if t, ok := firstSignal[a.vm]; matches(a.signals) && (!ok || a.done.Before(t)) {
 			firstSignal[a.vm] = a.done
 		}
 	}
