--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -278,7 +278,7 @@
 	f.server = s
 }
 
-// crash records the begin of a deadly prompt, and ends the engine crashAfter later.
+// crash records the start of a deadly prompt, and ends the engine crashAfter later.
 func (f *crashingEngine) crash() {
 	f.mutex.Lock()
 	f.began = append(f.began, time.Now())
--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -85,7 +85,7 @@
 			}
 		}
 		observe(time.Second)
-		// A paused VM neither answers nor sends requests, as an isolated one.
+		// A paused VM neither answers nor sends requests, which isolation simulates.
 		b.isolate(v, true)
 		observe(30 * time.Second)
 		b.isolate(v, false)
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -186,7 +186,7 @@
 }
 
 // setLimit sets or, with nil, removes the rate limit of servers from to to-1, and returns the
-// present time.
+// current time.
 func (b *signalTestbed) setLimit(perSecond *float64, from, to int) time.Time {
 	for _, s := range b.servers[from:to] {
 		s.SetSignals(hosted.Signals{Limit: perSecond})
@@ -317,8 +317,8 @@
 // requests from the entry VM that got the answer.
 const maxLeaveDelay = 2 * time.Second
 
-// sentAfterSignal counts by entry VM the requests sent to a server between the durations
-// from and until after its first answer whose signals satisfy says.
+// sentAfterSignal counts, by entry VM, the requests that were sent to a server between from and
+// until after the entry VM's first answer whose signals match.
 func (b *signalTestbed) sentAfterSignal(n api.ServerName, matches func(x port.Signals) bool, from, until time.Duration) map[int]int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -331,7 +331,7 @@
 	for _, w := range []struct {
 		name string
 		// rewriteAfter is how long after the restore operators write the closure again, and
-		// openAfter how long after it they remove it; zero is never.
+		// openAfter how long after the restore they remove it; zero is never.
 		rewriteAfter, openAfter time.Duration
 		// maxClosed is how long after the restore the domain may stay closed.
 		maxClosed time.Duration
