--- a/internal/soak/bed.go
+++ b/internal/soak/bed.go
@@ -34,21 +34,21 @@
 )
 
 const (
-	// grace is the time from the signal to stop to the end.
-	grace = 8 * time.Second
-	// closeTime is the time in which a closed failure domain gets nothing new.
-	closeTime = 5 * time.Second
+	// stopGrace is the time from the signal to stop to the end.
+	stopGrace = 8 * time.Second
+	// closureDelay is the time in which a closed failure domain gets nothing new.
+	closureDelay = 5 * time.Second
 	// slots and memory size a server so that none is full under the soak's load.
 	slots  = 64
 	memory = 400000
 	// Paces of the servers: fast enough for many runs in a short soak.
-	pauseEvent = 15 * time.Millisecond
-	pauseWork  = 8 * time.Millisecond
-	pauseCopy  = 25 * time.Millisecond
+	eventInterval   = 15 * time.Millisecond
+	plainAnswerTime = 8 * time.Millisecond
+	copyTime        = 25 * time.Millisecond
 )
 
-// bed is a system under test.
-type bed struct {
+// testbed is a system under test.
+type testbed struct {
 	Options
 	group    *duty.Group
 	http     *http.Client
@@ -58,27 +58,27 @@
 	servers  []*server
 	recorder *recorder
 	cleanups []func()
-	// closing lets one failure domain be closed at a time: the others have to serve.
-	closing sync.Mutex
+	// closureMutex lets one failure domain be closed at a time: the others have to serve.
+	closureMutex sync.Mutex
 
 	mutex sync.Mutex
 	// config is the newest configuration; extras are the paths of routes that
 	// come and go, keys those of the spare workspace.
-	config directory.Config
-	extras []versioned
-	keys   []versioned
-	// shut is the failure domain that operators keep closed, empty for none.
-	shut api.DomainName
+	config      directory.Config
+	extraRoutes []versioned
+	spareKeys   []versioned
+	// closedDomain is the failure domain that operators keep closed, empty for none.
+	closedDomain api.DomainName
 }
 
-// newBed starts a system; the clean-up ends all of it.
-func newBed(ctx context.Context, o Options, s Size) (*bed, func(), error) {
+// newTestbed starts a system; the clean-up ends all of it.
+func newTestbed(ctx context.Context, o Options, s Size) (*testbed, func(), error) {
 	g, end := duty.New(context.WithoutCancel(ctx))
 	c, closer := wire.NewClient(time.Second, false)
 	store := hosted.NewStore(o.Wire)
-	b := &bed{
+	b := &testbed{
 		Options: o, group: g, http: c, store: store, recorder: newRecorder(),
-		fleet: hosted.NewFleet(store, hosted.Pace{PlainAnswer: pauseWork, EventInterval: pauseEvent, Copy: pauseCopy}),
+		fleet: hosted.NewFleet(store, hosted.Pace{PlainAnswer: plainAnswerTime, EventInterval: eventInterval, Copy: copyTime}),
 	}
 	b.cleanups = []func(){end, closer}
 	if err := b.build(s); err != nil {
@@ -89,13 +89,13 @@
 }
 
 // close ends what was started, the newest first.
-func (b *bed) close() {
+func (b *testbed) close() {
 	for i := len(b.cleanups) - 1; i >= 0; i-- {
 		b.cleanups[i]()
 	}
 }
 
-func (b *bed) build(s Size) error {
+func (b *testbed) build(s Size) error {
 	b.configure()
 	for i := range s.Engines + s.Plain {
 		x := &server{service: engines, place: i}
@@ -121,8 +121,8 @@
 		}
 		seeds = append(seeds, addresses[i][1])
 	}
-	const seedsMost = 3
-	seeds = seeds[:min(len(seeds), seedsMost)]
+	const maxSeeds = 3
+	seeds = seeds[:min(len(seeds), maxSeeds)]
 	for i, a := range addresses {
 		if err := b.addVM(i, a, seeds); err != nil {
 			return err
@@ -134,12 +134,12 @@
 // domains are the failure domains that VMs and servers are spread over.
 var domains = []api.DomainName{"hall-a", "hall-b", "hall-c"}
 
-func domain(place int) api.DomainName {
+func domainOf(place int) api.DomainName {
 	return domains[place%len(domains)]
 }
 
-// proxy makes a proxy before an address.
-func (b *bed) proxy(target string) (*proxy, error) {
+// addProxy makes a addProxy before an address.
+func (b *testbed) addProxy(target string) (*proxy, error) {
 	l, err := loopback.Listen()
 	if err != nil {
 		return nil, err
--- a/internal/soak/change.go
+++ b/internal/soak/change.go
@@ -18,14 +18,14 @@
 }
 
 // configure writes the next configuration; the mutex is not held.
-func (b *bed) configure() {
+func (b *testbed) configure() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.write()
 }
 
 // write writes the next version; the mutex is held.
-func (b *bed) write() {
+func (b *testbed) write() {
 	v := b.config.Version + 1
 	c := directory.Config{Version: v, Services: []directory.Service{
 		{Name: engines, MaxConnections: 1 << 10, Engine: &directory.Engine{Slots: slots, Memory: memory, SupportsMoves: true, SupportsBackups: true, TokensPerEvent: hosted.TokensPerEvent}},
@@ -34,13 +34,13 @@
 	c.Routes = []directory.Route{
 		newRoute(pathChat, directory.Stream, engines), newRoute(pathOrders, directory.Unsafe, plain), newRoute(pathParts, directory.Safe, plain),
 	}
-	for _, x := range b.extras {
+	for _, x := range b.extraRoutes {
 		if x.until == 0 {
 			c.Routes = append(c.Routes, newRoute(x.name, directory.Safe, plain))
 		}
 	}
 	spare := directory.Workspace{Name: spareWorkspace}
-	for _, x := range b.keys {
+	for _, x := range b.spareKeys {
 		if x.until == 0 {
 			spare.Keys = append(spare.Keys, x.name)
 		}
@@ -81,36 +81,36 @@
 const extrasMost = 3
 
 // changeRoute adds a route, and removes the oldest of several.
-func (b *bed) changeRoute() {
+func (b *testbed) changeRoute() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	v := b.config.Version + 1
 	live := 0
-	for _, x := range b.extras {
+	for _, x := range b.extraRoutes {
 		if x.until == 0 {
 			live++
 		}
 	}
 	if live >= extrasMost {
-		for i := range b.extras {
-			if b.extras[i].until == 0 {
-				b.extras[i].until = v
+		for i := range b.extraRoutes {
+			if b.extraRoutes[i].until == 0 {
+				b.extraRoutes[i].until = v
 				break
 			}
 		}
 	}
-	b.extras = append(b.extras, versioned{name: fmt.Sprint(pathExtra, len(b.extras)), from: v})
+	b.extraRoutes = append(b.extraRoutes, versioned{name: fmt.Sprint(pathExtra, len(b.extraRoutes)), from: v})
 	b.write()
 }
 
 // changeKey takes the spare workspace's key away and gives it a new one.
-func (b *bed) changeKey() {
+func (b *testbed) changeKey() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	v := b.config.Version + 1
-	if n := len(b.keys); n > 0 {
-		b.keys[n-1].until = v
+	if n := len(b.spareKeys); n > 0 {
+		b.spareKeys[n-1].until = v
 	}
-	b.keys = append(b.keys, versioned{name: fmt.Sprint("spare-key-", len(b.keys)), from: v})
+	b.spareKeys = append(b.spareKeys, versioned{name: fmt.Sprint("spare-key-", len(b.spareKeys)), from: v})
 	b.write()
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -63,7 +63,7 @@
 	leaveTime = 4 * time.Second
 	// closedTime is how long after it was closed a failure domain may still get new
 	// requests.
-	closedTime = closeTime
+	closedTime = closureDelay
 	// forceTime is the same for a configuration: 2 s are allowed.
 	forceTime = 4 * time.Second
 	// goneTime is how long a server may work on for a caller that has left.
--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -11,10 +11,10 @@
 )
 
 // closeDomain closes the failure domain of a server to new work for a time.
-func (b *bed) closeDomain(ctx context.Context, s *server, d time.Duration) {
-	n := domain(s.place)
-	b.closing.Lock()
-	defer b.closing.Unlock()
+func (b *testbed) closeDomain(ctx context.Context, s *server, d time.Duration) {
+	n := domainOf(s.place)
+	b.closureMutex.Lock()
+	defer b.closureMutex.Unlock()
 	b.shutting(n)
 	b.failed(b.store.CloseDomain(n))
 	at := time.Now()
@@ -32,14 +32,14 @@
 }
 
 // shutting notes which failure domain operators keep closed, empty for none.
-func (b *bed) shutting(n api.DomainName) {
+func (b *testbed) shutting(n api.DomainName) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.shut = n
+	b.closedDomain = n
 }
 
 // rebirth ends a server without notice and starts it again at once under its name.
-func (b *bed) rebirth(s *server) {
+func (b *testbed) rebirth(s *server) {
 	x, _ := s.current()
 	x.Crash()
 	b.failed(b.begin(s, x, sameName))
@@ -47,7 +47,7 @@
 
 // foreignEntry writes an entry that no server can have written, beside those that hold:
 // it names the address of a server that is there.
-func (b *bed) foreignEntry(s *server) {
+func (b *testbed) foreignEntry(s *server) {
 	x, _ := s.current()
 	e, err := b.Wire.EncodeServer(x.Server)
 	if err != nil {
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -33,7 +33,7 @@
 }{{pathChat, directory.Stream}, {pathOrders, directory.Unsafe}, {pathParts, directory.Safe}}
 
 // comeBack sends a request that crashes servers again and again, to any entry VM.
-func (b *bed) comeBack(ctx context.Context, f Fault) {
+func (b *testbed) comeBack(ctx context.Context, f Fault) {
 	body := fmt.Sprintf("deadly %d %d", f.At, f.Target)
 	b.fleet.CrashOnBody(body, b.crashed)
 	d := &net.Dialer{Timeout: time.Second}
@@ -61,7 +61,7 @@
 }
 
 // crashed takes a server that a deadly request has crashed; another one takes its place.
-func (b *bed) crashed(x *hosted.Server, body string) {
+func (b *testbed) crashed(x *hosted.Server, body string) {
 	for _, s := range b.servers {
 		if live, _ := s.current(); live != x {
 			continue
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -13,14 +13,14 @@
 
 // restore has the store come back from a copy of so long before. Then servers and operators
 // write again; entries of servers that ended meanwhile lapse.
-func (b *bed) restore(ctx context.Context, d time.Duration) {
+func (b *testbed) restore(ctx context.Context, d time.Duration) {
 	c := b.store.Backup()
 	duty.Sleep(ctx, d)
 	b.store.Restore(c)
 	duty.Sleep(ctx, rewriteTime)
 	b.mutex.Lock()
 	b.failed(b.store.WriteConfig(b.config))
-	closed := b.shut
+	closed := b.closedDomain
 	b.mutex.Unlock()
 	if closed != "" {
 		b.failed(b.store.CloseDomain(closed))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -45,7 +45,7 @@
 	if err := p.Save(filepath.Join(o.Dir, "plan.json")); err != nil {
 		return Result{}, err
 	}
-	b, closer, err := newBed(ctx, o, p.Size)
+	b, closer, err := newTestbed(ctx, o, p.Size)
 	if err != nil {
 		return Result{}, err
 	}
@@ -59,7 +59,7 @@
 const startTime = 20 * time.Second
 
 // play sends traffic and brings the faults about, each at its time.
-func (b *bed) play(ctx context.Context, p Plan) {
+func (b *testbed) play(ctx context.Context, p Plan) {
 	looks, stopLooks := duty.New(ctx)
 	defer stopLooks()
 	looks.Go(b.balance)
@@ -97,7 +97,7 @@
 }
 
 // awaitReady waits until every entry VM takes callers.
-func (b *bed) awaitReady(ctx context.Context) {
+func (b *testbed) awaitReady(ctx context.Context) {
 	end := time.Now().Add(startTime)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		n := 0
@@ -116,7 +116,7 @@
 }
 
 // end closes the record.
-func (b *bed) end() Record {
+func (b *testbed) end() Record {
 	for _, v := range b.vms {
 		if v.current().died() {
 			b.fail(v.log + ": the process ended by itself")
@@ -152,7 +152,7 @@
 }
 
 // inject brings one fault about and ends it.
-func (b *bed) inject(ctx context.Context, f Fault) {
+func (b *testbed) inject(ctx context.Context, f Fault) {
 	v := b.vms[max(0, f.Target)%len(b.vms)]
 	s := b.servers[max(0, f.Target)%len(b.servers)]
 	// It is noted before it begins and, with its end, again after it.
@@ -194,7 +194,7 @@
 }
 
 // serverFault brings a fault of one server about and ends it.
-func (b *bed) serverFault(ctx context.Context, f Fault, s *server) {
+func (b *testbed) serverFault(ctx context.Context, f Fault, s *server) {
 	_, p := s.current()
 	switch f.Kind {
 	case ServerLink:
@@ -214,7 +214,7 @@
 }
 
 // signal sends a fault's signals to an entry VM's process.
-func (b *bed) signal(ctx context.Context, f Fault, v *vm) {
+func (b *testbed) signal(ctx context.Context, f Fault, v *vm) {
 	p := v.current()
 	switch f.Kind {
 	case KillVM:
@@ -222,7 +222,7 @@
 		duty.Sleep(ctx, f.For.Duration())
 		b.restart(v, p)
 	case StopVM:
-		p.stop(grace + time.Second)
+		p.stop(stopGrace + time.Second)
 		b.restart(v, p)
 	case PauseVM:
 		p.signal(syscall.SIGSTOP)
@@ -236,7 +236,7 @@
 }
 
 // awaitStarted waits until the VM's present process says that it has started.
-func (b *bed) awaitStarted(ctx context.Context, v *vm) {
+func (b *testbed) awaitStarted(ctx context.Context, v *vm) {
 	for end := time.Now().Add(startTime); time.Now().Before(end); {
 		ok, err := v.started()
 		b.failed(err)
@@ -247,7 +247,7 @@
 }
 
 // begins records that a fault is about to begin and gives its place.
-func (b *bed) begins(f Fault, v *vm, s *server) int {
+func (b *testbed) begins(f Fault, v *vm, s *server) int {
 	t := Injection{Fault: f, VM: noVM}
 	switch f.Kind {
 	case CrashServer, DarkServer, ServerLink, LeaveServer, LoseAnswers, RebirthServer:
@@ -272,23 +272,23 @@
 }
 
 // restart starts a VM whose process has ended, unless another fault has done so.
-func (b *bed) restart(v *vm, ended *process) {
+func (b *testbed) restart(v *vm, ended *process) {
 	b.failed(b.boot(v, ended))
 }
 
 // failed notes that the soak itself could not do something.
-func (b *bed) failed(err error) {
+func (b *testbed) failed(err error) {
 	if err != nil {
 		b.fail(err.Error())
 	}
 }
 
-func (b *bed) fail(what string) {
+func (b *testbed) fail(what string) {
 	b.recorder.note(func(r *Record) { r.Failures = append(r.Failures, what) })
 }
 
 // link makes a link fail for a time.
-func (b *bed) link(ctx context.Context, p *proxy, f Fault) {
+func (b *testbed) link(ctx context.Context, p *proxy, f Fault) {
 	p.set(f.Mode)
 	duty.Sleep(ctx, f.For.Duration())
 	p.set(Pass)
@@ -298,7 +298,7 @@
 const lapseTime = 1500 * time.Millisecond
 
 // crash ends a server without notice; another one takes its place.
-func (b *bed) crash(ctx context.Context, s *server, d time.Duration) {
+func (b *testbed) crash(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	x.Crash()
 	duty.Sleep(ctx, lapseTime)
@@ -308,7 +308,7 @@
 }
 
 // leave ends a server after its notice; another one takes its place.
-func (b *bed) leave(ctx context.Context, s *server, d time.Duration) {
+func (b *testbed) leave(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	notice := noticeLeast + d
 	b.failed(x.AnnounceStop(notice))
@@ -321,7 +321,7 @@
 }
 
 // lose makes a server lose answers to plain requests that it has run.
-func (b *bed) lose(ctx context.Context, s *server, d time.Duration) {
+func (b *testbed) lose(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	x.LoseAnswers(true)
 	duty.Sleep(ctx, d)
@@ -336,7 +336,7 @@
 const slowTime = 200 * time.Millisecond
 
 // storeFault makes the store fail for one VM or for all.
-func (b *bed) storeFault(ctx context.Context, f Fault, v *vm) {
+func (b *testbed) storeFault(ctx context.Context, f Fault, v *vm) {
 	l := []*vm{v}
 	if f.Target == All {
 		l = b.vms
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -37,7 +37,7 @@
 
 // begin starts the next life of a server, on an address of its own, unless
 // another one has followed the one that ended.
-func (b *bed) begin(s *server, ended *hosted.Server, n naming) error {
+func (b *testbed) begin(s *server, ended *hosted.Server, n naming) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.live != ended {
@@ -62,7 +62,7 @@
 	born := api.Birth(time.Now().UnixMilli())
 	x := roster.Server{
 		Name: roster.IncarnationName(s.id, born), ID: s.id, Born: born, Service: s.service, Address: p.address(),
-		Domain: domain(s.place), Slots: slots,
+		Domain: domainOf(s.place), Slots: slots,
 	}
 	live, end := b.fleet.StartServer(x, s.service == engines, in)
 	s.live, s.proxy = live, p
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -28,7 +28,7 @@
 
 // say lets a server say something of itself in its answers for a time. One that says that it
 // leaves does so after it.
-func (b *bed) say(ctx context.Context, f Fault, s *server) {
+func (b *testbed) say(ctx context.Context, f Fault, s *server) {
 	x, _ := s.current()
 	limit, lasts := namedLimit, f.For.Duration()
 	switch f.Kind {
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -36,7 +36,7 @@
 )
 
 // balance is the duty that asks each entry VM whether it takes callers.
-func (b *bed) balance(ctx context.Context) error {
+func (b *testbed) balance(ctx context.Context) error {
 	return duty.Loop(ctx, func() time.Duration { return lookEvery }, func(ctx context.Context) {
 		for _, v := range b.vms {
 			c, cancel := context.WithTimeout(ctx, lookEvery)
@@ -50,7 +50,7 @@
 }
 
 // choose gives an entry VM that takes callers, or any where none does.
-func (b *bed) choose(r *rand.Rand) *vm {
+func (b *testbed) choose(r *rand.Rand) *vm {
 	var l []*vm
 	for _, v := range b.vms {
 		v.mutex.Lock()
@@ -66,7 +66,7 @@
 }
 
 // call is the duty of one caller, which sends one request after the other.
-func (b *bed) call(ctx context.Context, place int, seed uint64) {
+func (b *testbed) call(ctx context.Context, place int, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, uint64(place)+2))
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
@@ -92,7 +92,7 @@
 }
 
 // next draws a caller's next request.
-func (b *bed) next(r *rand.Rand, id string) Sent {
+func (b *testbed) next(r *rand.Rand, id string) Sent {
 	s := Sent{Workspace: mainWorkspace, Call: hosted.Call{
 		ID: api.RequestID(id), Method: http.MethodPost, Host: host, Key: mainKey, Wait: callWait, Body: "body of " + id,
 	}}
@@ -114,7 +114,7 @@
 }
 
 // probe is the duty that looks which configuration an entry VM serves by.
-func (b *bed) probe(ctx context.Context, v *vm) {
+func (b *testbed) probe(ctx context.Context, v *vm) {
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
 	defer closer()
@@ -142,12 +142,12 @@
 
 // question gives the n-th question, about paths and keys by turns, or false
 // where there is nothing to ask about yet.
-func (b *bed) question(n int) (question, bool) {
+func (b *testbed) question(n int) (question, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	q := question{list: &b.extras, key: mainKey, workspace: mainWorkspace, unknown: http.StatusNotFound}
+	q := question{list: &b.extraRoutes, key: mainKey, workspace: mainWorkspace, unknown: http.StatusNotFound}
 	if n%2 == 1 {
-		q = question{list: &b.keys, path: pathParts, workspace: spareWorkspace, unknown: http.StatusUnauthorized}
+		q = question{list: &b.spareKeys, path: pathParts, workspace: spareWorkspace, unknown: http.StatusUnauthorized}
 	}
 	l := *q.list
 	if len(l) == 0 {
@@ -163,7 +163,7 @@
 }
 
 // probeOnce sends one request by a path or key that comes and goes.
-func (b *bed) probeOnce(ctx context.Context, v *vm, c *hosted.Caller, n int) {
+func (b *testbed) probeOnce(ctx context.Context, v *vm, c *hosted.Caller, n int) {
 	q, ok := b.question(n)
 	if !ok {
 		return
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -35,7 +35,7 @@
 }
 
 // addVM starts an entry VM behind its proxies.
-func (b *bed) addVM(i int, a [3]string, seeds []string) error {
+func (b *testbed) addVM(i int, a [3]string, seeds []string) error {
 	v := &vm{place: i, endpoint: b.store.NewEndpoint(), ready: a[2]}
 	name := fmt.Sprintf("vm-%d", i+1)
 	v.settings, v.log = filepath.Join(b.Dir, name+".ini"), filepath.Join(b.Dir, name+".log")
@@ -50,14 +50,14 @@
 		return nil
 	})
 	b.cleanups = append(b.cleanups, func() { _ = s.Close() })
-	if v.store, err = b.proxy(l.Addr().String()); err != nil {
+	if v.store, err = b.addProxy(l.Addr().String()); err != nil {
 		return err
 	}
-	if v.callers, err = b.proxy(a[0]); err != nil {
+	if v.callers, err = b.addProxy(a[0]); err != nil {
 		return err
 	}
 	text := fmt.Sprintf("[node]\nname = %s\ndomain = %s\nlisten = %s\ncontrol = %s\n[platform]\nwire = hosted\naddress = %s\n[gateway]\nready = %s\nseeds = %s\ngrace_s = %g\nclose_ms = %d\n",
-		name, domain(i), a[0], a[1], v.store.address(), a[2], strings.Join(seeds, ","), grace.Seconds(), closeTime.Milliseconds())
+		name, domainOf(i), a[0], a[1], v.store.address(), a[2], strings.Join(seeds, ","), stopGrace.Seconds(), closureDelay.Milliseconds())
 	if err := os.WriteFile(v.settings, []byte(text), fileMode); err != nil {
 		return fault.Wrap(fault.UnreadableFile, err, "writing settings")
 	}
@@ -68,7 +68,7 @@
 
 // boot starts a VM's process in the place of one that has ended, unless that
 // was done already.
-func (b *bed) boot(v *vm, ended *process) error {
+func (b *testbed) boot(v *vm, ended *process) error {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if v.process != ended {
