--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -23,36 +23,36 @@
 	ReloadVM   Kind = "reload-vm"
 	CallerLink Kind = "caller-link"
 	// Store faults are met by one entry VM, or by all where the target is All.
-	StoreBusy   Kind = "store-busy"
-	StoreLimit  Kind = "store-limit"
-	StoreReset  Kind = "store-reset"
-	StoreSlow   Kind = "store-slow"
-	StoreSilent Kind = "store-silent"
-	StoreForget Kind = "store-forget"
-	StoreStale  Kind = "store-stale"
+	StoreBusy        Kind = "store-busy"
+	StoreThrottle    Kind = "store-limit"
+	StoreReset       Kind = "store-reset"
+	StoreSlow        Kind = "store-slow"
+	StoreSilent      Kind = "store-silent"
+	StoreDropHistory Kind = "store-forget"
+	StoreStale       Kind = "store-stale"
 	// CrashServer resets the connections of a server, DarkServer leaves them open.
-	CrashServer Kind = "crash-server"
-	DarkServer  Kind = "dark-server"
-	LeaveServer Kind = "leave-server"
-	LoseAnswers Kind = "lose-answers"
-	ServerLink  Kind = "server-link"
-	ChangeRoute Kind = "change-route"
-	RevokeKey   Kind = "revoke-key"
+	CrashServer  Kind = "crash-server"
+	SilentServer Kind = "dark-server"
+	LeaveServer  Kind = "leave-server"
+	LoseAnswers  Kind = "lose-answers"
+	ServerLink   Kind = "server-link"
+	ChangeRoute  Kind = "change-route"
+	RevokeKey    Kind = "revoke-key"
 	// CloseDomain closes a failure domain to new work for a while, RebirthServer starts
 	// a server again under its name, and ForeignEntry is an entry of another writer.
 	CloseDomain   Kind = "close-domain"
-	RebirthServer Kind = "rebirth-server"
+	RestartServer Kind = "rebirth-server"
 	ForeignEntry  Kind = "foreign-entry"
-	// DeadlyRequest is a caller that comes again and again with a request that crashes
+	// CrashingRequest is a caller that comes again and again with a request that crashes
 	// the servers which run it.
-	DeadlyRequest Kind = "deadly-request"
+	CrashingRequest Kind = "deadly-request"
 	// StoreRestore has the store come back from a copy.
 	StoreRestore Kind = "store-restore"
-	// LimitServer names a limit, RestServer asks for rest and SayLeaving says that it leaves,
+	// SignalLimit names a limit, RestServer asks for rest and SayLeaving says that it leaves,
 	// each in its answers alone.
-	LimitServer Kind = "limit-server"
-	RestServer  Kind = "rest-server"
-	SayLeaving  Kind = "say-leaving"
+	SignalLimit   Kind = "limit-server"
+	SignalBackoff Kind = "rest-server"
+	SignalLeaving Kind = "say-leaving"
 )
 
 // widerFrom is the first seed whose plan draws from the wider kinds too: the plan of an
@@ -69,12 +69,12 @@
 const signalsFrom = 8000
 
 // signalKinds are what servers say of themselves; no request may be lost by them.
-var signalKinds = []Kind{LimitServer, RestServer, SayLeaving}
+var signalKinds = []Kind{SignalLimit, SignalBackoff, SignalLeaving}
 
 // widerPlanned and widerUnplanned are the kinds that only later seeds draw.
 var (
 	widerPlanned   = []Kind{CloseDomain, ForeignEntry}
-	widerUnplanned = []Kind{RebirthServer}
+	widerUnplanned = []Kind{RestartServer}
 )
 
 // planned are the kinds that operators bring about; no request may be lost by
@@ -83,7 +83,7 @@
 
 // unplanned are all others.
 var unplanned = []Kind{
-	KillVM, PauseVM, CallerLink, StoreBusy, StoreLimit, StoreReset, StoreSlow, StoreSilent, StoreForget, StoreStale, CrashServer, DarkServer, ServerLink, LoseAnswers,
+	KillVM, PauseVM, CallerLink, StoreBusy, StoreThrottle, StoreReset, StoreSlow, StoreSilent, StoreDropHistory, StoreStale, CrashServer, SilentServer, ServerLink, LoseAnswers,
 }
 
 // Planned reports whether operators bring the fault about.
@@ -156,7 +156,7 @@
 		plannedKinds, all = slices.Concat(planned, widerPlanned), slices.Concat(all, widerPlanned, widerUnplanned)
 	}
 	if seed >= deadlyFrom {
-		all = append(all, DeadlyRequest)
+		all = append(all, CrashingRequest)
 	}
 	if seed >= restoreFrom {
 		// Twice, as it is the youngest: what holds through it is new.
@@ -190,7 +190,7 @@
 }
 
 // storeKinds are the faults that may be met by all entry VMs at once.
-var storeKinds = map[Kind]bool{StoreBusy: true, StoreLimit: true, StoreReset: true, StoreSlow: true, StoreSilent: true, StoreStale: true}
+var storeKinds = map[Kind]bool{StoreBusy: true, StoreThrottle: true, StoreReset: true, StoreSlow: true, StoreSilent: true, StoreStale: true}
 
 // series repeats a fault twice at the next places.
 func series(f Fault, last time.Duration) []Fault {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -163,17 +163,17 @@
 		b.signal(ctx, f, v)
 	case CallerLink:
 		b.link(ctx, v.callers, f)
-	case ServerLink, DarkServer, CrashServer, LeaveServer, RebirthServer, LoseAnswers:
+	case ServerLink, SilentServer, CrashServer, LeaveServer, RestartServer, LoseAnswers:
 		b.serverFault(ctx, f, s)
-	case LimitServer, RestServer, SayLeaving:
+	case SignalLimit, SignalBackoff, SignalLeaving:
 		b.say(ctx, f, s)
 	case CloseDomain:
 		b.closeDomain(ctx, s, f.For.Duration())
 	case ForeignEntry:
 		b.foreignEntry(s)
-	case DeadlyRequest:
+	case CrashingRequest:
 		b.comeBack(ctx, f)
-	case StoreForget:
+	case StoreDropHistory:
 		b.store.DropHistory()
 	case StoreRestore:
 		b.restore(ctx, f.For.Duration())
@@ -199,14 +199,14 @@
 	switch f.Kind {
 	case ServerLink:
 		b.link(ctx, p, f)
-	case DarkServer:
+	case SilentServer:
 		p.set(Silent)
 		b.crash(ctx, s, f.For.Duration())
 	case CrashServer:
 		b.crash(ctx, s, f.For.Duration())
 	case LeaveServer:
 		b.leave(ctx, s, f.For.Duration())
-	case RebirthServer:
+	case RestartServer:
 		b.rebirth(s)
 	default:
 		b.lose(ctx, s, f.For.Duration())
@@ -250,10 +250,10 @@
 func (b *testbed) begins(f Fault, v *vm, s *server) int {
 	t := Injection{Fault: f, VM: noVM}
 	switch f.Kind {
-	case CrashServer, DarkServer, ServerLink, LeaveServer, LoseAnswers, RebirthServer:
+	case CrashServer, SilentServer, ServerLink, LeaveServer, LoseAnswers, RestartServer:
 		x, _ := s.current()
 		t.Server = x.Name
-	case ChangeRoute, RevokeKey, StoreForget, LimitServer, RestServer, SayLeaving, CloseDomain, ForeignEntry, DeadlyRequest:
+	case ChangeRoute, RevokeKey, StoreDropHistory, SignalLimit, SignalBackoff, SignalLeaving, CloseDomain, ForeignEntry, CrashingRequest:
 	default:
 		t.VM = v.place
 		if f.Target == All {
@@ -356,7 +356,7 @@
 	switch k {
 	case StoreBusy:
 		v.endpoint.SetOutcome(hosted.Busy, 0)
-	case StoreLimit:
+	case StoreThrottle:
 		v.endpoint.SetOutcome(hosted.Throttled, 0)
 	case StoreReset:
 		v.endpoint.SetOutcome(hosted.Disconnected, 0)
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -32,17 +32,17 @@
 	x, _ := s.current()
 	limit, lasts := namedLimit, f.For.Duration()
 	switch f.Kind {
-	case LimitServer:
+	case SignalLimit:
 		x.SetSignals(hosted.Signals{Limit: &limit})
 		// A limit has to hold only after some time.
 		lasts += settleTime + limitSpan
-	case RestServer:
+	case SignalBackoff:
 		x.SetSignals(hosted.Signals{Backoff: askedRest})
 	default:
 		x.SetSignals(hosted.Signals{Leaving: true})
 	}
 	duty.Sleep(ctx, lasts)
-	if f.Kind == SayLeaving {
+	if f.Kind == SignalLeaving {
 		b.leave(ctx, s, 0)
 		return
 	}
