--- a/cmd/soak.go
+++ b/cmd/soak.go
@@ -66,10 +66,10 @@
 // playPlan runs the plan of a seed, prints its result, and reports whether all properties
 // held.
 func (c *soakCommand) playPlan(e *environment, l *event.Log, seed uint64) (bool, error) {
-	p := soak.New(seed, soak.Size{VMs: c.VMs, Engines: c.Engines, Plain: c.Plain, Callers: c.Callers}, c.Length)
+	p := soak.NewPlan(seed, soak.Size{VMs: c.VMs, Engines: c.Engines, Plain: c.Plain, Callers: c.Callers}, c.Length)
 	if c.Replay != "" {
 		var err error
-		if p, err = soak.Load(c.Replay); err != nil {
+		if p, err = soak.LoadPlan(c.Replay); err != nil {
 			return false, err
 		}
 	}
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -18,7 +18,7 @@
 func TestShortSoak(t *testing.T) {
 	for _, seed := range soakSeeds {
 		o := soak.Options{Program: filepath.Join(bin, "wardridge"), Wire: standin.Wire{}, Dir: t.TempDir(), Log: event.Discard()}
-		r, err := soak.Run(t.Context(), o, soak.New(seed, soak.Usual(), 16*time.Second))
+		r, err := soak.Run(t.Context(), o, soak.NewPlan(seed, soak.DefaultSize(), 16*time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -55,40 +55,40 @@
 	SignalLeaving Kind = "say-leaving"
 )
 
-// widerFrom is the first seed whose plan draws from the wider kinds too: the plan of an
+// firstExtendedSeed is the first seed whose plan draws from the wider kinds too: the plan of an
 // earlier one stays what it was.
-const widerFrom = 3000
+const firstExtendedSeed = 3000
 
-// deadlyFrom is the first seed whose plan draws deadly requests too.
-const deadlyFrom = 6000
+// firstCrashingSeed is the first seed whose plan draws deadly requests too.
+const firstCrashingSeed = 6000
 
-// restoreFrom is the first seed whose plan draws restores of the store too.
-const restoreFrom = 7000
+// firstRestoreSeed is the first seed whose plan draws restores of the store too.
+const firstRestoreSeed = 7000
 
-// signalsFrom is the first seed whose plan draws what servers say in their answers too.
-const signalsFrom = 8000
+// firstSignalSeed is the first seed whose plan draws what servers say in their answers too.
+const firstSignalSeed = 8000
 
 // signalKinds are what servers say of themselves; no request may be lost by them.
 var signalKinds = []Kind{SignalLimit, SignalBackoff, SignalLeaving}
 
-// widerPlanned and widerUnplanned are the kinds that only later seeds draw.
+// extendedPlannedKinds and extendedUnplannedKinds are the kinds that only later seeds draw.
 var (
-	widerPlanned   = []Kind{CloseDomain, ForeignEntry}
-	widerUnplanned = []Kind{RestartServer}
+	extendedPlannedKinds   = []Kind{CloseDomain, ForeignEntry}
+	extendedUnplannedKinds = []Kind{RestartServer}
 )
 
-// planned are the kinds that operators bring about; no request may be lost by
+// basePlannedKinds are the kinds that operators bring about; no request may be lost by
 // them.
-var planned = []Kind{StopVM, ReloadVM, LeaveServer, ChangeRoute, RevokeKey}
+var basePlannedKinds = []Kind{StopVM, ReloadVM, LeaveServer, ChangeRoute, RevokeKey}
 
-// unplanned are all others.
-var unplanned = []Kind{
+// baseUnplannedKinds are all others.
+var baseUnplannedKinds = []Kind{
 	KillVM, PauseVM, CallerLink, StoreBusy, StoreThrottle, StoreReset, StoreSlow, StoreSilent, StoreDropHistory, StoreStale, CrashServer, SilentServer, ServerLink, LoseAnswers,
 }
 
 // Planned reports whether operators bring the fault about.
 func (k Kind) Planned() bool {
-	return slices.Contains(planned, k) || slices.Contains(widerPlanned, k) || slices.Contains(signalKinds, k)
+	return slices.Contains(basePlannedKinds, k) || slices.Contains(extendedPlannedKinds, k) || slices.Contains(signalKinds, k)
 }
 
 // All is the target of faults that every entry VM meets.
@@ -113,9 +113,9 @@
 	Callers int `json:"callers"`
 }
 
-// Usual is the size of a usual soak: small enough for every machine, with a VM
+// DefaultSize is the size of a usual soak: small enough for every machine, with a VM
 // and an engine to spare in each failure domain.
-func Usual() Size {
+func DefaultSize() Size {
 	return Size{VMs: 4, Engines: 5, Plain: 3, Callers: 24}
 }
 
@@ -128,53 +128,53 @@
 }
 
 const (
-	// faultEvery is the mean pause between the beginnings of faults; most last
+	// meanFaultInterval is the mean pause between the beginnings of faults; most last
 	// longer, so that they overlap.
-	faultEvery = 1200 * time.Millisecond
-	// faultLeast and faultMost bound how long a fault lasts: from below what the
+	meanFaultInterval = 1200 * time.Millisecond
+	// minFaultLength and faultMost bound how long a fault lasts: from below what the
 	// entry VMs notice to several times the time in which changes are in force.
-	faultLeast = 300 * time.Millisecond
-	faultMost  = 5 * time.Second
-	// calmFirst is without faults, so that the system is up, and calmLast, so
+	minFaultLength = 300 * time.Millisecond
+	maxFaultLength = 5 * time.Second
+	// initialCalm is without faults, so that the system is up, and calmLast, so
 	// that it can be seen to serve again.
-	calmFirst = 2 * time.Second
-	calmLast  = 9 * time.Second
+	initialCalm = 2 * time.Second
+	finalCalm   = 9 * time.Second
 	// seriesChance is how often a fault comes again twice at once.
-	seriesChance = 0.3
-	seriesPause  = 700 * time.Millisecond
+	seriesChance   = 0.3
+	seriesInterval = 700 * time.Millisecond
 	// plannedShare is the share of seeds with planned work alone, in which no
 	// request may be lost.
 	plannedShare = 0.3
 )
 
-// New draws the plan of a seed.
-func New(seed uint64, s Size, length time.Duration) Plan {
+// NewPlan draws the plan of a seed.
+func NewPlan(seed uint64, s Size, length time.Duration) Plan {
 	r := rand.New(rand.NewPCG(seed, 1))
-	p := Plan{Seed: seed, Size: s, Length: milliseconds(length)}
-	plannedKinds, all := planned, slices.Concat(planned, unplanned)
-	if seed >= widerFrom {
-		plannedKinds, all = slices.Concat(planned, widerPlanned), slices.Concat(all, widerPlanned, widerUnplanned)
+	p := Plan{Seed: seed, Size: s, Length: toMilliseconds(length)}
+	plannedKinds, all := basePlannedKinds, slices.Concat(basePlannedKinds, baseUnplannedKinds)
+	if seed >= firstExtendedSeed {
+		plannedKinds, all = slices.Concat(basePlannedKinds, extendedPlannedKinds), slices.Concat(all, extendedPlannedKinds, extendedUnplannedKinds)
 	}
-	if seed >= deadlyFrom {
+	if seed >= firstCrashingSeed {
 		all = append(all, CrashingRequest)
 	}
-	if seed >= restoreFrom {
+	if seed >= firstRestoreSeed {
 		// Twice, as it is the youngest: what holds through it is new.
 		all = append(all, StoreRestore, StoreRestore)
 	}
-	if seed >= signalsFrom {
+	if seed >= firstSignalSeed {
 		plannedKinds, all = slices.Concat(plannedKinds, signalKinds), slices.Concat(all, signalKinds, signalKinds)
 	}
 	kinds := all
 	if r.Float64() < plannedShare {
 		kinds = plannedKinds
 	}
-	last := length - calmLast
-	for at := calmFirst; at < last; at += time.Duration(r.ExpFloat64() * float64(faultEvery)) {
-		f := Fault{Kind: kinds[r.IntN(len(kinds))], At: milliseconds(at), Target: r.IntN(1 << 16)}
-		d := faultLeast + time.Duration(r.Float64()*float64(faultMost-faultLeast))
-		f.For = milliseconds(min(d, last-at))
-		if r.Float64() < 0.5 && storeKinds[f.Kind] || f.Kind == StoreRestore {
+	last := length - finalCalm
+	for at := initialCalm; at < last; at += time.Duration(r.ExpFloat64() * float64(meanFaultInterval)) {
+		f := Fault{Kind: kinds[r.IntN(len(kinds))], At: toMilliseconds(at), Target: r.IntN(1 << 16)}
+		d := minFaultLength + time.Duration(r.Float64()*float64(maxFaultLength-minFaultLength))
+		f.For = toMilliseconds(min(d, last-at))
+		if r.Float64() < 0.5 && sharedStoreKinds[f.Kind] || f.Kind == StoreRestore {
 			f.Target = All
 		}
 		if f.Kind == CallerLink || f.Kind == ServerLink {
@@ -182,38 +182,38 @@
 		}
 		p.Faults = append(p.Faults, f)
 		if r.Float64() < seriesChance {
-			p.Faults = append(p.Faults, series(f, last)...)
+			p.Faults = append(p.Faults, repeatFault(f, last)...)
 		}
 	}
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return p
 }
 
-// storeKinds are the faults that may be met by all entry VMs at once.
-var storeKinds = map[Kind]bool{StoreBusy: true, StoreThrottle: true, StoreReset: true, StoreSlow: true, StoreSilent: true, StoreStale: true}
+// sharedStoreKinds are the faults that may be met by all entry VMs at once.
+var sharedStoreKinds = map[Kind]bool{StoreBusy: true, StoreThrottle: true, StoreReset: true, StoreSlow: true, StoreSilent: true, StoreStale: true}
 
-// series repeats a fault twice at the next places.
-func series(f Fault, last time.Duration) []Fault {
+// repeatFault repeats a fault twice at the next places.
+func repeatFault(f Fault, last time.Duration) []Fault {
 	var l []Fault
 	for i := range 2 {
 		n := f
-		n.At += milliseconds(seriesPause) * api.Milliseconds(i+1)
+		n.At += toMilliseconds(seriesInterval) * api.Milliseconds(i+1)
 		if n.Target != All {
 			n.Target += i + 1
 		}
-		if n.At+n.For < milliseconds(last) {
+		if n.At+n.For < toMilliseconds(last) {
 			l = append(l, n)
 		}
 	}
 	return l
 }
 
-func milliseconds(d time.Duration) api.Milliseconds {
+func toMilliseconds(d time.Duration) api.Milliseconds {
 	return api.Milliseconds(d.Milliseconds())
 }
 
-// Load reads a plan from a file.
-func Load(path string) (Plan, error) {
+// LoadPlan reads a plan from a file.
+func LoadPlan(path string) (Plan, error) {
 	var p Plan
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -12,11 +12,11 @@
 const length = 30 * time.Second
 
 func TestSeedDecidesThePlan(t *testing.T) {
-	a, b := soak.New(7, soak.Usual(), length), soak.New(7, soak.Usual(), length)
+	a, b := soak.NewPlan(7, soak.DefaultSize(), length), soak.NewPlan(7, soak.DefaultSize(), length)
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("same seed: got %v and %v, want the same plan", a, b)
 	}
-	if c := soak.New(8, soak.Usual(), length); reflect.DeepEqual(a.Faults, c.Faults) {
+	if c := soak.NewPlan(8, soak.DefaultSize(), length); reflect.DeepEqual(a.Faults, c.Faults) {
 		t.Error("another seed: got the same faults, want others")
 	}
 }
@@ -26,7 +26,7 @@
 	planned := 0
 	const seeds = 60
 	for seed := range uint64(seeds) {
-		p := soak.New(seed, soak.Usual(), length)
+		p := soak.NewPlan(seed, soak.DefaultSize(), length)
 		all := true
 		for _, f := range p.Faults {
 			kinds[f.Kind] = true
@@ -48,16 +48,16 @@
 }
 
 func TestPlanIsReadBack(t *testing.T) {
-	want := soak.New(3, soak.Usual(), length)
+	want := soak.NewPlan(3, soak.DefaultSize(), length)
 	f := filepath.Join(t.TempDir(), "plan.json")
 	if err := want.Save(f); err != nil {
 		t.Fatal(err)
 	}
-	got, err := soak.Load(f)
+	got, err := soak.LoadPlan(f)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, %v, want %v", got, err, want)
 	}
-	if _, err := soak.Load(f + "x"); err == nil {
+	if _, err := soak.LoadPlan(f + "x"); err == nil {
 		t.Error("missing file: got no error, want one")
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -92,7 +92,7 @@
 	stopFaults()
 	calm := time.Now()
 	b.recorder.note(func(r *Record) { r.Calm = calm })
-	duty.Sleep(ctx, max(calmLast, time.Until(began.Add(p.Length.Duration()))))
+	duty.Sleep(ctx, max(finalCalm, time.Until(began.Add(p.Length.Duration()))))
 	stopCalls()
 }
 
