--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -178,7 +178,7 @@
 			f.Target = All
 		}
 		if f.Kind == CallerLink || f.Kind == ServerLink {
-			f.Mode = modes[r.IntN(len(modes))]
+			f.Mode = linkFaults[r.IntN(len(linkFaults))]
 		}
 		p.Faults = append(p.Faults, f)
 		if r.Float64() < seriesChance {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -23,27 +23,27 @@
 	Delay Mode = "delay"
 	// Reset resets every connection, and each new one.
 	Reset Mode = "reset"
-	// Silent holds bytes of both directions.
-	Silent Mode = "silent"
-	// Deaf holds what clients send; Mute holds what they are answered.
-	Deaf Mode = "deaf"
-	Mute Mode = "mute"
-	// Stale holds the bytes of the connections that are open, for good, and passes
+	// HoldAll holds bytes of both directions.
+	HoldAll Mode = "silent"
+	// HoldRequests holds what clients send; Mute holds what they are answered.
+	HoldRequests Mode = "deaf"
+	HoldAnswers  Mode = "mute"
+	// HoldOpen holds the bytes of the connections that are open, for good, and passes
 	// those of new ones on.
-	Stale Mode = "stale"
+	HoldOpen Mode = "stale"
 )
 
-// modes are the faults of links.
-var modes = []Mode{Delay, Reset, Silent, Deaf, Mute, Stale}
+// linkFaults are the faults of links.
+var linkFaults = []Mode{Delay, Reset, HoldAll, HoldRequests, HoldAnswers, HoldOpen}
 
 const (
-	// delayTime is how late delayed bytes are: more than a pause between events
+	// proxyDelay is how late delayed bytes are: more than a pause between events
 	// may be, less than callers wait.
-	delayTime = 150 * time.Millisecond
-	// holdEvery is the pause between looks whether held bytes may go on.
-	holdEvery = 20 * time.Millisecond
-	// chunk is the most bytes that are passed on at once.
-	chunk = 16 << 10
+	proxyDelay = 150 * time.Millisecond
+	// pollInterval is the pause between looks whether held bytes may go on.
+	pollInterval = 20 * time.Millisecond
+	// bufferSize is the most bytes that are passed on at once.
+	bufferSize = 16 << 10
 )
 
 // proxy passes connections on to one address.
@@ -54,18 +54,18 @@
 	mutex sync.Mutex
 	mode  Mode
 	conns map[*net.TCPConn]bool
-	// stale connections carry nothing any more.
-	stale map[*net.TCPConn]bool
+	// held connections carry nothing any more.
+	held map[*net.TCPConn]bool
 }
 
 // newProxy listens on a loopback port; the clean-up cuts what is open.
 func newProxy(l net.Listener, target string) (*proxy, func()) {
 	g, end := duty.New(context.Background())
-	p := &proxy{listener: l, target: target, conns: map[*net.TCPConn]bool{}, stale: map[*net.TCPConn]bool{}}
+	p := &proxy{listener: l, target: target, conns: map[*net.TCPConn]bool{}, held: map[*net.TCPConn]bool{}}
 	loopback.Accept(g, l, func(ctx context.Context, c net.Conn) { p.serve(ctx, c.(*net.TCPConn)) })
 	return p, func() {
 		_ = l.Close()
-		p.cut()
+		p.resetAll()
 		end()
 	}
 }
@@ -74,18 +74,18 @@
 	return p.listener.Addr().String()
 }
 
-// set changes the mode.
-func (p *proxy) set(m Mode) {
+// setMode changes the mode.
+func (p *proxy) setMode(m Mode) {
 	p.mutex.Lock()
 	p.mode = m
-	if m == Stale {
+	if m == HoldOpen {
 		for c := range p.conns {
-			p.stale[c] = true
+			p.held[c] = true
 		}
 	}
 	p.mutex.Unlock()
 	if m == Reset {
-		p.cut()
+		p.resetAll()
 	}
 }
 
@@ -94,9 +94,9 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	switch {
-	case p.stale[c]:
-		return Silent
-	case p.mode == Stale:
+	case p.held[c]:
+		return HoldAll
+	case p.mode == HoldOpen:
 		// Only connections that were open at its beginning are met.
 		return Pass
 	default:
@@ -104,8 +104,8 @@
 	}
 }
 
-// cut resets every open connection.
-func (p *proxy) cut() {
+// resetAll resets every open connection.
+func (p *proxy) resetAll() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for c := range p.conns {
@@ -120,8 +120,8 @@
 	_ = c.Close()
 }
 
-// keep notes an open connection, or resets it where the proxy does so.
-func (p *proxy) keep(c *net.TCPConn) bool {
+// track notes an open connection, or resets it where the proxy does so.
+func (p *proxy) track(c *net.TCPConn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.mode == Reset {
@@ -132,19 +132,19 @@
 	return true
 }
 
-func (p *proxy) forget(c *net.TCPConn) {
+func (p *proxy) untrack(c *net.TCPConn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.conns, c)
-	delete(p.stale, c)
+	delete(p.held, c)
 }
 
 // serve joins a connection to a new one to the target.
 func (p *proxy) serve(ctx context.Context, a *net.TCPConn) {
-	if !p.keep(a) {
+	if !p.track(a) {
 		return
 	}
-	defer p.forget(a)
+	defer p.untrack(a)
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", p.target)
 	if err != nil {
@@ -152,15 +152,15 @@
 		return
 	}
 	b := c.(*net.TCPConn)
-	if !p.keep(b) {
+	if !p.track(b) {
 		reset(a)
 		return
 	}
-	defer p.forget(b)
+	defer p.untrack(b)
 	g, end := duty.New(ctx)
 	defer end()
-	g.Go(func(ctx context.Context) error { return p.pass(ctx, a, b, Deaf) })
-	g.Go(func(ctx context.Context) error { return p.pass(ctx, b, a, Mute) })
+	g.Go(func(ctx context.Context) error { return p.relay(ctx, a, b, HoldRequests) })
+	g.Go(func(ctx context.Context) error { return p.relay(ctx, b, a, HoldAnswers) })
 	// Each direction ends with its connection, which ends the other one unless it
 	// was closed in order.
 	_ = g.Wait()
@@ -168,12 +168,12 @@
 	_ = b.Close()
 }
 
-// pass copies one direction, which a mode of its own holds.
-func (p *proxy) pass(ctx context.Context, from, to *net.TCPConn, own Mode) error {
-	b := make([]byte, chunk)
+// relay copies one direction, which a mode of its own holds.
+func (p *proxy) relay(ctx context.Context, from, to *net.TCPConn, holdMode Mode) error {
+	b := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(b)
-		if !p.hold(ctx, from, own) {
+		if !p.awaitRelease(ctx, from, holdMode) {
 			return ctx.Err()
 		}
 		if _, w := to.Write(b[:n]); w != nil {
@@ -192,13 +192,13 @@
 	}
 }
 
-// hold waits while bytes are delayed or held; it reports false at the end.
-func (p *proxy) hold(ctx context.Context, from *net.TCPConn, own Mode) bool {
-	if p.modeOf(from) == Delay && !duty.Sleep(ctx, delayTime) {
+// awaitRelease waits while bytes are delayed or held; it reports false at the end.
+func (p *proxy) awaitRelease(ctx context.Context, from *net.TCPConn, holdMode Mode) bool {
+	if p.modeOf(from) == Delay && !duty.Sleep(ctx, proxyDelay) {
 		return false
 	}
-	for m := p.modeOf(from); m == Silent || m == own; m = p.modeOf(from) {
-		if !duty.Sleep(ctx, holdEvery) {
+	for m := p.modeOf(from); m == HoldAll || m == holdMode; m = p.modeOf(from) {
+		if !duty.Sleep(ctx, pollInterval) {
 			return false
 		}
 	}
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -69,8 +69,8 @@
 
 func TestProxyHoldsOpenConnectionsForGood(t *testing.T) {
 	x := newLine(t)
-	x.set(Stale)
-	x.set(Pass)
+	x.setMode(HoldOpen)
+	x.setMode(Pass)
 	x.send(t, "two\n")
 	_ = x.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	var e net.Error
@@ -91,16 +91,16 @@
 }
 
 func TestProxyHoldsAndPassesOn(t *testing.T) {
-	for _, m := range []Mode{Silent, Deaf, Mute} {
+	for _, m := range []Mode{HoldAll, HoldRequests, HoldAnswers} {
 		x := newLine(t)
-		x.set(m)
+		x.setMode(m)
 		x.send(t, "two\n")
 		_ = x.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		var e net.Error
 		if got, err := x.reader.ReadString('\n'); !errors.As(err, &e) || !e.Timeout() {
 			t.Errorf("%s: got %q, %v, want nothing yet", m, got, err)
 		}
-		x.set(Pass)
+		x.setMode(Pass)
 		_ = x.conn.SetReadDeadline(time.Time{})
 		if got, err := x.reader.ReadString('\n'); got != "two\n" {
 			t.Errorf("%s, then versioned: got %q, %v, want the line", m, got, err)
@@ -110,17 +110,17 @@
 
 func TestProxyDelays(t *testing.T) {
 	x := newLine(t)
-	x.set(Delay)
+	x.setMode(Delay)
 	began := time.Now()
 	x.send(t, "two\n")
-	if got, err := x.reader.ReadString('\n'); got != "two\n" || time.Since(began) < 2*delayTime {
+	if got, err := x.reader.ReadString('\n'); got != "two\n" || time.Since(began) < 2*proxyDelay {
 		t.Errorf("got %q, %v after %s, want the line after two delays", got, err, time.Since(began))
 	}
 }
 
 func TestProxyResets(t *testing.T) {
 	x := newLine(t)
-	x.set(Reset)
+	x.setMode(Reset)
 	if got, err := x.reader.ReadString('\n'); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("open connection: got %q, %v, want a reset", got, err)
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -111,7 +111,7 @@
 		if n == len(b.vms) {
 			return
 		}
-		duty.Sleep(ctx, holdEvery)
+		duty.Sleep(ctx, pollInterval)
 	}
 }
 
@@ -185,7 +185,7 @@
 		b.storeFault(ctx, f, v)
 	}
 	until := time.Now()
-	if f.Mode == Stale {
+	if f.Mode == HoldOpen {
 		// What is sent over the connections that were open is met for as long as it
 		// may take.
 		until = until.Add(routeTime)
@@ -200,7 +200,7 @@
 	case ServerLink:
 		b.link(ctx, p, f)
 	case SilentServer:
-		p.set(Silent)
+		p.setMode(HoldAll)
 		b.crash(ctx, s, f.For.Duration())
 	case CrashServer:
 		b.crash(ctx, s, f.For.Duration())
@@ -240,7 +240,7 @@
 	for end := time.Now().Add(startTime); time.Now().Before(end); {
 		ok, err := v.started()
 		b.failed(err)
-		if ok || err != nil || !duty.Sleep(ctx, holdEvery) {
+		if ok || err != nil || !duty.Sleep(ctx, pollInterval) {
 			return
 		}
 	}
@@ -289,9 +289,9 @@
 
 // link makes a link fail for a time.
 func (b *testbed) link(ctx context.Context, p *proxy, f Fault) {
-	p.set(f.Mode)
+	p.setMode(f.Mode)
 	duty.Sleep(ctx, f.For.Duration())
-	p.set(Pass)
+	p.setMode(Pass)
 }
 
 // lapseTime is how long the entry of a server that crashed stays.
@@ -347,7 +347,7 @@
 	duty.Sleep(ctx, f.For.Duration())
 	for _, v := range l {
 		v.endpoint.SetOutcome(hosted.Answered, 0)
-		v.store.set(Pass)
+		v.store.setMode(Pass)
 	}
 }
 
@@ -363,8 +363,8 @@
 	case StoreSlow:
 		v.endpoint.SetOutcome(hosted.Answered, slowTime)
 	case StoreStale:
-		v.store.set(Stale)
+		v.store.setMode(HoldOpen)
 	default:
-		v.store.set(Silent)
+		v.store.setMode(HoldAll)
 	}
 }
