--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -18,28 +18,28 @@
 
 // Properties.
 const (
-	Once     Property = "once"
-	NotRun   Property = "not-run"
-	Whole    Property = "whole"
-	Asked    Property = "asked"
-	Leaving  Property = "leaving"
-	Closed   Property = "closed"
-	Gone     Property = "gone"
-	Stop     Property = "planned-stop"
-	InForce  Property = "in-force"
-	NoRevert Property = "no-revert"
-	Recovery Property = "recovery"
-	Alive    Property = "alive"
-	Crashes  Property = "crashes"
-	Limit    Property = "limit"
-	Rest     Property = "rest"
+	SingleRun        Property = "once"
+	RefusedNotRun    Property = "not-run"
+	IntactAnswer     Property = "whole"
+	IntactRequest    Property = "asked"
+	LeavingServer    Property = "leaving"
+	ClosedDomain     Property = "closed"
+	CallerGone       Property = "gone"
+	PlannedWork      Property = "planned-stop"
+	ConfigInForce    Property = "in-force"
+	NoConfigRevert   Property = "no-revert"
+	Recovery         Property = "recovery"
+	ProcessAlive     Property = "alive"
+	CrashesContained Property = "crashes"
+	ServerLimit      Property = "limit"
+	ServerBackoff    Property = "rest"
 )
 
 // Timed reports whether checking the property compares times, which a machine
 // that is shared may stretch.
 func (p Property) Timed() bool {
 	switch p {
-	case Leaving, Closed, Gone, InForce, Recovery, Stop, Crashes, Limit, Rest:
+	case LeavingServer, ClosedDomain, CallerGone, ConfigInForce, Recovery, PlannedWork, CrashesContained, ServerLimit, ServerBackoff:
 		return true
 	}
 	return false
@@ -102,7 +102,7 @@
 	c.signals()
 	c.recovery()
 	for _, d := range r.Failures {
-		c.add(Alive, "", r.End, d)
+		c.add(ProcessAlive, "", r.End, d)
 	}
 	return c.found
 }
@@ -134,14 +134,14 @@
 func (c *checker) arrival(a hosted.Arrival) {
 	s, ok := c.sent[a.ID]
 	if !ok {
-		c.add(Asked, a.ID, a.At, "a server got a request that no caller sent")
+		c.add(IntactRequest, a.ID, a.At, "a server got a request that no caller sent")
 		return
 	}
 	if a.Method != s.Method || a.Target != s.Target || a.Body != s.Call.Body || a.Workspace != s.Workspace {
-		c.add(Asked, a.ID, a.At, "a request was changed on its way, or came for another workspace")
+		c.add(IntactRequest, a.ID, a.At, "a request was changed on its way, or came for another workspace")
 	}
 	if !slices.Contains(c.Services[route(s.Target)], c.Servers[a.Server]) {
-		c.add(Asked, a.ID, a.At, "no configuration sends the request to the service of "+string(a.Server))
+		c.add(IntactRequest, a.ID, a.At, "no configuration sends the request to the service of "+string(a.Server))
 	}
 	if a.Refused {
 		return
@@ -152,7 +152,7 @@
 	}
 	for _, l := range c.Leaves {
 		if l.Server == a.Server && a.At.Sub(l.At) > leaveTime && !c.disturbed(Span{l.At, a.At}, s.VM, "") {
-			c.add(Leaving, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.Server, a.At.Sub(l.At)))
+			c.add(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.Server, a.At.Sub(l.At)))
 		}
 	}
 }
@@ -162,7 +162,7 @@
 func (c *checker) closed(a hosted.Arrival, s *Sent) {
 	for _, l := range c.Closures {
 		if l.Domain == c.Domains[a.Server] && a.At.Before(l.Until) && a.At.Sub(l.From) > closedTime && !c.disturbed(Span{l.From, a.At}, s.VM, "") {
-			c.add(Closed, a.ID, a.At, fmt.Sprintf("server %s got a request %s after its domain was closed", a.Server, a.At.Sub(l.From)))
+			c.add(ClosedDomain, a.ID, a.At, fmt.Sprintf("server %s got a request %s after its domain was closed", a.Server, a.At.Sub(l.From)))
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		c.once(s, r)
 	}
 	if len(r) > 0 && s.Kind != directory.Safe && !s.Signed && saysNotRun(s.Status) {
-		c.add(NotRun, s.ID, s.Done, "refused by "+strconv.Itoa(s.Status)+", although a server ran it")
+		c.add(RefusedNotRun, s.ID, s.Done, "refused by "+strconv.Itoa(s.Status)+", although a server ran it")
 	}
 	if s.Status == http.StatusOK {
 		c.whole(s, r)
@@ -203,11 +203,11 @@
 	for i, a := range r {
 		for _, b := range r[i+1:] {
 			if a.Generation != b.Generation {
-				c.add(Once, s.ID, b.Started, fmt.Sprintf("ran at %s and again at %s", a.Server, b.Server))
+				c.add(SingleRun, s.ID, b.Started, fmt.Sprintf("ran at %s and again at %s", a.Server, b.Server))
 			}
 			both := Span{later(a.Started, b.Started), earlier(c.ended(a), c.ended(b))}
 			if both.Until.Sub(both.From) > twoTime && !c.disturbed(both, s.VM, "") {
-				c.add(Once, s.ID, b.Started, fmt.Sprintf("%s and %s worked on it together", a.Server, b.Server))
+				c.add(SingleRun, s.ID, b.Started, fmt.Sprintf("%s and %s worked on it together", a.Server, b.Server))
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 // whole checks the answer of a backend server.
 func (c *checker) whole(s *Sent, r []hosted.Run) {
 	if !s.Signed || len(r) == 0 {
-		c.add(Whole, s.ID, s.Done, "a success that no server gave")
+		c.add(IntactAnswer, s.ID, s.Done, "a success that no server gave")
 		return
 	}
 	if s.Kind == directory.Stream {
@@ -248,7 +248,7 @@
 		return
 	}
 	if !slices.ContainsFunc(r, func(x hosted.Run) bool { return s.Reply.Body == hosted.PlainBody(s.ID, x.Server) }) {
-		c.add(Whole, s.ID, s.Done, "the answer is not whole, or of another request")
+		c.add(IntactAnswer, s.ID, s.Done, "the answer is not whole, or of another request")
 	}
 }
 
@@ -256,12 +256,12 @@
 func (c *checker) events(s *Sent, r []hosted.Run) {
 	for i, e := range s.Events {
 		if want := fmt.Sprintf("%s %d %d", s.ID, r[0].Generation, i+1); e != want {
-			c.add(Whole, s.ID, s.Done, fmt.Sprintf("event %q at the place of %q", e, want))
+			c.add(IntactAnswer, s.ID, s.Done, fmt.Sprintf("event %q at the place of %q", e, want))
 			return
 		}
 	}
 	if want := int(s.Tokens) / hosted.TokensPerEvent; s.Complete && len(s.Events) != want {
-		c.add(Whole, s.ID, s.Done, fmt.Sprintf("ended after %d of %d events", len(s.Events), want))
+		c.add(IntactAnswer, s.ID, s.Done, fmt.Sprintf("ended after %d of %d events", len(s.Events), want))
 	}
 }
 
@@ -272,7 +272,7 @@
 	}
 	for _, x := range r {
 		if e := c.ended(x); e.Sub(s.Done) > goneTime && !c.disturbed(Span{s.Done, e}, s.VM, x.Server) {
-			c.add(Gone, s.ID, e, fmt.Sprintf("%s worked on for %s", x.Server, e.Sub(s.Done)))
+			c.add(CallerGone, s.ID, e, fmt.Sprintf("%s worked on for %s", x.Server, e.Sub(s.Done)))
 		}
 	}
 }
@@ -287,7 +287,7 @@
 	if s.Kind == directory.Stream {
 		what += fmt.Sprintf(", after %d of %d events", len(s.Events), int(s.Tokens)/hosted.TokensPerEvent)
 	}
-	c.add(Stop, s.ID, s.Done, what)
+	c.add(PlannedWork, s.ID, s.Done, what)
 }
 
 // versions checks what entry VMs served by.
@@ -297,12 +297,12 @@
 	for _, p := range c.Probes {
 		k := life{p.VM, p.Life}
 		if p.Until > 0 && p.Until <= least[k] {
-			c.add(NoRevert, "", p.At, fmt.Sprintf("VM %d served by a version before %d, after it had served by %d", p.VM, p.Until, least[k]))
+			c.add(NoConfigRevert, "", p.At, fmt.Sprintf("VM %d served by a version before %d, after it had served by %d", p.VM, p.Until, least[k]))
 		}
 		least[k] = max(least[k], p.From)
 		at, ok := c.Configs[p.Until]
 		if ok && p.At.Sub(at) > forceTime && !c.disturbed(Span{at, p.At}, p.VM, "") && !c.stopped(Span{at, p.At}, p.VM) {
-			c.add(InForce, "", p.At, fmt.Sprintf("VM %d served by a version before %d, %s after it was accepted", p.VM, p.Until, p.At.Sub(at)))
+			c.add(ConfigInForce, "", p.At, fmt.Sprintf("VM %d served by a version before %d, %s after it was accepted", p.VM, p.Until, p.At.Sub(at)))
 		}
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -75,38 +75,38 @@
 		{"all kept", func(*soak.Record) {}, ""},
 		{"ran twice", func(r *soak.Record) {
 			r.Runs = append(r.Runs, hosted.Run{RequestID: "o", Server: "p1", Generation: 9, Started: at(10045), Ended: at(10050)})
-		}, soak.Once},
-		{"two servers at work", func(r *soak.Record) { r.Runs[1].Ended = at(11100); r.Runs[2].Ended = at(11200) }, soak.Once},
-		{"refused although it ran", func(r *soak.Record) { r.Sent[0].Status, r.Sent[0].Signed = 503, false }, soak.NotRun},
+		}, soak.SingleRun},
+		{"two servers at work", func(r *soak.Record) { r.Runs[1].Ended = at(11100); r.Runs[2].Ended = at(11200) }, soak.SingleRun},
+		{"refused although it ran", func(r *soak.Record) { r.Sent[0].Status, r.Sent[0].Signed = 503, false }, soak.RefusedNotRun},
 		{"refused and not run", func(r *soak.Record) {
 			r.Sent[0].Status, r.Sent[0].Signed, r.Runs, r.Arrivals = 503, false, r.Runs[1:], r.Arrivals[1:]
 		}, ""},
-		{"another request's answer", func(r *soak.Record) { r.Sent[0].Reply.Body = hosted.PlainBody("x", "p1") }, soak.Whole},
-		{"answer cut short", func(r *soak.Record) { r.Sent[0].Reply.Body = "o by" }, soak.Whole},
-		{"success that no server gave", func(r *soak.Record) { r.Sent[0].Signed = false }, soak.Whole},
-		{"event missing", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 2"} }, soak.Whole},
-		{"event twice", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1", "c 2 1"} }, soak.Whole},
-		{"event of another run", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1", "c 3 2"} }, soak.Whole},
-		{"early end that looks whole", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1"} }, soak.Whole},
-		{"request of nobody", func(r *soak.Record) { r.Arrivals[0].ID = "x" }, soak.Asked},
-		{"changed body", func(r *soak.Record) { r.Arrivals[0].Body = "x" }, soak.Asked},
-		{"another workspace", func(r *soak.Record) { r.Arrivals[0].Workspace = "x" }, soak.Asked},
-		{"another service", func(r *soak.Record) { r.Arrivals[0].Server = "e1" }, soak.Asked},
-		{"new work long after the notice", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "p1", At: at(4000)}} }, soak.Leaving},
+		{"another request's answer", func(r *soak.Record) { r.Sent[0].Reply.Body = hosted.PlainBody("x", "p1") }, soak.IntactAnswer},
+		{"answer cut short", func(r *soak.Record) { r.Sent[0].Reply.Body = "o by" }, soak.IntactAnswer},
+		{"success that no server gave", func(r *soak.Record) { r.Sent[0].Signed = false }, soak.IntactAnswer},
+		{"event missing", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 2"} }, soak.IntactAnswer},
+		{"event twice", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1", "c 2 1"} }, soak.IntactAnswer},
+		{"event of another run", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1", "c 3 2"} }, soak.IntactAnswer},
+		{"early end that looks whole", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1"} }, soak.IntactAnswer},
+		{"request of nobody", func(r *soak.Record) { r.Arrivals[0].ID = "x" }, soak.IntactRequest},
+		{"changed body", func(r *soak.Record) { r.Arrivals[0].Body = "x" }, soak.IntactRequest},
+		{"another workspace", func(r *soak.Record) { r.Arrivals[0].Workspace = "x" }, soak.IntactRequest},
+		{"another service", func(r *soak.Record) { r.Arrivals[0].Server = "e1" }, soak.IntactRequest},
+		{"new work long after the notice", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "p1", At: at(4000)}} }, soak.LeavingServer},
 		{"new work just after the notice", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "p1", At: at(9000)}} }, ""},
 		{"a run that goes on elsewhere is no new work", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "e2", At: at(4000)}} }, ""},
-		{"new work in a domain closed long ago", func(r *soak.Record) { r.Closures = closures("x", 4000, 20000) }, soak.Closed},
-		{"going on from a copy there is new work", func(r *soak.Record) { r.Closures = closures("y", 4000, 20000) }, soak.Closed},
+		{"new work in a domain closed long ago", func(r *soak.Record) { r.Closures = closures("x", 4000, 20000) }, soak.ClosedDomain},
+		{"going on from a copy there is new work", func(r *soak.Record) { r.Closures = closures("y", 4000, 20000) }, soak.ClosedDomain},
 		{"new work in a domain just closed", func(r *soak.Record) { r.Closures = closures("x", 9000, 20000) }, ""},
 		{"new work in a domain that is open again", func(r *soak.Record) { r.Closures = closures("x", 1000, 9900) }, ""},
 		{"new work in another domain", func(r *soak.Record) { r.Closures = closures("z", 1000, 20000) }, ""},
 		{"work for a caller that left", func(r *soak.Record) {
 			r.Sent[1].Left, r.Sent[1].Complete, r.Runs[2].Ended = true, false, at(15000)
-		}, soak.Gone},
+		}, soak.CallerGone},
 		{"cut off by nothing but planned work", func(r *soak.Record) {
 			cut(r)
 			r.Injected = []soak.Injection{trouble(soak.StopVM, 0)}
-		}, soak.Stop},
+		}, soak.PlannedWork},
 		{"cut off by a kill", func(r *soak.Record) {
 			cut(r)
 			r.Injected = []soak.Injection{trouble(soak.KillVM, 0)}
@@ -114,18 +114,18 @@
 		{"a kill of another VM is no reason", func(r *soak.Record) {
 			cut(r)
 			r.Injected = []soak.Injection{trouble(soak.KillVM, 1)}
-		}, soak.Stop},
-		{"an older version after a newer one", func(r *soak.Record) { r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0] }, soak.NoRevert},
+		}, soak.PlannedWork},
+		{"an older version after a newer one", func(r *soak.Record) { r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0] }, soak.NoConfigRevert},
 		{"an older version in another life", func(r *soak.Record) {
 			r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0]
 			r.Probes[1].Life = 2
 		}, ""},
-		{"an old version for long", func(r *soak.Record) { r.Probes[0].At = at(13000); r.Probes[1].At = at(13500) }, soak.InForce},
+		{"an old version for long", func(r *soak.Record) { r.Probes[0].At = at(13000); r.Probes[1].At = at(13500) }, soak.ConfigInForce},
 		{"not served once calm", func(r *soak.Record) {
 			r.Sent[0].Complete, r.Sent[1].Complete = false, false
 			r.Injected = []soak.Injection{trouble(soak.KillVM, 0)}
 		}, soak.Recovery},
-		{"a process that ended by itself", func(r *soak.Record) { r.Failures = []string{"vm-1"} }, soak.Alive},
+		{"a process that ended by itself", func(r *soak.Record) { r.Failures = []string{"vm-1"} }, soak.ProcessAlive},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -160,7 +160,7 @@
 		}
 		var l []soak.Violation
 		for _, v := range soak.Check(x) {
-			if v.Property == soak.Crashes {
+			if v.Property == soak.CrashesContained {
 				l = append(l, v)
 			}
 		}
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -92,7 +92,7 @@
 		}
 		late[a.Body]++
 		if late[a.Body] == deadlyMost+1 {
-			c.add(Crashes, a.ID, a.At, fmt.Sprintf("%s reached servers %d times more, %s after its third crash; %d crashed in all", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
+			c.add(CrashesContained, a.ID, a.At, fmt.Sprintf("%s reached servers %d times more, %s after its third crash; %d crashed in all", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
 		}
 	}
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -107,7 +107,7 @@
 	within[a.Server] = append(l, a.At)
 	perSecond := *a.Signals.Limit
 	if most := int(limitFactor*perSecond*limitSpan.Seconds()) + limitSlack; len(within[a.Server]) > most {
-		c.add(Limit, a.ID, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.Server, perSecond, len(within[a.Server]), limitSpan))
+		c.add(ServerLimit, a.ID, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.Server, perSecond, len(within[a.Server]), limitSpan))
 	}
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	if ok && a.ResumeFrom == "" && a.At.Sub(t) > leaveTime && !c.excused(t, a, k) {
-		c.add(Leaving, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after it had told the entry VM that it leaves", a.Server, a.At.Sub(t)))
+		c.add(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after it had told the entry VM that it leaves", a.Server, a.At.Sub(t)))
 	}
 }
 
@@ -139,6 +139,6 @@
 	}
 	asked[k] = append(l, a.At)
 	if n := len(l); n > restMost {
-		c.add(Rest, a.ID, a.At, fmt.Sprintf("server %s had asked VM %d for rest, and got %d requests of it", a.Server, k.vm, n))
+		c.add(ServerBackoff, a.ID, a.At, fmt.Sprintf("server %s had asked VM %d for rest, and got %d requests of it", a.Server, k.vm, n))
 	}
 }
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -35,21 +35,21 @@
 		want   soak.Property
 	}{
 		{"within the limit", func(r *soak.Record) { arrivals(r, 0, 9000, 300, 30, limit) }, ""},
-		{"beyond the limit", func(r *soak.Record) { arrivals(r, 0, 9000, 100, 90, limit) }, soak.Limit},
+		{"beyond the limit", func(r *soak.Record) { arrivals(r, 0, 9000, 100, 90, limit) }, soak.ServerLimit},
 		{"beyond the limit at first", func(r *soak.Record) { arrivals(r, 0, 9000, 100, 29, limit) }, ""},
 		{"beyond the limit together", func(r *soak.Record) {
 			for vm := range 4 {
 				arrivals(r, vm, 9000, 400, 20, limit)
 			}
-		}, soak.Limit},
+		}, soak.ServerLimit},
 		{"rest that is kept", func(r *soak.Record) { arrivals(r, 0, 11000, 2100, 3, rest) }, ""},
-		{"rest that is not kept", func(r *soak.Record) { arrivals(r, 0, 11000, 300, 6, rest) }, soak.Rest},
+		{"rest that is not kept", func(r *soak.Record) { arrivals(r, 0, 11000, 300, 6, rest) }, soak.ServerBackoff},
 		{"rest asked of others", func(r *soak.Record) {
 			for vm := range 6 {
 				arrivals(r, vm, 11000+200*vm, 2100, 2, rest)
 			}
 		}, ""},
-		{"after a word of a leave", func(r *soak.Record) { arrivals(r, 0, 9000, 4500, 2, leaving) }, soak.Leaving},
+		{"after a word of a leave", func(r *soak.Record) { arrivals(r, 0, 9000, 4500, 2, leaving) }, soak.LeavingServer},
 		{"after a word of a leave, at another VM", func(r *soak.Record) {
 			arrivals(r, 0, 9000, 0, 1, leaving)
 			arrivals(r, 1, 14000, 0, 1, leaving)
