--- a/internal/soak/change.go
+++ b/internal/soak/change.go
@@ -52,11 +52,11 @@
 	}
 	b.config = c
 	now := time.Now()
-	b.recorder.note(func(r *Record) {
-		r.Configs[v] = now
+	b.recorder.update(func(r *Record) {
+		r.ConfigTimes[v] = now
 		for _, x := range c.Routes {
 			p := strings.Trim(x.Prefix, "/")
-			r.Services[p] = append(r.Services[p], x.Targets[0].Service)
+			r.PathServices[p] = append(r.PathServices[p], x.Targets[0].Service)
 		}
 	})
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -77,16 +77,16 @@
 // checker holds what checking looks things up in.
 type checker struct {
 	Record
-	sent  map[api.RequestID]*Sent
+	sent  map[api.RequestID]*SentRequest
 	runs  map[api.RequestID][]hosted.Run
 	found []Violation
 }
 
 // Check gives the properties that a record shows broken.
 func Check(r Record) []Violation {
-	c := &checker{Record: r, sent: map[api.RequestID]*Sent{}, runs: map[api.RequestID][]hosted.Run{}}
-	for i := range r.Sent {
-		c.sent[r.Sent[i].ID] = &r.Sent[i]
+	c := &checker{Record: r, sent: map[api.RequestID]*SentRequest{}, runs: map[api.RequestID][]hosted.Run{}}
+	for i := range r.Requests {
+		c.sent[r.Requests[i].ID] = &r.Requests[i]
 	}
 	for _, x := range r.Runs {
 		c.runs[x.RequestID] = append(c.runs[x.RequestID], x)
@@ -94,8 +94,8 @@
 	for _, a := range r.Arrivals {
 		c.arrival(a)
 	}
-	for i := range r.Sent {
-		c.reply(&r.Sent[i])
+	for i := range r.Requests {
+		c.reply(&r.Requests[i])
 	}
 	c.versions()
 	c.crashes()
@@ -115,7 +115,7 @@
 // span or shortly before it.
 func (c *checker) disturbed(s Span, vm int, server api.ServerName) bool {
 	s.From = s.From.Add(-settleTime)
-	return slices.ContainsFunc(c.Injected, func(t Injection) bool {
+	return slices.ContainsFunc(c.Injections, func(t Injection) bool {
 		met := t.VM == All || t.VM == vm || t.Server != "" && (server == "" || t.Server == server)
 		return met && !t.Kind.Planned() && t.overlaps(s)
 	})
@@ -125,7 +125,7 @@
 // shortly before it.
 func (c *checker) stopped(s Span, vm int) bool {
 	s.From = s.From.Add(-settleTime)
-	return slices.ContainsFunc(c.Injected, func(t Injection) bool {
+	return slices.ContainsFunc(c.Injections, func(t Injection) bool {
 		return t.VM == vm && t.Kind == StopVM && t.overlaps(s)
 	})
 }
@@ -140,7 +140,7 @@
 	if a.Method != s.Method || a.Target != s.Target || a.Body != s.Call.Body || a.Workspace != s.Workspace {
 		c.add(IntactRequest, a.ID, a.At, "a request was changed on its way, or came for another workspace")
 	}
-	if !slices.Contains(c.Services[route(s.Target)], c.Servers[a.Server]) {
+	if !slices.Contains(c.PathServices[route(s.Target)], c.ServerServices[a.Server]) {
 		c.add(IntactRequest, a.ID, a.At, "no configuration sends the request to the service of "+string(a.Server))
 	}
 	if a.Refused {
@@ -150,7 +150,7 @@
 	if a.ResumeFrom != "" {
 		return
 	}
-	for _, l := range c.Leaves {
+	for _, l := range c.LeaveNotices {
 		if l.Server == a.Server && a.At.Sub(l.At) > leaveTime && !c.disturbed(Span{l.At, a.At}, s.VM, "") {
 			c.add(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.Server, a.At.Sub(l.At)))
 		}
@@ -159,9 +159,9 @@
 
 // closed checks that nothing new came to a failure domain that was closed; to go on
 // from a copy there is new as well.
-func (c *checker) closed(a hosted.Arrival, s *Sent) {
+func (c *checker) closed(a hosted.Arrival, s *SentRequest) {
 	for _, l := range c.Closures {
-		if l.Domain == c.Domains[a.Server] && a.At.Before(l.Until) && a.At.Sub(l.From) > closedTime && !c.disturbed(Span{l.From, a.At}, s.VM, "") {
+		if l.Domain == c.ServerDomains[a.Server] && a.At.Before(l.Until) && a.At.Sub(l.From) > closedTime && !c.disturbed(Span{l.From, a.At}, s.VM, "") {
 			c.add(ClosedDomain, a.ID, a.At, fmt.Sprintf("server %s got a request %s after its domain was closed", a.Server, a.At.Sub(l.From)))
 		}
 	}
@@ -174,7 +174,7 @@
 }
 
 // reply checks what a caller saw.
-func (c *checker) reply(s *Sent) {
+func (c *checker) reply(s *SentRequest) {
 	r := c.runs[s.ID]
 	if s.Kind != directory.Safe {
 		c.once(s, r)
@@ -199,7 +199,7 @@
 }
 
 // once checks that a request ran as one generation, at one server at a time.
-func (c *checker) once(s *Sent, r []hosted.Run) {
+func (c *checker) once(s *SentRequest, r []hosted.Run) {
 	for i, a := range r {
 		for _, b := range r[i+1:] {
 			if a.Generation != b.Generation {
@@ -235,7 +235,7 @@
 }
 
 // whole checks the answer of a backend server.
-func (c *checker) whole(s *Sent, r []hosted.Run) {
+func (c *checker) whole(s *SentRequest, r []hosted.Run) {
 	if !s.Signed || len(r) == 0 {
 		c.add(IntactAnswer, s.ID, s.Done, "a success that no server gave")
 		return
@@ -253,7 +253,7 @@
 }
 
 // events checks a stream: every event once, in order, of one generation.
-func (c *checker) events(s *Sent, r []hosted.Run) {
+func (c *checker) events(s *SentRequest, r []hosted.Run) {
 	for i, e := range s.Events {
 		if want := fmt.Sprintf("%s %d %d", s.ID, r[0].Generation, i+1); e != want {
 			c.add(IntactAnswer, s.ID, s.Done, fmt.Sprintf("event %q at the place of %q", e, want))
@@ -266,7 +266,7 @@
 }
 
 // gone checks that servers stop their work for callers that left.
-func (c *checker) gone(s *Sent, r []hosted.Run) {
+func (c *checker) gone(s *SentRequest, r []hosted.Run) {
 	if !s.Left {
 		return
 	}
@@ -278,7 +278,7 @@
 }
 
 // cut checks that planned work cuts no request off.
-func (c *checker) cut(s *Sent, r []hosted.Run) {
+func (c *checker) cut(s *SentRequest, r []hosted.Run) {
 	served := s.Left || s.Complete && (s.Status == http.StatusOK || saysNotRun(s.Status))
 	if served || len(r) == 0 || c.disturbed(Span{s.At, s.Done}, s.VM, "") {
 		return
@@ -295,12 +295,12 @@
 	type life struct{ vm, life int }
 	least := map[life]int64{}
 	for _, p := range c.Probes {
-		k := life{p.VM, p.Life}
+		k := life{p.VM, p.Incarnation}
 		if p.Until > 0 && p.Until <= least[k] {
 			c.add(NoConfigRevert, "", p.At, fmt.Sprintf("VM %d served by a version before %d, after it had served by %d", p.VM, p.Until, least[k]))
 		}
-		least[k] = max(least[k], p.From)
-		at, ok := c.Configs[p.Until]
+		least[k] = max(least[k], p.FromVersion)
+		at, ok := c.ConfigTimes[p.Until]
 		if ok && p.At.Sub(at) > forceTime && !c.disturbed(Span{at, p.At}, p.VM, "") && !c.stopped(Span{at, p.At}, p.VM) {
 			c.add(ConfigInForce, "", p.At, fmt.Sprintf("VM %d served by a version before %d, %s after it was accepted", p.VM, p.Until, p.At.Sub(at)))
 		}
@@ -310,8 +310,8 @@
 // recovery checks that requests are served once all is calm.
 func (c *checker) recovery() {
 	n, whole := 0, 0
-	for _, s := range c.Sent {
-		if s.At.Sub(c.Calm) < settleTime {
+	for _, s := range c.Requests {
+		if s.At.Sub(c.CalmSince) < settleTime {
 			continue
 		}
 		n++
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -20,19 +20,19 @@
 // good is a record of one order, one stream that moved, and one look, in which
 // every property was kept.
 func good() soak.Record {
-	order := soak.Sent{
+	order := soak.SentRequest{
 		Call:  hosted.Call{ID: "o", Method: "POST", Target: "/orders/o", Body: "b"},
 		Reply: hosted.Reply{Head: hosted.Head{Status: 200, Signed: true}, Complete: true, Body: hosted.PlainBody("o", "p1")},
 		Kind:  directory.Unsafe, Workspace: "main", At: at(10000), Done: at(10050),
 	}
-	chat := soak.Sent{
+	chat := soak.SentRequest{
 		Call:  hosted.Call{ID: "c", Method: "POST", Target: "/chat/c", Tokens: 2 * hosted.TokensPerEvent},
 		Reply: hosted.Reply{Head: hosted.Head{Status: 200, Signed: true}, Complete: true, Events: []string{"c 2 1", "c 2 2"}},
 		Kind:  directory.Stream, Workspace: "main", At: at(10000), Done: at(10900),
 	}
 	return soak.Record{
-		Sent:   []soak.Sent{order, chat},
-		Probes: []soak.Probe{{VM: 0, Life: 1, At: at(9000), From: 1, Until: 2}, {VM: 0, Life: 1, At: at(10000), From: 2}},
+		Requests: []soak.SentRequest{order, chat},
+		Probes:   []soak.Probe{{VM: 0, Incarnation: 1, At: at(9000), FromVersion: 1, Until: 2}, {VM: 0, Incarnation: 1, At: at(10000), FromVersion: 2}},
 		Arrivals: []hosted.Arrival{
 			{At: at(10010), Server: "p1", Request: hosted.Request{ID: "o", Method: "POST", Target: "/orders/o", Body: "b", Workspace: "main"}},
 			{At: at(10010), Server: "e1", Request: hosted.Request{ID: "c", Method: "POST", Target: "/chat/c", Workspace: "main"}},
@@ -43,11 +43,11 @@
 			{RequestID: "c", Server: "e1", Generation: 2, Started: at(10010), Ended: at(10480)},
 			{RequestID: "c", Server: "e2", Generation: 2, Started: at(10500), Ended: at(10890)},
 		},
-		Configs:  map[int64]time.Time{1: at(0), 2: at(8500)},
-		Services: map[string][]api.ServiceName{"orders": {"plain"}, "chat": {"engines"}},
-		Servers:  map[api.ServerName]api.ServiceName{"p1": "plain", "e1": "engines", "e2": "engines"},
-		Domains:  map[api.ServerName]api.DomainName{"p1": "x", "e1": "x", "e2": "y"},
-		Calm:     at(5000), End: at(20000),
+		ConfigTimes:    map[int64]time.Time{1: at(0), 2: at(8500)},
+		PathServices:   map[string][]api.ServiceName{"orders": {"plain"}, "chat": {"engines"}},
+		ServerServices: map[api.ServerName]api.ServiceName{"p1": "plain", "e1": "engines", "e2": "engines"},
+		ServerDomains:  map[api.ServerName]api.DomainName{"p1": "x", "e1": "x", "e2": "y"},
+		CalmSince:      at(5000), End: at(20000),
 	}
 }
 
@@ -58,10 +58,10 @@
 
 func TestCheck(t *testing.T) {
 	cut := func(r *soak.Record) {
-		r.Sent[1].Complete, r.Sent[1].Events = false, r.Sent[1].Events[:1]
+		r.Requests[1].Complete, r.Requests[1].Events = false, r.Requests[1].Events[:1]
 		for range 20 {
 			// Enough others are served for the recovery not to be in doubt.
-			r.Sent = append(r.Sent, soak.Sent{Call: hosted.Call{ID: "l"}, Reply: hosted.Reply{Left: true}, Kind: directory.Safe, At: at(12000), Done: at(12001)})
+			r.Requests = append(r.Requests, soak.SentRequest{Call: hosted.Call{ID: "l"}, Reply: hosted.Reply{Left: true}, Kind: directory.Safe, At: at(12000), Done: at(12001)})
 		}
 	}
 	trouble := func(k soak.Kind, vm int) soak.Injection {
@@ -77,53 +77,53 @@
 			r.Runs = append(r.Runs, hosted.Run{RequestID: "o", Server: "p1", Generation: 9, Started: at(10045), Ended: at(10050)})
 		}, soak.SingleRun},
 		{"two servers at work", func(r *soak.Record) { r.Runs[1].Ended = at(11100); r.Runs[2].Ended = at(11200) }, soak.SingleRun},
-		{"refused although it ran", func(r *soak.Record) { r.Sent[0].Status, r.Sent[0].Signed = 503, false }, soak.RefusedNotRun},
+		{"refused although it ran", func(r *soak.Record) { r.Requests[0].Status, r.Requests[0].Signed = 503, false }, soak.RefusedNotRun},
 		{"refused and not run", func(r *soak.Record) {
-			r.Sent[0].Status, r.Sent[0].Signed, r.Runs, r.Arrivals = 503, false, r.Runs[1:], r.Arrivals[1:]
+			r.Requests[0].Status, r.Requests[0].Signed, r.Runs, r.Arrivals = 503, false, r.Runs[1:], r.Arrivals[1:]
 		}, ""},
-		{"another request's answer", func(r *soak.Record) { r.Sent[0].Reply.Body = hosted.PlainBody("x", "p1") }, soak.IntactAnswer},
-		{"answer cut short", func(r *soak.Record) { r.Sent[0].Reply.Body = "o by" }, soak.IntactAnswer},
-		{"success that no server gave", func(r *soak.Record) { r.Sent[0].Signed = false }, soak.IntactAnswer},
-		{"event missing", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 2"} }, soak.IntactAnswer},
-		{"event twice", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1", "c 2 1"} }, soak.IntactAnswer},
-		{"event of another run", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1", "c 3 2"} }, soak.IntactAnswer},
-		{"early end that looks whole", func(r *soak.Record) { r.Sent[1].Events = []string{"c 2 1"} }, soak.IntactAnswer},
+		{"another request's answer", func(r *soak.Record) { r.Requests[0].Reply.Body = hosted.PlainBody("x", "p1") }, soak.IntactAnswer},
+		{"answer cut short", func(r *soak.Record) { r.Requests[0].Reply.Body = "o by" }, soak.IntactAnswer},
+		{"success that no server gave", func(r *soak.Record) { r.Requests[0].Signed = false }, soak.IntactAnswer},
+		{"event missing", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 2"} }, soak.IntactAnswer},
+		{"event twice", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 1", "c 2 1"} }, soak.IntactAnswer},
+		{"event of another run", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 1", "c 3 2"} }, soak.IntactAnswer},
+		{"early end that looks whole", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 1"} }, soak.IntactAnswer},
 		{"request of nobody", func(r *soak.Record) { r.Arrivals[0].ID = "x" }, soak.IntactRequest},
 		{"changed body", func(r *soak.Record) { r.Arrivals[0].Body = "x" }, soak.IntactRequest},
 		{"another workspace", func(r *soak.Record) { r.Arrivals[0].Workspace = "x" }, soak.IntactRequest},
 		{"another service", func(r *soak.Record) { r.Arrivals[0].Server = "e1" }, soak.IntactRequest},
-		{"new work long after the notice", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "p1", At: at(4000)}} }, soak.LeavingServer},
-		{"new work just after the notice", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "p1", At: at(9000)}} }, ""},
-		{"a run that goes on elsewhere is no new work", func(r *soak.Record) { r.Leaves = []soak.Leave{{Server: "e2", At: at(4000)}} }, ""},
+		{"new work long after the notice", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "p1", At: at(4000)}} }, soak.LeavingServer},
+		{"new work just after the notice", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "p1", At: at(9000)}} }, ""},
+		{"a run that goes on elsewhere is no new work", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "e2", At: at(4000)}} }, ""},
 		{"new work in a domain closed long ago", func(r *soak.Record) { r.Closures = closures("x", 4000, 20000) }, soak.ClosedDomain},
 		{"going on from a copy there is new work", func(r *soak.Record) { r.Closures = closures("y", 4000, 20000) }, soak.ClosedDomain},
 		{"new work in a domain just closed", func(r *soak.Record) { r.Closures = closures("x", 9000, 20000) }, ""},
 		{"new work in a domain that is open again", func(r *soak.Record) { r.Closures = closures("x", 1000, 9900) }, ""},
 		{"new work in another domain", func(r *soak.Record) { r.Closures = closures("z", 1000, 20000) }, ""},
 		{"work for a caller that left", func(r *soak.Record) {
-			r.Sent[1].Left, r.Sent[1].Complete, r.Runs[2].Ended = true, false, at(15000)
+			r.Requests[1].Left, r.Requests[1].Complete, r.Runs[2].Ended = true, false, at(15000)
 		}, soak.CallerGone},
 		{"cut off by nothing but planned work", func(r *soak.Record) {
 			cut(r)
-			r.Injected = []soak.Injection{trouble(soak.StopVM, 0)}
+			r.Injections = []soak.Injection{trouble(soak.StopVM, 0)}
 		}, soak.PlannedWork},
 		{"cut off by a kill", func(r *soak.Record) {
 			cut(r)
-			r.Injected = []soak.Injection{trouble(soak.KillVM, 0)}
+			r.Injections = []soak.Injection{trouble(soak.KillVM, 0)}
 		}, ""},
 		{"a kill of another VM is no reason", func(r *soak.Record) {
 			cut(r)
-			r.Injected = []soak.Injection{trouble(soak.KillVM, 1)}
+			r.Injections = []soak.Injection{trouble(soak.KillVM, 1)}
 		}, soak.PlannedWork},
 		{"an older version after a newer one", func(r *soak.Record) { r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0] }, soak.NoConfigRevert},
 		{"an older version in another life", func(r *soak.Record) {
 			r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0]
-			r.Probes[1].Life = 2
+			r.Probes[1].Incarnation = 2
 		}, ""},
 		{"an old version for long", func(r *soak.Record) { r.Probes[0].At = at(13000); r.Probes[1].At = at(13500) }, soak.ConfigInForce},
 		{"not served once calm", func(r *soak.Record) {
-			r.Sent[0].Complete, r.Sent[1].Complete = false, false
-			r.Injected = []soak.Injection{trouble(soak.KillVM, 0)}
+			r.Requests[0].Complete, r.Requests[1].Complete = false, false
+			r.Injections = []soak.Injection{trouble(soak.KillVM, 0)}
 		}, soak.Recovery},
 		{"a process that ended by itself", func(r *soak.Record) { r.Failures = []string{"vm-1"} }, soak.ProcessAlive},
 	}
@@ -145,16 +145,16 @@
 // What crashes servers may reach three of them more, not a fourth, once every entry VM has
 // had the time to learn of the third crash.
 func TestCrashesAreChecked(t *testing.T) {
-	r := soak.Record{Crashes: map[string][]time.Time{"deadly": {at(1000), at(2000), at(3000)}}, Calm: at(0), End: at(60000)}
+	r := soak.Record{CrashTimes: map[string][]time.Time{"deadly": {at(1000), at(2000), at(3000)}}, CalmSince: at(0), End: at(60000)}
 	for i := range 5 {
-		s := soak.Sent{VM: 0, Kind: directory.Unsafe, Call: hosted.Call{ID: api.RequestID(strconv.Itoa(i)), Body: "deadly", Target: "/orders/x"}, At: at(5000 + 1000*i)}
+		s := soak.SentRequest{VM: 0, Kind: directory.Unsafe, Call: hosted.Call{ID: api.RequestID(strconv.Itoa(i)), Body: "deadly", Target: "/orders/x"}, At: at(5000 + 1000*i)}
 		s.Complete = true
-		r.Sent = append(r.Sent, s)
+		r.Requests = append(r.Requests, s)
 	}
 	arrive := func(n int) []soak.Violation {
 		x := r
-		x.Services = map[string][]api.ServiceName{"orders": {"plain"}}
-		x.Servers = map[api.ServerName]api.ServiceName{"p": "plain"}
+		x.PathServices = map[string][]api.ServiceName{"orders": {"plain"}}
+		x.ServerServices = map[api.ServerName]api.ServiceName{"p": "plain"}
 		for i := range n {
 			x.Arrivals = append(x.Arrivals, hosted.Arrival{Request: hosted.Request{ID: api.RequestID(strconv.Itoa(i)), Body: "deadly", Target: "/orders/x"}, Server: "p", At: at(6500 + 1000*i)})
 		}
@@ -172,7 +172,7 @@
 	if l := arrive(5); len(l) != 1 {
 		t.Errorf("five late requests: got %v, want the property broken once", l)
 	}
-	r.Injected = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(5000), Until: at(20000)}}}
+	r.Injections = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(5000), Until: at(20000)}}}
 	if l := arrive(5); len(l) != 0 {
 		t.Errorf("at an entry VM that was paused: got %v, want none broken", l)
 	}
--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -19,14 +19,14 @@
 	b.failed(b.store.CloseDomain(n))
 	at := time.Now()
 	i := 0
-	b.recorder.note(func(r *Record) {
+	b.recorder.update(func(r *Record) {
 		i = len(r.Closures)
 		r.Closures = append(r.Closures, Closure{Domain: n, Span: Span{From: at, Until: at.Add(time.Hour)}})
 	})
 	duty.Sleep(ctx, closedTime+d)
 	// What is sent from now on may meet an open domain.
 	until := time.Now()
-	b.recorder.note(func(r *Record) { r.Closures[i].Until = until })
+	b.recorder.update(func(r *Record) { r.Closures[i].Until = until })
 	b.shutting("")
 	b.failed(b.store.OpenDomain(n))
 }
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -45,7 +45,7 @@
 	end := time.Now().Add(f.For.Duration() + comebackTime)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
 		v := b.choose(r)
-		s := Sent{VM: v.place, Kind: x.kind, Workspace: mainWorkspace, Call: hosted.Call{
+		s := SentRequest{VM: v.place, Kind: x.kind, Workspace: mainWorkspace, Call: hosted.Call{
 			ID: api.RequestID(fmt.Sprintf("d%d-%d-%d", f.At, f.Target, n)), Method: http.MethodPost, Host: host, Target: "/" + x.path + "/" + body[:6],
 			Key: mainKey, Wait: callWait, Body: body,
 		}}
@@ -55,7 +55,7 @@
 		s.At = time.Now()
 		s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
 		s.Done = time.Now()
-		b.recorder.note(func(y *Record) { y.Sent = append(y.Sent, s) })
+		b.recorder.update(func(y *Record) { y.Requests = append(y.Requests, s) })
 		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(comebackPause)))
 	}
 }
@@ -68,9 +68,9 @@
 		}
 		f := Fault{Kind: CrashServer, Target: s.place}
 		now := time.Now()
-		b.recorder.note(func(r *Record) {
-			r.Crashes[body] = append(r.Crashes[body], now)
-			r.Injected = append(r.Injected, Injection{Fault: f, VM: noVM, Server: x.Name, Span: Span{From: now, Until: now.Add(lapseTime)}})
+		b.recorder.update(func(r *Record) {
+			r.CrashTimes[body] = append(r.CrashTimes[body], now)
+			r.Injections = append(r.Injections, Injection{Fault: f, VM: noVM, Server: x.Name, Span: Span{From: now, Until: now.Add(lapseTime)}})
 		})
 		b.group.Go(func(ctx context.Context) error {
 			duty.Sleep(ctx, lapseTime)
@@ -85,7 +85,7 @@
 func (c *checker) crashes() {
 	late := map[string]int{}
 	for _, a := range c.Arrivals {
-		l := c.Crashes[a.Body]
+		l := c.CrashTimes[a.Body]
 		s, ok := c.sent[a.ID]
 		if !ok || a.Refused || len(l) < 3 || a.At.Sub(l[2]) <= settleTime || c.troubled(Span{l[2], a.At}, s.VM) {
 			continue
@@ -101,7 +101,7 @@
 // before it.
 func (c *checker) troubled(s Span, vm int) bool {
 	s.From = s.From.Add(-settleTime)
-	for _, t := range c.Injected {
+	for _, t := range c.Injections {
 		if (t.VM == All || t.VM == vm) && !t.Kind.Planned() && t.overlaps(s) {
 			return true
 		}
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -9,8 +9,8 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// Sent is one call with what its caller saw.
-type Sent struct {
+// SentRequest is one call with what its caller saw.
+type SentRequest struct {
 	hosted.Call
 	hosted.Reply
 	Kind      directory.Kind
@@ -25,12 +25,12 @@
 // a route that some versions have.
 type Probe struct {
 	VM int
-	// Life counts the starts of the VM's process.
-	Life int
-	At   time.Time
-	// From and Until are the versions that answer so: from the first up to, but
+	// Incarnation counts the starts of the VM's process.
+	Incarnation int
+	At          time.Time
+	// FromVersion and Until are the versions that answer so: from the first up to, but
 	// not with, the last; Until is zero for no end.
-	From, Until int64
+	FromVersion, Until int64
 }
 
 // Span is the time in which something held.
@@ -55,8 +55,8 @@
 // noVM is the VM of a trouble that meets none.
 const noVM = -2
 
-// Leave is the acknowledgement that a server is leaving.
-type Leave struct {
+// LeaveNotice is the acknowledgement that a server is leaving.
+type LeaveNotice struct {
 	Server api.ServerName
 	At     time.Time
 }
@@ -69,30 +69,30 @@
 
 // Record is all that a checker may go by.
 type Record struct {
-	Sent     []Sent
-	Probes   []Probe
-	Arrivals []hosted.Arrival
-	Runs     []hosted.Run
-	Injected []Injection
-	Leaves   []Leave
-	// Configs tells when each version of the configuration was acknowledged.
-	Configs map[int64]time.Time
+	Requests     []SentRequest
+	Probes       []Probe
+	Arrivals     []hosted.Arrival
+	Runs         []hosted.Run
+	Injections   []Injection
+	LeaveNotices []LeaveNotice
+	// ConfigTimes tells when each version of the configuration was acknowledged.
+	ConfigTimes map[int64]time.Time
 	// Closures tells when each failure domain was acknowledged as closed, and open again.
 	Closures []Closure
-	// Services are the services that some version sends a path's requests to.
-	Services map[string][]api.ServiceName
-	// Servers tells the service of each server.
-	Servers map[api.ServerName]api.ServiceName
-	// Domains tells the failure domain of each server.
-	Domains map[api.ServerName]api.DomainName
-	// Crashes tells when servers crashed under each deadly body.
-	Crashes map[string][]time.Time
+	// PathServices are the services that some version sends a path's requests to.
+	PathServices map[string][]api.ServiceName
+	// ServerServices tells the service of each server.
+	ServerServices map[api.ServerName]api.ServiceName
+	// ServerDomains tells the failure domain of each server.
+	ServerDomains map[api.ServerName]api.DomainName
+	// CrashTimes tells when servers crashed under each deadly body.
+	CrashTimes map[string][]time.Time
 	// Failures are the VMs whose processes ended by themselves or wrote that they
 	// are broken.
 	Failures []string
-	// Calm begins once the last fault is over.
-	Calm time.Time
-	End  time.Time
+	// CalmSince begins once the last fault is over.
+	CalmSince time.Time
+	End       time.Time
 }
 
 // recorder collects a record.
@@ -103,13 +103,13 @@
 
 func newRecorder() *recorder {
 	return &recorder{record: Record{
-		Configs: map[int64]time.Time{}, Services: map[string][]api.ServiceName{}, Servers: map[api.ServerName]api.ServiceName{},
-		Domains: map[api.ServerName]api.DomainName{}, Crashes: map[string][]time.Time{},
+		ConfigTimes: map[int64]time.Time{}, PathServices: map[string][]api.ServiceName{}, ServerServices: map[api.ServerName]api.ServiceName{},
+		ServerDomains: map[api.ServerName]api.DomainName{}, CrashTimes: map[string][]time.Time{},
 	}}
 }
 
-// note changes the record.
-func (r *recorder) note(f func(r *Record)) {
+// update changes the record.
+func (r *recorder) update(f func(r *Record)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	f(&r.record)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -91,7 +91,7 @@
 	_ = faults.Wait()
 	stopFaults()
 	calm := time.Now()
-	b.recorder.note(func(r *Record) { r.Calm = calm })
+	b.recorder.update(func(r *Record) { r.CalmSince = calm })
 	duty.Sleep(ctx, max(finalCalm, time.Until(began.Add(p.Length.Duration()))))
 	stopCalls()
 }
@@ -137,8 +137,8 @@
 }
 
 func result(p Plan, r Record) Result {
-	x := Result{Plan: p, Requests: len(r.Sent), Runs: len(r.Runs), Probes: len(r.Probes), Violations: Check(r)}
-	for _, s := range r.Sent {
+	x := Result{Plan: p, Requests: len(r.Requests), Runs: len(r.Runs), Probes: len(r.Probes), Violations: Check(r)}
+	for _, s := range r.Requests {
 		if s.Complete {
 			x.Served++
 		}
@@ -190,7 +190,7 @@
 		// may take.
 		until = until.Add(routeTime)
 	}
-	b.recorder.note(func(r *Record) { r.Injected[i].Until = until })
+	b.recorder.update(func(r *Record) { r.Injections[i].Until = until })
 }
 
 // serverFault brings a fault of one server about and ends it.
@@ -264,9 +264,9 @@
 	now := time.Now()
 	t.Span = Span{From: now, Until: now.Add(time.Hour)}
 	i := 0
-	b.recorder.note(func(r *Record) {
-		i = len(r.Injected)
-		r.Injected = append(r.Injected, t)
+	b.recorder.update(func(r *Record) {
+		i = len(r.Injections)
+		r.Injections = append(r.Injections, t)
 	})
 	return i
 }
@@ -284,7 +284,7 @@
 }
 
 func (b *testbed) fail(what string) {
-	b.recorder.note(func(r *Record) { r.Failures = append(r.Failures, what) })
+	b.recorder.update(func(r *Record) { r.Failures = append(r.Failures, what) })
 }
 
 // link makes a link fail for a time.
@@ -313,7 +313,7 @@
 	notice := noticeLeast + d
 	b.failed(x.AnnounceStop(notice))
 	at := time.Now()
-	b.recorder.note(func(r *Record) { r.Leaves = append(r.Leaves, Leave{Server: x.Name, At: at}) })
+	b.recorder.update(func(r *Record) { r.LeaveNotices = append(r.LeaveNotices, LeaveNotice{Server: x.Name, At: at}) })
 	duty.Sleep(ctx, notice)
 	b.failed(x.Unregister())
 	x.Crash()
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -70,9 +70,9 @@
 		closer()
 		end()
 	}
-	b.recorder.note(func(r *Record) {
-		r.Servers[x.Name] = s.service
-		r.Domains[x.Name] = x.Domain
+	b.recorder.update(func(r *Record) {
+		r.ServerServices[x.Name] = s.service
+		r.ServerDomains[x.Name] = x.Domain
 	})
 	return live.Register()
 }
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -15,7 +15,7 @@
 	for i := range count {
 		id := api.RequestID(fmt.Sprintf("a-%d-%d-%d", vm, from, i))
 		t := at(from + i*every)
-		r.Sent = append(r.Sent, soak.Sent{
+		r.Requests = append(r.Requests, soak.SentRequest{
 			Call:  hosted.Call{ID: id, Method: "POST", Target: "/orders/o", Body: "b"},
 			Reply: hosted.Reply{Head: hosted.Head{Status: 503}, Complete: true}, Workspace: "main", VM: vm, At: t, Done: t,
 		})
@@ -56,7 +56,7 @@
 		}, ""},
 		{"with a fault in between", func(r *soak.Record) {
 			arrivals(r, 0, 9000, 4500, 2, leaving)
-			r.Injected = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(10000), Until: at(11000)}}}
+			r.Injections = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(10000), Until: at(11000)}}}
 		}, ""},
 	}
 	for _, c := range tests {
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -82,7 +82,7 @@
 		s.At = time.Now()
 		s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
 		s.Done = time.Now()
-		b.recorder.note(func(x *Record) { x.Sent = append(x.Sent, s) })
+		b.recorder.update(func(x *Record) { x.Requests = append(x.Requests, s) })
 		if s.Err != nil {
 			// What broke off is not asked for again at once, and elsewhere.
 			v = b.choose(r)
@@ -92,8 +92,8 @@
 }
 
 // next draws a caller's next request.
-func (b *testbed) next(r *rand.Rand, id string) Sent {
-	s := Sent{Workspace: mainWorkspace, Call: hosted.Call{
+func (b *testbed) next(r *rand.Rand, id string) SentRequest {
+	s := SentRequest{Workspace: mainWorkspace, Call: hosted.Call{
 		ID: api.RequestID(id), Method: http.MethodPost, Host: host, Key: mainKey, Wait: callWait, Body: "body of " + id,
 	}}
 	switch x := r.Float64(); {
@@ -169,11 +169,11 @@
 		return
 	}
 	id := api.RequestID(fmt.Sprintf("p%d-%d", v.place, n))
-	s := Sent{VM: v.place, Kind: directory.Safe, Workspace: q.workspace, Call: hosted.Call{
+	s := SentRequest{VM: v.place, Kind: directory.Safe, Workspace: q.workspace, Call: hosted.Call{
 		ID: id, Method: http.MethodGet, Host: host, Target: "/" + q.path + "/" + string(id), Key: q.key, Wait: callWait,
 	}}
 	v.mutex.Lock()
-	w := Probe{VM: v.place, Life: v.life}
+	w := Probe{VM: v.place, Incarnation: v.life}
 	v.mutex.Unlock()
 	s.At = time.Now()
 	w.At = s.At
@@ -184,8 +184,8 @@
 	// It may have been removed meanwhile.
 	x := (*q.list)[q.place]
 	b.mutex.Unlock()
-	b.recorder.note(func(r *Record) {
-		r.Sent = append(r.Sent, s)
+	b.recorder.update(func(r *Record) {
+		r.Requests = append(r.Requests, s)
 		if w.seen(s.Status, q.unknown, x) {
 			r.Probes = append(r.Probes, w)
 		}
@@ -199,7 +199,7 @@
 func (p *Probe) seen(status, unknown int, x versioned) bool {
 	switch {
 	case status == http.StatusOK:
-		p.From, p.Until = x.from, x.until
+		p.FromVersion, p.Until = x.from, x.until
 	case status == unknown && x.until == 0:
 		p.Until = x.from
 	default:
