--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -54,32 +54,32 @@
 }
 
 const (
-	// settleTime is how long after a fault an entry VM has to be itself again:
+	// recoveryTime is how long after a fault an entry VM has to be itself again:
 	// the operators allow 3 s.
-	settleTime = 3 * time.Second
-	// leaveTime is how long after its notice a server may still get new requests:
+	recoveryTime = 3 * time.Second
+	// maxLeaveDelay is how long after its notice a server may still get new requests:
 	// the operators allow 2 s, and machines that are shared are given as much
 	// again.
-	leaveTime = 4 * time.Second
-	// closedTime is how long after it was closed a failure domain may still get new
+	maxLeaveDelay = 4 * time.Second
+	// maxClosureDelay is how long after it was closed a failure domain may still get new
 	// requests.
-	closedTime = closureDelay
-	// forceTime is the same for a configuration: 2 s are allowed.
-	forceTime = 4 * time.Second
-	// goneTime is how long a server may work on for a caller that has left.
-	goneTime = 2 * time.Second
-	// twoTime is how long two servers may be at work on one run.
-	twoTime = 400 * time.Millisecond
-	// recoverShare is the share of requests that is served once all is calm.
-	recoverShare = 0.9
+	maxClosureDelay = closureDelay
+	// maxConfigDelay is the same for a configuration: 2 s are allowed.
+	maxConfigDelay = 4 * time.Second
+	// maxAbandonedWork is how long a server may work on for a caller that has left.
+	maxAbandonedWork = 2 * time.Second
+	// maxConcurrentRun is how long two servers may be at work on one run.
+	maxConcurrentRun = 400 * time.Millisecond
+	// minServedShare is the share of requests that is served once all is calm.
+	minServedShare = 0.9
 )
 
 // checker holds what checking looks things up in.
 type checker struct {
 	Record
-	sent  map[api.RequestID]*SentRequest
-	runs  map[api.RequestID][]hosted.Run
-	found []Violation
+	sent       map[api.RequestID]*SentRequest
+	runs       map[api.RequestID][]hosted.Run
+	violations []Violation
 }
 
 // Check gives the properties that a record shows broken.
@@ -92,46 +92,46 @@
 		c.runs[x.RequestID] = append(c.runs[x.RequestID], x)
 	}
 	for _, a := range r.Arrivals {
-		c.arrival(a)
+		c.checkArrival(a)
 	}
 	for i := range r.Requests {
-		c.reply(&r.Requests[i])
+		c.checkReply(&r.Requests[i])
 	}
-	c.versions()
-	c.crashes()
-	c.signals()
-	c.recovery()
+	c.checkVersions()
+	c.checkCrashesContained()
+	c.checkSignals()
+	c.checkRecovery()
 	for _, d := range r.Failures {
 		c.add(ProcessAlive, "", r.End, d)
 	}
-	return c.found
+	return c.violations
 }
 
 func (c *checker) add(p Property, id api.RequestID, at time.Time, what string) {
-	c.found = append(c.found, Violation{Property: p, Request: id, At: at, What: what})
+	c.violations = append(c.violations, Violation{Property: p, Request: id, At: at, What: what})
 }
 
-// disturbed reports whether an unplanned fault met an entry VM or a server in a
+// unplannedFaultDuring reports whether an unplanned fault met an entry VM or a server in a
 // span or shortly before it.
-func (c *checker) disturbed(s Span, vm int, server api.ServerName) bool {
-	s.From = s.From.Add(-settleTime)
+func (c *checker) unplannedFaultDuring(s Span, vm int, server api.ServerName) bool {
+	s.From = s.From.Add(-recoveryTime)
 	return slices.ContainsFunc(c.Injections, func(t Injection) bool {
 		met := t.VM == All || t.VM == vm || t.Server != "" && (server == "" || t.Server == server)
 		return met && !t.Kind.Planned() && t.overlaps(s)
 	})
 }
 
-// stopped reports whether an entry VM was stopped or started in a span or
+// restartedDuring reports whether an entry VM was restartedDuring or started in a span or
 // shortly before it.
-func (c *checker) stopped(s Span, vm int) bool {
-	s.From = s.From.Add(-settleTime)
+func (c *checker) restartedDuring(s Span, vm int) bool {
+	s.From = s.From.Add(-recoveryTime)
 	return slices.ContainsFunc(c.Injections, func(t Injection) bool {
 		return t.VM == vm && t.Kind == StopVM && t.overlaps(s)
 	})
 }
 
-// arrival checks what came to a server.
-func (c *checker) arrival(a hosted.Arrival) {
+// checkArrival checks what came to a server.
+func (c *checker) checkArrival(a hosted.Arrival) {
 	s, ok := c.sent[a.ID]
 	if !ok {
 		c.add(IntactRequest, a.ID, a.At, "a server got a request that no caller sent")
@@ -140,57 +140,57 @@
 	if a.Method != s.Method || a.Target != s.Target || a.Body != s.Call.Body || a.Workspace != s.Workspace {
 		c.add(IntactRequest, a.ID, a.At, "a request was changed on its way, or came for another workspace")
 	}
-	if !slices.Contains(c.PathServices[route(s.Target)], c.ServerServices[a.Server]) {
+	if !slices.Contains(c.PathServices[routeOf(s.Target)], c.ServerServices[a.Server]) {
 		c.add(IntactRequest, a.ID, a.At, "no configuration sends the request to the service of "+string(a.Server))
 	}
 	if a.Refused {
 		return
 	}
-	c.closed(a, s)
+	c.checkClosedDomain(a, s)
 	if a.ResumeFrom != "" {
 		return
 	}
 	for _, l := range c.LeaveNotices {
-		if l.Server == a.Server && a.At.Sub(l.At) > leaveTime && !c.disturbed(Span{l.At, a.At}, s.VM, "") {
+		if l.Server == a.Server && a.At.Sub(l.At) > maxLeaveDelay && !c.unplannedFaultDuring(Span{l.At, a.At}, s.VM, "") {
 			c.add(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.Server, a.At.Sub(l.At)))
 		}
 	}
 }
 
-// closed checks that nothing new came to a failure domain that was closed; to go on
+// checkClosedDomain checks that nothing new came to a failure domain that was checkClosedDomain; to go on
 // from a copy there is new as well.
-func (c *checker) closed(a hosted.Arrival, s *SentRequest) {
+func (c *checker) checkClosedDomain(a hosted.Arrival, s *SentRequest) {
 	for _, l := range c.Closures {
-		if l.Domain == c.ServerDomains[a.Server] && a.At.Before(l.Until) && a.At.Sub(l.From) > closedTime && !c.disturbed(Span{l.From, a.At}, s.VM, "") {
+		if l.Domain == c.ServerDomains[a.Server] && a.At.Before(l.Until) && a.At.Sub(l.From) > maxClosureDelay && !c.unplannedFaultDuring(Span{l.From, a.At}, s.VM, "") {
 			c.add(ClosedDomain, a.ID, a.At, fmt.Sprintf("server %s got a request %s after its domain was closed", a.Server, a.At.Sub(l.From)))
 		}
 	}
 }
 
-// route is the first part of a path, which tells its route.
-func route(target string) string {
+// routeOf is the first part of a path, which tells its routeOf.
+func routeOf(target string) string {
 	p, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
 	return p
 }
 
-// reply checks what a caller saw.
-func (c *checker) reply(s *SentRequest) {
+// checkReply checks what a caller saw.
+func (c *checker) checkReply(s *SentRequest) {
 	r := c.runs[s.ID]
 	if s.Kind != directory.Safe {
-		c.once(s, r)
+		c.checkSingleRun(s, r)
 	}
-	if len(r) > 0 && s.Kind != directory.Safe && !s.Signed && saysNotRun(s.Status) {
+	if len(r) > 0 && s.Kind != directory.Safe && !s.Signed && meansNotRun(s.Status) {
 		c.add(RefusedNotRun, s.ID, s.Done, "refused by "+strconv.Itoa(s.Status)+", although a server ran it")
 	}
 	if s.Status == http.StatusOK {
-		c.whole(s, r)
+		c.checkAnswer(s, r)
 	}
-	c.gone(s, r)
-	c.cut(s, r)
+	c.checkCallerGone(s, r)
+	c.checkPlannedWork(s, r)
 }
 
-// saysNotRun reports whether a status says that a request never runs.
-func saysNotRun(status int) bool {
+// meansNotRun reports whether a status says that a request never runs.
+func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -198,22 +198,22 @@
 	return false
 }
 
-// once checks that a request ran as one generation, at one server at a time.
-func (c *checker) once(s *SentRequest, r []hosted.Run) {
+// checkSingleRun checks that a request ran as one generation, at one server at a time.
+func (c *checker) checkSingleRun(s *SentRequest, r []hosted.Run) {
 	for i, a := range r {
 		for _, b := range r[i+1:] {
 			if a.Generation != b.Generation {
 				c.add(SingleRun, s.ID, b.Started, fmt.Sprintf("ran at %s and again at %s", a.Server, b.Server))
 			}
-			both := Span{later(a.Started, b.Started), earlier(c.ended(a), c.ended(b))}
-			if both.Until.Sub(both.From) > twoTime && !c.disturbed(both, s.VM, "") {
+			both := Span{later(a.Started, b.Started), earlier(c.endOf(a), c.endOf(b))}
+			if both.Until.Sub(both.From) > maxConcurrentRun && !c.unplannedFaultDuring(both, s.VM, "") {
 				c.add(SingleRun, s.ID, b.Started, fmt.Sprintf("%s and %s worked on it together", a.Server, b.Server))
 			}
 		}
 	}
 }
 
-func (c *checker) ended(r hosted.Run) time.Time {
+func (c *checker) endOf(r hosted.Run) time.Time {
 	if r.Ended.IsZero() {
 		return c.End
 	}
@@ -234,14 +234,14 @@
 	return b
 }
 
-// whole checks the answer of a backend server.
-func (c *checker) whole(s *SentRequest, r []hosted.Run) {
+// checkAnswer checks the answer of a backend server.
+func (c *checker) checkAnswer(s *SentRequest, r []hosted.Run) {
 	if !s.Signed || len(r) == 0 {
 		c.add(IntactAnswer, s.ID, s.Done, "a success that no server gave")
 		return
 	}
 	if s.Kind == directory.Stream {
-		c.events(s, r)
+		c.checkEvents(s, r)
 		return
 	}
 	if !s.Complete {
@@ -252,8 +252,8 @@
 	}
 }
 
-// events checks a stream: every event once, in order, of one generation.
-func (c *checker) events(s *SentRequest, r []hosted.Run) {
+// checkEvents checks a stream: every event once, in order, of one generation.
+func (c *checker) checkEvents(s *SentRequest, r []hosted.Run) {
 	for i, e := range s.Events {
 		if want := fmt.Sprintf("%s %d %d", s.ID, r[0].Generation, i+1); e != want {
 			c.add(IntactAnswer, s.ID, s.Done, fmt.Sprintf("event %q at the place of %q", e, want))
@@ -265,22 +265,22 @@
 	}
 }
 
-// gone checks that servers stop their work for callers that left.
-func (c *checker) gone(s *SentRequest, r []hosted.Run) {
+// checkCallerGone checks that servers stop their work for callers that left.
+func (c *checker) checkCallerGone(s *SentRequest, r []hosted.Run) {
 	if !s.Left {
 		return
 	}
 	for _, x := range r {
-		if e := c.ended(x); e.Sub(s.Done) > goneTime && !c.disturbed(Span{s.Done, e}, s.VM, x.Server) {
+		if e := c.endOf(x); e.Sub(s.Done) > maxAbandonedWork && !c.unplannedFaultDuring(Span{s.Done, e}, s.VM, x.Server) {
 			c.add(CallerGone, s.ID, e, fmt.Sprintf("%s worked on for %s", x.Server, e.Sub(s.Done)))
 		}
 	}
 }
 
-// cut checks that planned work cuts no request off.
-func (c *checker) cut(s *SentRequest, r []hosted.Run) {
-	served := s.Left || s.Complete && (s.Status == http.StatusOK || saysNotRun(s.Status))
-	if served || len(r) == 0 || c.disturbed(Span{s.At, s.Done}, s.VM, "") {
+// checkPlannedWork checks that planned work cuts no request off.
+func (c *checker) checkPlannedWork(s *SentRequest, r []hosted.Run) {
+	served := s.Left || s.Complete && (s.Status == http.StatusOK || meansNotRun(s.Status))
+	if served || len(r) == 0 || c.unplannedFaultDuring(Span{s.At, s.Done}, s.VM, "") {
 		return
 	}
 	what := fmt.Sprintf("answered by %d and cut off with nothing but planned work: %v", s.Status, s.Err)
@@ -290,28 +290,28 @@
 	c.add(PlannedWork, s.ID, s.Done, what)
 }
 
-// versions checks what entry VMs served by.
-func (c *checker) versions() {
-	type life struct{ vm, life int }
-	least := map[life]int64{}
+// checkVersions checks what entry VMs served by.
+func (c *checker) checkVersions() {
+	type incarnation struct{ vm, life int }
+	newest := map[incarnation]int64{}
 	for _, p := range c.Probes {
-		k := life{p.VM, p.Incarnation}
-		if p.Until > 0 && p.Until <= least[k] {
-			c.add(NoConfigRevert, "", p.At, fmt.Sprintf("VM %d served by a version before %d, after it had served by %d", p.VM, p.Until, least[k]))
+		k := incarnation{p.VM, p.Incarnation}
+		if p.Until > 0 && p.Until <= newest[k] {
+			c.add(NoConfigRevert, "", p.At, fmt.Sprintf("VM %d served by a version before %d, after it had served by %d", p.VM, p.Until, newest[k]))
 		}
-		least[k] = max(least[k], p.FromVersion)
+		newest[k] = max(newest[k], p.FromVersion)
 		at, ok := c.ConfigTimes[p.Until]
-		if ok && p.At.Sub(at) > forceTime && !c.disturbed(Span{at, p.At}, p.VM, "") && !c.stopped(Span{at, p.At}, p.VM) {
+		if ok && p.At.Sub(at) > maxConfigDelay && !c.unplannedFaultDuring(Span{at, p.At}, p.VM, "") && !c.restartedDuring(Span{at, p.At}, p.VM) {
 			c.add(ConfigInForce, "", p.At, fmt.Sprintf("VM %d served by a version before %d, %s after it was accepted", p.VM, p.Until, p.At.Sub(at)))
 		}
 	}
 }
 
-// recovery checks that requests are served once all is calm.
-func (c *checker) recovery() {
+// checkRecovery checks that requests are served once all is calm.
+func (c *checker) checkRecovery() {
 	n, whole := 0, 0
 	for _, s := range c.Requests {
-		if s.At.Sub(c.CalmSince) < settleTime {
+		if s.At.Sub(c.CalmSince) < recoveryTime {
 			continue
 		}
 		n++
@@ -319,7 +319,7 @@
 			whole++
 		}
 	}
-	if float64(whole) < recoverShare*float64(n) || n == 0 {
+	if float64(whole) < minServedShare*float64(n) || n == 0 {
 		c.add(Recovery, "", c.End, fmt.Sprintf("%d of %d requests were served once all was calm", whole, n))
 	}
 }
--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -23,7 +23,7 @@
 		i = len(r.Closures)
 		r.Closures = append(r.Closures, Closure{Domain: n, Span: Span{From: at, Until: at.Add(time.Hour)}})
 	})
-	duty.Sleep(ctx, closedTime+d)
+	duty.Sleep(ctx, maxClosureDelay+d)
 	// What is sent from now on may meet an open domain.
 	until := time.Now()
 	b.recorder.update(func(r *Record) { r.Closures[i].Until = until })
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -81,13 +81,13 @@
 	}
 }
 
-// crashes checks that what crashes servers is stopped.
-func (c *checker) crashes() {
+// checkCrashesContained checks that what checkCrashesContained servers is stopped.
+func (c *checker) checkCrashesContained() {
 	late := map[string]int{}
 	for _, a := range c.Arrivals {
 		l := c.CrashTimes[a.Body]
 		s, ok := c.sent[a.ID]
-		if !ok || a.Refused || len(l) < 3 || a.At.Sub(l[2]) <= settleTime || c.troubled(Span{l[2], a.At}, s.VM) {
+		if !ok || a.Refused || len(l) < 3 || a.At.Sub(l[2]) <= recoveryTime || c.vmFaultDuring(Span{l[2], a.At}, s.VM) {
 			continue
 		}
 		late[a.Body]++
@@ -97,10 +97,10 @@
 	}
 }
 
-// troubled reports whether an unplanned fault met an entry VM itself in a span or shortly
+// vmFaultDuring reports whether an unplanned fault met an entry VM itself in a span or shortly
 // before it.
-func (c *checker) troubled(s Span, vm int) bool {
-	s.From = s.From.Add(-settleTime)
+func (c *checker) vmFaultDuring(s Span, vm int) bool {
+	s.From = s.From.Add(-recoveryTime)
 	for _, t := range c.Injections {
 		if (t.VM == All || t.VM == vm) && !t.Kind.Planned() && t.overlaps(s) {
 			return true
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// namedLimit is the limit that servers name, in requests a second.
-	namedLimit = 2.0
-	// limitSpan is the time over which a limit is judged, limitFactor and limitSlack what is
+	// announcedLimit is the limit that servers name, in requests a second.
+	announcedLimit = 2.0
+	// limitWindow is the time over which a limit is judged, limitFactor and limitSlack what is
 	// allowed in it.
-	limitSpan   = 4 * time.Second
+	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// askedRest is the rest that servers ask for, restSettle when it holds and restMost how
+	// announcedBackoff is the rest that servers ask for, restSettle when it holds and restMost how
 	// many requests of one entry VM may come in it all the same.
-	askedRest  = 2 * time.Second
-	restSettle = 500 * time.Millisecond
-	restMost   = 2
+	announcedBackoff   = 2 * time.Second
+	backoffSettleTime  = 500 * time.Millisecond
+	maxBackoffRequests = 2
 )
 
 // say lets a server say something of itself in its answers for a time. One that says that it
 // leaves does so after it.
 func (b *testbed) say(ctx context.Context, f Fault, s *server) {
 	x, _ := s.current()
-	limit, lasts := namedLimit, f.For.Duration()
+	limit, lasts := announcedLimit, f.For.Duration()
 	switch f.Kind {
 	case SignalLimit:
 		x.SetSignals(hosted.Signals{Limit: &limit})
 		// A limit has to hold only after some time.
-		lasts += settleTime + limitSpan
+		lasts += recoveryTime + limitWindow
 	case SignalBackoff:
-		x.SetSignals(hosted.Signals{Backoff: askedRest})
+		x.SetSignals(hosted.Signals{Backoff: announcedBackoff})
 	default:
 		x.SetSignals(hosted.Signals{Leaving: true})
 	}
@@ -49,96 +49,96 @@
 	x.SetSignals(hosted.Signals{})
 }
 
-// key is one entry VM and a server that it sent to.
-type key struct {
+// vmServer is one entry VM and a server that it sent to.
+type vmServer struct {
 	vm     int
 	server api.ServerName
 }
 
-// signals checks that entry VMs do as the answers of servers say.
-func (c *checker) signals() {
+// checkSignals checks that entry VMs do as the answers of servers say.
+func (c *checker) checkSignals() {
 	arrivals := slices.Clone(c.Arrivals)
 	slices.SortStableFunc(arrivals, func(a, b hosted.Arrival) int { return a.At.Compare(b.At) })
-	limited, left, rested := map[key]time.Time{}, map[key]time.Time{}, map[key][]time.Time{}
-	named := map[api.ServerName]time.Time{}
-	within := map[api.ServerName][]time.Time{}
+	limited, leaving, backoffs := map[vmServer]time.Time{}, map[vmServer]time.Time{}, map[vmServer][]time.Time{}
+	limitedSince := map[api.ServerName]time.Time{}
+	recent := map[api.ServerName][]time.Time{}
 	for _, a := range arrivals {
 		s, ok := c.sent[a.ID]
 		if !ok {
 			continue
 		}
-		k := key{s.VM, a.Server}
-		c.limit(a, k, limited, named, within)
-		c.left(a, k, left)
-		c.rest(a, k, rested)
+		k := vmServer{s.VM, a.Server}
+		c.checkServerLimit(a, k, limited, limitedSince, recent)
+		c.checkLeavingServer(a, k, leaving)
+		c.checkServerBackoff(a, k, backoffs)
 	}
 }
 
-// excused reports whether an entry VM was disturbed or stopped since it was told something.
-func (c *checker) excused(told time.Time, a hosted.Arrival, k key) bool {
-	x := Span{told, a.At}
-	return c.disturbed(x, k.vm, "") || c.stopped(x, k.vm)
+// excusedSince reports whether an entry VM was disturbed or stopped since it was told something.
+func (c *checker) excusedSince(since time.Time, a hosted.Arrival, k vmServer) bool {
+	x := Span{since, a.At}
+	return c.unplannedFaultDuring(x, k.vm, "") || c.restartedDuring(x, k.vm)
 }
 
-// limit checks that a server gets no more than it named.
-func (c *checker) limit(a hosted.Arrival, k key, told map[key]time.Time, named map[api.ServerName]time.Time, within map[api.ServerName][]time.Time) {
+// checkServerLimit checks that a server gets no more than it named.
+func (c *checker) checkServerLimit(a hosted.Arrival, k vmServer, firstAnnounced map[vmServer]time.Time, limitedSince map[api.ServerName]time.Time, recent map[api.ServerName][]time.Time) {
 	if a.Signals.Limit == nil {
-		delete(named, a.Server)
+		delete(limitedSince, a.Server)
 		return
 	}
-	if _, ok := named[a.Server]; !ok {
-		named[a.Server] = a.At
-		within[a.Server] = nil
-		for x := range told {
+	if _, ok := limitedSince[a.Server]; !ok {
+		limitedSince[a.Server] = a.At
+		recent[a.Server] = nil
+		for x := range firstAnnounced {
 			if x.server == a.Server {
-				delete(told, x)
+				delete(firstAnnounced, x)
 			}
 		}
 	}
-	t, ok := told[k]
+	t, ok := firstAnnounced[k]
 	if !ok {
-		told[k] = a.At
+		firstAnnounced[k] = a.At
 		return
 	}
-	if a.At.Sub(t) < restSettle || a.At.Sub(named[a.Server]) < settleTime || c.excused(t, a, k) {
+	if a.At.Sub(t) < backoffSettleTime || a.At.Sub(limitedSince[a.Server]) < recoveryTime || c.excusedSince(t, a, k) {
 		return
 	}
-	l := slices.DeleteFunc(within[a.Server], func(t time.Time) bool { return a.At.Sub(t) >= limitSpan })
-	within[a.Server] = append(l, a.At)
+	l := slices.DeleteFunc(recent[a.Server], func(t time.Time) bool { return a.At.Sub(t) >= limitWindow })
+	recent[a.Server] = append(l, a.At)
 	perSecond := *a.Signals.Limit
-	if most := int(limitFactor*perSecond*limitSpan.Seconds()) + limitSlack; len(within[a.Server]) > most {
-		c.add(ServerLimit, a.ID, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.Server, perSecond, len(within[a.Server]), limitSpan))
+	if allowed := int(limitFactor*perSecond*limitWindow.Seconds()) + limitSlack; len(recent[a.Server]) > allowed {
+		c.add(ServerLimit, a.ID, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.Server, perSecond, len(recent[a.Server]), limitWindow))
 	}
 }
 
-// left checks that a server that said that it leaves gets nothing new.
-func (c *checker) left(a hosted.Arrival, k key, told map[key]time.Time) {
-	t, ok := told[k]
+// checkLeavingServer checks that a server that said that it leaves gets nothing new.
+func (c *checker) checkLeavingServer(a hosted.Arrival, k vmServer, firstAnnounced map[vmServer]time.Time) {
+	t, ok := firstAnnounced[k]
 	if a.Signals.Leaving && !ok {
-		told[k] = a.At
+		firstAnnounced[k] = a.At
 		return
 	}
-	if ok && a.ResumeFrom == "" && a.At.Sub(t) > leaveTime && !c.excused(t, a, k) {
+	if ok && a.ResumeFrom == "" && a.At.Sub(t) > maxLeaveDelay && !c.excusedSince(t, a, k) {
 		c.add(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after it had told the entry VM that it leaves", a.Server, a.At.Sub(t)))
 	}
 }
 
-// rest checks that a server that asked an entry VM for rest is left alone.
-func (c *checker) rest(a hosted.Arrival, k key, asked map[key][]time.Time) {
+// checkServerBackoff checks that a server that asked an entry VM for checkServerBackoff is left alone.
+func (c *checker) checkServerBackoff(a hosted.Arrival, k vmServer, backoffs map[vmServer][]time.Time) {
 	if a.Signals.Backoff == 0 {
-		delete(asked, k)
+		delete(backoffs, k)
 		return
 	}
-	l := asked[k]
+	l := backoffs[k]
 	if len(l) == 0 || a.At.Sub(l[0]) >= a.Signals.Backoff {
-		asked[k] = []time.Time{a.At}
+		backoffs[k] = []time.Time{a.At}
 		return
 	}
-	if a.At.Sub(l[0]) < restSettle || c.excused(l[0], a, k) {
+	if a.At.Sub(l[0]) < backoffSettleTime || c.excusedSince(l[0], a, k) {
 		return
 	}
-	asked[k] = append(l, a.At)
-	if n := len(l); n > restMost {
+	backoffs[k] = append(l, a.At)
+	if n := len(l); n > maxBackoffRequests {
 		c.add(ServerBackoff, a.ID, a.At, fmt.Sprintf("server %s had asked VM %d for rest, and got %d requests of it", a.Server, k.vm, n))
 	}
 }
