--- a/internal/soak/bed.go
+++ b/internal/soak/bed.go
@@ -98,15 +98,15 @@
 func (b *testbed) build(s Size) error {
 	b.configure()
 	for i := range s.Engines + s.Plain {
-		x := &server{service: engines, place: i}
+		x := &server{service: engines, index: i}
 		if i >= s.Engines {
 			x.service = plain
 		}
 		b.servers = append(b.servers, x)
-		if err := b.begin(x, nil, newName); err != nil {
+		if err := b.startServer(x, nil, newName); err != nil {
 			return err
 		}
-		b.cleanups = append(b.cleanups, x.finish)
+		b.cleanups = append(b.cleanups, x.shutDown)
 	}
 	var seeds []string
 	addresses := make([][3]string, s.VMs)
--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -12,7 +12,7 @@
 
 // closeDomain closes the failure domain of a server to new work for a time.
 func (b *testbed) closeDomain(ctx context.Context, s *server, d time.Duration) {
-	n := domainOf(s.place)
+	n := domainOf(s.index)
 	b.closureMutex.Lock()
 	defer b.closureMutex.Unlock()
 	b.shutting(n)
@@ -42,7 +42,7 @@
 func (b *testbed) rebirth(s *server) {
 	x, _ := s.current()
 	x.Crash()
-	b.failed(b.begin(s, x, sameName))
+	b.failed(b.startServer(s, x, sameName))
 }
 
 // foreignEntry writes an entry that no server can have written, beside those that hold:
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -45,7 +45,7 @@
 	end := time.Now().Add(f.For.Duration() + comebackTime)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
 		v := b.choose(r)
-		s := SentRequest{VM: v.place, Kind: x.kind, Workspace: mainWorkspace, Call: hosted.Call{
+		s := SentRequest{VM: v.index, Kind: x.kind, Workspace: mainWorkspace, Call: hosted.Call{
 			ID: api.RequestID(fmt.Sprintf("d%d-%d-%d", f.At, f.Target, n)), Method: http.MethodPost, Host: host, Target: "/" + x.path + "/" + body[:6],
 			Key: mainKey, Wait: callWait, Body: body,
 		}}
@@ -53,7 +53,7 @@
 			s.Tokens = hosted.TokensPerEvent * answerMost
 		}
 		s.At = time.Now()
-		s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
+		s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
 		s.Done = time.Now()
 		b.recorder.update(func(y *Record) { y.Requests = append(y.Requests, s) })
 		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(comebackPause)))
@@ -66,7 +66,7 @@
 		if live, _ := s.current(); live != x {
 			continue
 		}
-		f := Fault{Kind: CrashServer, Target: s.place}
+		f := Fault{Kind: CrashServer, Target: s.index}
 		now := time.Now()
 		b.recorder.update(func(r *Record) {
 			r.CrashTimes[body] = append(r.CrashTimes[body], now)
@@ -75,7 +75,7 @@
 		b.group.Go(func(ctx context.Context) error {
 			duty.Sleep(ctx, lapseTime)
 			b.failed(x.Unregister())
-			b.failed(b.begin(s, x, newName))
+			b.failed(b.startServer(s, x, newName))
 			return nil
 		})
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -20,12 +20,12 @@
 	done    chan struct{}
 
 	mutex sync.Mutex
-	// asked is set once the soak has ended it.
-	asked bool
+	// endRequested is set once the soak has ended it.
+	endRequested bool
 }
 
-// start starts a program, whose output goes to the end of a file.
-func start(g *duty.Group, program, settings, log string) (*process, error) {
+// startProcess starts a program, whose output goes to the end of a file.
+func startProcess(g *duty.Group, program, settings, log string) (*process, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, fault.Wrap(fault.UnreadableFile, err, "opening a log")
@@ -53,20 +53,20 @@
 	_ = p.command.Process.Signal(s)
 }
 
-// ask marks that the soak ends the process.
-func (p *process) ask() {
+// markEnding marks that the soak ends the process.
+func (p *process) markEnding() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.asked = true
+	p.endRequested = true
 }
 
-// died reports whether the process has ended by itself.
-func (p *process) died() bool {
+// endedUnexpectedly reports whether the process has ended by itself.
+func (p *process) endedUnexpectedly() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	select {
 	case <-p.done:
-		return !p.asked
+		return !p.endRequested
 	default:
 		return false
 	}
@@ -74,14 +74,14 @@
 
 // kill ends the process at once, also one that is paused.
 func (p *process) kill() {
-	p.ask()
+	p.markEnding()
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
 // stop asks for a planned stop and kills the process after the grace.
 func (p *process) stop(grace time.Duration) {
-	p.ask()
+	p.markEnding()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
@@ -90,14 +90,14 @@
 	}
 }
 
-// marks are what a program writes when it is broken in itself.
-var marks = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
+// failureMarks are what a program writes when it is broken in itself.
+var failureMarks = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
 
-// broken reports whether a log holds such a mark.
-func broken(log string) (bool, error) {
+// hasFailureMark reports whether a log holds such a mark.
+func hasFailureMark(log string) (bool, error) {
 	b, err := os.ReadFile(log)
 	if err != nil {
 		return false, fault.Wrap(fault.UnreadableFile, err, "reading a log")
 	}
-	return slices.ContainsFunc(marks, func(m []byte) bool { return bytes.Contains(b, m) }), nil
+	return slices.ContainsFunc(failureMarks, func(m []byte) bool { return bytes.Contains(b, m) }), nil
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -103,7 +103,7 @@
 		n := 0
 		for _, v := range b.vms {
 			v.mutex.Lock()
-			if v.accepts {
+			if v.acceptsCallers {
 				n++
 			}
 			v.mutex.Unlock()
@@ -118,14 +118,14 @@
 // end closes the record.
 func (b *testbed) end() Record {
 	for _, v := range b.vms {
-		if v.current().died() {
-			b.fail(v.log + ": the process ended by itself")
+		if v.current().endedUnexpectedly() {
+			b.fail(v.logPath + ": the process ended by itself")
 		}
 		v.kill()
-		is, err := broken(v.log)
+		is, err := hasFailureMark(v.logPath)
 		b.failed(err)
 		if is {
-			b.fail(v.log + ": the program tells that it is broken")
+			b.fail(v.logPath + ": the program tells that it is broken")
 		}
 	}
 	b.recorder.mutex.Lock()
@@ -162,7 +162,7 @@
 	case KillVM, StopVM, PauseVM, ReloadVM:
 		b.signal(ctx, f, v)
 	case CallerLink:
-		b.link(ctx, v.callers, f)
+		b.link(ctx, v.callerProxy, f)
 	case ServerLink, SilentServer, CrashServer, LeaveServer, RestartServer, LoseAnswers:
 		b.serverFault(ctx, f, s)
 	case SignalLimit, SignalBackoff, SignalLeaving:
@@ -238,7 +238,7 @@
 // awaitStarted waits until the VM's present process says that it has started.
 func (b *testbed) awaitStarted(ctx context.Context, v *vm) {
 	for end := time.Now().Add(startTime); time.Now().Before(end); {
-		ok, err := v.started()
+		ok, err := v.hasStarted()
 		b.failed(err)
 		if ok || err != nil || !duty.Sleep(ctx, pollInterval) {
 			return
@@ -255,7 +255,7 @@
 		t.Server = x.Name
 	case ChangeRoute, RevokeKey, StoreDropHistory, SignalLimit, SignalBackoff, SignalLeaving, CloseDomain, ForeignEntry, CrashingRequest:
 	default:
-		t.VM = v.place
+		t.VM = v.index
 		if f.Target == All {
 			t.VM = All
 		}
@@ -273,7 +273,7 @@
 
 // restart starts a VM whose process has ended, unless another fault has done so.
 func (b *testbed) restart(v *vm, ended *process) {
-	b.failed(b.boot(v, ended))
+	b.failed(b.bootVM(v, ended))
 }
 
 // failed notes that the soak itself could not do something.
@@ -304,7 +304,7 @@
 	duty.Sleep(ctx, lapseTime)
 	b.failed(x.Unregister())
 	duty.Sleep(ctx, d)
-	b.failed(b.begin(s, x, newName))
+	b.failed(b.startServer(s, x, newName))
 }
 
 // leave ends a server after its notice; another one takes its place.
@@ -317,7 +317,7 @@
 	duty.Sleep(ctx, notice)
 	b.failed(x.Unregister())
 	x.Crash()
-	b.failed(b.begin(s, x, newName))
+	b.failed(b.startServer(s, x, newName))
 }
 
 // lose makes a server lose answers to plain requests that it has run.
@@ -347,7 +347,7 @@
 	duty.Sleep(ctx, f.For.Duration())
 	for _, v := range l {
 		v.endpoint.SetOutcome(hosted.Answered, 0)
-		v.store.setMode(Pass)
+		v.storeProxy.setMode(Pass)
 	}
 }
 
@@ -363,8 +363,8 @@
 	case StoreSlow:
 		v.endpoint.SetOutcome(hosted.Answered, slowTime)
 	case StoreStale:
-		v.store.setMode(HoldOpen)
+		v.storeProxy.setMode(HoldOpen)
 	default:
-		v.store.setMode(HoldAll)
+		v.storeProxy.setMode(HoldAll)
 	}
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -14,13 +14,13 @@
 // server is a place for backend servers, one life after the other.
 type server struct {
 	service api.ServiceName
-	place   int
+	index   int
 
-	mutex sync.Mutex
-	live  *hosted.Server
-	proxy *proxy
-	stop  func()
-	lives int
+	mutex        sync.Mutex
+	instance     *hosted.Server
+	proxy        *proxy
+	stop         func()
+	incarnations int
 	// id is kept by a server that starts again under its name.
 	id api.ServerID
 }
@@ -35,12 +35,12 @@
 	sameName
 )
 
-// begin starts the next life of a server, on an address of its own, unless
+// startServer starts the next life of a server, on an address of its own, unless
 // another one has followed the one that ended.
-func (b *testbed) begin(s *server, ended *hosted.Server, n naming) error {
+func (b *testbed) startServer(s *server, ended *hosted.Server, n naming) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.live != ended {
+	if s.instance != ended {
 		return nil
 	}
 	if s.stop != nil {
@@ -54,18 +54,18 @@
 	if err != nil {
 		return err
 	}
-	s.lives++
+	s.incarnations++
 	p, closer := newProxy(out, in.Addr().String())
 	if n == newName {
-		s.id = api.ServerID(fmt.Sprintf("s-%d-%d", s.place+1, s.lives))
+		s.id = api.ServerID(fmt.Sprintf("s-%d-%d", s.index+1, s.incarnations))
 	}
 	born := api.Birth(time.Now().UnixMilli())
 	x := roster.Server{
 		Name: roster.IncarnationName(s.id, born), ID: s.id, Born: born, Service: s.service, Address: p.address(),
-		Domain: domainOf(s.place), Slots: slots,
+		Domain: domainOf(s.index), Slots: slots,
 	}
-	live, end := b.fleet.StartServer(x, s.service == engines, in)
-	s.live, s.proxy = live, p
+	instance, end := b.fleet.StartServer(x, s.service == engines, in)
+	s.instance, s.proxy = instance, p
 	s.stop = func() {
 		closer()
 		end()
@@ -74,11 +74,11 @@
 		r.ServerServices[x.Name] = s.service
 		r.ServerDomains[x.Name] = x.Domain
 	})
-	return live.Register()
+	return instance.Register()
 }
 
-// finish ends a server's present life.
-func (s *server) finish() {
+// shutDown ends a server's present life.
+func (s *server) shutDown() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stop()
@@ -87,5 +87,5 @@
 func (s *server) current() (*hosted.Server, *proxy) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.live, s.proxy
+	return s.instance, s.proxy
 }
--- a/internal/soak/started_test.go
+++ b/internal/soak/started_test.go
@@ -10,15 +10,15 @@
 // before it.
 func TestEachLifeSaysThatItStarted(t *testing.T) {
 	const line = `{"level":"info","msg":"started","event":103}` + "\n"
-	v := &vm{log: filepath.Join(t.TempDir(), "vm.log"), life: 2}
+	v := &vm{logPath: filepath.Join(t.TempDir(), "vm.log"), incarnation: 2}
 	for _, c := range []struct {
 		log  string
 		want bool
 	}{{line, false}, {line + "{}\n" + line, true}} {
-		if err := os.WriteFile(v.log, []byte(c.log), fileMode); err != nil {
+		if err := os.WriteFile(v.logPath, []byte(c.log), fileMode); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := v.started(); got != c.want || err != nil {
+		if got, err := v.hasStarted(); got != c.want || err != nil {
 			t.Errorf("%q: got %v, %v, want %v", c.log, got, err, c.want)
 		}
 	}
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -40,10 +40,10 @@
 	return duty.Loop(ctx, func() time.Duration { return lookEvery }, func(ctx context.Context) {
 		for _, v := range b.vms {
 			c, cancel := context.WithTimeout(ctx, lookEvery)
-			ok := hosted.Ready(c, b.Wire, b.http, v.ready)
+			ok := hosted.Ready(c, b.Wire, b.http, v.readyAddress)
 			cancel()
 			v.mutex.Lock()
-			v.accepts = ok
+			v.acceptsCallers = ok
 			v.mutex.Unlock()
 		}
 	})
@@ -54,7 +54,7 @@
 	var l []*vm
 	for _, v := range b.vms {
 		v.mutex.Lock()
-		if v.accepts {
+		if v.acceptsCallers {
 			l = append(l, v)
 		}
 		v.mutex.Unlock()
@@ -78,9 +78,9 @@
 			v = b.choose(r)
 		}
 		s := b.next(r, fmt.Sprintf("c%d-%d", place, n))
-		s.VM = v.place
+		s.VM = v.index
 		s.At = time.Now()
-		s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
+		s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
 		s.Done = time.Now()
 		b.recorder.update(func(x *Record) { x.Requests = append(x.Requests, s) })
 		if s.Err != nil {
@@ -168,17 +168,17 @@
 	if !ok {
 		return
 	}
-	id := api.RequestID(fmt.Sprintf("p%d-%d", v.place, n))
-	s := SentRequest{VM: v.place, Kind: directory.Safe, Workspace: q.workspace, Call: hosted.Call{
+	id := api.RequestID(fmt.Sprintf("p%d-%d", v.index, n))
+	s := SentRequest{VM: v.index, Kind: directory.Safe, Workspace: q.workspace, Call: hosted.Call{
 		ID: id, Method: http.MethodGet, Host: host, Target: "/" + q.path + "/" + string(id), Key: q.key, Wait: callWait,
 	}}
 	v.mutex.Lock()
-	w := Probe{VM: v.place, Incarnation: v.life}
+	w := Probe{VM: v.index, Incarnation: v.incarnation}
 	v.mutex.Unlock()
 	s.At = time.Now()
 	w.At = s.At
 	// What was sent is waited for, also once the soak is over.
-	s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
+	s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
 	s.Done = time.Now()
 	b.mutex.Lock()
 	// It may have been removed meanwhile.
