--- a/internal/soak/change.go
+++ b/internal/soak/change.go
@@ -47,7 +47,7 @@
 	}
 	c.Workspaces = []directory.Workspace{{Name: mainWorkspace, Keys: []string{mainKey}}, spare}
 	if err := b.store.WriteConfig(c); err != nil {
-		b.failed(err)
+		b.recordError(err)
 		return
 	}
 	b.config = c
--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -15,8 +15,8 @@
 	n := domainOf(s.index)
 	b.closureMutex.Lock()
 	defer b.closureMutex.Unlock()
-	b.shutting(n)
-	b.failed(b.store.CloseDomain(n))
+	b.setClosedDomain(n)
+	b.recordError(b.store.CloseDomain(n))
 	at := time.Now()
 	i := 0
 	b.recorder.update(func(r *Record) {
@@ -27,31 +27,31 @@
 	// What is sent from now on may meet an open domain.
 	until := time.Now()
 	b.recorder.update(func(r *Record) { r.Closures[i].Until = until })
-	b.shutting("")
-	b.failed(b.store.OpenDomain(n))
+	b.setClosedDomain("")
+	b.recordError(b.store.OpenDomain(n))
 }
 
-// shutting notes which failure domain operators keep closed, empty for none.
-func (b *testbed) shutting(n api.DomainName) {
+// setClosedDomain notes which failure domain operators keep closed, empty for none.
+func (b *testbed) setClosedDomain(n api.DomainName) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.closedDomain = n
 }
 
-// rebirth ends a server without notice and starts it again at once under its name.
-func (b *testbed) rebirth(s *server) {
+// restartServer ends a server without notice and starts it again at once under its name.
+func (b *testbed) restartServer(s *server) {
 	x, _ := s.current()
 	x.Crash()
-	b.failed(b.startServer(s, x, sameName))
+	b.recordError(b.startServer(s, x, sameName))
 }
 
-// foreignEntry writes an entry that no server can have written, beside those that hold:
+// writeForeignEntry writes an entry that no server can have written, beside those that hold:
 // it names the address of a server that is there.
-func (b *testbed) foreignEntry(s *server) {
+func (b *testbed) writeForeignEntry(s *server) {
 	x, _ := s.current()
 	e, err := b.Wire.EncodeServer(x.Server)
 	if err != nil {
-		b.failed(err)
+		b.recordError(err)
 		return
 	}
 	e.Name = fmt.Sprintf("x-%d", time.Now().UnixNano())
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// comebackPause is the mean pause of a caller that comes again with a deadly request,
+	// meanCrashRetryPause is the mean pause of a caller that comes again with a deadly request,
 	// and comebackTime how long it does so beyond its fault: the entry VMs have to know it
 	// by then.
-	comebackPause = 400 * time.Millisecond
-	comebackTime  = 5 * time.Second
-	// deadlyMost is how many deadly requests may reach servers once their third one has
+	meanCrashRetryPause = 400 * time.Millisecond
+	crashRetryTime      = 5 * time.Second
+	// maxCrashingRequests is how many deadly requests may reach servers once their third one has
 	// crashed and settleTime has passed.
-	deadlyMost = 3
+	maxCrashingRequests = 3
 )
 
-// deadlyPaths are the routes of deadly requests.
-var deadlyPaths = []struct {
+// crashingRoutes are the routes of deadly requests.
+var crashingRoutes = []struct {
 	path string
 	kind directory.Kind
 }{{pathChat, directory.Stream}, {pathOrders, directory.Unsafe}, {pathParts, directory.Safe}}
 
-// comeBack sends a request that crashes servers again and again, to any entry VM.
-func (b *testbed) comeBack(ctx context.Context, f Fault) {
+// repeatCrashingRequest sends a request that crashes servers again and again, to any entry VM.
+func (b *testbed) repeatCrashingRequest(ctx context.Context, f Fault) {
 	body := fmt.Sprintf("deadly %d %d", f.At, f.Target)
-	b.fleet.CrashOnBody(body, b.crashed)
+	b.fleet.CrashOnBody(body, b.handleCrash)
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
 	defer closer()
 	c := hosted.NewCaller(b.Wire, p)
 	r := rand.New(rand.NewPCG(uint64(f.At), uint64(f.Target)))
-	x := deadlyPaths[f.Target%len(deadlyPaths)]
-	end := time.Now().Add(f.For.Duration() + comebackTime)
+	x := crashingRoutes[f.Target%len(crashingRoutes)]
+	end := time.Now().Add(f.For.Duration() + crashRetryTime)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
 		v := b.choose(r)
 		s := SentRequest{VM: v.index, Kind: x.kind, Workspace: mainWorkspace, Call: hosted.Call{
@@ -56,12 +56,12 @@
 		s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
 		s.Done = time.Now()
 		b.recorder.update(func(y *Record) { y.Requests = append(y.Requests, s) })
-		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(comebackPause)))
+		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanCrashRetryPause)))
 	}
 }
 
-// crashed takes a server that a deadly request has crashed; another one takes its place.
-func (b *testbed) crashed(x *hosted.Server, body string) {
+// handleCrash takes a server that a deadly request has handleCrash; another one takes its place.
+func (b *testbed) handleCrash(x *hosted.Server, body string) {
 	for _, s := range b.servers {
 		if live, _ := s.current(); live != x {
 			continue
@@ -70,12 +70,12 @@
 		now := time.Now()
 		b.recorder.update(func(r *Record) {
 			r.CrashTimes[body] = append(r.CrashTimes[body], now)
-			r.Injections = append(r.Injections, Injection{Fault: f, VM: noVM, Server: x.Name, Span: Span{From: now, Until: now.Add(lapseTime)}})
+			r.Injections = append(r.Injections, Injection{Fault: f, VM: noVM, Server: x.Name, Span: Span{From: now, Until: now.Add(entryExpiry)}})
 		})
 		b.group.Go(func(ctx context.Context) error {
-			duty.Sleep(ctx, lapseTime)
-			b.failed(x.Unregister())
-			b.failed(b.startServer(s, x, newName))
+			duty.Sleep(ctx, entryExpiry)
+			b.recordError(x.Unregister())
+			b.recordError(b.startServer(s, x, newName))
 			return nil
 		})
 	}
@@ -91,7 +91,7 @@
 			continue
 		}
 		late[a.Body]++
-		if late[a.Body] == deadlyMost+1 {
+		if late[a.Body] == maxCrashingRequests+1 {
 			c.add(CrashesContained, a.ID, a.At, fmt.Sprintf("%s reached servers %d times more, %s after its third crash; %d crashed in all", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
 		}
 	}
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -7,35 +7,35 @@
 	"github.com/wardridge/wardridge/internal/duty"
 )
 
-// rewriteTime is how long after the store's return operators and servers have written again
+// rewriteDelay is how long after the store's return operators and servers have written again
 // what it lost, at the latest.
-const rewriteTime = time.Second
+const rewriteDelay = time.Second
 
-// restore has the store come back from a copy of so long before. Then servers and operators
+// restoreStore has the store come back from a copy of so long before. Then servers and operators
 // write again; entries of servers that ended meanwhile lapse.
-func (b *testbed) restore(ctx context.Context, d time.Duration) {
+func (b *testbed) restoreStore(ctx context.Context, d time.Duration) {
 	c := b.store.Backup()
 	duty.Sleep(ctx, d)
 	b.store.Restore(c)
-	duty.Sleep(ctx, rewriteTime)
+	duty.Sleep(ctx, rewriteDelay)
 	b.mutex.Lock()
-	b.failed(b.store.WriteConfig(b.config))
+	b.recordError(b.store.WriteConfig(b.config))
 	closed := b.closedDomain
 	b.mutex.Unlock()
 	if closed != "" {
-		b.failed(b.store.CloseDomain(closed))
+		b.recordError(b.store.CloseDomain(closed))
 	}
 	live := map[string]bool{}
 	for _, s := range b.servers {
 		x, _ := s.current()
-		b.failed(x.Register())
+		b.recordError(x.Register())
 		live[string(x.ID)] = true
 	}
-	duty.Sleep(ctx, lapseTime)
+	duty.Sleep(ctx, entryExpiry)
 	x, _ := b.servers[0].current()
 	e, err := b.Wire.EncodeServer(x.Server)
 	if err != nil {
-		b.failed(err)
+		b.recordError(err)
 		return
 	}
 	for _, s := range b.servers {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -50,19 +50,19 @@
 		return Result{}, err
 	}
 	defer closer()
-	b.play(ctx, p)
-	r := b.end()
-	return result(p, r), ctx.Err()
+	b.runPlan(ctx, p)
+	r := b.finish()
+	return newResult(p, r), ctx.Err()
 }
 
-// startTime is how long a system may take until it serves.
-const startTime = 20 * time.Second
+// maxStartTime is how long a system may take until it serves.
+const maxStartTime = 20 * time.Second
 
-// play sends traffic and brings the faults about, each at its time.
-func (b *testbed) play(ctx context.Context, p Plan) {
-	looks, stopLooks := duty.New(ctx)
-	defer stopLooks()
-	looks.Go(b.balance)
+// runPlan sends traffic and brings the faults about, each at its time.
+func (b *testbed) runPlan(ctx context.Context, p Plan) {
+	polls, stopPolls := duty.New(ctx)
+	defer stopPolls()
+	polls.Go(b.balance)
 	b.awaitReady(ctx)
 	began := time.Now()
 	calls, stopCalls := duty.New(ctx)
@@ -98,7 +98,7 @@
 
 // awaitReady waits until every entry VM takes callers.
 func (b *testbed) awaitReady(ctx context.Context) {
-	end := time.Now().Add(startTime)
+	end := time.Now().Add(maxStartTime)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		n := 0
 		for _, v := range b.vms {
@@ -115,17 +115,17 @@
 	}
 }
 
-// end closes the record.
-func (b *testbed) end() Record {
+// finish closes the record.
+func (b *testbed) finish() Record {
 	for _, v := range b.vms {
 		if v.current().endedUnexpectedly() {
-			b.fail(v.logPath + ": the process ended by itself")
+			b.recordFailure(v.logPath + ": the process ended by itself")
 		}
 		v.kill()
-		is, err := hasFailureMark(v.logPath)
-		b.failed(err)
-		if is {
-			b.fail(v.logPath + ": the program tells that it is broken")
+		marked, err := hasFailureMark(v.logPath)
+		b.recordError(err)
+		if marked {
+			b.recordFailure(v.logPath + ": the program tells that it is broken")
 		}
 	}
 	b.recorder.mutex.Lock()
@@ -136,7 +136,7 @@
 	return r
 }
 
-func result(p Plan, r Record) Result {
+func newResult(p Plan, r Record) Result {
 	x := Result{Plan: p, Requests: len(r.Requests), Runs: len(r.Runs), Probes: len(r.Probes), Violations: Check(r)}
 	for _, s := range r.Requests {
 		if s.Complete {
@@ -156,33 +156,33 @@
 	v := b.vms[max(0, f.Target)%len(b.vms)]
 	s := b.servers[max(0, f.Target)%len(b.servers)]
 	// It is noted before it begins and, with its end, again after it.
-	i := b.begins(f, v, s)
+	i := b.recordInjection(f, v, s)
 	b.Log.Emit(event.SoakFault, zap.String("kind", string(f.Kind)), zap.Int("target", f.Target), zap.Duration("for", f.For.Duration()), zap.String("mode", string(f.Mode)))
 	switch f.Kind {
 	case KillVM, StopVM, PauseVM, ReloadVM:
-		b.signal(ctx, f, v)
+		b.injectVMFault(ctx, f, v)
 	case CallerLink:
-		b.link(ctx, v.callerProxy, f)
+		b.injectLinkFault(ctx, v.callerProxy, f)
 	case ServerLink, SilentServer, CrashServer, LeaveServer, RestartServer, LoseAnswers:
-		b.serverFault(ctx, f, s)
+		b.injectServerFault(ctx, f, s)
 	case SignalLimit, SignalBackoff, SignalLeaving:
-		b.say(ctx, f, s)
+		b.injectSignal(ctx, f, s)
 	case CloseDomain:
 		b.closeDomain(ctx, s, f.For.Duration())
 	case ForeignEntry:
-		b.foreignEntry(s)
+		b.writeForeignEntry(s)
 	case CrashingRequest:
-		b.comeBack(ctx, f)
+		b.repeatCrashingRequest(ctx, f)
 	case StoreDropHistory:
 		b.store.DropHistory()
 	case StoreRestore:
-		b.restore(ctx, f.For.Duration())
+		b.restoreStore(ctx, f.For.Duration())
 	case ChangeRoute:
 		b.changeRoute()
 	case RevokeKey:
 		b.changeKey()
 	default:
-		b.storeFault(ctx, f, v)
+		b.injectStoreFault(ctx, f, v)
 	}
 	until := time.Now()
 	if f.Mode == HoldOpen {
@@ -193,37 +193,37 @@
 	b.recorder.update(func(r *Record) { r.Injections[i].Until = until })
 }
 
-// serverFault brings a fault of one server about and ends it.
-func (b *testbed) serverFault(ctx context.Context, f Fault, s *server) {
+// injectServerFault brings a fault of one server about and ends it.
+func (b *testbed) injectServerFault(ctx context.Context, f Fault, s *server) {
 	_, p := s.current()
 	switch f.Kind {
 	case ServerLink:
-		b.link(ctx, p, f)
+		b.injectLinkFault(ctx, p, f)
 	case SilentServer:
 		p.setMode(HoldAll)
-		b.crash(ctx, s, f.For.Duration())
+		b.crashServer(ctx, s, f.For.Duration())
 	case CrashServer:
-		b.crash(ctx, s, f.For.Duration())
+		b.crashServer(ctx, s, f.For.Duration())
 	case LeaveServer:
-		b.leave(ctx, s, f.For.Duration())
+		b.leaveServer(ctx, s, f.For.Duration())
 	case RestartServer:
-		b.rebirth(s)
+		b.restartServer(s)
 	default:
-		b.lose(ctx, s, f.For.Duration())
+		b.loseAnswers(ctx, s, f.For.Duration())
 	}
 }
 
-// signal sends a fault's signals to an entry VM's process.
-func (b *testbed) signal(ctx context.Context, f Fault, v *vm) {
+// injectVMFault sends a fault's signals to an entry VM's process.
+func (b *testbed) injectVMFault(ctx context.Context, f Fault, v *vm) {
 	p := v.current()
 	switch f.Kind {
 	case KillVM:
 		p.kill()
 		duty.Sleep(ctx, f.For.Duration())
-		b.restart(v, p)
+		b.restartVM(v, p)
 	case StopVM:
 		p.stop(stopGrace + time.Second)
-		b.restart(v, p)
+		b.restartVM(v, p)
 	case PauseVM:
 		p.signal(syscall.SIGSTOP)
 		duty.Sleep(ctx, f.For.Duration())
@@ -237,17 +237,17 @@
 
 // awaitStarted waits until the VM's present process says that it has started.
 func (b *testbed) awaitStarted(ctx context.Context, v *vm) {
-	for end := time.Now().Add(startTime); time.Now().Before(end); {
+	for end := time.Now().Add(maxStartTime); time.Now().Before(end); {
 		ok, err := v.hasStarted()
-		b.failed(err)
+		b.recordError(err)
 		if ok || err != nil || !duty.Sleep(ctx, pollInterval) {
 			return
 		}
 	}
 }
 
-// begins records that a fault is about to begin and gives its place.
-func (b *testbed) begins(f Fault, v *vm, s *server) int {
+// recordInjection records that a fault is about to begin and gives its place.
+func (b *testbed) recordInjection(f Fault, v *vm, s *server) int {
 	t := Injection{Fault: f, VM: noVM}
 	switch f.Kind {
 	case CrashServer, SilentServer, ServerLink, LeaveServer, LoseAnswers, RestartServer:
@@ -271,78 +271,78 @@
 	return i
 }
 
-// restart starts a VM whose process has ended, unless another fault has done so.
-func (b *testbed) restart(v *vm, ended *process) {
-	b.failed(b.bootVM(v, ended))
+// restartVM starts a VM whose process has ended, unless another fault has done so.
+func (b *testbed) restartVM(v *vm, ended *process) {
+	b.recordError(b.bootVM(v, ended))
 }
 
-// failed notes that the soak itself could not do something.
-func (b *testbed) failed(err error) {
+// recordError notes that the soak itself could not do something.
+func (b *testbed) recordError(err error) {
 	if err != nil {
-		b.fail(err.Error())
+		b.recordFailure(err.Error())
 	}
 }
 
-func (b *testbed) fail(what string) {
+func (b *testbed) recordFailure(what string) {
 	b.recorder.update(func(r *Record) { r.Failures = append(r.Failures, what) })
 }
 
-// link makes a link fail for a time.
-func (b *testbed) link(ctx context.Context, p *proxy, f Fault) {
+// injectLinkFault makes a injectLinkFault fail for a time.
+func (b *testbed) injectLinkFault(ctx context.Context, p *proxy, f Fault) {
 	p.setMode(f.Mode)
 	duty.Sleep(ctx, f.For.Duration())
 	p.setMode(Pass)
 }
 
-// lapseTime is how long the entry of a server that crashed stays.
-const lapseTime = 1500 * time.Millisecond
+// entryExpiry is how long the entry of a server that crashed stays.
+const entryExpiry = 1500 * time.Millisecond
 
-// crash ends a server without notice; another one takes its place.
-func (b *testbed) crash(ctx context.Context, s *server, d time.Duration) {
+// crashServer ends a server without notice; another one takes its place.
+func (b *testbed) crashServer(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	x.Crash()
-	duty.Sleep(ctx, lapseTime)
-	b.failed(x.Unregister())
+	duty.Sleep(ctx, entryExpiry)
+	b.recordError(x.Unregister())
 	duty.Sleep(ctx, d)
-	b.failed(b.startServer(s, x, newName))
+	b.recordError(b.startServer(s, x, newName))
 }
 
-// leave ends a server after its notice; another one takes its place.
-func (b *testbed) leave(ctx context.Context, s *server, d time.Duration) {
+// leaveServer ends a server after its notice; another one takes its place.
+func (b *testbed) leaveServer(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
-	notice := noticeLeast + d
-	b.failed(x.AnnounceStop(notice))
+	notice := minNotice + d
+	b.recordError(x.AnnounceStop(notice))
 	at := time.Now()
 	b.recorder.update(func(r *Record) { r.LeaveNotices = append(r.LeaveNotices, LeaveNotice{Server: x.Name, At: at}) })
 	duty.Sleep(ctx, notice)
-	b.failed(x.Unregister())
+	b.recordError(x.Unregister())
 	x.Crash()
-	b.failed(b.startServer(s, x, newName))
+	b.recordError(b.startServer(s, x, newName))
 }
 
-// lose makes a server lose answers to plain requests that it has run.
-func (b *testbed) lose(ctx context.Context, s *server, d time.Duration) {
+// loseAnswers makes a server loseAnswers answers to plain requests that it has run.
+func (b *testbed) loseAnswers(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	x.LoseAnswers(true)
 	duty.Sleep(ctx, d)
 	x.LoseAnswers(false)
 }
 
-// noticeLeast is the least time between a notice and the end: as on the users'
+// minNotice is the least time between a notice and the end: as on the users'
 // platform.
-const noticeLeast = 1500 * time.Millisecond
+const minNotice = 1500 * time.Millisecond
 
-// slowTime is what a slow store holds its answers back by.
-const slowTime = 200 * time.Millisecond
+// storeDelay is what a slow store holds its answers back by.
+const storeDelay = 200 * time.Millisecond
 
-// storeFault makes the store fail for one VM or for all.
-func (b *testbed) storeFault(ctx context.Context, f Fault, v *vm) {
+// injectStoreFault makes the store fail for one VM or for all.
+func (b *testbed) injectStoreFault(ctx context.Context, f Fault, v *vm) {
 	l := []*vm{v}
 	if f.Target == All {
 		l = b.vms
 	}
 	for _, v := range l {
-		v.meet(f.Kind)
+		v.failStore(f.Kind)
 	}
 	duty.Sleep(ctx, f.For.Duration())
 	for _, v := range l {
@@ -351,8 +351,8 @@
 	}
 }
 
-// meet makes the store fail for a VM.
-func (v *vm) meet(k Kind) {
+// failStore makes the store fail for a VM.
+func (v *vm) failStore(k Kind) {
 	switch k {
 	case StoreBusy:
 		v.endpoint.SetOutcome(hosted.Busy, 0)
@@ -361,7 +361,7 @@
 	case StoreReset:
 		v.endpoint.SetOutcome(hosted.Disconnected, 0)
 	case StoreSlow:
-		v.endpoint.SetOutcome(hosted.Answered, slowTime)
+		v.endpoint.SetOutcome(hosted.Answered, storeDelay)
 	case StoreStale:
 		v.storeProxy.setMode(HoldOpen)
 	default:
--- a/internal/soak/shorten.go
+++ b/internal/soak/shorten.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// shortenTries is how often a plan is played without some of its faults: what
+// shortenAttempts is how often a plan is played without some of its faults: what
 // fails once in two plays is still found out mostly.
-const shortenTries = 2
+const shortenAttempts = 2
 
 // Shorten looks for a plan with fewer faults that breaks a property as well, and
 // leaves it in the folder of the whole one.
@@ -39,7 +39,7 @@
 
 // fails reports whether a plan breaks a property in a few plays.
 func fails(ctx context.Context, o Options, p Plan, k Property) (bool, error) {
-	for range shortenTries {
+	for range shortenAttempts {
 		r, err := Run(ctx, o, p)
 		if err != nil {
 			return false, err
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -26,24 +26,24 @@
 	maxBackoffRequests = 2
 )
 
-// say lets a server say something of itself in its answers for a time. One that says that it
+// injectSignal lets a server injectSignal something of itself in its answers for a time. One that says that it
 // leaves does so after it.
-func (b *testbed) say(ctx context.Context, f Fault, s *server) {
+func (b *testbed) injectSignal(ctx context.Context, f Fault, s *server) {
 	x, _ := s.current()
-	limit, lasts := announcedLimit, f.For.Duration()
+	limit, duration := announcedLimit, f.For.Duration()
 	switch f.Kind {
 	case SignalLimit:
 		x.SetSignals(hosted.Signals{Limit: &limit})
 		// A limit has to hold only after some time.
-		lasts += recoveryTime + limitWindow
+		duration += recoveryTime + limitWindow
 	case SignalBackoff:
 		x.SetSignals(hosted.Signals{Backoff: announcedBackoff})
 	default:
 		x.SetSignals(hosted.Signals{Leaving: true})
 	}
-	duty.Sleep(ctx, lasts)
+	duty.Sleep(ctx, duration)
 	if f.Kind == SignalLeaving {
-		b.leave(ctx, s, 0)
+		b.leaveServer(ctx, s, 0)
 		return
 	}
 	x.SetSignals(hosted.Signals{})
