--- a/internal/soak/bed.go
+++ b/internal/soak/bed.go
@@ -65,8 +65,8 @@
 	// config is the newest configuration; extras are the paths of routes that
 	// come and go, keys those of the spare workspace.
 	config      directory.Config
-	extraRoutes []versioned
-	spareKeys   []versioned
+	extraRoutes []versionedName
+	spareKeys   []versionedName
 	// closedDomain is the failure domain that operators keep closed, empty for none.
 	closedDomain api.DomainName
 }
@@ -96,7 +96,7 @@
 }
 
 func (b *testbed) build(s Size) error {
-	b.configure()
+	b.writeNextConfig()
 	for i := range s.Engines + s.Plain {
 		x := &server{service: engines, index: i}
 		if i >= s.Engines {
--- a/internal/soak/change.go
+++ b/internal/soak/change.go
@@ -10,22 +10,22 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// versioned is a path or key that some versions have: from one on, and up to but
+// versionedName is a path or key that some versions have: from one on, and up to but
 // not with another, which is zero while there is none.
-type versioned struct {
+type versionedName struct {
 	name        string
 	from, until int64
 }
 
-// configure writes the next configuration; the mutex is not held.
-func (b *testbed) configure() {
+// writeNextConfig writes the next configuration; the mutex is not held.
+func (b *testbed) writeNextConfig() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.write()
+	b.writeNextConfigLocked()
 }
 
-// write writes the next version; the mutex is held.
-func (b *testbed) write() {
+// writeNextConfigLocked writes the next version; the mutex is held.
+func (b *testbed) writeNextConfigLocked() {
 	v := b.config.Version + 1
 	c := directory.Config{Version: v, Services: []directory.Service{
 		{Name: engines, MaxConnections: 1 << 10, Engine: &directory.Engine{Slots: slots, Memory: memory, SupportsMoves: true, SupportsBackups: true, TokensPerEvent: hosted.TokensPerEvent}},
@@ -63,25 +63,25 @@
 
 // Times of the bed's routes: far above what any answer takes.
 const (
-	routeTime = 20 * time.Second
-	routeAim  = 500 * time.Millisecond
-	// routeGap is the longest good pause of a stream: many times the pace of the
+	routeTimeout       = 20 * time.Second
+	routeLatencyTarget = 500 * time.Millisecond
+	// routeGapTarget is the longest good pause of a stream: many times the pace of the
 	// servers, as the machine may be shared.
-	routeGap = 400 * time.Millisecond
+	routeGapTarget = 400 * time.Millisecond
 )
 
 func newRoute(path string, k directory.Kind, s api.ServiceName) directory.Route {
 	return directory.Route{
-		Name: path, Host: host, Prefix: "/" + path + "/", Kind: k, Timeout: routeTime, LatencyTarget: routeAim, GapTarget: routeGap, MaxServers: 2,
+		Name: path, Host: host, Prefix: "/" + path + "/", Kind: k, Timeout: routeTimeout, LatencyTarget: routeLatencyTarget, GapTarget: routeGapTarget, MaxServers: 2,
 		Targets: []directory.Target{{Service: s, Weight: 1}},
 	}
 }
 
-// extrasMost is the number of extra routes that stand at once.
-const extrasMost = 3
+// maxExtraRoutes is the number of extra routes that stand at once.
+const maxExtraRoutes = 3
 
-// changeRoute adds a route, and removes the oldest of several.
-func (b *testbed) changeRoute() {
+// changeExtraRoutes adds a route, and removes the oldest of several.
+func (b *testbed) changeExtraRoutes() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	v := b.config.Version + 1
@@ -91,7 +91,7 @@
 			live++
 		}
 	}
-	if live >= extrasMost {
+	if live >= maxExtraRoutes {
 		for i := range b.extraRoutes {
 			if b.extraRoutes[i].until == 0 {
 				b.extraRoutes[i].until = v
@@ -99,18 +99,18 @@
 			}
 		}
 	}
-	b.extraRoutes = append(b.extraRoutes, versioned{name: fmt.Sprint(pathExtra, len(b.extraRoutes)), from: v})
-	b.write()
+	b.extraRoutes = append(b.extraRoutes, versionedName{name: fmt.Sprint(pathExtra, len(b.extraRoutes)), from: v})
+	b.writeNextConfigLocked()
 }
 
-// changeKey takes the spare workspace's key away and gives it a new one.
-func (b *testbed) changeKey() {
+// rotateSpareKey takes the spare workspace's key away and gives it a new one.
+func (b *testbed) rotateSpareKey() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	v := b.config.Version + 1
 	if n := len(b.spareKeys); n > 0 {
 		b.spareKeys[n-1].until = v
 	}
-	b.spareKeys = append(b.spareKeys, versioned{name: fmt.Sprint("spare-key-", len(b.spareKeys)), from: v})
-	b.write()
+	b.spareKeys = append(b.spareKeys, versionedName{name: fmt.Sprint("spare-key-", len(b.spareKeys)), from: v})
+	b.writeNextConfigLocked()
 }
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -44,13 +44,13 @@
 	x := crashingRoutes[f.Target%len(crashingRoutes)]
 	end := time.Now().Add(f.For.Duration() + crashRetryTime)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		v := b.choose(r)
+		v := b.chooseVM(r)
 		s := SentRequest{VM: v.index, Kind: x.kind, Workspace: mainWorkspace, Call: hosted.Call{
 			ID: api.RequestID(fmt.Sprintf("d%d-%d-%d", f.At, f.Target, n)), Method: http.MethodPost, Host: host, Target: "/" + x.path + "/" + body[:6],
-			Key: mainKey, Wait: callWait, Body: body,
+			Key: mainKey, Wait: callTimeout, Body: body,
 		}}
 		if x.kind == directory.Stream {
-			s.Tokens = hosted.TokensPerEvent * answerMost
+			s.Tokens = hosted.TokensPerEvent * maxStreamEvents
 		}
 		s.At = time.Now()
 		s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
--- a/internal/soak/probe_test.go
+++ b/internal/soak/probe_test.go
@@ -4,11 +4,11 @@
 
 func TestProbeTellsWhichVersionsAnswerSo(t *testing.T) {
 	const unknown = 401
-	stands, gone := versioned{from: 5}, versioned{from: 5, until: 9}
+	stands, gone := versionedName{from: 5}, versionedName{from: 5, until: 9}
 	tests := []struct {
 		name        string
 		status      int
-		x           versioned
+		x           versionedName
 		ok          bool
 		from, until int64
 	}{
@@ -20,7 +20,7 @@
 	}
 	for _, c := range tests {
 		var p Probe
-		ok := p.seen(c.status, unknown, c.x)
+		ok := p.setVersions(c.status, unknown, c.x)
 		if ok != c.ok || p.FromVersion != c.from || p.Until != c.until {
 			t.Errorf("%s: got %v from %d until %d, want %v from %d until %d", c.name, ok, p.FromVersion, p.Until, c.ok, c.from, c.until)
 		}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -62,19 +62,19 @@
 func (b *testbed) runPlan(ctx context.Context, p Plan) {
 	polls, stopPolls := duty.New(ctx)
 	defer stopPolls()
-	polls.Go(b.balance)
+	polls.Go(b.pollReadiness)
 	b.awaitReady(ctx)
 	began := time.Now()
 	calls, stopCalls := duty.New(ctx)
 	for i := range p.Size.Callers {
 		calls.Go(func(ctx context.Context) error {
-			b.call(ctx, i, p.Seed)
+			b.runCaller(ctx, i, p.Seed)
 			return nil
 		})
 	}
 	for _, v := range b.vms {
 		calls.Go(func(ctx context.Context) error {
-			b.probe(ctx, v)
+			b.probeVM(ctx, v)
 			return nil
 		})
 	}
@@ -178,9 +178,9 @@
 	case StoreRestore:
 		b.restoreStore(ctx, f.For.Duration())
 	case ChangeRoute:
-		b.changeRoute()
+		b.changeExtraRoutes()
 	case RevokeKey:
-		b.changeKey()
+		b.rotateSpareKey()
 	default:
 		b.injectStoreFault(ctx, f, v)
 	}
@@ -188,7 +188,7 @@
 	if f.Mode == HoldOpen {
 		// What is sent over the connections that were open is met for as long as it
 		// may take.
-		until = until.Add(routeTime)
+		until = until.Add(routeTimeout)
 	}
 	b.recorder.update(func(r *Record) { r.Injections[i].Until = until })
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// callerPause is the mean pause between a caller's requests.
-	callerPause = 60 * time.Millisecond
-	// stayCalls is how many requests a caller sends to one entry VM before it
+	// meanCallerPause is the mean pause between a caller's requests.
+	meanCallerPause = 60 * time.Millisecond
+	// requestsPerVM is how many requests a caller sends to one entry VM before it
 	// looks for another: callers keep their connections.
-	stayCalls = 20
-	// chatWait and callWait are how long callers wait.
-	chatWait = 15 * time.Second
-	callWait = 3 * time.Second
-	// answerMost bounds a stream, in events: below the grace of a stop.
-	answerMost = 220
-	// leaveChance is how often a caller leaves a stream.
-	leaveChance = 0.1
-	// probeEvery is the pause between looks at an entry VM's configuration.
-	probeEvery = 150 * time.Millisecond
-	// lookEvery is the pause between looks at an entry VM's readiness, as a
+	requestsPerVM = 20
+	// chatTimeout and callWait are how long callers wait.
+	chatTimeout = 15 * time.Second
+	callTimeout = 3 * time.Second
+	// maxStreamEvents bounds a stream, in events: below the grace of a stop.
+	maxStreamEvents = 220
+	// callerLeaveChance is how often a caller leaves a stream.
+	callerLeaveChance = 0.1
+	// probeInterval is the pause between looks at an entry VM's configuration.
+	probeInterval = 150 * time.Millisecond
+	// readinessInterval is the pause between looks at an entry VM's readiness, as a
 	// balancer makes them.
-	lookEvery = 300 * time.Millisecond
+	readinessInterval = 300 * time.Millisecond
 )
 
-// balance is the duty that asks each entry VM whether it takes callers.
-func (b *testbed) balance(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return lookEvery }, func(ctx context.Context) {
+// pollReadiness is the duty that asks each entry VM whether it takes callers.
+func (b *testbed) pollReadiness(ctx context.Context) error {
+	return duty.Loop(ctx, func() time.Duration { return readinessInterval }, func(ctx context.Context) {
 		for _, v := range b.vms {
-			c, cancel := context.WithTimeout(ctx, lookEvery)
+			c, cancel := context.WithTimeout(ctx, readinessInterval)
 			ok := hosted.Ready(c, b.Wire, b.http, v.readyAddress)
 			cancel()
 			v.mutex.Lock()
@@ -49,8 +49,8 @@
 	})
 }
 
-// choose gives an entry VM that takes callers, or any where none does.
-func (b *testbed) choose(r *rand.Rand) *vm {
+// chooseVM gives an entry VM that takes callers, or any where none does.
+func (b *testbed) chooseVM(r *rand.Rand) *vm {
 	var l []*vm
 	for _, v := range b.vms {
 		v.mutex.Lock()
@@ -65,19 +65,19 @@
 	return l[r.IntN(len(l))]
 }
 
-// call is the duty of one caller, which sends one request after the other.
-func (b *testbed) call(ctx context.Context, place int, seed uint64) {
-	r := rand.New(rand.NewPCG(seed, uint64(place)+2))
+// runCaller is the duty of one caller, which sends one request after the other.
+func (b *testbed) runCaller(ctx context.Context, index int, seed uint64) {
+	r := rand.New(rand.NewPCG(seed, uint64(index)+2))
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
 	defer closer()
 	c := hosted.NewCaller(b.Wire, p)
-	v := b.choose(r)
+	v := b.chooseVM(r)
 	for n := 0; ctx.Err() == nil; n++ {
-		if n%stayCalls == 0 {
-			v = b.choose(r)
+		if n%requestsPerVM == 0 {
+			v = b.chooseVM(r)
 		}
-		s := b.next(r, fmt.Sprintf("c%d-%d", place, n))
+		s := b.nextRequest(r, fmt.Sprintf("c%d-%d", index, n))
 		s.VM = v.index
 		s.At = time.Now()
 		s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
@@ -85,23 +85,23 @@
 		b.recorder.update(func(x *Record) { x.Requests = append(x.Requests, s) })
 		if s.Err != nil {
 			// What broke off is not asked for again at once, and elsewhere.
-			v = b.choose(r)
+			v = b.chooseVM(r)
 		}
-		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(callerPause)))
+		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanCallerPause)))
 	}
 }
 
-// next draws a caller's next request.
-func (b *testbed) next(r *rand.Rand, id string) SentRequest {
+// nextRequest draws a caller's nextRequest request.
+func (b *testbed) nextRequest(r *rand.Rand, id string) SentRequest {
 	s := SentRequest{Workspace: mainWorkspace, Call: hosted.Call{
-		ID: api.RequestID(id), Method: http.MethodPost, Host: host, Key: mainKey, Wait: callWait, Body: "body of " + id,
+		ID: api.RequestID(id), Method: http.MethodPost, Host: host, Key: mainKey, Wait: callTimeout, Body: "body of " + id,
 	}}
 	switch x := r.Float64(); {
 	case x < 0.4:
 		s.Kind, s.Target = directory.Stream, "/"+pathChat+"/"+id
-		s.Wait = chatWait
-		s.Tokens = api.Tokens(hosted.TokensPerEvent * (1 + r.IntN(answerMost)))
-		if r.Float64() < leaveChance {
+		s.Wait = chatTimeout
+		s.Tokens = api.Tokens(hosted.TokensPerEvent * (1 + r.IntN(maxStreamEvents)))
+		if r.Float64() < callerLeaveChance {
 			s.LeaveAfter = 1 + r.IntN(int(s.Tokens)/hosted.TokensPerEvent)
 		}
 	case x < 0.7:
@@ -113,64 +113,64 @@
 	return s
 }
 
-// probe is the duty that looks which configuration an entry VM serves by.
-func (b *testbed) probe(ctx context.Context, v *vm) {
+// probeVM is the duty that looks which configuration an entry VM serves by.
+func (b *testbed) probeVM(ctx context.Context, v *vm) {
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
 	defer closer()
 	c := hosted.NewCaller(b.Wire, p)
 	for n := 0; ctx.Err() == nil; n++ {
 		b.probeOnce(ctx, v, c, n)
-		duty.Sleep(ctx, probeEvery)
+		duty.Sleep(ctx, probeInterval)
 	}
 }
 
-// newest is how many of the paths or keys that come and go are asked about: the
-// newest ones tell most.
-const newest = 4
+// probedNames is how many of the paths or keys that come and go are asked about: the
+// probedNames ones tell most.
+const probedNames = 4
 
-// question asks an entry VM about one path or key that comes and goes.
-type question struct {
+// probeTarget asks an entry VM about one path or key that comes and goes.
+type probeTarget struct {
 	// list holds it, at a place.
-	list      *[]versioned
-	place     int
+	list      *[]versionedName
+	index     int
 	path, key string
 	workspace api.WorkspaceName
-	// unknown is the status of versions that don't have it.
-	unknown int
+	// unknownStatus is the status of versions that don't have it.
+	unknownStatus int
 }
 
-// question gives the n-th question, about paths and keys by turns, or false
+// nextProbeTarget gives the n-th nextProbeTarget, about paths and keys by turns, or false
 // where there is nothing to ask about yet.
-func (b *testbed) question(n int) (question, bool) {
+func (b *testbed) nextProbeTarget(n int) (probeTarget, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	q := question{list: &b.extraRoutes, key: mainKey, workspace: mainWorkspace, unknown: http.StatusNotFound}
+	q := probeTarget{list: &b.extraRoutes, key: mainKey, workspace: mainWorkspace, unknownStatus: http.StatusNotFound}
 	if n%2 == 1 {
-		q = question{list: &b.spareKeys, path: pathParts, workspace: spareWorkspace, unknown: http.StatusUnauthorized}
+		q = probeTarget{list: &b.spareKeys, path: pathParts, workspace: spareWorkspace, unknownStatus: http.StatusUnauthorized}
 	}
 	l := *q.list
 	if len(l) == 0 {
 		return q, false
 	}
-	q.place = len(l) - 1 - n/2%min(newest, len(l))
+	q.index = len(l) - 1 - n/2%min(probedNames, len(l))
 	if q.path == "" {
-		q.path = l[q.place].name
+		q.path = l[q.index].name
 	} else {
-		q.key = l[q.place].name
+		q.key = l[q.index].name
 	}
 	return q, true
 }
 
 // probeOnce sends one request by a path or key that comes and goes.
 func (b *testbed) probeOnce(ctx context.Context, v *vm, c *hosted.Caller, n int) {
-	q, ok := b.question(n)
+	q, ok := b.nextProbeTarget(n)
 	if !ok {
 		return
 	}
 	id := api.RequestID(fmt.Sprintf("p%d-%d", v.index, n))
 	s := SentRequest{VM: v.index, Kind: directory.Safe, Workspace: q.workspace, Call: hosted.Call{
-		ID: id, Method: http.MethodGet, Host: host, Target: "/" + q.path + "/" + string(id), Key: q.key, Wait: callWait,
+		ID: id, Method: http.MethodGet, Host: host, Target: "/" + q.path + "/" + string(id), Key: q.key, Wait: callTimeout,
 	}}
 	v.mutex.Lock()
 	w := Probe{VM: v.index, Incarnation: v.incarnation}
@@ -182,21 +182,21 @@
 	s.Done = time.Now()
 	b.mutex.Lock()
 	// It may have been removed meanwhile.
-	x := (*q.list)[q.place]
+	x := (*q.list)[q.index]
 	b.mutex.Unlock()
 	b.recorder.update(func(r *Record) {
 		r.Requests = append(r.Requests, s)
-		if w.seen(s.Status, q.unknown, x) {
+		if w.setVersions(s.Status, q.unknownStatus, x) {
 			r.Probes = append(r.Probes, w)
 		}
 	})
 }
 
-// seen takes which versions answer so to a request by a path or key that comes
+// setVersions takes which versions answer so to a request by a path or key that comes
 // and goes. A success comes from the versions that have it; the status of what
 // is unknown from those before or after it, which tells something only while
 // it stands.
-func (p *Probe) seen(status, unknown int, x versioned) bool {
+func (p *Probe) setVersions(status, unknown int, x versionedName) bool {
 	switch {
 	case status == http.StatusOK:
 		p.FromVersion, p.Until = x.from, x.until
