--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -11,15 +11,15 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-var begin = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
 func at(ms int) time.Time {
-	return begin.Add(time.Duration(ms) * time.Millisecond)
+	return start.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// good is a record of one order, one stream that moved, and one look, in which
+// validRecord is a record of one order, one stream that moved, and one look, in which
 // every property was kept.
-func good() soak.Record {
+func validRecord() soak.Record {
 	order := soak.SentRequest{
 		Call:  hosted.Call{ID: "o", Method: "POST", Target: "/orders/o", Body: "b"},
 		Reply: hosted.Reply{Head: hosted.Head{Status: 200, Signed: true}, Complete: true, Body: hosted.PlainBody("o", "p1")},
@@ -56,15 +56,15 @@
 	return []soak.Closure{{Domain: d, Span: soak.Span{From: at(from), Until: at(until)}}}
 }
 
-func TestCheck(t *testing.T) {
-	cut := func(r *soak.Record) {
+func TestCheckReportsViolations(t *testing.T) {
+	cutOff := func(r *soak.Record) {
 		r.Requests[1].Complete, r.Requests[1].Events = false, r.Requests[1].Events[:1]
 		for range 20 {
 			// Enough others are served for the recovery not to be in doubt.
 			r.Requests = append(r.Requests, soak.SentRequest{Call: hosted.Call{ID: "l"}, Reply: hosted.Reply{Left: true}, Kind: directory.Safe, At: at(12000), Done: at(12001)})
 		}
 	}
-	trouble := func(k soak.Kind, vm int) soak.Injection {
+	injection := func(k soak.Kind, vm int) soak.Injection {
 		return soak.Injection{Fault: soak.Fault{Kind: k}, VM: vm, Span: soak.Span{From: at(9500), Until: at(9900)}}
 	}
 	tests := []struct {
@@ -104,16 +104,16 @@
 			r.Requests[1].Left, r.Requests[1].Complete, r.Runs[2].Ended = true, false, at(15000)
 		}, soak.CallerGone},
 		{"cut off by nothing but planned work", func(r *soak.Record) {
-			cut(r)
-			r.Injections = []soak.Injection{trouble(soak.StopVM, 0)}
+			cutOff(r)
+			r.Injections = []soak.Injection{injection(soak.StopVM, 0)}
 		}, soak.PlannedWork},
 		{"cut off by a kill", func(r *soak.Record) {
-			cut(r)
-			r.Injections = []soak.Injection{trouble(soak.KillVM, 0)}
+			cutOff(r)
+			r.Injections = []soak.Injection{injection(soak.KillVM, 0)}
 		}, ""},
 		{"a kill of another VM is no reason", func(r *soak.Record) {
-			cut(r)
-			r.Injections = []soak.Injection{trouble(soak.KillVM, 1)}
+			cutOff(r)
+			r.Injections = []soak.Injection{injection(soak.KillVM, 1)}
 		}, soak.PlannedWork},
 		{"an older version after a newer one", func(r *soak.Record) { r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0] }, soak.NoConfigRevert},
 		{"an older version in another life", func(r *soak.Record) {
@@ -123,13 +123,13 @@
 		{"an old version for long", func(r *soak.Record) { r.Probes[0].At = at(13000); r.Probes[1].At = at(13500) }, soak.ConfigInForce},
 		{"not served once calm", func(r *soak.Record) {
 			r.Requests[0].Complete, r.Requests[1].Complete = false, false
-			r.Injections = []soak.Injection{trouble(soak.KillVM, 0)}
+			r.Injections = []soak.Injection{injection(soak.KillVM, 0)}
 		}, soak.Recovery},
 		{"a process that ended by itself", func(r *soak.Record) { r.Failures = []string{"vm-1"} }, soak.ProcessAlive},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			r := good()
+			r := validRecord()
 			c.change(&r)
 			var got soak.Property
 			for _, v := range soak.Check(r) {
@@ -144,14 +144,14 @@
 
 // What crashes servers may reach three of them more, not a fourth, once every entry VM has
 // had the time to learn of the third crash.
-func TestCrashesAreChecked(t *testing.T) {
+func TestCheckReportsUncontainedCrashes(t *testing.T) {
 	r := soak.Record{CrashTimes: map[string][]time.Time{"deadly": {at(1000), at(2000), at(3000)}}, CalmSince: at(0), End: at(60000)}
 	for i := range 5 {
 		s := soak.SentRequest{VM: 0, Kind: directory.Unsafe, Call: hosted.Call{ID: api.RequestID(strconv.Itoa(i)), Body: "deadly", Target: "/orders/x"}, At: at(5000 + 1000*i)}
 		s.Complete = true
 		r.Requests = append(r.Requests, s)
 	}
-	arrive := func(n int) []soak.Violation {
+	crashViolations := func(n int) []soak.Violation {
 		x := r
 		x.PathServices = map[string][]api.ServiceName{"orders": {"plain"}}
 		x.ServerServices = map[api.ServerName]api.ServiceName{"p": "plain"}
@@ -166,14 +166,14 @@
 		}
 		return l
 	}
-	if l := arrive(3); len(l) != 0 {
+	if l := crashViolations(3); len(l) != 0 {
 		t.Errorf("three late requests: got %v, want none broken", l)
 	}
-	if l := arrive(5); len(l) != 1 {
+	if l := crashViolations(5); len(l) != 1 {
 		t.Errorf("five late requests: got %v, want the property broken once", l)
 	}
 	r.Injections = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(5000), Until: at(20000)}}}
-	if l := arrive(5); len(l) != 0 {
+	if l := crashViolations(5); len(l) != 0 {
 		t.Errorf("at an entry VM that was paused: got %v, want none broken", l)
 	}
 }
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -11,7 +11,7 @@
 
 const length = 30 * time.Second
 
-func TestSeedDecidesThePlan(t *testing.T) {
+func TestSameSeedGivesSamePlan(t *testing.T) {
 	a, b := soak.NewPlan(7, soak.DefaultSize(), length), soak.NewPlan(7, soak.DefaultSize(), length)
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("same seed: got %v and %v, want the same plan", a, b)
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestPlansEndInCalmAndCoverEveryKind(t *testing.T) {
+func TestPlansCoverAllKindsAndEndWithoutFaults(t *testing.T) {
 	kinds := map[soak.Kind]bool{}
 	planned := 0
 	const seeds = 60
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPlanIsReadBack(t *testing.T) {
+func TestSavedPlanIsLoadedUnchanged(t *testing.T) {
 	want := soak.NewPlan(3, soak.DefaultSize(), length)
 	f := filepath.Join(t.TempDir(), "plan.json")
 	if err := want.Save(f); err != nil {
--- a/internal/soak/probe_test.go
+++ b/internal/soak/probe_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-func TestProbeTellsWhichVersionsAnswerSo(t *testing.T) {
+func TestProbeDerivesVersionsFromStatus(t *testing.T) {
 	const unknown = 401
-	stands, gone := versionedName{from: 5}, versionedName{from: 5, until: 9}
+	current, removed := versionedName{from: 5}, versionedName{from: 5, until: 9}
 	tests := []struct {
 		name        string
 		status      int
@@ -12,11 +12,11 @@
 		ok          bool
 		from, until int64
 	}{
-		{"known and standing", 200, stands, true, 5, 0},
-		{"known though removed", 200, gone, true, 5, 9},
-		{"not known yet", unknown, stands, true, 0, 5},
-		{"not known, and removed", unknown, gone, false, 0, 0},
-		{"refused for another reason", 503, stands, false, 0, 0},
+		{"known and standing", 200, current, true, 5, 0},
+		{"known though removed", 200, removed, true, 5, 9},
+		{"not known yet", unknown, current, true, 0, 5},
+		{"not known, and removed", unknown, removed, false, 0, 0},
+		{"refused for another reason", 503, current, false, 0, 0},
 	}
 	for _, c := range tests {
 		var p Probe
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -13,8 +13,8 @@
 	"github.com/wardridge/wardridge/internal/loopback"
 )
 
-// echo answers each line with the same line.
-func echo(t *testing.T) string {
+// startEcho answers each line with the same line.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,27 +32,27 @@
 	return l.Addr().String()
 }
 
-// line is one connection through a proxy to an echo.
-type line struct {
+// echoConn is one connection through a proxy to an echo.
+type echoConn struct {
 	*proxy
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func newLine(t *testing.T) *line {
+func newEchoConn(t *testing.T) *echoConn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, closer := newProxy(l, echo(t))
+	p, closer := newProxy(l, startEcho(t))
 	t.Cleanup(closer)
 	c, err := net.Dial("tcp", p.address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	x := &line{proxy: p, conn: c, reader: bufio.NewReader(c)}
+	x := &echoConn{proxy: p, conn: c, reader: bufio.NewReader(c)}
 	x.send(t, "one\n")
 	if got, err := x.reader.ReadString('\n'); got != "one\n" {
 		t.Fatalf("versioned: got %q, %v, want the line", got, err)
@@ -60,15 +60,15 @@
 	return x
 }
 
-func (x *line) send(t *testing.T, s string) {
+func (x *echoConn) send(t *testing.T, s string) {
 	t.Helper()
 	if _, err := io.WriteString(x.conn, s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestProxyHoldsOpenConnectionsForGood(t *testing.T) {
-	x := newLine(t)
+func TestHoldOpenKeepsOldConnectionsHeld(t *testing.T) {
+	x := newEchoConn(t)
 	x.setMode(HoldOpen)
 	x.setMode(Pass)
 	x.send(t, "two\n")
@@ -90,9 +90,9 @@
 	}
 }
 
-func TestProxyHoldsAndPassesOn(t *testing.T) {
+func TestProxyReleasesHeldBytes(t *testing.T) {
 	for _, m := range []Mode{HoldAll, HoldRequests, HoldAnswers} {
-		x := newLine(t)
+		x := newEchoConn(t)
 		x.setMode(m)
 		x.send(t, "two\n")
 		_ = x.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -108,8 +108,8 @@
 	}
 }
 
-func TestProxyDelays(t *testing.T) {
-	x := newLine(t)
+func TestProxyDelaysBothDirections(t *testing.T) {
+	x := newEchoConn(t)
 	x.setMode(Delay)
 	began := time.Now()
 	x.send(t, "two\n")
@@ -118,8 +118,8 @@
 	}
 }
 
-func TestProxyResets(t *testing.T) {
-	x := newLine(t)
+func TestProxyResetsOpenAndNewConnections(t *testing.T) {
+	x := newEchoConn(t)
 	x.setMode(Reset)
 	if got, err := x.reader.ReadString('\n'); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("open connection: got %q, %v, want a reset", got, err)
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -10,8 +10,8 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// arrivals adds requests of an entry VM that come to a server each so many ms, from a time on.
-func arrivals(r *soak.Record, vm, from, every, count int, w hosted.Signals) {
+// addArrivals adds requests of an entry VM that come to a server each so many ms, from a time on.
+func addArrivals(r *soak.Record, vm, from, every, count int, w hosted.Signals) {
 	for i := range count {
 		id := api.RequestID(fmt.Sprintf("a-%d-%d-%d", vm, from, i))
 		t := at(from + i*every)
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestSignalsAreChecked(t *testing.T) {
+func TestCheckReportsIgnoredSignals(t *testing.T) {
 	two := 2.0
 	limit, rest, leaving := hosted.Signals{Limit: &two}, hosted.Signals{Backoff: 2 * time.Second}, hosted.Signals{Leaving: true}
 	tests := []struct {
@@ -34,34 +34,34 @@
 		change func(r *soak.Record)
 		want   soak.Property
 	}{
-		{"within the limit", func(r *soak.Record) { arrivals(r, 0, 9000, 300, 30, limit) }, ""},
-		{"beyond the limit", func(r *soak.Record) { arrivals(r, 0, 9000, 100, 90, limit) }, soak.ServerLimit},
-		{"beyond the limit at first", func(r *soak.Record) { arrivals(r, 0, 9000, 100, 29, limit) }, ""},
+		{"within the limit", func(r *soak.Record) { addArrivals(r, 0, 9000, 300, 30, limit) }, ""},
+		{"beyond the limit", func(r *soak.Record) { addArrivals(r, 0, 9000, 100, 90, limit) }, soak.ServerLimit},
+		{"beyond the limit at first", func(r *soak.Record) { addArrivals(r, 0, 9000, 100, 29, limit) }, ""},
 		{"beyond the limit together", func(r *soak.Record) {
 			for vm := range 4 {
-				arrivals(r, vm, 9000, 400, 20, limit)
+				addArrivals(r, vm, 9000, 400, 20, limit)
 			}
 		}, soak.ServerLimit},
-		{"rest that is kept", func(r *soak.Record) { arrivals(r, 0, 11000, 2100, 3, rest) }, ""},
-		{"rest that is not kept", func(r *soak.Record) { arrivals(r, 0, 11000, 300, 6, rest) }, soak.ServerBackoff},
+		{"rest that is kept", func(r *soak.Record) { addArrivals(r, 0, 11000, 2100, 3, rest) }, ""},
+		{"rest that is not kept", func(r *soak.Record) { addArrivals(r, 0, 11000, 300, 6, rest) }, soak.ServerBackoff},
 		{"rest asked of others", func(r *soak.Record) {
 			for vm := range 6 {
-				arrivals(r, vm, 11000+200*vm, 2100, 2, rest)
+				addArrivals(r, vm, 11000+200*vm, 2100, 2, rest)
 			}
 		}, ""},
-		{"after a word of a leave", func(r *soak.Record) { arrivals(r, 0, 9000, 4500, 2, leaving) }, soak.LeavingServer},
+		{"after a word of a leave", func(r *soak.Record) { addArrivals(r, 0, 9000, 4500, 2, leaving) }, soak.LeavingServer},
 		{"after a word of a leave, at another VM", func(r *soak.Record) {
-			arrivals(r, 0, 9000, 0, 1, leaving)
-			arrivals(r, 1, 14000, 0, 1, leaving)
+			addArrivals(r, 0, 9000, 0, 1, leaving)
+			addArrivals(r, 1, 14000, 0, 1, leaving)
 		}, ""},
 		{"with a fault in between", func(r *soak.Record) {
-			arrivals(r, 0, 9000, 4500, 2, leaving)
+			addArrivals(r, 0, 9000, 4500, 2, leaving)
 			r.Injections = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(10000), Until: at(11000)}}}
 		}, ""},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			r := good()
+			r := validRecord()
 			c.change(&r)
 			var got soak.Property
 			for _, v := range soak.Check(r) {
--- a/internal/soak/started_test.go
+++ b/internal/soak/started_test.go
@@ -8,7 +8,7 @@
 
 // A process that was started again is not signalled on the word of the one
 // before it.
-func TestEachLifeSaysThatItStarted(t *testing.T) {
+func TestEarlierStartDoesNotCountForNewProcess(t *testing.T) {
 	const line = `{"level":"info","msg":"started","event":103}` + "\n"
 	v := &vm{logPath: filepath.Join(t.TempDir(), "vm.log"), incarnation: 2}
 	for _, c := range []struct {
