--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -102,12 +102,12 @@
 	c.checkSignals()
 	c.checkRecovery()
 	for _, d := range r.Failures {
-		c.add(ProcessAlive, "", r.End, d)
+		c.addViolation(ProcessAlive, "", r.End, d)
 	}
 	return c.violations
 }
 
-func (c *checker) add(p Property, id api.RequestID, at time.Time, what string) {
+func (c *checker) addViolation(p Property, id api.RequestID, at time.Time, what string) {
 	c.violations = append(c.violations, Violation{Property: p, Request: id, At: at, What: what})
 }
 
@@ -134,14 +134,14 @@
 func (c *checker) checkArrival(a hosted.Arrival) {
 	s, ok := c.sent[a.ID]
 	if !ok {
-		c.add(IntactRequest, a.ID, a.At, "a server got a request that no caller sent")
+		c.addViolation(IntactRequest, a.ID, a.At, "a server got a request that no caller sent")
 		return
 	}
 	if a.Method != s.Method || a.Target != s.Target || a.Body != s.Call.Body || a.Workspace != s.Workspace {
-		c.add(IntactRequest, a.ID, a.At, "a request was changed on its way, or came for another workspace")
+		c.addViolation(IntactRequest, a.ID, a.At, "a request was changed on its way, or came for another workspace")
 	}
 	if !slices.Contains(c.PathServices[routeOf(s.Target)], c.ServerServices[a.Server]) {
-		c.add(IntactRequest, a.ID, a.At, "no configuration sends the request to the service of "+string(a.Server))
+		c.addViolation(IntactRequest, a.ID, a.At, "no configuration sends the request to the service of "+string(a.Server))
 	}
 	if a.Refused {
 		return
@@ -152,7 +152,7 @@
 	}
 	for _, l := range c.LeaveNotices {
 		if l.Server == a.Server && a.At.Sub(l.At) > maxLeaveDelay && !c.unplannedFaultDuring(Span{l.At, a.At}, s.VM, "") {
-			c.add(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.Server, a.At.Sub(l.At)))
+			c.addViolation(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.Server, a.At.Sub(l.At)))
 		}
 	}
 }
@@ -162,7 +162,7 @@
 func (c *checker) checkClosedDomain(a hosted.Arrival, s *SentRequest) {
 	for _, l := range c.Closures {
 		if l.Domain == c.ServerDomains[a.Server] && a.At.Before(l.Until) && a.At.Sub(l.From) > maxClosureDelay && !c.unplannedFaultDuring(Span{l.From, a.At}, s.VM, "") {
-			c.add(ClosedDomain, a.ID, a.At, fmt.Sprintf("server %s got a request %s after its domain was closed", a.Server, a.At.Sub(l.From)))
+			c.addViolation(ClosedDomain, a.ID, a.At, fmt.Sprintf("server %s got a request %s after its domain was closed", a.Server, a.At.Sub(l.From)))
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		c.checkSingleRun(s, r)
 	}
 	if len(r) > 0 && s.Kind != directory.Safe && !s.Signed && meansNotRun(s.Status) {
-		c.add(RefusedNotRun, s.ID, s.Done, "refused by "+strconv.Itoa(s.Status)+", although a server ran it")
+		c.addViolation(RefusedNotRun, s.ID, s.Done, "refused by "+strconv.Itoa(s.Status)+", although a server ran it")
 	}
 	if s.Status == http.StatusOK {
 		c.checkAnswer(s, r)
@@ -203,11 +203,11 @@
 	for i, a := range r {
 		for _, b := range r[i+1:] {
 			if a.Generation != b.Generation {
-				c.add(SingleRun, s.ID, b.Started, fmt.Sprintf("ran at %s and again at %s", a.Server, b.Server))
+				c.addViolation(SingleRun, s.ID, b.Started, fmt.Sprintf("ran at %s and again at %s", a.Server, b.Server))
 			}
 			both := Span{later(a.Started, b.Started), earlier(c.endOf(a), c.endOf(b))}
 			if both.Until.Sub(both.From) > maxConcurrentRun && !c.unplannedFaultDuring(both, s.VM, "") {
-				c.add(SingleRun, s.ID, b.Started, fmt.Sprintf("%s and %s worked on it together", a.Server, b.Server))
+				c.addViolation(SingleRun, s.ID, b.Started, fmt.Sprintf("%s and %s worked on it together", a.Server, b.Server))
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 // checkAnswer checks the answer of a backend server.
 func (c *checker) checkAnswer(s *SentRequest, r []hosted.Run) {
 	if !s.Signed || len(r) == 0 {
-		c.add(IntactAnswer, s.ID, s.Done, "a success that no server gave")
+		c.addViolation(IntactAnswer, s.ID, s.Done, "a success that no server gave")
 		return
 	}
 	if s.Kind == directory.Stream {
@@ -248,7 +248,7 @@
 		return
 	}
 	if !slices.ContainsFunc(r, func(x hosted.Run) bool { return s.Reply.Body == hosted.PlainBody(s.ID, x.Server) }) {
-		c.add(IntactAnswer, s.ID, s.Done, "the answer is not whole, or of another request")
+		c.addViolation(IntactAnswer, s.ID, s.Done, "the answer is not whole, or of another request")
 	}
 }
 
@@ -256,12 +256,12 @@
 func (c *checker) checkEvents(s *SentRequest, r []hosted.Run) {
 	for i, e := range s.Events {
 		if want := fmt.Sprintf("%s %d %d", s.ID, r[0].Generation, i+1); e != want {
-			c.add(IntactAnswer, s.ID, s.Done, fmt.Sprintf("event %q at the place of %q", e, want))
+			c.addViolation(IntactAnswer, s.ID, s.Done, fmt.Sprintf("event %q at the place of %q", e, want))
 			return
 		}
 	}
 	if want := int(s.Tokens) / hosted.TokensPerEvent; s.Complete && len(s.Events) != want {
-		c.add(IntactAnswer, s.ID, s.Done, fmt.Sprintf("ended after %d of %d events", len(s.Events), want))
+		c.addViolation(IntactAnswer, s.ID, s.Done, fmt.Sprintf("ended after %d of %d events", len(s.Events), want))
 	}
 }
 
@@ -272,7 +272,7 @@
 	}
 	for _, x := range r {
 		if e := c.endOf(x); e.Sub(s.Done) > maxAbandonedWork && !c.unplannedFaultDuring(Span{s.Done, e}, s.VM, x.Server) {
-			c.add(CallerGone, s.ID, e, fmt.Sprintf("%s worked on for %s", x.Server, e.Sub(s.Done)))
+			c.addViolation(CallerGone, s.ID, e, fmt.Sprintf("%s worked on for %s", x.Server, e.Sub(s.Done)))
 		}
 	}
 }
@@ -287,7 +287,7 @@
 	if s.Kind == directory.Stream {
 		what += fmt.Sprintf(", after %d of %d events", len(s.Events), int(s.Tokens)/hosted.TokensPerEvent)
 	}
-	c.add(PlannedWork, s.ID, s.Done, what)
+	c.addViolation(PlannedWork, s.ID, s.Done, what)
 }
 
 // checkVersions checks what entry VMs served by.
@@ -296,13 +296,13 @@
 	newest := map[incarnation]int64{}
 	for _, p := range c.Probes {
 		k := incarnation{p.VM, p.Incarnation}
-		if p.Until > 0 && p.Until <= newest[k] {
-			c.add(NoConfigRevert, "", p.At, fmt.Sprintf("VM %d served by a version before %d, after it had served by %d", p.VM, p.Until, newest[k]))
+		if p.BeforeVersion > 0 && p.BeforeVersion <= newest[k] {
+			c.addViolation(NoConfigRevert, "", p.At, fmt.Sprintf("VM %d served by a version before %d, after it had served by %d", p.VM, p.BeforeVersion, newest[k]))
 		}
 		newest[k] = max(newest[k], p.FromVersion)
-		at, ok := c.ConfigTimes[p.Until]
+		at, ok := c.ConfigTimes[p.BeforeVersion]
 		if ok && p.At.Sub(at) > maxConfigDelay && !c.unplannedFaultDuring(Span{at, p.At}, p.VM, "") && !c.restartedDuring(Span{at, p.At}, p.VM) {
-			c.add(ConfigInForce, "", p.At, fmt.Sprintf("VM %d served by a version before %d, %s after it was accepted", p.VM, p.Until, p.At.Sub(at)))
+			c.addViolation(ConfigInForce, "", p.At, fmt.Sprintf("VM %d served by a version before %d, %s after it was accepted", p.VM, p.BeforeVersion, p.At.Sub(at)))
 		}
 	}
 }
@@ -320,6 +320,6 @@
 		}
 	}
 	if float64(whole) < minServedShare*float64(n) || n == 0 {
-		c.add(Recovery, "", c.End, fmt.Sprintf("%d of %d requests were served once all was calm", whole, n))
+		c.addViolation(Recovery, "", c.End, fmt.Sprintf("%d of %d requests were served once all was calm", whole, n))
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -32,7 +32,7 @@
 	}
 	return soak.Record{
 		Requests: []soak.SentRequest{order, chat},
-		Probes:   []soak.Probe{{VM: 0, Incarnation: 1, At: at(9000), FromVersion: 1, Until: 2}, {VM: 0, Incarnation: 1, At: at(10000), FromVersion: 2}},
+		Probes:   []soak.Probe{{VM: 0, Incarnation: 1, At: at(9000), FromVersion: 1, BeforeVersion: 2}, {VM: 0, Incarnation: 1, At: at(10000), FromVersion: 2}},
 		Arrivals: []hosted.Arrival{
 			{At: at(10010), Server: "p1", Request: hosted.Request{ID: "o", Method: "POST", Target: "/orders/o", Body: "b", Workspace: "main"}},
 			{At: at(10010), Server: "e1", Request: hosted.Request{ID: "c", Method: "POST", Target: "/chat/c", Workspace: "main"}},
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -92,7 +92,7 @@
 		}
 		late[a.Body]++
 		if late[a.Body] == maxCrashingRequests+1 {
-			c.add(CrashesContained, a.ID, a.At, fmt.Sprintf("%s reached servers %d times more, %s after its third crash; %d crashed in all", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
+			c.addViolation(CrashesContained, a.ID, a.At, fmt.Sprintf("%s reached servers %d times more, %s after its third crash; %d crashed in all", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
 		}
 	}
 }
--- a/internal/soak/probe_test.go
+++ b/internal/soak/probe_test.go
@@ -21,8 +21,8 @@
 	for _, c := range tests {
 		var p Probe
 		ok := p.setVersions(c.status, unknown, c.x)
-		if ok != c.ok || p.FromVersion != c.from || p.Until != c.until {
-			t.Errorf("%s: got %v from %d until %d, want %v from %d until %d", c.name, ok, p.FromVersion, p.Until, c.ok, c.from, c.until)
+		if ok != c.ok || p.FromVersion != c.from || p.BeforeVersion != c.until {
+			t.Errorf("%s: got %v from %d until %d, want %v from %d until %d", c.name, ok, p.FromVersion, p.BeforeVersion, c.ok, c.from, c.until)
 		}
 	}
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -28,9 +28,9 @@
 	// Incarnation counts the starts of the VM's process.
 	Incarnation int
 	At          time.Time
-	// FromVersion and Until are the versions that answer so: from the first up to, but
-	// not with, the last; Until is zero for no end.
-	FromVersion, Until int64
+	// FromVersion and BeforeVersion are the versions that answer so: from the first up to, but
+	// not with, the last; BeforeVersion is zero for no end.
+	FromVersion, BeforeVersion int64
 }
 
 // Span is the time in which something held.
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -107,7 +107,7 @@
 	recent[a.Server] = append(l, a.At)
 	perSecond := *a.Signals.Limit
 	if allowed := int(limitFactor*perSecond*limitWindow.Seconds()) + limitSlack; len(recent[a.Server]) > allowed {
-		c.add(ServerLimit, a.ID, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.Server, perSecond, len(recent[a.Server]), limitWindow))
+		c.addViolation(ServerLimit, a.ID, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.Server, perSecond, len(recent[a.Server]), limitWindow))
 	}
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	if ok && a.ResumeFrom == "" && a.At.Sub(t) > maxLeaveDelay && !c.excusedSince(t, a, k) {
-		c.add(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after it had told the entry VM that it leaves", a.Server, a.At.Sub(t)))
+		c.addViolation(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after it had told the entry VM that it leaves", a.Server, a.At.Sub(t)))
 	}
 }
 
@@ -139,6 +139,6 @@
 	}
 	backoffs[k] = append(l, a.At)
 	if n := len(l); n > maxBackoffRequests {
-		c.add(ServerBackoff, a.ID, a.At, fmt.Sprintf("server %s had asked VM %d for rest, and got %d requests of it", a.Server, k.vm, n))
+		c.addViolation(ServerBackoff, a.ID, a.At, fmt.Sprintf("server %s had asked VM %d for rest, and got %d requests of it", a.Server, k.vm, n))
 	}
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -199,9 +199,9 @@
 func (p *Probe) setVersions(status, unknown int, x versionedName) bool {
 	switch {
 	case status == http.StatusOK:
-		p.FromVersion, p.Until = x.from, x.until
+		p.FromVersion, p.BeforeVersion = x.from, x.until
 	case status == unknown && x.until == 0:
-		p.Until = x.from
+		p.BeforeVersion = x.from
 	default:
 		return false
 	}
