--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -116,8 +116,8 @@
 func (c *checker) unplannedFaultDuring(s Span, vm int, server api.ServerName) bool {
 	s.From = s.From.Add(-recoveryTime)
 	return slices.ContainsFunc(c.Injections, func(t Injection) bool {
-		met := t.VM == All || t.VM == vm || t.Server != "" && (server == "" || t.Server == server)
-		return met && !t.Kind.Planned() && t.overlaps(s)
+		affected := t.VM == All || t.VM == vm || t.Server != "" && (server == "" || t.Server == server)
+		return affected && !t.Kind.Planned() && t.overlaps(s)
 	})
 }
 
@@ -309,17 +309,17 @@
 
 // checkRecovery checks that requests are served once all is calm.
 func (c *checker) checkRecovery() {
-	n, whole := 0, 0
+	n, served := 0, 0
 	for _, s := range c.Requests {
 		if s.At.Sub(c.CalmSince) < recoveryTime {
 			continue
 		}
 		n++
 		if s.Complete || s.Left {
-			whole++
+			served++
 		}
 	}
-	if float64(whole) < minServedShare*float64(n) || n == 0 {
-		c.addViolation(Recovery, "", c.End, fmt.Sprintf("%d of %d requests were served once all was calm", whole, n))
+	if float64(served) < minServedShare*float64(n) || n == 0 {
+		c.addViolation(Recovery, "", c.End, fmt.Sprintf("%d of %d requests were served once all was calm", served, n))
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// closures are one closure of a failure domain.
-func closures(d api.DomainName, from, until int) []soak.Closure {
+// oneClosure are one closure of a failure domain.
+func oneClosure(d api.DomainName, from, until int) []soak.Closure {
 	return []soak.Closure{{Domain: d, Span: soak.Span{From: at(from), Until: at(until)}}}
 }
 
@@ -95,11 +95,11 @@
 		{"new work long after the notice", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "p1", At: at(4000)}} }, soak.LeavingServer},
 		{"new work just after the notice", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "p1", At: at(9000)}} }, ""},
 		{"a run that goes on elsewhere is no new work", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "e2", At: at(4000)}} }, ""},
-		{"new work in a domain closed long ago", func(r *soak.Record) { r.Closures = closures("x", 4000, 20000) }, soak.ClosedDomain},
-		{"going on from a copy there is new work", func(r *soak.Record) { r.Closures = closures("y", 4000, 20000) }, soak.ClosedDomain},
-		{"new work in a domain just closed", func(r *soak.Record) { r.Closures = closures("x", 9000, 20000) }, ""},
-		{"new work in a domain that is open again", func(r *soak.Record) { r.Closures = closures("x", 1000, 9900) }, ""},
-		{"new work in another domain", func(r *soak.Record) { r.Closures = closures("z", 1000, 20000) }, ""},
+		{"new work in a domain closed long ago", func(r *soak.Record) { r.Closures = oneClosure("x", 4000, 20000) }, soak.ClosedDomain},
+		{"going on from a copy there is new work", func(r *soak.Record) { r.Closures = oneClosure("y", 4000, 20000) }, soak.ClosedDomain},
+		{"new work in a domain just closed", func(r *soak.Record) { r.Closures = oneClosure("x", 9000, 20000) }, ""},
+		{"new work in a domain that is open again", func(r *soak.Record) { r.Closures = oneClosure("x", 1000, 9900) }, ""},
+		{"new work in another domain", func(r *soak.Record) { r.Closures = oneClosure("z", 1000, 20000) }, ""},
 		{"work for a caller that left", func(r *soak.Record) {
 			r.Requests[1].Left, r.Requests[1].Complete, r.Runs[2].Ended = true, false, at(15000)
 		}, soak.CallerGone},
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -11,10 +11,10 @@
 )
 
 // addArrivals adds requests of an entry VM that come to a server each so many ms, from a time on.
-func addArrivals(r *soak.Record, vm, from, every, count int, w hosted.Signals) {
+func addArrivals(r *soak.Record, vm, from, intervalMs, count int, w hosted.Signals) {
 	for i := range count {
 		id := api.RequestID(fmt.Sprintf("a-%d-%d-%d", vm, from, i))
-		t := at(from + i*every)
+		t := at(from + i*intervalMs)
 		r.Requests = append(r.Requests, soak.SentRequest{
 			Call:  hosted.Call{ID: id, Method: "POST", Target: "/orders/o", Body: "b"},
 			Reply: hosted.Reply{Head: hosted.Head{Status: 503}, Complete: true}, Workspace: "main", VM: vm, At: t, Done: t,
@@ -28,7 +28,7 @@
 
 func TestCheckReportsIgnoredSignals(t *testing.T) {
 	two := 2.0
-	limit, rest, leaving := hosted.Signals{Limit: &two}, hosted.Signals{Backoff: 2 * time.Second}, hosted.Signals{Leaving: true}
+	limit, backoff, leaving := hosted.Signals{Limit: &two}, hosted.Signals{Backoff: 2 * time.Second}, hosted.Signals{Leaving: true}
 	tests := []struct {
 		name   string
 		change func(r *soak.Record)
@@ -42,11 +42,11 @@
 				addArrivals(r, vm, 9000, 400, 20, limit)
 			}
 		}, soak.ServerLimit},
-		{"rest that is kept", func(r *soak.Record) { addArrivals(r, 0, 11000, 2100, 3, rest) }, ""},
-		{"rest that is not kept", func(r *soak.Record) { addArrivals(r, 0, 11000, 300, 6, rest) }, soak.ServerBackoff},
+		{"rest that is kept", func(r *soak.Record) { addArrivals(r, 0, 11000, 2100, 3, backoff) }, ""},
+		{"rest that is not kept", func(r *soak.Record) { addArrivals(r, 0, 11000, 300, 6, backoff) }, soak.ServerBackoff},
 		{"rest asked of others", func(r *soak.Record) {
 			for vm := range 6 {
-				addArrivals(r, vm, 11000+200*vm, 2100, 2, rest)
+				addArrivals(r, vm, 11000+200*vm, 2100, 2, backoff)
 			}
 		}, ""},
 		{"after a word of a leave", func(r *soak.Record) { addArrivals(r, 0, 9000, 4500, 2, leaving) }, soak.LeavingServer},
