--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -13,30 +13,50 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// Property is one of the properties that are checked.
+// Property is a property that every run must satisfy.
 type Property string
 
 // Properties.
 const (
-	SingleRun        Property = "once"
-	RefusedNotRun    Property = "not-run"
-	IntactAnswer     Property = "whole"
-	IntactRequest    Property = "asked"
-	LeavingServer    Property = "leaving"
-	ClosedDomain     Property = "closed"
-	CallerGone       Property = "gone"
-	PlannedWork      Property = "planned-stop"
-	ConfigInForce    Property = "in-force"
-	NoConfigRevert   Property = "no-revert"
-	Recovery         Property = "recovery"
-	ProcessAlive     Property = "alive"
+	// SingleRun: a request that is not safe to repeat runs as one generation, on one
+	// server at a time.
+	SingleRun Property = "once"
+	// RefusedNotRun: a request that is not safe to repeat and is refused with a status
+	// that means "not run" has not run on any server.
+	RefusedNotRun Property = "not-run"
+	// IntactAnswer: a successful answer comes from a server, is complete and belongs to
+	// its request.
+	IntactAnswer Property = "whole"
+	// IntactRequest: servers get only requests that callers sent, unchanged, for the right
+	// workspace and service.
+	IntactRequest Property = "asked"
+	// LeavingServer: a server gets no new requests after it has announced that it leaves.
+	LeavingServer Property = "leaving"
+	// ClosedDomain: servers in a closed failure domain get no new requests.
+	ClosedDomain Property = "closed"
+	// CallerGone: servers stop working on requests whose callers have left.
+	CallerGone Property = "gone"
+	// PlannedWork: work that operators plan does not cut off any request.
+	PlannedWork Property = "planned-stop"
+	// ConfigInForce: entry VMs use an accepted configuration within maxConfigDelay.
+	ConfigInForce Property = "in-force"
+	// NoConfigRevert: an entry VM does not return to an older configuration.
+	NoConfigRevert Property = "no-revert"
+	// Recovery: requests are served again after the last fault.
+	Recovery Property = "recovery"
+	// ProcessAlive: the processes of the entry VMs do not end or break by themselves, and
+	// the soak can do its own work.
+	ProcessAlive Property = "alive"
+	// CrashesContained: a request that keeps crashing servers no longer reaches them.
 	CrashesContained Property = "crashes"
-	ServerLimit      Property = "limit"
-	ServerBackoff    Property = "rest"
+	// ServerLimit: a server gets no more requests than the rate limit that it announced.
+	ServerLimit Property = "limit"
+	// ServerBackoff: an entry VM honors the backoff that a server requested from it.
+	ServerBackoff Property = "rest"
 )
 
-// Timed reports whether checking the property compares times, which a machine
-// that is shared may stretch.
+// Timed reports whether checking the property compares times, which a shared machine may
+// stretch.
 func (p Property) Timed() bool {
 	switch p {
 	case LeavingServer, ClosedDomain, CallerGone, ConfigInForce, Recovery, PlannedWork, CrashesContained, ServerLimit, ServerBackoff:
@@ -45,7 +65,7 @@
 	return false
 }
 
-// Violation is a property that was broken.
+// Violation is one case in which a property did not hold.
 type Violation struct {
 	Property Property      `json:"property"`
 	Request  api.RequestID `json:"request,omitempty"`
@@ -54,27 +74,27 @@
 }
 
 const (
-	// recoveryTime is how long after a fault an entry VM has to be itself again:
-	// the operators allow 3 s.
+	// recoveryTime is how long an entry VM may take to recover from a fault: the operators
+	// allow 3 s.
 	recoveryTime = 3 * time.Second
-	// maxLeaveDelay is how long after its notice a server may still get new requests:
-	// the operators allow 2 s, and machines that are shared are given as much
-	// again.
+	// maxLeaveDelay is how long after its leave notice a server may still get new
+	// requests: the operators allow 2 s, which is doubled for shared machines.
 	maxLeaveDelay = 4 * time.Second
-	// maxClosureDelay is how long after it was closed a failure domain may still get new
+	// maxClosureDelay is how long after its closure a failure domain may still get new
 	// requests.
 	maxClosureDelay = closureDelay
-	// maxConfigDelay is the same for a configuration: 2 s are allowed.
+	// maxConfigDelay is how long after a new configuration is accepted an entry VM may
+	// still use an older one: the operators allow 2 s, which is doubled as well.
 	maxConfigDelay = 4 * time.Second
-	// maxAbandonedWork is how long a server may work on for a caller that has left.
+	// maxAbandonedWork is how long a server may keep working for a caller that has left.
 	maxAbandonedWork = 2 * time.Second
-	// maxConcurrentRun is how long two servers may be at work on one run.
+	// maxConcurrentRun is how long two servers may execute the same run at the same time.
 	maxConcurrentRun = 400 * time.Millisecond
-	// minServedShare is the share of requests that is served once all is calm.
+	// minServedShare is the minimum share of requests that is served after the last fault.
 	minServedShare = 0.9
 )
 
-// checker holds what checking looks things up in.
+// checker holds a record with its indexes by request ID, and collects violations.
 type checker struct {
 	Record
 	sent       map[api.RequestID]*SentRequest
@@ -82,7 +102,7 @@
 	violations []Violation
 }
 
-// Check gives the properties that a record shows broken.
+// Check returns the violations that a record shows.
 func Check(r Record) []Violation {
 	c := &checker{Record: r, sent: map[api.RequestID]*SentRequest{}, runs: map[api.RequestID][]hosted.Run{}}
 	for i := range r.Requests {
@@ -111,8 +131,9 @@
 	c.violations = append(c.violations, Violation{Property: p, Request: id, At: at, What: what})
 }
 
-// unplannedFaultDuring reports whether an unplanned fault met an entry VM or a server in a
-// span or shortly before it.
+// unplannedFaultDuring reports whether an unplanned fault affected an entry VM or a server
+// during a span or within recoveryTime before it. With an empty server name, a fault of
+// any server counts.
 func (c *checker) unplannedFaultDuring(s Span, vm int, server api.ServerName) bool {
 	s.From = s.From.Add(-recoveryTime)
 	return slices.ContainsFunc(c.Injections, func(t Injection) bool {
@@ -121,8 +142,8 @@
 	})
 }
 
-// restartedDuring reports whether an entry VM was restartedDuring or started in a span or
-// shortly before it.
+// restartedDuring reports whether an entry VM was stopped or started during a span or
+// within recoveryTime before it.
 func (c *checker) restartedDuring(s Span, vm int) bool {
 	s.From = s.From.Add(-recoveryTime)
 	return slices.ContainsFunc(c.Injections, func(t Injection) bool {
@@ -130,7 +151,7 @@
 	})
 }
 
-// checkArrival checks what came to a server.
+// checkArrival checks a request that arrived at a server.
 func (c *checker) checkArrival(a hosted.Arrival) {
 	s, ok := c.sent[a.ID]
 	if !ok {
@@ -138,10 +159,10 @@
 		return
 	}
 	if a.Method != s.Method || a.Target != s.Target || a.Body != s.Call.Body || a.Workspace != s.Workspace {
-		c.addViolation(IntactRequest, a.ID, a.At, "a request was changed on its way, or came for another workspace")
+		c.addViolation(IntactRequest, a.ID, a.At, "a request was changed in transit, or arrived for another workspace")
 	}
 	if !slices.Contains(c.PathServices[routeOf(s.Target)], c.ServerServices[a.Server]) {
-		c.addViolation(IntactRequest, a.ID, a.At, "no configuration sends the request to the service of "+string(a.Server))
+		c.addViolation(IntactRequest, a.ID, a.At, "no configuration routes the request to the service of "+string(a.Server))
 	}
 	if a.Refused {
 		return
@@ -152,13 +173,13 @@
 	}
 	for _, l := range c.LeaveNotices {
 		if l.Server == a.Server && a.At.Sub(l.At) > maxLeaveDelay && !c.unplannedFaultDuring(Span{l.At, a.At}, s.VM, "") {
-			c.addViolation(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its notice", a.Server, a.At.Sub(l.At)))
+			c.addViolation(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after its leave notice", a.Server, a.At.Sub(l.At)))
 		}
 	}
 }
 
-// checkClosedDomain checks that nothing new came to a failure domain that was checkClosedDomain; to go on
-// from a copy there is new as well.
+// checkClosedDomain checks that no new request arrived in a closed failure domain;
+// resuming from a backup copy there counts as new.
 func (c *checker) checkClosedDomain(a hosted.Arrival, s *SentRequest) {
 	for _, l := range c.Closures {
 		if l.Domain == c.ServerDomains[a.Server] && a.At.Before(l.Until) && a.At.Sub(l.From) > maxClosureDelay && !c.unplannedFaultDuring(Span{l.From, a.At}, s.VM, "") {
@@ -167,20 +188,20 @@
 	}
 }
 
-// routeOf is the first part of a path, which tells its routeOf.
+// routeOf returns the first segment of a path, which identifies its route.
 func routeOf(target string) string {
 	p, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
 	return p
 }
 
-// checkReply checks what a caller saw.
+// checkReply checks what a caller received.
 func (c *checker) checkReply(s *SentRequest) {
 	r := c.runs[s.ID]
 	if s.Kind != directory.Safe {
 		c.checkSingleRun(s, r)
 	}
 	if len(r) > 0 && s.Kind != directory.Safe && !s.Signed && meansNotRun(s.Status) {
-		c.addViolation(RefusedNotRun, s.ID, s.Done, "refused by "+strconv.Itoa(s.Status)+", although a server ran it")
+		c.addViolation(RefusedNotRun, s.ID, s.Done, "refused with status "+strconv.Itoa(s.Status)+" although a server ran it")
 	}
 	if s.Status == http.StatusOK {
 		c.checkAnswer(s, r)
@@ -189,7 +210,8 @@
 	c.checkPlannedWork(s, r)
 }
 
-// meansNotRun reports whether a status says that a request never runs.
+// meansNotRun reports whether a status means that the request has not run and will not
+// run.
 func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -198,7 +220,7 @@
 	return false
 }
 
-// checkSingleRun checks that a request ran as one generation, at one server at a time.
+// checkSingleRun checks that a request ran as one generation, on one server at a time.
 func (c *checker) checkSingleRun(s *SentRequest, r []hosted.Run) {
 	for i, a := range r {
 		for _, b := range r[i+1:] {
@@ -207,7 +229,7 @@
 			}
 			both := Span{later(a.Started, b.Started), earlier(c.endOf(a), c.endOf(b))}
 			if both.Until.Sub(both.From) > maxConcurrentRun && !c.unplannedFaultDuring(both, s.VM, "") {
-				c.addViolation(SingleRun, s.ID, b.Started, fmt.Sprintf("%s and %s worked on it together", a.Server, b.Server))
+				c.addViolation(SingleRun, s.ID, b.Started, fmt.Sprintf("%s and %s ran it at the same time", a.Server, b.Server))
 			}
 		}
 	}
@@ -234,10 +256,10 @@
 	return b
 }
 
-// checkAnswer checks the answer of a backend server.
+// checkAnswer checks that a successful answer comes from a server and is intact.
 func (c *checker) checkAnswer(s *SentRequest, r []hosted.Run) {
 	if !s.Signed || len(r) == 0 {
-		c.addViolation(IntactAnswer, s.ID, s.Done, "a success that no server gave")
+		c.addViolation(IntactAnswer, s.ID, s.Done, "a successful answer that no server sent")
 		return
 	}
 	if s.Kind == directory.Stream {
@@ -248,15 +270,15 @@
 		return
 	}
 	if !slices.ContainsFunc(r, func(x hosted.Run) bool { return s.Reply.Body == hosted.PlainBody(s.ID, x.Server) }) {
-		c.addViolation(IntactAnswer, s.ID, s.Done, "the answer is not whole, or of another request")
+		c.addViolation(IntactAnswer, s.ID, s.Done, "the answer is incomplete or belongs to another request")
 	}
 }
 
-// checkEvents checks a stream: every event once, in order, of one generation.
+// checkEvents checks that a stream has every event once, in order, and of one generation.
 func (c *checker) checkEvents(s *SentRequest, r []hosted.Run) {
 	for i, e := range s.Events {
 		if want := fmt.Sprintf("%s %d %d", s.ID, r[0].Generation, i+1); e != want {
-			c.addViolation(IntactAnswer, s.ID, s.Done, fmt.Sprintf("event %q at the place of %q", e, want))
+			c.addViolation(IntactAnswer, s.ID, s.Done, fmt.Sprintf("got event %q, want %q", e, want))
 			return
 		}
 	}
@@ -265,49 +287,51 @@
 	}
 }
 
-// checkCallerGone checks that servers stop their work for callers that left.
+// checkCallerGone checks that servers stop working for callers that have left.
 func (c *checker) checkCallerGone(s *SentRequest, r []hosted.Run) {
 	if !s.Left {
 		return
 	}
 	for _, x := range r {
 		if e := c.endOf(x); e.Sub(s.Done) > maxAbandonedWork && !c.unplannedFaultDuring(Span{s.Done, e}, s.VM, x.Server) {
-			c.addViolation(CallerGone, s.ID, e, fmt.Sprintf("%s worked on for %s", x.Server, e.Sub(s.Done)))
+			c.addViolation(CallerGone, s.ID, e, fmt.Sprintf("%s kept working for %s after the caller had left", x.Server, e.Sub(s.Done)))
 		}
 	}
 }
 
-// checkPlannedWork checks that planned work cuts no request off.
+// checkPlannedWork checks that a request is not cut off unless an unplanned fault affected
+// it.
 func (c *checker) checkPlannedWork(s *SentRequest, r []hosted.Run) {
 	served := s.Left || s.Complete && (s.Status == http.StatusOK || meansNotRun(s.Status))
 	if served || len(r) == 0 || c.unplannedFaultDuring(Span{s.At, s.Done}, s.VM, "") {
 		return
 	}
-	what := fmt.Sprintf("answered by %d and cut off with nothing but planned work: %v", s.Status, s.Err)
+	what := fmt.Sprintf("answered with status %d and cut off although no unplanned fault affected it: %v", s.Status, s.Err)
 	if s.Kind == directory.Stream {
 		what += fmt.Sprintf(", after %d of %d events", len(s.Events), int(s.Tokens)/hosted.TokensPerEvent)
 	}
 	c.addViolation(PlannedWork, s.ID, s.Done, what)
 }
 
-// checkVersions checks what entry VMs served by.
+// checkVersions checks which configuration versions the entry VMs used.
 func (c *checker) checkVersions() {
 	type incarnation struct{ vm, life int }
 	newest := map[incarnation]int64{}
 	for _, p := range c.Probes {
 		k := incarnation{p.VM, p.Incarnation}
 		if p.BeforeVersion > 0 && p.BeforeVersion <= newest[k] {
-			c.addViolation(NoConfigRevert, "", p.At, fmt.Sprintf("VM %d served by a version before %d, after it had served by %d", p.VM, p.BeforeVersion, newest[k]))
+			c.addViolation(NoConfigRevert, "", p.At, fmt.Sprintf("VM %d used a configuration before version %d after it had used version %d", p.VM, p.BeforeVersion, newest[k]))
 		}
 		newest[k] = max(newest[k], p.FromVersion)
 		at, ok := c.ConfigTimes[p.BeforeVersion]
 		if ok && p.At.Sub(at) > maxConfigDelay && !c.unplannedFaultDuring(Span{at, p.At}, p.VM, "") && !c.restartedDuring(Span{at, p.At}, p.VM) {
-			c.addViolation(ConfigInForce, "", p.At, fmt.Sprintf("VM %d served by a version before %d, %s after it was accepted", p.VM, p.BeforeVersion, p.At.Sub(at)))
+			c.addViolation(ConfigInForce, "", p.At, fmt.Sprintf("VM %d used a configuration before version %d, %s after that version was accepted", p.VM, p.BeforeVersion, p.At.Sub(at)))
 		}
 	}
 }
 
-// checkRecovery checks that requests are served once all is calm.
+// checkRecovery checks that requests are served once recoveryTime has passed since the
+// last fault.
 func (c *checker) checkRecovery() {
 	n, served := 0, 0
 	for _, s := range c.Requests {
@@ -320,6 +344,6 @@
 		}
 	}
 	if float64(served) < minServedShare*float64(n) || n == 0 {
-		c.addViolation(Recovery, "", c.End, fmt.Sprintf("%d of %d requests were served once all was calm", served, n))
+		c.addViolation(Recovery, "", c.End, fmt.Sprintf("%d of %d requests were served after the last fault", served, n))
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -17,8 +17,8 @@
 	return start.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// validRecord is a record of one order, one stream that moved, and one look, in which
-// every property was kept.
+// validRecord returns a record without violations: one order, one stream that moved to
+// another server, and two probes.
 func validRecord() soak.Record {
 	order := soak.SentRequest{
 		Call:  hosted.Call{ID: "o", Method: "POST", Target: "/orders/o", Body: "b"},
@@ -51,7 +51,7 @@
 	}
 }
 
-// oneClosure are one closure of a failure domain.
+// oneClosure returns one closure of a failure domain.
 func oneClosure(d api.DomainName, from, until int) []soak.Closure {
 	return []soak.Closure{{Domain: d, Span: soak.Span{From: at(from), Until: at(until)}}}
 }
@@ -60,7 +60,7 @@
 	cutOff := func(r *soak.Record) {
 		r.Requests[1].Complete, r.Requests[1].Events = false, r.Requests[1].Events[:1]
 		for range 20 {
-			// Enough others are served for the recovery not to be in doubt.
+			// Enough other requests are served that recovery is not violated as well.
 			r.Requests = append(r.Requests, soak.SentRequest{Call: hosted.Call{ID: "l"}, Reply: hosted.Reply{Left: true}, Kind: directory.Safe, At: at(12000), Done: at(12001)})
 		}
 	}
@@ -72,60 +72,60 @@
 		change func(r *soak.Record)
 		want   soak.Property
 	}{
-		{"all kept", func(*soak.Record) {}, ""},
-		{"ran twice", func(r *soak.Record) {
+		{"no violation", func(*soak.Record) {}, ""},
+		{"request ran twice", func(r *soak.Record) {
 			r.Runs = append(r.Runs, hosted.Run{RequestID: "o", Server: "p1", Generation: 9, Started: at(10045), Ended: at(10050)})
 		}, soak.SingleRun},
-		{"two servers at work", func(r *soak.Record) { r.Runs[1].Ended = at(11100); r.Runs[2].Ended = at(11200) }, soak.SingleRun},
-		{"refused although it ran", func(r *soak.Record) { r.Requests[0].Status, r.Requests[0].Signed = 503, false }, soak.RefusedNotRun},
-		{"refused and not run", func(r *soak.Record) {
+		{"two servers run it at the same time", func(r *soak.Record) { r.Runs[1].Ended = at(11100); r.Runs[2].Ended = at(11200) }, soak.SingleRun},
+		{"refused as not run although it ran", func(r *soak.Record) { r.Requests[0].Status, r.Requests[0].Signed = 503, false }, soak.RefusedNotRun},
+		{"refused and did not run", func(r *soak.Record) {
 			r.Requests[0].Status, r.Requests[0].Signed, r.Runs, r.Arrivals = 503, false, r.Runs[1:], r.Arrivals[1:]
 		}, ""},
-		{"another request's answer", func(r *soak.Record) { r.Requests[0].Reply.Body = hosted.PlainBody("x", "p1") }, soak.IntactAnswer},
-		{"answer cut short", func(r *soak.Record) { r.Requests[0].Reply.Body = "o by" }, soak.IntactAnswer},
-		{"success that no server gave", func(r *soak.Record) { r.Requests[0].Signed = false }, soak.IntactAnswer},
-		{"event missing", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 2"} }, soak.IntactAnswer},
-		{"event twice", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 1", "c 2 1"} }, soak.IntactAnswer},
+		{"answer of another request", func(r *soak.Record) { r.Requests[0].Reply.Body = hosted.PlainBody("x", "p1") }, soak.IntactAnswer},
+		{"truncated answer", func(r *soak.Record) { r.Requests[0].Reply.Body = "o by" }, soak.IntactAnswer},
+		{"successful answer that no server sent", func(r *soak.Record) { r.Requests[0].Signed = false }, soak.IntactAnswer},
+		{"missing event", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 2"} }, soak.IntactAnswer},
+		{"duplicate event", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 1", "c 2 1"} }, soak.IntactAnswer},
 		{"event of another run", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 1", "c 3 2"} }, soak.IntactAnswer},
-		{"early end that looks whole", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 1"} }, soak.IntactAnswer},
-		{"request of nobody", func(r *soak.Record) { r.Arrivals[0].ID = "x" }, soak.IntactRequest},
-		{"changed body", func(r *soak.Record) { r.Arrivals[0].Body = "x" }, soak.IntactRequest},
-		{"another workspace", func(r *soak.Record) { r.Arrivals[0].Workspace = "x" }, soak.IntactRequest},
-		{"another service", func(r *soak.Record) { r.Arrivals[0].Server = "e1" }, soak.IntactRequest},
-		{"new work long after the notice", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "p1", At: at(4000)}} }, soak.LeavingServer},
-		{"new work just after the notice", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "p1", At: at(9000)}} }, ""},
-		{"a run that goes on elsewhere is no new work", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "e2", At: at(4000)}} }, ""},
-		{"new work in a domain closed long ago", func(r *soak.Record) { r.Closures = oneClosure("x", 4000, 20000) }, soak.ClosedDomain},
-		{"going on from a copy there is new work", func(r *soak.Record) { r.Closures = oneClosure("y", 4000, 20000) }, soak.ClosedDomain},
-		{"new work in a domain just closed", func(r *soak.Record) { r.Closures = oneClosure("x", 9000, 20000) }, ""},
-		{"new work in a domain that is open again", func(r *soak.Record) { r.Closures = oneClosure("x", 1000, 9900) }, ""},
-		{"new work in another domain", func(r *soak.Record) { r.Closures = oneClosure("z", 1000, 20000) }, ""},
-		{"work for a caller that left", func(r *soak.Record) {
+		{"stream that ends early but looks complete", func(r *soak.Record) { r.Requests[1].Events = []string{"c 2 1"} }, soak.IntactAnswer},
+		{"request that no caller sent", func(r *soak.Record) { r.Arrivals[0].ID = "x" }, soak.IntactRequest},
+		{"request with a changed body", func(r *soak.Record) { r.Arrivals[0].Body = "x" }, soak.IntactRequest},
+		{"request for another workspace", func(r *soak.Record) { r.Arrivals[0].Workspace = "x" }, soak.IntactRequest},
+		{"request at another service", func(r *soak.Record) { r.Arrivals[0].Server = "e1" }, soak.IntactRequest},
+		{"new request long after the leave notice", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "p1", At: at(4000)}} }, soak.LeavingServer},
+		{"new request just after the leave notice", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "p1", At: at(9000)}} }, ""},
+		{"a run that resumes at another server is not a new request", func(r *soak.Record) { r.LeaveNotices = []soak.LeaveNotice{{Server: "e2", At: at(4000)}} }, ""},
+		{"new request in a domain closed long before", func(r *soak.Record) { r.Closures = oneClosure("x", 4000, 20000) }, soak.ClosedDomain},
+		{"resuming from a backup copy in a closed domain is a new request", func(r *soak.Record) { r.Closures = oneClosure("y", 4000, 20000) }, soak.ClosedDomain},
+		{"new request in a domain just closed", func(r *soak.Record) { r.Closures = oneClosure("x", 9000, 20000) }, ""},
+		{"new request in a domain that is open again", func(r *soak.Record) { r.Closures = oneClosure("x", 1000, 9900) }, ""},
+		{"new request in another domain than the closed one", func(r *soak.Record) { r.Closures = oneClosure("z", 1000, 20000) }, ""},
+		{"server works on after the caller left", func(r *soak.Record) {
 			r.Requests[1].Left, r.Requests[1].Complete, r.Runs[2].Ended = true, false, at(15000)
 		}, soak.CallerGone},
-		{"cut off by nothing but planned work", func(r *soak.Record) {
+		{"cut off during planned work alone", func(r *soak.Record) {
 			cutOff(r)
 			r.Injections = []soak.Injection{injection(soak.StopVM, 0)}
 		}, soak.PlannedWork},
-		{"cut off by a kill", func(r *soak.Record) {
+		{"cut off by a kill of the VM", func(r *soak.Record) {
 			cutOff(r)
 			r.Injections = []soak.Injection{injection(soak.KillVM, 0)}
 		}, ""},
-		{"a kill of another VM is no reason", func(r *soak.Record) {
+		{"a kill of another VM does not excuse a cut-off", func(r *soak.Record) {
 			cutOff(r)
 			r.Injections = []soak.Injection{injection(soak.KillVM, 1)}
 		}, soak.PlannedWork},
-		{"an older version after a newer one", func(r *soak.Record) { r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0] }, soak.NoConfigRevert},
-		{"an older version in another life", func(r *soak.Record) {
+		{"older version after a newer one", func(r *soak.Record) { r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0] }, soak.NoConfigRevert},
+		{"older version in another incarnation", func(r *soak.Record) {
 			r.Probes[0], r.Probes[1] = r.Probes[1], r.Probes[0]
 			r.Probes[1].Incarnation = 2
 		}, ""},
-		{"an old version for long", func(r *soak.Record) { r.Probes[0].At = at(13000); r.Probes[1].At = at(13500) }, soak.ConfigInForce},
-		{"not served once calm", func(r *soak.Record) {
+		{"old version for too long", func(r *soak.Record) { r.Probes[0].At = at(13000); r.Probes[1].At = at(13500) }, soak.ConfigInForce},
+		{"not served after the last fault", func(r *soak.Record) {
 			r.Requests[0].Complete, r.Requests[1].Complete = false, false
 			r.Injections = []soak.Injection{injection(soak.KillVM, 0)}
 		}, soak.Recovery},
-		{"a process that ended by itself", func(r *soak.Record) { r.Failures = []string{"vm-1"} }, soak.ProcessAlive},
+		{"process that ended unexpectedly", func(r *soak.Record) { r.Failures = []string{"vm-1"} }, soak.ProcessAlive},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -142,8 +142,9 @@
 	}
 }
 
-// What crashes servers may reach three of them more, not a fourth, once every entry VM has
-// had the time to learn of the third crash.
+// Guards against a check that misses a request that keeps crashing servers: once every
+// entry VM has had the time to learn of the third crash, three more such requests may
+// reach servers, a fourth may not.
 func TestCheckReportsUncontainedCrashes(t *testing.T) {
 	r := soak.Record{CrashTimes: map[string][]time.Time{"deadly": {at(1000), at(2000), at(3000)}}, CalmSince: at(0), End: at(60000)}
 	for i := range 5 {
@@ -167,13 +168,13 @@
 		return l
 	}
 	if l := crashViolations(3); len(l) != 0 {
-		t.Errorf("three late requests: got %v, want none broken", l)
+		t.Errorf("three late requests: got %v, want no violation", l)
 	}
 	if l := crashViolations(5); len(l) != 1 {
-		t.Errorf("five late requests: got %v, want the property broken once", l)
+		t.Errorf("five late requests: got %v, want one violation", l)
 	}
 	r.Injections = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(5000), Until: at(20000)}}}
 	if l := crashViolations(5); len(l) != 0 {
-		t.Errorf("at an entry VM that was paused: got %v, want none broken", l)
+		t.Errorf("five late requests at a paused entry VM: got %v, want no violation", l)
 	}
 }
--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -10,7 +10,8 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// closeDomain closes the failure domain of a server to new work for a time.
+// closeDomain closes the failure domain of a server to new work for a time, and opens it
+// again.
 func (b *testbed) closeDomain(ctx context.Context, s *server, d time.Duration) {
 	n := domainOf(s.index)
 	b.closureMutex.Lock()
@@ -24,29 +25,30 @@
 		r.Closures = append(r.Closures, Closure{Domain: n, Span: Span{From: at, Until: at.Add(time.Hour)}})
 	})
 	duty.Sleep(ctx, maxClosureDelay+d)
-	// What is sent from now on may meet an open domain.
+	// Requests from now on may reach the domain after it was opened again.
 	until := time.Now()
 	b.recorder.update(func(r *Record) { r.Closures[i].Until = until })
 	b.setClosedDomain("")
 	b.recordError(b.store.OpenDomain(n))
 }
 
-// setClosedDomain notes which failure domain operators keep closed, empty for none.
+// setClosedDomain sets which failure domain operators have closed; empty means none.
 func (b *testbed) setClosedDomain(n api.DomainName) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.closedDomain = n
 }
 
-// restartServer ends a server without notice and starts it again at once under its name.
+// restartServer crashes a server without notice and starts it again at once under the same
+// name.
 func (b *testbed) restartServer(s *server) {
 	x, _ := s.current()
 	x.Crash()
 	b.recordError(b.startServer(s, x, sameName))
 }
 
-// writeForeignEntry writes an entry that no server can have written, beside those that hold:
-// it names the address of a server that is there.
+// writeForeignEntry writes an invalid server entry, as another writer might, beside the
+// valid ones; it names the address of an existing server.
 func (b *testbed) writeForeignEntry(s *server) {
 	x, _ := s.current()
 	e, err := b.Wire.EncodeServer(x.Server)
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -10,21 +10,21 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// versionedName is a path or key that some versions have: from one on, and up to but
-// not with another, which is zero while there is none.
+// versionedName is a path or key that exists from one configuration version up to, but not
+// including, another; until is zero as long as it has not been removed.
 type versionedName struct {
 	name        string
 	from, until int64
 }
 
-// writeNextConfig writes the next configuration; the mutex is not held.
+// writeNextConfig writes the next configuration; the caller does not hold the mutex.
 func (b *testbed) writeNextConfig() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.writeNextConfigLocked()
 }
 
-// writeNextConfigLocked writes the next version; the mutex is held.
+// writeNextConfigLocked writes the next configuration; the caller holds the mutex.
 func (b *testbed) writeNextConfigLocked() {
 	v := b.config.Version + 1
 	c := directory.Config{Version: v, Services: []directory.Service{
@@ -61,12 +61,12 @@
 	})
 }
 
-// Times of the bed's routes: far above what any answer takes.
+// Times of the routes, far above what any answer takes.
 const (
 	routeTimeout       = 20 * time.Second
 	routeLatencyTarget = 500 * time.Millisecond
-	// routeGapTarget is the longest good pause of a stream: many times the pace of the
-	// servers, as the machine may be shared.
+	// routeGapTarget is the longest acceptable pause in a stream: many times the event
+	// interval of the servers, as the machine may be shared.
 	routeGapTarget = 400 * time.Millisecond
 )
 
@@ -77,10 +77,11 @@
 	}
 }
 
-// maxExtraRoutes is the number of extra routes that stand at once.
+// maxExtraRoutes is the maximum number of extra routes that exist at the same time.
 const maxExtraRoutes = 3
 
-// changeExtraRoutes adds a route, and removes the oldest of several.
+// changeExtraRoutes adds an extra route, and removes the oldest one if there are
+// maxExtraRoutes already.
 func (b *testbed) changeExtraRoutes() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -103,7 +104,7 @@
 	b.writeNextConfigLocked()
 }
 
-// rotateSpareKey takes the spare workspace's key away and gives it a new one.
+// rotateSpareKey replaces the key of the spare workspace with a new one.
 func (b *testbed) rotateSpareKey() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	// meanCrashRetryPause is the mean pause of a caller that comes again with a deadly request,
-	// and comebackTime how long it does so beyond its fault: the entry VMs have to know it
-	// by then.
+	// meanCrashRetryPause is the mean pause between a caller's retries of a crashing
+	// request, and crashRetryTime how long the retries continue after the end of the
+	// fault: by then the entry VMs have to recognize the request.
 	meanCrashRetryPause = 400 * time.Millisecond
 	crashRetryTime      = 5 * time.Second
-	// maxCrashingRequests is how many deadly requests may reach servers once their third one has
-	// crashed and settleTime has passed.
+	// maxCrashingRequests is how many crashing requests may still reach servers when
+	// recoveryTime has passed since the third crash.
 	maxCrashingRequests = 3
 )
 
-// crashingRoutes are the routes of deadly requests.
+// crashingRoutes are the routes that crashing requests use.
 var crashingRoutes = []struct {
 	path string
 	kind directory.Kind
 }{{pathChat, directory.Stream}, {pathOrders, directory.Unsafe}, {pathParts, directory.Safe}}
 
-// repeatCrashingRequest sends a request that crashes servers again and again, to any entry VM.
+// repeatCrashingRequest repeatedly sends a request that crashes servers, each time to any
+// entry VM.
 func (b *testbed) repeatCrashingRequest(ctx context.Context, f Fault) {
 	body := fmt.Sprintf("deadly %d %d", f.At, f.Target)
 	b.fleet.CrashOnBody(body, b.handleCrash)
@@ -60,7 +61,8 @@
 	}
 }
 
-// handleCrash takes a server that a deadly request has handleCrash; another one takes its place.
+// handleCrash records that a crashing request has crashed a server, and starts a
+// replacement when the entry of the crashed server has expired.
 func (b *testbed) handleCrash(x *hosted.Server, body string) {
 	for _, s := range b.servers {
 		if live, _ := s.current(); live != x {
@@ -81,7 +83,7 @@
 	}
 }
 
-// checkCrashesContained checks that what checkCrashesContained servers is stopped.
+// checkCrashesContained checks that a request that crashes servers stops reaching them.
 func (c *checker) checkCrashesContained() {
 	late := map[string]int{}
 	for _, a := range c.Arrivals {
@@ -92,13 +94,13 @@
 		}
 		late[a.Body]++
 		if late[a.Body] == maxCrashingRequests+1 {
-			c.addViolation(CrashesContained, a.ID, a.At, fmt.Sprintf("%s reached servers %d times more, %s after its third crash; %d crashed in all", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
+			c.addViolation(CrashesContained, a.ID, a.At, fmt.Sprintf("%s reached servers %d more times, %s after its third crash; %d crashes in total", a.Body, late[a.Body], a.At.Sub(l[2]), len(l)))
 		}
 	}
 }
 
-// vmFaultDuring reports whether an unplanned fault met an entry VM itself in a span or shortly
-// before it.
+// vmFaultDuring reports whether an unplanned fault affected the entry VM itself during a
+// span or within recoveryTime before it.
 func (c *checker) vmFaultDuring(s Span, vm int) bool {
 	s.From = s.From.Add(-recoveryTime)
 	for _, t := range c.Injections {
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak runs the real entry VMs as processes behind the stand-ins of
-// the hosting platform, brings faults about from outside them by a seed, and
-// checks what callers and backend servers saw.
+// Package soak runs the entry VM program as real processes against simulated services of
+// the hosting platform, injects faults from outside the processes by a seeded plan, and
+// checks what callers and backend servers observe.
 package soak
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -15,14 +15,15 @@
 // Kind is a kind of fault.
 type Kind string
 
-// Kinds of faults; the target is an entry VM or a backend server.
+// Kinds of faults; the target of each is an entry VM or a backend server.
 const (
 	KillVM     Kind = "kill-vm"
 	PauseVM    Kind = "pause-vm"
 	StopVM     Kind = "stop-vm"
 	ReloadVM   Kind = "reload-vm"
 	CallerLink Kind = "caller-link"
-	// Store faults are met by one entry VM, or by all where the target is All.
+	// Store faults affect the connection of one entry VM to the platform's store, or that
+	// of all if the target is All.
 	StoreBusy        Kind = "store-busy"
 	StoreThrottle    Kind = "store-limit"
 	StoreReset       Kind = "store-reset"
@@ -30,7 +31,8 @@
 	StoreSilent      Kind = "store-silent"
 	StoreDropHistory Kind = "store-forget"
 	StoreStale       Kind = "store-stale"
-	// CrashServer resets the connections of a server, DarkServer leaves them open.
+	// CrashServer resets the connections of a server, SilentServer leaves them open
+	// without answers.
 	CrashServer  Kind = "crash-server"
 	SilentServer Kind = "dark-server"
 	LeaveServer  Kind = "leave-server"
@@ -38,60 +40,64 @@
 	ServerLink   Kind = "server-link"
 	ChangeRoute  Kind = "change-route"
 	RevokeKey    Kind = "revoke-key"
-	// CloseDomain closes a failure domain to new work for a while, RebirthServer starts
-	// a server again under its name, and ForeignEntry is an entry of another writer.
+	// CloseDomain closes a failure domain to new work for a time, RestartServer restarts a
+	// server under the same name, and ForeignEntry adds an invalid entry of another
+	// writer.
 	CloseDomain   Kind = "close-domain"
 	RestartServer Kind = "rebirth-server"
 	ForeignEntry  Kind = "foreign-entry"
-	// CrashingRequest is a caller that comes again and again with a request that crashes
-	// the servers which run it.
+	// CrashingRequest has a caller repeat a request that crashes the servers that run it.
 	CrashingRequest Kind = "deadly-request"
-	// StoreRestore has the store come back from a copy.
+	// StoreRestore restores the store from a backup.
 	StoreRestore Kind = "store-restore"
-	// SignalLimit names a limit, RestServer asks for rest and SayLeaving says that it leaves,
-	// each in its answers alone.
+	// Servers signal these in their answers alone: a rate limit, a requested backoff, or
+	// that they leave.
 	SignalLimit   Kind = "limit-server"
 	SignalBackoff Kind = "rest-server"
 	SignalLeaving Kind = "say-leaving"
 )
 
-// firstExtendedSeed is the first seed whose plan draws from the wider kinds too: the plan of an
-// earlier one stays what it was.
+// firstExtendedSeed is the first seed whose plan also draws from the extended kinds, so
+// that the plans of earlier seeds stay unchanged.
 const firstExtendedSeed = 3000
 
-// firstCrashingSeed is the first seed whose plan draws deadly requests too.
+// firstCrashingSeed is the first seed whose plan also draws crashing requests.
 const firstCrashingSeed = 6000
 
-// firstRestoreSeed is the first seed whose plan draws restores of the store too.
+// firstRestoreSeed is the first seed whose plan also draws restores of the store.
 const firstRestoreSeed = 7000
 
-// firstSignalSeed is the first seed whose plan draws what servers say in their answers too.
+// firstSignalSeed is the first seed whose plan also draws signals in the answers of
+// servers.
 const firstSignalSeed = 8000
 
-// signalKinds are what servers say of themselves; no request may be lost by them.
+// signalKinds are the signals that servers send in their answers; no request may be lost
+// by them.
 var signalKinds = []Kind{SignalLimit, SignalBackoff, SignalLeaving}
 
-// extendedPlannedKinds and extendedUnplannedKinds are the kinds that only later seeds draw.
+// extendedPlannedKinds and extendedUnplannedKinds are drawn only from firstExtendedSeed
+// on.
 var (
 	extendedPlannedKinds   = []Kind{CloseDomain, ForeignEntry}
 	extendedUnplannedKinds = []Kind{RestartServer}
 )
 
-// basePlannedKinds are the kinds that operators bring about; no request may be lost by
-// them.
+// basePlannedKinds are the faults that operators cause by planned work; no request may be
+// lost by them.
 var basePlannedKinds = []Kind{StopVM, ReloadVM, LeaveServer, ChangeRoute, RevokeKey}
 
-// baseUnplannedKinds are all others.
+// baseUnplannedKinds are the faults that are not planned work.
 var baseUnplannedKinds = []Kind{
 	KillVM, PauseVM, CallerLink, StoreBusy, StoreThrottle, StoreReset, StoreSlow, StoreSilent, StoreDropHistory, StoreStale, CrashServer, SilentServer, ServerLink, LoseAnswers,
 }
 
-// Planned reports whether operators bring the fault about.
+// Planned reports whether the fault is planned work or a signal, by which no request may
+// be lost.
 func (k Kind) Planned() bool {
 	return slices.Contains(basePlannedKinds, k) || slices.Contains(extendedPlannedKinds, k) || slices.Contains(signalKinds, k)
 }
 
-// All is the target of faults that every entry VM meets.
+// All is the target of faults that affect every entry VM.
 const All = -1
 
 // Fault is one fault of a plan.
@@ -99,13 +105,14 @@
 	Kind Kind             `json:"kind"`
 	At   api.Milliseconds `json:"at_ms"`
 	For  api.Milliseconds `json:"for_ms"`
-	// Target is a place among the entry VMs or servers, taken modulo their number.
+	// Target is an index among the entry VMs or the servers, taken modulo their number, or
+	// All.
 	Target int `json:"target"`
-	// Mode is what a link does to its bytes.
+	// Mode is what the proxy of a link does to its bytes.
 	Mode Mode `json:"mode,omitempty"`
 }
 
-// Size is how large a system is.
+// Size is the number of VMs, servers and callers of a testbed.
 type Size struct {
 	VMs     int `json:"vms"`
 	Engines int `json:"engines"`
@@ -113,13 +120,13 @@
 	Callers int `json:"callers"`
 }
 
-// DefaultSize is the size of a usual soak: small enough for every machine, with a VM
-// and an engine to spare in each failure domain.
+// DefaultSize returns a size that is small enough for every machine and has a redundant VM
+// and engine in each failure domain.
 func DefaultSize() Size {
 	return Size{VMs: 4, Engines: 5, Plain: 3, Callers: 24}
 }
 
-// Plan is a schedule that one seed decides.
+// Plan is a schedule of faults that its seed determines.
 type Plan struct {
 	Seed   uint64           `json:"seed"`
 	Size   Size             `json:"size"`
@@ -128,26 +135,27 @@
 }
 
 const (
-	// meanFaultInterval is the mean pause between the beginnings of faults; most last
+	// meanFaultInterval is the mean time between the starts of faults; most faults last
 	// longer, so that they overlap.
 	meanFaultInterval = 1200 * time.Millisecond
-	// minFaultLength and faultMost bound how long a fault lasts: from below what the
-	// entry VMs notice to several times the time in which changes are in force.
+	// minFaultLength and maxFaultLength bound how long a fault lasts: from less than entry
+	// VMs notice to several times the delay within which changes take effect.
 	minFaultLength = 300 * time.Millisecond
 	maxFaultLength = 5 * time.Second
-	// initialCalm is without faults, so that the system is up, and calmLast, so
-	// that it can be seen to serve again.
+	// initialCalm is free of faults so that the testbed can start, and finalCalm so that
+	// its recovery can be observed.
 	initialCalm = 2 * time.Second
 	finalCalm   = 9 * time.Second
-	// seriesChance is how often a fault comes again twice at once.
+	// seriesChance is the probability that a fault is repeated twice, seriesInterval
+	// apart.
 	seriesChance   = 0.3
 	seriesInterval = 700 * time.Millisecond
-	// plannedShare is the share of seeds with planned work alone, in which no
-	// request may be lost.
+	// plannedShare is the share of seeds whose plans contain planned work alone, by which
+	// no request may be lost.
 	plannedShare = 0.3
 )
 
-// NewPlan draws the plan of a seed.
+// NewPlan generates the plan of a seed.
 func NewPlan(seed uint64, s Size, length time.Duration) Plan {
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{Seed: seed, Size: s, Length: toMilliseconds(length)}
@@ -159,7 +167,8 @@
 		all = append(all, CrashingRequest)
 	}
 	if seed >= firstRestoreSeed {
-		// Twice, as it is the youngest: what holds through it is new.
+		// Listed twice for a higher weight: what has to hold through a restore is the
+		// newest behavior.
 		all = append(all, StoreRestore, StoreRestore)
 	}
 	if seed >= firstSignalSeed {
@@ -189,10 +198,11 @@
 	return p
 }
 
-// sharedStoreKinds are the faults that may be met by all entry VMs at once.
+// sharedStoreKinds are the store faults that may affect all entry VMs at once.
 var sharedStoreKinds = map[Kind]bool{StoreBusy: true, StoreThrottle: true, StoreReset: true, StoreSlow: true, StoreSilent: true, StoreStale: true}
 
-// repeatFault repeats a fault twice at the next places.
+// repeatFault returns two repetitions of a fault, at the next targets; it leaves out those
+// that end too late.
 func repeatFault(f Fault, last time.Duration) []Fault {
 	var l []Fault
 	for i := range 2 {
@@ -225,7 +235,7 @@
 	return p, nil
 }
 
-// Save writes a plan to a file.
+// Save writes the plan to a file.
 func (p Plan) Save(path string) error {
 	b, err := json.MarshalIndent(p, "", "  ")
 	if err != nil {
@@ -237,7 +247,7 @@
 	return nil
 }
 
-// Modes of the files and folders that a soak leaves.
+// Permissions of the files and folders that a soak creates.
 const (
 	fileMode = 0o600
 	dirMode  = 0o700
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -14,10 +14,10 @@
 func TestSameSeedGivesSamePlan(t *testing.T) {
 	a, b := soak.NewPlan(7, soak.DefaultSize(), length), soak.NewPlan(7, soak.DefaultSize(), length)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("same seed: got %v and %v, want the same plan", a, b)
+		t.Errorf("same seed: got plans %v and %v, want equal ones", a, b)
 	}
 	if c := soak.NewPlan(8, soak.DefaultSize(), length); reflect.DeepEqual(a.Faults, c.Faults) {
-		t.Error("another seed: got the same faults, want others")
+		t.Error("another seed: got the same faults, want different ones")
 	}
 }
 
@@ -32,7 +32,7 @@
 			kinds[f.Kind] = true
 			all = all && f.Kind.Planned()
 			if end := (f.At + f.For).Duration(); end > length-5*time.Second {
-				t.Errorf("seed %d: %s ends at %s, want calm at the end", seed, f.Kind, end)
+				t.Errorf("seed %d: got %s that ends at %s, want no fault in the last 5 s", seed, f.Kind, end)
 			}
 		}
 		if all {
@@ -40,10 +40,10 @@
 		}
 	}
 	if got, want := len(kinds), 19; got != want {
-		t.Errorf("kinds: got %d, want %d", got, want)
+		t.Errorf("kinds of faults: got %d, want %d", got, want)
 	}
 	if planned == 0 || planned == seeds {
-		t.Errorf("seeds with planned work alone: got %d, want some", planned)
+		t.Errorf("seeds with planned work alone: got %d, want some but not all", planned)
 	}
 }
 
@@ -55,7 +55,7 @@
 	}
 	got, err := soak.LoadPlan(f)
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("got %v, %v, want %v", got, err, want)
+		t.Errorf("loaded plan: got %v, %v, want %v", got, err, want)
 	}
 	if _, err := soak.LoadPlan(f + "x"); err == nil {
 		t.Error("missing file: got no error, want one")
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,23 +14,23 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// process is one life of an entry VM's program.
+// process is one process of the entry VM program.
 type process struct {
 	command *exec.Cmd
 	done    chan struct{}
 
 	mutex sync.Mutex
-	// endRequested is set once the soak has ended it.
+	// endRequested is set before the soak itself ends the process.
 	endRequested bool
 }
 
-// startProcess starts a program, whose output goes to the end of a file.
+// startProcess starts a program and appends its output to a log file.
 func startProcess(g *duty.Group, program, settings, log string) (*process, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, fault.Wrap(fault.UnreadableFile, err, "opening a log")
 	}
-	// The soak ends it by signals of its own, never by a context.
+	// The soak ends the process by signals, never by cancelling a context.
 	c := exec.CommandContext(context.Background(), program, settings)
 	c.Stdout, c.Stderr = f, f
 	if err := c.Start(); err != nil {
@@ -40,27 +40,28 @@
 	p := &process{command: c, done: make(chan struct{})}
 	g.Go(func(context.Context) error {
 		defer close(p.done)
-		// How it ended is told by whether the soak asked for it.
+		// endRequested decides whether the exit was expected, so the exit status is
+		// ignored.
 		_ = c.Wait()
 		return f.Close()
 	})
 	return p, nil
 }
 
-// signal sends a signal to this very process.
+// signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) {
-	// A process that is gone needs none.
+	// Fails only if the process has ended already.
 	_ = p.command.Process.Signal(s)
 }
 
-// markEnding marks that the soak ends the process.
+// markEnding records that the soak itself ends the process.
 func (p *process) markEnding() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.endRequested = true
 }
 
-// endedUnexpectedly reports whether the process has ended by itself.
+// endedUnexpectedly reports whether the process has ended without a request by the soak.
 func (p *process) endedUnexpectedly() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -72,14 +73,14 @@
 	}
 }
 
-// kill ends the process at once, also one that is paused.
+// kill ends the process at once, even if it is paused.
 func (p *process) kill() {
 	p.markEnding()
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// stop asks for a planned stop and kills the process after the grace.
+// stop requests a planned stop and kills the process after the grace period.
 func (p *process) stop(grace time.Duration) {
 	p.markEnding()
 	p.signal(syscall.SIGTERM)
@@ -90,10 +91,10 @@
 	}
 }
 
-// failureMarks are what a program writes when it is broken in itself.
+// failureMarks are texts that a Go program writes on a data race, panic or fatal error.
 var failureMarks = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
 
-// hasFailureMark reports whether a log holds such a mark.
+// hasFailureMark reports whether a log contains a failure mark.
 func hasFailureMark(log string) (bool, error) {
 	b, err := os.ReadFile(log)
 	if err != nil {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -12,41 +12,42 @@
 	"github.com/wardridge/wardridge/internal/loopback"
 )
 
-// Mode is what a proxy does to the bytes that pass it.
+// Mode is what a proxy does to the bytes of its connections.
 type Mode string
 
 // Modes of proxies.
 const (
-	// Pass passes bytes on.
+	// Pass relays bytes unchanged.
 	Pass Mode = ""
-	// Delay passes bytes on late.
+	// Delay relays bytes after proxyDelay.
 	Delay Mode = "delay"
-	// Reset resets every connection, and each new one.
+	// Reset resets every open connection and each new one.
 	Reset Mode = "reset"
-	// HoldAll holds bytes of both directions.
+	// HoldAll holds the bytes of both directions.
 	HoldAll Mode = "silent"
-	// HoldRequests holds what clients send; Mute holds what they are answered.
+	// HoldRequests holds the bytes that clients send, HoldAnswers those sent to clients.
 	HoldRequests Mode = "deaf"
 	HoldAnswers  Mode = "mute"
-	// HoldOpen holds the bytes of the connections that are open, for good, and passes
-	// those of new ones on.
+	// HoldOpen permanently holds the bytes of the connections that are open when it is
+	// set, and relays those of new connections.
 	HoldOpen Mode = "stale"
 )
 
-// linkFaults are the faults of links.
+// linkFaults are the modes that faults of links use.
 var linkFaults = []Mode{Delay, Reset, HoldAll, HoldRequests, HoldAnswers, HoldOpen}
 
 const (
-	// proxyDelay is how late delayed bytes are: more than a pause between events
-	// may be, less than callers wait.
+	// proxyDelay is longer than a pause between events can be, and shorter than callers
+	// wait.
 	proxyDelay = 150 * time.Millisecond
-	// pollInterval is the pause between looks whether held bytes may go on.
+	// pollInterval is the pause between checks whether held bytes may be relayed, and
+	// between other checks for a condition.
 	pollInterval = 20 * time.Millisecond
-	// bufferSize is the most bytes that are passed on at once.
+	// bufferSize is the maximum number of bytes that are relayed at once.
 	bufferSize = 16 << 10
 )
 
-// proxy passes connections on to one address.
+// proxy relays TCP connections to one address.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -54,11 +55,12 @@
 	mutex sync.Mutex
 	mode  Mode
 	conns map[*net.TCPConn]bool
-	// held connections carry nothing any more.
+	// held connections stay open but never carry bytes again.
 	held map[*net.TCPConn]bool
 }
 
-// newProxy listens on a loopback port; the clean-up cuts what is open.
+// newProxy accepts connections on a listener; the returned function closes the proxy and
+// resets its open connections.
 func newProxy(l net.Listener, target string) (*proxy, func()) {
 	g, end := duty.New(context.Background())
 	p := &proxy{listener: l, target: target, conns: map[*net.TCPConn]bool{}, held: map[*net.TCPConn]bool{}}
@@ -74,7 +76,7 @@
 	return p.listener.Addr().String()
 }
 
-// setMode changes the mode.
+// setMode changes the mode for open and new connections.
 func (p *proxy) setMode(m Mode) {
 	p.mutex.Lock()
 	p.mode = m
@@ -89,7 +91,7 @@
 	}
 }
 
-// modeOf is what happens to a connection's bytes at present.
+// modeOf returns the mode that currently applies to a connection.
 func (p *proxy) modeOf(c *net.TCPConn) Mode {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -97,7 +99,7 @@
 	case p.held[c]:
 		return HoldAll
 	case p.mode == HoldOpen:
-		// Only connections that were open at its beginning are met.
+		// HoldOpen applies only to the connections that were open when it was set.
 		return Pass
 	default:
 		return p.mode
@@ -115,12 +117,12 @@
 
 // reset closes a connection so that its peer sees a reset.
 func reset(c *net.TCPConn) {
-	// Both fail only on connections that are closed already.
+	// Both calls fail only if the connection is closed already.
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// track notes an open connection, or resets it where the proxy does so.
+// track registers an open connection, or resets it and returns false in mode Reset.
 func (p *proxy) track(c *net.TCPConn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -139,7 +141,7 @@
 	delete(p.held, c)
 }
 
-// serve joins a connection to a new one to the target.
+// serve relays between an accepted connection and a new one to the target.
 func (p *proxy) serve(ctx context.Context, a *net.TCPConn) {
 	if !p.track(a) {
 		return
@@ -161,14 +163,14 @@
 	defer end()
 	g.Go(func(ctx context.Context) error { return p.relay(ctx, a, b, HoldRequests) })
 	g.Go(func(ctx context.Context) error { return p.relay(ctx, b, a, HoldAnswers) })
-	// Each direction ends with its connection, which ends the other one unless it
-	// was closed in order.
+	// When one direction fails, it resets the connection of the other one; after an
+	// orderly close the other direction continues.
 	_ = g.Wait()
 	_ = a.Close()
 	_ = b.Close()
 }
 
-// relay copies one direction, which a mode of its own holds.
+// relay copies the bytes of one direction, which holdMode holds in addition to HoldAll.
 func (p *proxy) relay(ctx context.Context, from, to *net.TCPConn, holdMode Mode) error {
 	b := make([]byte, bufferSize)
 	for {
@@ -181,7 +183,7 @@
 			return w
 		}
 		if errors.Is(err, io.EOF) {
-			// The peer may be gone already; the other direction goes on.
+			// The peer may be gone already; the other direction continues.
 			_ = to.CloseWrite()
 			return nil
 		}
@@ -192,7 +194,8 @@
 	}
 }
 
-// awaitRelease waits while bytes are delayed or held; it reports false at the end.
+// awaitRelease waits while bytes are delayed or held; it returns false if the context ends
+// first.
 func (p *proxy) awaitRelease(ctx context.Context, from *net.TCPConn, holdMode Mode) bool {
 	if p.modeOf(from) == Delay && !duty.Sleep(ctx, proxyDelay) {
 		return false
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -13,7 +13,7 @@
 	"github.com/wardridge/wardridge/internal/loopback"
 )
 
-// startEcho answers each line with the same line.
+// startEcho starts a server that sends back what it receives, and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 	return l.Addr().String()
 }
 
-// echoConn is one connection through a proxy to an echo.
+// echoConn is one connection through a proxy to an echo server.
 type echoConn struct {
 	*proxy
 	conn   net.Conn
@@ -55,7 +55,7 @@
 	x := &echoConn{proxy: p, conn: c, reader: bufio.NewReader(c)}
 	x.send(t, "one\n")
 	if got, err := x.reader.ReadString('\n'); got != "one\n" {
-		t.Fatalf("versioned: got %q, %v, want the line", got, err)
+		t.Fatalf("mode Pass: got %q, %v, want the line", got, err)
 	}
 	return x
 }
@@ -75,7 +75,7 @@
 	_ = x.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	var e net.Error
 	if got, err := x.reader.ReadString('\n'); !errors.As(err, &e) || !e.Timeout() {
-		t.Errorf("a connection that was open: got %q, %v, want nothing any more", got, err)
+		t.Errorf("connection that was open: got %q, %v, want a timeout", got, err)
 	}
 	c, err := net.Dial("tcp", x.address())
 	if err != nil {
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	if got, err := bufio.NewReader(c).ReadString('\n'); got != "three\n" {
-		t.Errorf("a new connection: got %q, %v, want the line", got, err)
+		t.Errorf("new connection: got %q, %v, want the line", got, err)
 	}
 }
 
@@ -98,12 +98,12 @@
 		_ = x.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		var e net.Error
 		if got, err := x.reader.ReadString('\n'); !errors.As(err, &e) || !e.Timeout() {
-			t.Errorf("%s: got %q, %v, want nothing yet", m, got, err)
+			t.Errorf("mode %s: got %q, %v, want a timeout", m, got, err)
 		}
 		x.setMode(Pass)
 		_ = x.conn.SetReadDeadline(time.Time{})
 		if got, err := x.reader.ReadString('\n'); got != "two\n" {
-			t.Errorf("%s, then versioned: got %q, %v, want the line", m, got, err)
+			t.Errorf("mode %s, then mode Pass: got %q, %v, want the line", m, got, err)
 		}
 	}
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -9,65 +9,67 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// SentRequest is one call with what its caller saw.
+// SentRequest is a request with what its caller received.
 type SentRequest struct {
 	hosted.Call
 	hosted.Reply
 	Kind      directory.Kind
 	Workspace api.WorkspaceName
-	// VM is the place of the entry VM that it went to.
+	// VM is the index of the entry VM that got the request.
 	VM   int
 	At   time.Time
 	Done time.Time
 }
 
-// Probe is one look at which configuration an entry VM serves by: a request on
-// a route that some versions have.
+// Probe is one observation of the configuration that an entry VM uses, by a request for a
+// path or key that only some versions have.
 type Probe struct {
 	VM int
 	// Incarnation counts the starts of the VM's process.
 	Incarnation int
 	At          time.Time
-	// FromVersion and BeforeVersion are the versions that answer so: from the first up to, but
-	// not with, the last; BeforeVersion is zero for no end.
+	// FromVersion and BeforeVersion bound the versions that give this answer: from the
+	// first up to, but not including, the second; a BeforeVersion of zero means no upper
+	// bound.
 	FromVersion, BeforeVersion int64
 }
 
-// Span is the time in which something held.
+// Span is a period of time.
 type Span struct {
 	From, Until time.Time
 }
 
-// overlaps reports whether a span shares time with another.
+// overlaps reports whether two spans share time.
 func (s Span) overlaps(o Span) bool {
 	return s.From.Before(o.Until) && o.From.Before(s.Until)
 }
 
-// Injection is a fault as it was brought about.
+// Injection is a fault that was injected, with the time for which it lasted.
 type Injection struct {
 	Fault
 	Span
-	// VM and Server name whom it met; VM is All for each of them and noVM for none.
+	// VM and Server are what the fault affected; VM is All for every entry VM and noVM for
+	// none.
 	VM     int
 	Server api.ServerName
 }
 
-// noVM is the VM of a trouble that meets none.
+// noVM is the VM of an injection that affects no entry VM.
 const noVM = -2
 
-// LeaveNotice is the acknowledgement that a server is leaving.
+// LeaveNotice records when a server's announcement that it leaves was acknowledged.
 type LeaveNotice struct {
 	Server api.ServerName
 	At     time.Time
 }
 
-// Closure is the time for which a failure domain was closed to new work.
+// Closure is the period for which a failure domain was closed to new work.
 type Closure struct {
 	Domain api.DomainName
 	Span
 }
 
-// Record is all that a checker may go by.
+// Record is all that Check considers.
 type Record struct {
 	Requests     []SentRequest
 	Probes       []Probe
@@ -75,27 +77,28 @@
 	Runs         []hosted.Run
 	Injections   []Injection
 	LeaveNotices []LeaveNotice
-	// ConfigTimes tells when each version of the configuration was acknowledged.
+	// ConfigTimes holds when each version of the configuration was acknowledged.
 	ConfigTimes map[int64]time.Time
-	// Closures tells when each failure domain was acknowledged as closed, and open again.
+	// Closures holds from when and until when each failure domain was acknowledged as
+	// closed.
 	Closures []Closure
-	// PathServices are the services that some version sends a path's requests to.
+	// PathServices holds the services to which some version routes the requests of a path.
 	PathServices map[string][]api.ServiceName
-	// ServerServices tells the service of each server.
+	// ServerServices holds the service of each server.
 	ServerServices map[api.ServerName]api.ServiceName
-	// ServerDomains tells the failure domain of each server.
+	// ServerDomains holds the failure domain of each server.
 	ServerDomains map[api.ServerName]api.DomainName
-	// CrashTimes tells when servers crashed under each deadly body.
+	// CrashTimes holds when servers crashed, by the body of the crashing request.
 	CrashTimes map[string][]time.Time
-	// Failures are the VMs whose processes ended by themselves or wrote that they
-	// are broken.
+	// Failures describes entry VMs whose processes ended unexpectedly or logged a failure
+	// mark, and errors of the soak itself.
 	Failures []string
-	// CalmSince begins once the last fault is over.
+	// CalmSince is when the last fault ended.
 	CalmSince time.Time
 	End       time.Time
 }
 
-// recorder collects a record.
+// recorder collects a Record from several goroutines.
 type recorder struct {
 	mutex  sync.Mutex
 	record Record
@@ -108,7 +111,7 @@
 	}}
 }
 
-// update changes the record.
+// update changes the record under the mutex.
 func (r *recorder) update(f func(r *Record)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -7,12 +7,12 @@
 	"github.com/wardridge/wardridge/internal/duty"
 )
 
-// rewriteDelay is how long after the store's return operators and servers have written again
-// what it lost, at the latest.
+// rewriteDelay is how long after a restore of the store operators and servers write again
+// what it lost.
 const rewriteDelay = time.Second
 
-// restoreStore has the store come back from a copy of so long before. Then servers and operators
-// write again; entries of servers that ended meanwhile lapse.
+// restoreStore restores the store from a backup of age d. Servers and operators then write
+// their entries again, and the entries of servers that have ended meanwhile expire.
 func (b *testbed) restoreStore(ctx context.Context, d time.Duration) {
 	c := b.store.Backup()
 	duty.Sleep(ctx, d)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,18 +15,18 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// Options are what a soak works with.
+// Options configures a soak.
 type Options struct {
-	// Program is the path of the entry VM's program.
+	// Program is the path of the entry VM program.
 	Program string
-	// Wire is what it speaks.
+	// Wire is the platform protocol that the program speaks.
 	Wire hosted.Wire
-	// Dir takes settings, logs and the plan.
+	// Dir is the folder for settings, logs and the plan.
 	Dir string
 	Log *event.Log
 }
 
-// Result is what one plan showed.
+// Result is the outcome of one plan.
 type Result struct {
 	Plan       Plan        `json:"plan"`
 	Requests   int         `json:"requests"`
@@ -37,7 +37,7 @@
 	Violations []Violation `json:"violations"`
 }
 
-// Run plays a plan to its end and checks what it showed.
+// Run plays a plan to its end and checks the properties.
 func Run(ctx context.Context, o Options, p Plan) (Result, error) {
 	if err := os.MkdirAll(o.Dir, dirMode); err != nil {
 		return Result{}, fault.Wrap(fault.UnreadableFile, err, "making a folder for logs")
@@ -55,10 +55,10 @@
 	return newResult(p, r), ctx.Err()
 }
 
-// maxStartTime is how long a system may take until it serves.
+// maxStartTime is how long the entry VMs, or one process of them, may take to start.
 const maxStartTime = 20 * time.Second
 
-// runPlan sends traffic and brings the faults about, each at its time.
+// runPlan sends traffic and injects each fault at its time.
 func (b *testbed) runPlan(ctx context.Context, p Plan) {
 	polls, stopPolls := duty.New(ctx)
 	defer stopPolls()
@@ -87,7 +87,7 @@
 			return nil
 		})
 	}
-	// Faults end by themselves and never fail.
+	// Faults end by themselves and never return an error.
 	_ = faults.Wait()
 	stopFaults()
 	calm := time.Now()
@@ -96,7 +96,7 @@
 	stopCalls()
 }
 
-// awaitReady waits until every entry VM takes callers.
+// awaitReady waits until every entry VM accepts callers, at most maxStartTime.
 func (b *testbed) awaitReady(ctx context.Context) {
 	end := time.Now().Add(maxStartTime)
 	for time.Now().Before(end) && ctx.Err() == nil {
@@ -115,17 +115,17 @@
 	}
 }
 
-// finish closes the record.
+// finish ends the entry VMs, checks their logs and returns the record.
 func (b *testbed) finish() Record {
 	for _, v := range b.vms {
 		if v.current().endedUnexpectedly() {
-			b.recordFailure(v.logPath + ": the process ended by itself")
+			b.recordFailure(v.logPath + ": the process ended unexpectedly")
 		}
 		v.kill()
 		marked, err := hasFailureMark(v.logPath)
 		b.recordError(err)
 		if marked {
-			b.recordFailure(v.logPath + ": the program tells that it is broken")
+			b.recordFailure(v.logPath + ": the log reports a data race, a panic or a fatal error")
 		}
 	}
 	b.recorder.mutex.Lock()
@@ -151,11 +151,11 @@
 	return x
 }
 
-// inject brings one fault about and ends it.
+// inject injects one fault and ends it.
 func (b *testbed) inject(ctx context.Context, f Fault) {
 	v := b.vms[max(0, f.Target)%len(b.vms)]
 	s := b.servers[max(0, f.Target)%len(b.servers)]
-	// It is noted before it begins and, with its end, again after it.
+	// The injection is recorded before the fault starts; its end is recorded afterwards.
 	i := b.recordInjection(f, v, s)
 	b.Log.Emit(event.SoakFault, zap.String("kind", string(f.Kind)), zap.Int("target", f.Target), zap.Duration("for", f.For.Duration()), zap.String("mode", string(f.Mode)))
 	switch f.Kind {
@@ -186,14 +186,13 @@
 	}
 	until := time.Now()
 	if f.Mode == HoldOpen {
-		// What is sent over the connections that were open is met for as long as it
-		// may take.
+		// Requests over the connections that were open stay affected until they time out.
 		until = until.Add(routeTimeout)
 	}
 	b.recorder.update(func(r *Record) { r.Injections[i].Until = until })
 }
 
-// injectServerFault brings a fault of one server about and ends it.
+// injectServerFault injects a fault of one server and ends it.
 func (b *testbed) injectServerFault(ctx context.Context, f Fault, s *server) {
 	_, p := s.current()
 	switch f.Kind {
@@ -213,7 +212,7 @@
 	}
 }
 
-// injectVMFault sends a fault's signals to an entry VM's process.
+// injectVMFault injects a fault of an entry VM's process by signals.
 func (b *testbed) injectVMFault(ctx context.Context, f Fault, v *vm) {
 	p := v.current()
 	switch f.Kind {
@@ -229,13 +228,13 @@
 		duty.Sleep(ctx, f.For.Duration())
 		p.signal(syscall.SIGCONT)
 	default:
-		// Before its first own line a program can't keep the signal from ending it.
+		// SIGHUP ends a program that has not yet installed its signal handler.
 		b.awaitStarted(ctx, v)
 		v.current().signal(syscall.SIGHUP)
 	}
 }
 
-// awaitStarted waits until the VM's present process says that it has started.
+// awaitStarted waits until the current process of the VM has logged its start.
 func (b *testbed) awaitStarted(ctx context.Context, v *vm) {
 	for end := time.Now().Add(maxStartTime); time.Now().Before(end); {
 		ok, err := v.hasStarted()
@@ -246,7 +245,8 @@
 	}
 }
 
-// recordInjection records that a fault is about to begin and gives its place.
+// recordInjection records that a fault is about to start and returns the index of the
+// injection.
 func (b *testbed) recordInjection(f Fault, v *vm, s *server) int {
 	t := Injection{Fault: f, VM: noVM}
 	switch f.Kind {
@@ -260,7 +260,7 @@
 			t.VM = All
 		}
 	}
-	// Until its end is known it lasts beyond any span that is checked.
+	// Until the end is known, the span extends beyond every span that is checked.
 	now := time.Now()
 	t.Span = Span{From: now, Until: now.Add(time.Hour)}
 	i := 0
@@ -271,12 +271,13 @@
 	return i
 }
 
-// restartVM starts a VM whose process has ended, unless another fault has done so.
+// restartVM starts a VM whose process has ended, unless another fault has restarted it
+// already.
 func (b *testbed) restartVM(v *vm, ended *process) {
 	b.recordError(b.bootVM(v, ended))
 }
 
-// recordError notes that the soak itself could not do something.
+// recordError records a failure of the soak itself.
 func (b *testbed) recordError(err error) {
 	if err != nil {
 		b.recordFailure(err.Error())
@@ -287,17 +288,17 @@
 	b.recorder.update(func(r *Record) { r.Failures = append(r.Failures, what) })
 }
 
-// injectLinkFault makes a injectLinkFault fail for a time.
+// injectLinkFault sets the mode of a link's proxy for a time.
 func (b *testbed) injectLinkFault(ctx context.Context, p *proxy, f Fault) {
 	p.setMode(f.Mode)
 	duty.Sleep(ctx, f.For.Duration())
 	p.setMode(Pass)
 }
 
-// entryExpiry is how long the entry of a server that crashed stays.
+// entryExpiry is how long the store keeps the entry of a server that has crashed.
 const entryExpiry = 1500 * time.Millisecond
 
-// crashServer ends a server without notice; another one takes its place.
+// crashServer crashes a server without notice and replaces it by one with a new name.
 func (b *testbed) crashServer(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	x.Crash()
@@ -307,7 +308,7 @@
 	b.recordError(b.startServer(s, x, newName))
 }
 
-// leaveServer ends a server after its notice; another one takes its place.
+// leaveServer ends a server after a leave notice and replaces it by one with a new name.
 func (b *testbed) leaveServer(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	notice := minNotice + d
@@ -320,7 +321,8 @@
 	b.recordError(b.startServer(s, x, newName))
 }
 
-// loseAnswers makes a server loseAnswers answers to plain requests that it has run.
+// loseAnswers makes a server drop, for a time, the answers to plain requests that it has
+// run.
 func (b *testbed) loseAnswers(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	x.LoseAnswers(true)
@@ -328,11 +330,11 @@
 	x.LoseAnswers(false)
 }
 
-// minNotice is the least time between a notice and the end: as on the users'
-// platform.
+// minNotice is the minimum time between a leave notice and the end of a server, as on the
+// users' platform.
 const minNotice = 1500 * time.Millisecond
 
-// storeDelay is what a slow store holds its answers back by.
+// storeDelay is how long a slow store delays its answers.
 const storeDelay = 200 * time.Millisecond
 
 // injectStoreFault makes the store fail for one VM or for all.
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -11,7 +11,8 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// server is a place for backend servers, one life after the other.
+// server is a backend server of the testbed through its successive incarnations and
+// replacements.
 type server struct {
 	service api.ServiceName
 	index   int
@@ -21,22 +22,22 @@
 	proxy        *proxy
 	stop         func()
 	incarnations int
-	// id is kept by a server that starts again under its name.
+	// id stays the same for a server that restarts under the same name.
 	id api.ServerID
 }
 
-// naming is under which name a server starts.
+// naming selects the ID under which a server starts.
 type naming int
 
 // Namings.
 const (
-	// newName is one that no server had, sameName the one of the life before.
+	// newName is an ID that no server had before, sameName that of the incarnation before.
 	newName naming = iota
 	sameName
 )
 
-// startServer starts the next life of a server, on an address of its own, unless
-// another one has followed the one that ended.
+// startServer starts the next incarnation of a server on a new address, unless the one
+// that ended has been replaced already.
 func (b *testbed) startServer(s *server, ended *hosted.Server, n naming) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,7 +78,7 @@
 	return instance.Register()
 }
 
-// shutDown ends a server's present life.
+// shutDown ends the current incarnation of a server.
 func (s *server) shutDown() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/soak/shorten.go
+++ b/internal/soak/shorten.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// shortenAttempts is how often a plan is played without some of its faults: what
-// fails once in two plays is still found out mostly.
+// shortenAttempts is how often each shortened plan is played: with two attempts, a failure
+// that occurs in half of the plays is still mostly found.
 const shortenAttempts = 2
 
-// Shorten looks for a plan with fewer faults that breaks a property as well, and
-// leaves it in the folder of the whole one.
+// Shorten searches for a plan with fewer faults that violates the same property, and saves
+// it in the folder of the original plan.
 func Shorten(ctx context.Context, o Options, p Plan, k Property) error {
 	for n := max(1, len(p.Faults)/2); n > 0; n /= 2 {
 		for at := 0; at < len(p.Faults); {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// fails reports whether a plan breaks a property in a few plays.
+// fails reports whether a plan violates a property in one of shortenAttempts plays.
 func fails(ctx context.Context, o Options, p Plan, k Property) (bool, error) {
 	for range shortenAttempts {
 		r, err := Run(ctx, o, p)
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// announcedLimit is the limit that servers name, in requests a second.
+	// announcedLimit is the rate limit that servers announce, in requests a second.
 	announcedLimit = 2.0
-	// limitWindow is the time over which a limit is judged, limitFactor and limitSlack what is
-	// allowed in it.
+	// limitWindow is the period over which a limit is checked: in it a server may get
+	// limitFactor times its limit, plus limitSlack requests.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// announcedBackoff is the rest that servers ask for, restSettle when it holds and restMost how
-	// many requests of one entry VM may come in it all the same.
+	// announcedBackoff is the backoff that servers request, backoffSettleTime how long an
+	// entry VM may take to honor it, and maxBackoffRequests how many requests of one entry
+	// VM may still arrive during it.
 	announcedBackoff   = 2 * time.Second
 	backoffSettleTime  = 500 * time.Millisecond
 	maxBackoffRequests = 2
 )
 
-// injectSignal lets a server injectSignal something of itself in its answers for a time. One that says that it
-// leaves does so after it.
+// injectSignal has a server send a signal in its answers for a time. A server that signals
+// that it leaves does so afterwards.
 func (b *testbed) injectSignal(ctx context.Context, f Fault, s *server) {
 	x, _ := s.current()
 	limit, duration := announcedLimit, f.For.Duration()
 	switch f.Kind {
 	case SignalLimit:
 		x.SetSignals(hosted.Signals{Limit: &limit})
-		// A limit has to hold only after some time.
+		// A limit has to be honored only some time after it was announced.
 		duration += recoveryTime + limitWindow
 	case SignalBackoff:
 		x.SetSignals(hosted.Signals{Backoff: announcedBackoff})
@@ -49,13 +50,13 @@
 	x.SetSignals(hosted.Signals{})
 }
 
-// vmServer is one entry VM and a server that it sent to.
+// vmServer is an entry VM and a server that it sent a request to.
 type vmServer struct {
 	vm     int
 	server api.ServerName
 }
 
-// checkSignals checks that entry VMs do as the answers of servers say.
+// checkSignals checks that entry VMs honor the signals in the answers of servers.
 func (c *checker) checkSignals() {
 	arrivals := slices.Clone(c.Arrivals)
 	slices.SortStableFunc(arrivals, func(a, b hosted.Arrival) int { return a.At.Compare(b.At) })
@@ -74,13 +75,14 @@
 	}
 }
 
-// excusedSince reports whether an entry VM was disturbed or stopped since it was told something.
+// excusedSince reports whether an unplanned fault or a restart affected an entry VM
+// between a server's signal and an arrival.
 func (c *checker) excusedSince(since time.Time, a hosted.Arrival, k vmServer) bool {
 	x := Span{since, a.At}
 	return c.unplannedFaultDuring(x, k.vm, "") || c.restartedDuring(x, k.vm)
 }
 
-// checkServerLimit checks that a server gets no more than it named.
+// checkServerLimit checks that a server gets no more requests than its limit allows.
 func (c *checker) checkServerLimit(a hosted.Arrival, k vmServer, firstAnnounced map[vmServer]time.Time, limitedSince map[api.ServerName]time.Time, recent map[api.ServerName][]time.Time) {
 	if a.Signals.Limit == nil {
 		delete(limitedSince, a.Server)
@@ -107,11 +109,12 @@
 	recent[a.Server] = append(l, a.At)
 	perSecond := *a.Signals.Limit
 	if allowed := int(limitFactor*perSecond*limitWindow.Seconds()) + limitSlack; len(recent[a.Server]) > allowed {
-		c.addViolation(ServerLimit, a.ID, a.At, fmt.Sprintf("server %s, which takes %v a second, got %d requests in %s", a.Server, perSecond, len(recent[a.Server]), limitWindow))
+		c.addViolation(ServerLimit, a.ID, a.At, fmt.Sprintf("server %s, which announced a limit of %v requests a second, got %d requests in %s", a.Server, perSecond, len(recent[a.Server]), limitWindow))
 	}
 }
 
-// checkLeavingServer checks that a server that said that it leaves gets nothing new.
+// checkLeavingServer checks that a server that signalled that it leaves gets no new
+// requests.
 func (c *checker) checkLeavingServer(a hosted.Arrival, k vmServer, firstAnnounced map[vmServer]time.Time) {
 	t, ok := firstAnnounced[k]
 	if a.Signals.Leaving && !ok {
@@ -119,11 +122,12 @@
 		return
 	}
 	if ok && a.ResumeFrom == "" && a.At.Sub(t) > maxLeaveDelay && !c.excusedSince(t, a, k) {
-		c.addViolation(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after it had told the entry VM that it leaves", a.Server, a.At.Sub(t)))
+		c.addViolation(LeavingServer, a.ID, a.At, fmt.Sprintf("server %s got a new request %s after it had signalled to the entry VM that it leaves", a.Server, a.At.Sub(t)))
 	}
 }
 
-// checkServerBackoff checks that a server that asked an entry VM for checkServerBackoff is left alone.
+// checkServerBackoff checks that an entry VM sends no requests to a server during the
+// backoff that it requested.
 func (c *checker) checkServerBackoff(a hosted.Arrival, k vmServer, backoffs map[vmServer][]time.Time) {
 	if a.Signals.Backoff == 0 {
 		delete(backoffs, k)
@@ -139,6 +143,6 @@
 	}
 	backoffs[k] = append(l, a.At)
 	if n := len(l); n > maxBackoffRequests {
-		c.addViolation(ServerBackoff, a.ID, a.At, fmt.Sprintf("server %s had asked VM %d for rest, and got %d requests of it", a.Server, k.vm, n))
+		c.addViolation(ServerBackoff, a.ID, a.At, fmt.Sprintf("server %s had requested a backoff from VM %d and got %d requests from it", a.Server, k.vm, n))
 	}
 }
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -10,7 +10,8 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// addArrivals adds requests of an entry VM that come to a server each so many ms, from a time on.
+// addArrivals adds requests of an entry VM that arrive at a server at a fixed interval,
+// from a time in milliseconds on.
 func addArrivals(r *soak.Record, vm, from, intervalMs, count int, w hosted.Signals) {
 	for i := range count {
 		id := api.RequestID(fmt.Sprintf("a-%d-%d-%d", vm, from, i))
@@ -36,25 +37,25 @@
 	}{
 		{"within the limit", func(r *soak.Record) { addArrivals(r, 0, 9000, 300, 30, limit) }, ""},
 		{"beyond the limit", func(r *soak.Record) { addArrivals(r, 0, 9000, 100, 90, limit) }, soak.ServerLimit},
-		{"beyond the limit at first", func(r *soak.Record) { addArrivals(r, 0, 9000, 100, 29, limit) }, ""},
-		{"beyond the limit together", func(r *soak.Record) {
+		{"beyond the limit before it has to be honored", func(r *soak.Record) { addArrivals(r, 0, 9000, 100, 29, limit) }, ""},
+		{"beyond the limit only together with other VMs", func(r *soak.Record) {
 			for vm := range 4 {
 				addArrivals(r, vm, 9000, 400, 20, limit)
 			}
 		}, soak.ServerLimit},
-		{"rest that is kept", func(r *soak.Record) { addArrivals(r, 0, 11000, 2100, 3, backoff) }, ""},
-		{"rest that is not kept", func(r *soak.Record) { addArrivals(r, 0, 11000, 300, 6, backoff) }, soak.ServerBackoff},
-		{"rest asked of others", func(r *soak.Record) {
+		{"backoff that is honored", func(r *soak.Record) { addArrivals(r, 0, 11000, 2100, 3, backoff) }, ""},
+		{"backoff that is not honored", func(r *soak.Record) { addArrivals(r, 0, 11000, 300, 6, backoff) }, soak.ServerBackoff},
+		{"backoff that was requested from other VMs", func(r *soak.Record) {
 			for vm := range 6 {
 				addArrivals(r, vm, 11000+200*vm, 2100, 2, backoff)
 			}
 		}, ""},
-		{"after a word of a leave", func(r *soak.Record) { addArrivals(r, 0, 9000, 4500, 2, leaving) }, soak.LeavingServer},
-		{"after a word of a leave, at another VM", func(r *soak.Record) {
+		{"new request after a leave signal", func(r *soak.Record) { addArrivals(r, 0, 9000, 4500, 2, leaving) }, soak.LeavingServer},
+		{"new request from another VM after a leave signal", func(r *soak.Record) {
 			addArrivals(r, 0, 9000, 0, 1, leaving)
 			addArrivals(r, 1, 14000, 0, 1, leaving)
 		}, ""},
-		{"with a fault in between", func(r *soak.Record) {
+		{"new request after a leave signal and an unplanned fault", func(r *soak.Record) {
 			addArrivals(r, 0, 9000, 4500, 2, leaving)
 			r.Injections = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(10000), Until: at(11000)}}}
 		}, ""},
--- a/internal/soak/testbed.go
+++ b/internal/soak/testbed.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Services of the bed, and the paths that lead to them.
+// Services of the testbed, and the paths that lead to them.
 const (
 	engines api.ServiceName = "engines"
 	plain   api.ServiceName = "plain"
@@ -26,7 +26,7 @@
 	pathExtra  = "extra"
 )
 
-// Workspaces of the bed.
+// Workspaces of the testbed.
 const (
 	mainWorkspace  api.WorkspaceName = "main"
 	mainKey                          = "main-key"
@@ -34,20 +34,22 @@
 )
 
 const (
-	// stopGrace is the time from the signal to stop to the end.
+	// stopGrace is the time that an entry VM has between the stop signal and its end.
 	stopGrace = 8 * time.Second
-	// closureDelay is the time in which a closed failure domain gets nothing new.
+	// closureDelay is the time that the entry VMs have to stop sending new work to a
+	// closed failure domain.
 	closureDelay = 5 * time.Second
-	// slots and memory size a server so that none is full under the soak's load.
+	// slots and memory size a server so that none is full under the load of the soak.
 	slots  = 64
 	memory = 400000
-	// Paces of the servers: fast enough for many runs in a short soak.
+	// Times of the simulated servers, short enough for many runs in a short soak.
 	eventInterval   = 15 * time.Millisecond
 	plainAnswerTime = 8 * time.Millisecond
 	copyTime        = 25 * time.Millisecond
 )
 
-// testbed is a system under test.
+// testbed is a system under test: entry VMs, backend servers, a store and proxies between
+// them.
 type testbed struct {
 	Options
 	group    *duty.Group
@@ -58,20 +60,21 @@
 	servers  []*server
 	recorder *recorder
 	cleanups []func()
-	// closureMutex lets one failure domain be closed at a time: the others have to serve.
+	// closureMutex allows only one closed failure domain at a time: the others have to
+	// serve.
 	closureMutex sync.Mutex
 
 	mutex sync.Mutex
-	// config is the newest configuration; extras are the paths of routes that
-	// come and go, keys those of the spare workspace.
+	// config is the newest configuration; extraRoutes are the paths of routes that are
+	// added and removed, spareKeys the keys of the spare workspace.
 	config      directory.Config
 	extraRoutes []versionedName
 	spareKeys   []versionedName
-	// closedDomain is the failure domain that operators keep closed, empty for none.
+	// closedDomain is the failure domain that operators have closed; empty means none.
 	closedDomain api.DomainName
 }
 
-// newTestbed starts a system; the clean-up ends all of it.
+// newTestbed starts a testbed; the returned function ends all of it.
 func newTestbed(ctx context.Context, o Options, s Size) (*testbed, func(), error) {
 	g, end := duty.New(context.WithoutCancel(ctx))
 	c, closer := wire.NewClient(time.Second, false)
@@ -88,7 +91,7 @@
 	return b, b.close, nil
 }
 
-// close ends what was started, the newest first.
+// close ends everything that was started, in reverse order.
 func (b *testbed) close() {
 	for i := len(b.cleanups) - 1; i >= 0; i-- {
 		b.cleanups[i]()
@@ -131,14 +134,14 @@
 	return nil
 }
 
-// domains are the failure domains that VMs and servers are spread over.
+// domains are the failure domains over which VMs and servers are spread.
 var domains = []api.DomainName{"hall-a", "hall-b", "hall-c"}
 
 func domainOf(place int) api.DomainName {
 	return domains[place%len(domains)]
 }
 
-// addProxy makes a addProxy before an address.
+// addProxy starts a proxy to an address.
 func (b *testbed) addProxy(target string) (*proxy, error) {
 	l, err := loopback.Listen()
 	if err != nil {
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -18,24 +18,25 @@
 const (
 	// meanCallerPause is the mean pause between a caller's requests.
 	meanCallerPause = 60 * time.Millisecond
-	// requestsPerVM is how many requests a caller sends to one entry VM before it
-	// looks for another: callers keep their connections.
+	// requestsPerVM is how many requests a caller sends to one entry VM before it chooses
+	// again, as callers reuse their connections.
 	requestsPerVM = 20
-	// chatTimeout and callWait are how long callers wait.
+	// chatTimeout and callTimeout are how long callers wait for streams and for other
+	// answers.
 	chatTimeout = 15 * time.Second
 	callTimeout = 3 * time.Second
-	// maxStreamEvents bounds a stream, in events: below the grace of a stop.
+	// maxStreamEvents bounds the events of a stream, so that it ends within stopGrace.
 	maxStreamEvents = 220
-	// callerLeaveChance is how often a caller leaves a stream.
+	// callerLeaveChance is the probability that a caller leaves a stream before its end.
 	callerLeaveChance = 0.1
-	// probeInterval is the pause between looks at an entry VM's configuration.
+	// probeInterval is the pause between probes of an entry VM's configuration.
 	probeInterval = 150 * time.Millisecond
-	// readinessInterval is the pause between looks at an entry VM's readiness, as a
+	// readinessInterval is the pause between readiness checks of the entry VMs, as a load
 	// balancer makes them.
 	readinessInterval = 300 * time.Millisecond
 )
 
-// pollReadiness is the duty that asks each entry VM whether it takes callers.
+// pollReadiness is the duty that checks whether each entry VM accepts callers.
 func (b *testbed) pollReadiness(ctx context.Context) error {
 	return duty.Loop(ctx, func() time.Duration { return readinessInterval }, func(ctx context.Context) {
 		for _, v := range b.vms {
@@ -49,7 +50,8 @@
 	})
 }
 
-// chooseVM gives an entry VM that takes callers, or any where none does.
+// chooseVM returns a random entry VM among those that accept callers, or among all if none
+// does.
 func (b *testbed) chooseVM(r *rand.Rand) *vm {
 	var l []*vm
 	for _, v := range b.vms {
@@ -65,7 +67,7 @@
 	return l[r.IntN(len(l))]
 }
 
-// runCaller is the duty of one caller, which sends one request after the other.
+// runCaller is the duty of one caller, which sends its requests one after the other.
 func (b *testbed) runCaller(ctx context.Context, index int, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, uint64(index)+2))
 	d := &net.Dialer{Timeout: time.Second}
@@ -84,14 +86,15 @@
 		s.Done = time.Now()
 		b.recorder.update(func(x *Record) { x.Requests = append(x.Requests, s) })
 		if s.Err != nil {
-			// What broke off is not asked for again at once, and elsewhere.
+			// A request that failed is not retried; the next one may go to another entry
+			// VM.
 			v = b.chooseVM(r)
 		}
 		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanCallerPause)))
 	}
 }
 
-// nextRequest draws a caller's nextRequest request.
+// nextRequest draws a caller's next request.
 func (b *testbed) nextRequest(r *rand.Rand, id string) SentRequest {
 	s := SentRequest{Workspace: mainWorkspace, Call: hosted.Call{
 		ID: api.RequestID(id), Method: http.MethodPost, Host: host, Key: mainKey, Wait: callTimeout, Body: "body of " + id,
@@ -113,7 +116,7 @@
 	return s
 }
 
-// probeVM is the duty that looks which configuration an entry VM serves by.
+// probeVM is the duty that probes which configuration an entry VM uses.
 func (b *testbed) probeVM(ctx context.Context, v *vm) {
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
@@ -125,23 +128,23 @@
 	}
 }
 
-// probedNames is how many of the paths or keys that come and go are asked about: the
-// probedNames ones tell most.
+// probedNames is how many of the extra paths or spare keys are probed: the newest ones are
+// the most informative.
 const probedNames = 4
 
-// probeTarget asks an entry VM about one path or key that comes and goes.
+// probeTarget is an extra path or spare key to probe an entry VM with.
 type probeTarget struct {
-	// list holds it, at a place.
+	// list contains the path or key, at index.
 	list      *[]versionedName
 	index     int
 	path, key string
 	workspace api.WorkspaceName
-	// unknownStatus is the status of versions that don't have it.
+	// unknownStatus is the status that versions without the path or key answer with.
 	unknownStatus int
 }
 
-// nextProbeTarget gives the n-th nextProbeTarget, about paths and keys by turns, or false
-// where there is nothing to ask about yet.
+// nextProbeTarget returns the n-th target, alternating between paths and keys, or false if
+// there is none yet.
 func (b *testbed) nextProbeTarget(n int) (probeTarget, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -162,7 +165,7 @@
 	return q, true
 }
 
-// probeOnce sends one request by a path or key that comes and goes.
+// probeOnce probes an entry VM with one request for an extra path or spare key.
 func (b *testbed) probeOnce(ctx context.Context, v *vm, c *hosted.Caller, n int) {
 	q, ok := b.nextProbeTarget(n)
 	if !ok {
@@ -177,11 +180,11 @@
 	v.mutex.Unlock()
 	s.At = time.Now()
 	w.At = s.At
-	// What was sent is waited for, also once the soak is over.
+	// A request that was sent is waited for, even after the end of the soak.
 	s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
 	s.Done = time.Now()
 	b.mutex.Lock()
-	// It may have been removed meanwhile.
+	// The path or key may have been removed meanwhile.
 	x := (*q.list)[q.index]
 	b.mutex.Unlock()
 	b.recorder.update(func(r *Record) {
@@ -192,10 +195,10 @@
 	})
 }
 
-// setVersions takes which versions answer so to a request by a path or key that comes
-// and goes. A success comes from the versions that have it; the status of what
-// is unknown from those before or after it, which tells something only while
-// it stands.
+// setVersions sets which versions give a status for a path or key that is added and
+// removed. A success comes from the versions that have it. The unknown status comes from
+// versions before or after it, so it is conclusive only while the path or key has not been
+// removed. It returns false if the status is not conclusive.
 func (p *Probe) setVersions(status, unknown int, x versionedName) bool {
 	switch {
 	case status == http.StatusOK:
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -16,12 +16,13 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// vm is one entry VM with what stands around it.
+// vm is an entry VM with its proxies and its connection to the store.
 type vm struct {
 	index        int
 	settingsPath string
 	logPath      string
-	// callerProxy is the proxy before it, store the one before the platform.
+	// callerProxy is the proxy between callers and the VM, storeProxy the one between the
+	// VM and the store.
 	callerProxy  *proxy
 	storeProxy   *proxy
 	endpoint     *hosted.Endpoint
@@ -30,7 +31,7 @@
 	mutex       sync.Mutex
 	process     *process
 	incarnation int
-	// acceptsCallers is what the balancer last saw.
+	// acceptsCallers is the result of the latest readiness check.
 	acceptsCallers bool
 }
 
@@ -66,8 +67,8 @@
 	return b.bootVM(v, nil)
 }
 
-// bootVM starts a VM's process in the place of one that has ended, unless that
-// was done already.
+// bootVM starts a VM's process in place of one that has ended, unless another one has
+// replaced it already.
 func (b *testbed) bootVM(v *vm, ended *process) error {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -83,15 +84,15 @@
 	return nil
 }
 
-// current is a VM's process.
+// current returns the current process of the VM.
 func (v *vm) current() *process {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.process
 }
 
-// hasStarted reports whether the present process says that it has hasStarted; all of
-// its lives write to one log.
+// hasStarted reports whether the current process has logged its start; all incarnations
+// append to one log.
 func (v *vm) hasStarted() (bool, error) {
 	v.mutex.Lock()
 	incarnation := v.incarnation
@@ -103,7 +104,7 @@
 	return bytes.Count(b, startedMark) >= incarnation, nil
 }
 
-// startedMark is in the line that a program writes once it serves.
+// startedMark is contained in the line that a program logs once it serves.
 var startedMark = []byte(`"msg":"started"`)
 
 func (v *vm) kill() {
--- a/internal/soak/vm_test.go
+++ b/internal/soak/vm_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A process that was started again is not signalled on the word of the one
-// before it.
+// Guards against signalling a restarted process before it has started, because the log
+// still has the start line of the process before it.
 func TestEarlierStartDoesNotCountForNewProcess(t *testing.T) {
 	const line = `{"level":"info","msg":"started","event":103}` + "\n"
 	v := &vm{logPath: filepath.Join(t.TempDir(), "vm.log"), incarnation: 2}
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		if got, err := v.hasStarted(); got != c.want || err != nil {
-			t.Errorf("%q: got %v, %v, want %v", c.log, got, err, c.want)
+			t.Errorf("log %q: got started %v, %v, want %v", c.log, got, err, c.want)
 		}
 	}
 }
