--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -97,19 +97,19 @@
 // checker holds a record with its indexes by request ID, and collects violations.
 type checker struct {
 	Record
-	sent       map[api.RequestID]*SentRequest
-	runs       map[api.RequestID][]hosted.Run
-	violations []Violation
+	requestsByID map[api.RequestID]*SentRequest
+	runsByID     map[api.RequestID][]hosted.Run
+	violations   []Violation
 }
 
 // Check returns the violations that a record shows.
 func Check(r Record) []Violation {
-	c := &checker{Record: r, sent: map[api.RequestID]*SentRequest{}, runs: map[api.RequestID][]hosted.Run{}}
+	c := &checker{Record: r, requestsByID: map[api.RequestID]*SentRequest{}, runsByID: map[api.RequestID][]hosted.Run{}}
 	for i := range r.Requests {
-		c.sent[r.Requests[i].ID] = &r.Requests[i]
+		c.requestsByID[r.Requests[i].ID] = &r.Requests[i]
 	}
 	for _, x := range r.Runs {
-		c.runs[x.RequestID] = append(c.runs[x.RequestID], x)
+		c.runsByID[x.RequestID] = append(c.runsByID[x.RequestID], x)
 	}
 	for _, a := range r.Arrivals {
 		c.checkArrival(a)
@@ -153,7 +153,7 @@
 
 // checkArrival checks a request that arrived at a server.
 func (c *checker) checkArrival(a hosted.Arrival) {
-	s, ok := c.sent[a.ID]
+	s, ok := c.requestsByID[a.ID]
 	if !ok {
 		c.addViolation(IntactRequest, a.ID, a.At, "a server got a request that no caller sent")
 		return
@@ -196,7 +196,7 @@
 
 // checkReply checks what a caller received.
 func (c *checker) checkReply(s *SentRequest) {
-	r := c.runs[s.ID]
+	r := c.runsByID[s.ID]
 	if s.Kind != directory.Safe {
 		c.checkSingleRun(s, r)
 	}
@@ -315,7 +315,7 @@
 
 // checkVersions checks which configuration versions the entry VMs used.
 func (c *checker) checkVersions() {
-	type incarnation struct{ vm, life int }
+	type incarnation struct{ vm, number int }
 	newest := map[incarnation]int64{}
 	for _, p := range c.Probes {
 		k := incarnation{p.VM, p.Incarnation}
--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -13,7 +13,7 @@
 // closeDomain closes the failure domain of a server to new work for a time, and opens it
 // again.
 func (b *testbed) closeDomain(ctx context.Context, s *server, d time.Duration) {
-	n := domainOf(s.index)
+	n := domainAt(s.index)
 	b.closureMutex.Lock()
 	defer b.closureMutex.Unlock()
 	b.setClosedDomain(n)
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -65,7 +65,7 @@
 // replacement when the entry of the crashed server has expired.
 func (b *testbed) handleCrash(x *hosted.Server, body string) {
 	for _, s := range b.servers {
-		if live, _ := s.current(); live != x {
+		if instance, _ := s.current(); instance != x {
 			continue
 		}
 		f := Fault{Kind: CrashServer, Target: s.index}
@@ -88,7 +88,7 @@
 	late := map[string]int{}
 	for _, a := range c.Arrivals {
 		l := c.CrashTimes[a.Body]
-		s, ok := c.sent[a.ID]
+		s, ok := c.requestsByID[a.ID]
 		if !ok || a.Refused || len(l) < 3 || a.At.Sub(l[2]) <= recoveryTime || c.vmFaultDuring(Span{l[2], a.At}, s.VM) {
 			continue
 		}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -63,7 +63,7 @@
 	born := api.Birth(time.Now().UnixMilli())
 	x := roster.Server{
 		Name: roster.IncarnationName(s.id, born), ID: s.id, Born: born, Service: s.service, Address: p.address(),
-		Domain: domainOf(s.index), Slots: slots,
+		Domain: domainAt(s.index), Slots: slots,
 	}
 	instance, end := b.fleet.StartServer(x, s.service == engines, in)
 	s.instance, s.proxy = instance, p
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -60,17 +60,17 @@
 func (c *checker) checkSignals() {
 	arrivals := slices.Clone(c.Arrivals)
 	slices.SortStableFunc(arrivals, func(a, b hosted.Arrival) int { return a.At.Compare(b.At) })
-	limited, leaving, backoffs := map[vmServer]time.Time{}, map[vmServer]time.Time{}, map[vmServer][]time.Time{}
+	limitAnnounced, leaveAnnounced, backoffs := map[vmServer]time.Time{}, map[vmServer]time.Time{}, map[vmServer][]time.Time{}
 	limitedSince := map[api.ServerName]time.Time{}
 	recent := map[api.ServerName][]time.Time{}
 	for _, a := range arrivals {
-		s, ok := c.sent[a.ID]
+		s, ok := c.requestsByID[a.ID]
 		if !ok {
 			continue
 		}
 		k := vmServer{s.VM, a.Server}
-		c.checkServerLimit(a, k, limited, limitedSince, recent)
-		c.checkLeavingServer(a, k, leaving)
+		c.checkServerLimit(a, k, limitAnnounced, limitedSince, recent)
+		c.checkLeavingServer(a, k, leaveAnnounced)
 		c.checkServerBackoff(a, k, backoffs)
 	}
 }
--- a/internal/soak/testbed.go
+++ b/internal/soak/testbed.go
@@ -137,8 +137,8 @@
 // domains are the failure domains over which VMs and servers are spread.
 var domains = []api.DomainName{"hall-a", "hall-b", "hall-c"}
 
-func domainOf(place int) api.DomainName {
-	return domains[place%len(domains)]
+func domainAt(index int) api.DomainName {
+	return domains[index%len(domains)]
 }
 
 // addProxy starts a proxy to an address.
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -199,11 +199,11 @@
 // removed. A success comes from the versions that have it. The unknown status comes from
 // versions before or after it, so it is conclusive only while the path or key has not been
 // removed. It returns false if the status is not conclusive.
-func (p *Probe) setVersions(status, unknown int, x versionedName) bool {
+func (p *Probe) setVersions(status, unknownStatus int, x versionedName) bool {
 	switch {
 	case status == http.StatusOK:
 		p.FromVersion, p.BeforeVersion = x.from, x.until
-	case status == unknown && x.until == 0:
+	case status == unknownStatus && x.until == 0:
 		p.BeforeVersion = x.from
 	default:
 		return false
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	text := fmt.Sprintf("[node]\nname = %s\ndomain = %s\nlisten = %s\ncontrol = %s\n[platform]\nwire = hosted\naddress = %s\n[gateway]\nready = %s\nseeds = %s\ngrace_s = %g\nclose_ms = %d\n",
-		name, domainOf(i), a[0], a[1], v.storeProxy.address(), a[2], strings.Join(seeds, ","), stopGrace.Seconds(), closureDelay.Milliseconds())
+		name, domainAt(i), a[0], a[1], v.storeProxy.address(), a[2], strings.Join(seeds, ","), stopGrace.Seconds(), closureDelay.Milliseconds())
 	if err := os.WriteFile(v.settingsPath, []byte(text), fileMode); err != nil {
 		return fault.Wrap(fault.UnreadableFile, err, "writing settings")
 	}
