--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -40,7 +40,8 @@
 	PlannedWork Property = "planned-stop"
 	// ConfigInForce: entry VMs use an accepted configuration within maxConfigDelay.
 	ConfigInForce Property = "in-force"
-	// NoConfigRevert: an entry VM does not return to an older configuration.
+	// NoConfigRevert: an entry VM does not return to an older configuration during one
+	// incarnation.
 	NoConfigRevert Property = "no-revert"
 	// Recovery: requests are served again after the last fault.
 	Recovery Property = "recovery"
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -46,7 +46,7 @@
 	}
 	s := &http.Server{Handler: b.Wire.StoreHandler(v.endpoint), ReadHeaderTimeout: time.Second}
 	b.group.Go(func(context.Context) error {
-		// It ends when the server is closed.
+		// Serve returns when the server is closed.
 		_ = s.Serve(l)
 		return nil
 	})
