--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -25,8 +25,8 @@
 }
 
 // startProcess starts a program and appends its output to a log file.
-func startProcess(g *duty.Group, program, settings, log string) (*process, error) {
-	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
+func startProcess(g *duty.Group, program, settings, logPath string) (*process, error) {
+	f, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, fault.Wrap(fault.UnreadableFile, err, "opening a log")
 	}
@@ -95,8 +95,8 @@
 var failureMarks = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
 
 // hasFailureMark reports whether a log contains a failure mark.
-func hasFailureMark(log string) (bool, error) {
-	b, err := os.ReadFile(log)
+func hasFailureMark(path string) (bool, error) {
+	b, err := os.ReadFile(path)
 	if err != nil {
 		return false, fault.Wrap(fault.UnreadableFile, err, "reading a log")
 	}
