--- a/internal/soak/closure.go
+++ b/internal/soak/closure.go
@@ -10,48 +10,50 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// closeDomain closes the failure domain of a server to new work for a time.
-func (b *bed) closeDomain(ctx context.Context, s *server, d time.Duration) {
-	n := domain(s.place)
-	b.closing.Lock()
-	defer b.closing.Unlock()
-	b.shutting(n)
-	b.failed(b.store.CloseDomain(n))
+// closeDomain closes the failure domain of a server to new work for a time, and opens it
+// again.
+func (b *testbed) closeDomain(ctx context.Context, s *server, d time.Duration) {
+	n := domainAt(s.index)
+	b.closureMutex.Lock()
+	defer b.closureMutex.Unlock()
+	b.setClosedDomain(n)
+	b.recordError(b.store.CloseDomain(n))
 	at := time.Now()
 	i := 0
-	b.recorder.note(func(r *Record) {
+	b.recorder.update(func(r *Record) {
 		i = len(r.Closures)
 		r.Closures = append(r.Closures, Closure{Domain: n, Span: Span{From: at, Until: at.Add(time.Hour)}})
 	})
-	duty.Sleep(ctx, closedTime+d)
-	// What is sent from now on may meet an open domain.
+	duty.Sleep(ctx, maxClosureDelay+d)
+	// Requests from now on may reach the domain after it was opened again.
 	until := time.Now()
-	b.recorder.note(func(r *Record) { r.Closures[i].Until = until })
-	b.shutting("")
-	b.failed(b.store.OpenDomain(n))
+	b.recorder.update(func(r *Record) { r.Closures[i].Until = until })
+	b.setClosedDomain("")
+	b.recordError(b.store.OpenDomain(n))
 }
 
-// shutting notes which failure domain operators keep closed, empty for none.
-func (b *bed) shutting(n api.DomainName) {
+// setClosedDomain sets which failure domain operators have closed; empty means none.
+func (b *testbed) setClosedDomain(n api.DomainName) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.shut = n
+	b.closedDomain = n
 }
 
-// rebirth ends a server without notice and starts it again at once under its name.
-func (b *bed) rebirth(s *server) {
+// restartServer crashes a server without notice and starts it again at once under the same
+// name.
+func (b *testbed) restartServer(s *server) {
 	x, _ := s.current()
 	x.Crash()
-	b.failed(b.begin(s, x, sameName))
+	b.recordError(b.startServer(s, x, sameName))
 }
 
-// foreignEntry writes an entry that no server can have written, beside those that hold:
-// it names the address of a server that is there.
-func (b *bed) foreignEntry(s *server) {
+// writeForeignEntry writes an invalid server entry, as another writer might, beside the
+// valid ones; it names the address of an existing server.
+func (b *testbed) writeForeignEntry(s *server) {
 	x, _ := s.current()
 	e, err := b.Wire.EncodeServer(x.Server)
 	if err != nil {
-		b.failed(err)
+		b.recordError(err)
 		return
 	}
 	e.Name = fmt.Sprintf("x-%d", time.Now().UnixNano())
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,23 +14,23 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// process is one life of an entry VM's program.
+// process is one process of the entry VM program.
 type process struct {
 	command *exec.Cmd
 	done    chan struct{}
 
 	mutex sync.Mutex
-	// asked is set once the soak has ended it.
-	asked bool
+	// endRequested is set before the soak itself ends the process.
+	endRequested bool
 }
 
-// start starts a program, whose output goes to the end of a file.
-func start(g *duty.Group, program, settings, log string) (*process, error) {
-	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
+// startProcess starts a program and appends its output to a log file.
+func startProcess(g *duty.Group, program, settings, logPath string) (*process, error) {
+	f, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, fault.Wrap(fault.UnreadableFile, err, "opening a log")
 	}
-	// The soak ends it by signals of its own, never by a context.
+	// The soak ends the process by signals, never by cancelling a context.
 	c := exec.CommandContext(context.Background(), program, settings)
 	c.Stdout, c.Stderr = f, f
 	if err := c.Start(); err != nil {
@@ -40,48 +40,49 @@
 	p := &process{command: c, done: make(chan struct{})}
 	g.Go(func(context.Context) error {
 		defer close(p.done)
-		// How it ended is told by whether the soak asked for it.
+		// endRequested decides whether the exit was expected, so the exit status is
+		// ignored.
 		_ = c.Wait()
 		return f.Close()
 	})
 	return p, nil
 }
 
-// signal sends a signal to this very process.
+// signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) {
-	// A process that is gone needs none.
+	// Fails only if the process has ended already.
 	_ = p.command.Process.Signal(s)
 }
 
-// ask marks that the soak ends the process.
-func (p *process) ask() {
+// markEnding records that the soak itself ends the process.
+func (p *process) markEnding() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.asked = true
+	p.endRequested = true
 }
 
-// died reports whether the process has ended by itself.
-func (p *process) died() bool {
+// endedUnexpectedly reports whether the process has ended without a request by the soak.
+func (p *process) endedUnexpectedly() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	select {
 	case <-p.done:
-		return !p.asked
+		return !p.endRequested
 	default:
 		return false
 	}
 }
 
-// kill ends the process at once, also one that is paused.
+// kill ends the process at once, even if it is paused.
 func (p *process) kill() {
-	p.ask()
+	p.markEnding()
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// stop asks for a planned stop and kills the process after the grace.
+// stop requests a planned stop and kills the process after the grace period.
 func (p *process) stop(grace time.Duration) {
-	p.ask()
+	p.markEnding()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
@@ -90,14 +91,14 @@
 	}
 }
 
-// marks are what a program writes when it is broken in itself.
-var marks = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
+// failureMarks are texts that a Go program writes on a data race, panic or fatal error.
+var failureMarks = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
 
-// broken reports whether a log holds such a mark.
-func broken(log string) (bool, error) {
-	b, err := os.ReadFile(log)
+// hasFailureMark reports whether a log contains a failure mark.
+func hasFailureMark(path string) (bool, error) {
+	b, err := os.ReadFile(path)
 	if err != nil {
 		return false, fault.Wrap(fault.UnreadableFile, err, "reading a log")
 	}
-	return slices.ContainsFunc(marks, func(m []byte) bool { return bytes.Contains(b, m) }), nil
+	return slices.ContainsFunc(failureMarks, func(m []byte) bool { return bytes.Contains(b, m) }), nil
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -12,41 +12,42 @@
 	"github.com/wardridge/wardridge/internal/loopback"
 )
 
-// Mode is what a proxy does to the bytes that pass it.
+// Mode is what a proxy does to the bytes of its connections.
 type Mode string
 
 // Modes of proxies.
 const (
-	// Pass passes bytes on.
+	// Pass relays bytes unchanged.
 	Pass Mode = ""
-	// Delay passes bytes on late.
+	// Delay relays bytes after proxyDelay.
 	Delay Mode = "delay"
-	// Reset resets every connection, and each new one.
+	// Reset resets every open connection and each new one.
 	Reset Mode = "reset"
-	// Silent holds bytes of both directions.
-	Silent Mode = "silent"
-	// Deaf holds what clients send; Mute holds what they are answered.
-	Deaf Mode = "deaf"
-	Mute Mode = "mute"
-	// Stale holds the bytes of the connections that are open, for good, and passes
-	// those of new ones on.
-	Stale Mode = "stale"
+	// HoldAll holds the bytes of both directions.
+	HoldAll Mode = "silent"
+	// HoldRequests holds the bytes that clients send, HoldAnswers those sent to clients.
+	HoldRequests Mode = "deaf"
+	HoldAnswers  Mode = "mute"
+	// HoldOpen permanently holds the bytes of the connections that are open when it is
+	// set, and relays those of new connections.
+	HoldOpen Mode = "stale"
 )
 
-// modes are the faults of links.
-var modes = []Mode{Delay, Reset, Silent, Deaf, Mute, Stale}
+// linkFaults are the modes that faults of links use.
+var linkFaults = []Mode{Delay, Reset, HoldAll, HoldRequests, HoldAnswers, HoldOpen}
 
 const (
-	// delayTime is how late delayed bytes are: more than a pause between events
-	// may be, less than callers wait.
-	delayTime = 150 * time.Millisecond
-	// holdEvery is the pause between looks whether held bytes may go on.
-	holdEvery = 20 * time.Millisecond
-	// chunk is the most bytes that are passed on at once.
-	chunk = 16 << 10
+	// proxyDelay is longer than a pause between events can be, and shorter than callers
+	// wait.
+	proxyDelay = 150 * time.Millisecond
+	// pollInterval is the pause between checks whether held bytes may be relayed, and
+	// between other checks for a condition.
+	pollInterval = 20 * time.Millisecond
+	// bufferSize is the maximum number of bytes that are relayed at once.
+	bufferSize = 16 << 10
 )
 
-// proxy passes connections on to one address.
+// proxy relays TCP connections to one address.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -54,18 +55,19 @@
 	mutex sync.Mutex
 	mode  Mode
 	conns map[*net.TCPConn]bool
-	// stale connections carry nothing any more.
-	stale map[*net.TCPConn]bool
+	// held connections stay open but never carry bytes again.
+	held map[*net.TCPConn]bool
 }
 
-// newProxy listens on a loopback port; the clean-up cuts what is open.
+// newProxy accepts connections on a listener; the returned function closes the proxy and
+// resets its open connections.
 func newProxy(l net.Listener, target string) (*proxy, func()) {
 	g, end := duty.New(context.Background())
-	p := &proxy{listener: l, target: target, conns: map[*net.TCPConn]bool{}, stale: map[*net.TCPConn]bool{}}
+	p := &proxy{listener: l, target: target, conns: map[*net.TCPConn]bool{}, held: map[*net.TCPConn]bool{}}
 	loopback.Accept(g, l, func(ctx context.Context, c net.Conn) { p.serve(ctx, c.(*net.TCPConn)) })
 	return p, func() {
 		_ = l.Close()
-		p.cut()
+		p.resetAll()
 		end()
 	}
 }
@@ -74,38 +76,38 @@
 	return p.listener.Addr().String()
 }
 
-// set changes the mode.
-func (p *proxy) set(m Mode) {
+// setMode changes the mode for open and new connections.
+func (p *proxy) setMode(m Mode) {
 	p.mutex.Lock()
 	p.mode = m
-	if m == Stale {
+	if m == HoldOpen {
 		for c := range p.conns {
-			p.stale[c] = true
+			p.held[c] = true
 		}
 	}
 	p.mutex.Unlock()
 	if m == Reset {
-		p.cut()
+		p.resetAll()
 	}
 }
 
-// modeOf is what happens to a connection's bytes at present.
+// modeOf returns the mode that currently applies to a connection.
 func (p *proxy) modeOf(c *net.TCPConn) Mode {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	switch {
-	case p.stale[c]:
-		return Silent
-	case p.mode == Stale:
-		// Only connections that were open at its beginning are met.
+	case p.held[c]:
+		return HoldAll
+	case p.mode == HoldOpen:
+		// HoldOpen applies only to the connections that were open when it was set.
 		return Pass
 	default:
 		return p.mode
 	}
 }
 
-// cut resets every open connection.
-func (p *proxy) cut() {
+// resetAll resets every open connection.
+func (p *proxy) resetAll() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for c := range p.conns {
@@ -115,13 +117,13 @@
 
 // reset closes a connection so that its peer sees a reset.
 func reset(c *net.TCPConn) {
-	// Both fail only on connections that are closed already.
+	// Both calls fail only if the connection is closed already.
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// keep notes an open connection, or resets it where the proxy does so.
-func (p *proxy) keep(c *net.TCPConn) bool {
+// track registers an open connection, or resets it and returns false in mode Reset.
+func (p *proxy) track(c *net.TCPConn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.mode == Reset {
@@ -132,19 +134,19 @@
 	return true
 }
 
-func (p *proxy) forget(c *net.TCPConn) {
+func (p *proxy) untrack(c *net.TCPConn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.conns, c)
-	delete(p.stale, c)
+	delete(p.held, c)
 }
 
-// serve joins a connection to a new one to the target.
+// serve relays between an accepted connection and a new one to the target.
 func (p *proxy) serve(ctx context.Context, a *net.TCPConn) {
-	if !p.keep(a) {
+	if !p.track(a) {
 		return
 	}
-	defer p.forget(a)
+	defer p.untrack(a)
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", p.target)
 	if err != nil {
@@ -152,28 +154,28 @@
 		return
 	}
 	b := c.(*net.TCPConn)
-	if !p.keep(b) {
+	if !p.track(b) {
 		reset(a)
 		return
 	}
-	defer p.forget(b)
+	defer p.untrack(b)
 	g, end := duty.New(ctx)
 	defer end()
-	g.Go(func(ctx context.Context) error { return p.pass(ctx, a, b, Deaf) })
-	g.Go(func(ctx context.Context) error { return p.pass(ctx, b, a, Mute) })
-	// Each direction ends with its connection, which ends the other one unless it
-	// was closed in order.
+	g.Go(func(ctx context.Context) error { return p.relay(ctx, a, b, HoldRequests) })
+	g.Go(func(ctx context.Context) error { return p.relay(ctx, b, a, HoldAnswers) })
+	// When one direction fails, it resets the connection of the other one; after an
+	// orderly close the other direction continues.
 	_ = g.Wait()
 	_ = a.Close()
 	_ = b.Close()
 }
 
-// pass copies one direction, which a mode of its own holds.
-func (p *proxy) pass(ctx context.Context, from, to *net.TCPConn, own Mode) error {
-	b := make([]byte, chunk)
+// relay copies the bytes of one direction, which holdMode holds in addition to HoldAll.
+func (p *proxy) relay(ctx context.Context, from, to *net.TCPConn, holdMode Mode) error {
+	b := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(b)
-		if !p.hold(ctx, from, own) {
+		if !p.awaitRelease(ctx, from, holdMode) {
 			return ctx.Err()
 		}
 		if _, w := to.Write(b[:n]); w != nil {
@@ -181,7 +183,7 @@
 			return w
 		}
 		if errors.Is(err, io.EOF) {
-			// The peer may be gone already; the other direction goes on.
+			// The peer may be gone already; the other direction continues.
 			_ = to.CloseWrite()
 			return nil
 		}
@@ -192,13 +194,14 @@
 	}
 }
 
-// hold waits while bytes are delayed or held; it reports false at the end.
-func (p *proxy) hold(ctx context.Context, from *net.TCPConn, own Mode) bool {
-	if p.modeOf(from) == Delay && !duty.Sleep(ctx, delayTime) {
+// awaitRelease waits while bytes are delayed or held; it returns false if the context ends
+// first.
+func (p *proxy) awaitRelease(ctx context.Context, from *net.TCPConn, holdMode Mode) bool {
+	if p.modeOf(from) == Delay && !duty.Sleep(ctx, proxyDelay) {
 		return false
 	}
-	for m := p.modeOf(from); m == Silent || m == own; m = p.modeOf(from) {
-		if !duty.Sleep(ctx, holdEvery) {
+	for m := p.modeOf(from); m == HoldAll || m == holdMode; m = p.modeOf(from) {
+		if !duty.Sleep(ctx, pollInterval) {
 			return false
 		}
 	}
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -13,8 +13,8 @@
 	"github.com/wardridge/wardridge/internal/loopback"
 )
 
-// echo answers each line with the same line.
-func echo(t *testing.T) string {
+// startEcho starts a server that sends back what it receives, and returns its address.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,50 +32,50 @@
 	return l.Addr().String()
 }
 
-// line is one connection through a proxy to an echo.
-type line struct {
+// echoConn is one connection through a proxy to an echo server.
+type echoConn struct {
 	*proxy
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func newLine(t *testing.T) *line {
+func newEchoConn(t *testing.T) *echoConn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, closer := newProxy(l, echo(t))
+	p, closer := newProxy(l, startEcho(t))
 	t.Cleanup(closer)
 	c, err := net.Dial("tcp", p.address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	x := &line{proxy: p, conn: c, reader: bufio.NewReader(c)}
+	x := &echoConn{proxy: p, conn: c, reader: bufio.NewReader(c)}
 	x.send(t, "one\n")
 	if got, err := x.reader.ReadString('\n'); got != "one\n" {
-		t.Fatalf("versioned: got %q, %v, want the line", got, err)
+		t.Fatalf("mode Pass: got %q, %v, want the line", got, err)
 	}
 	return x
 }
 
-func (x *line) send(t *testing.T, s string) {
+func (x *echoConn) send(t *testing.T, s string) {
 	t.Helper()
 	if _, err := io.WriteString(x.conn, s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestProxyHoldsOpenConnectionsForGood(t *testing.T) {
-	x := newLine(t)
-	x.set(Stale)
-	x.set(Pass)
+func TestHoldOpenKeepsOldConnectionsHeld(t *testing.T) {
+	x := newEchoConn(t)
+	x.setMode(HoldOpen)
+	x.setMode(Pass)
 	x.send(t, "two\n")
 	_ = x.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	var e net.Error
 	if got, err := x.reader.ReadString('\n'); !errors.As(err, &e) || !e.Timeout() {
-		t.Errorf("a connection that was open: got %q, %v, want nothing any more", got, err)
+		t.Errorf("connection that was open: got %q, %v, want a timeout", got, err)
 	}
 	c, err := net.Dial("tcp", x.address())
 	if err != nil {
@@ -86,41 +86,41 @@
 		t.Fatal(err)
 	}
 	if got, err := bufio.NewReader(c).ReadString('\n'); got != "three\n" {
-		t.Errorf("a new connection: got %q, %v, want the line", got, err)
+		t.Errorf("new connection: got %q, %v, want the line", got, err)
 	}
 }
 
-func TestProxyHoldsAndPassesOn(t *testing.T) {
-	for _, m := range []Mode{Silent, Deaf, Mute} {
-		x := newLine(t)
-		x.set(m)
+func TestProxyReleasesHeldBytes(t *testing.T) {
+	for _, m := range []Mode{HoldAll, HoldRequests, HoldAnswers} {
+		x := newEchoConn(t)
+		x.setMode(m)
 		x.send(t, "two\n")
 		_ = x.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		var e net.Error
 		if got, err := x.reader.ReadString('\n'); !errors.As(err, &e) || !e.Timeout() {
-			t.Errorf("%s: got %q, %v, want nothing yet", m, got, err)
+			t.Errorf("mode %s: got %q, %v, want a timeout", m, got, err)
 		}
-		x.set(Pass)
+		x.setMode(Pass)
 		_ = x.conn.SetReadDeadline(time.Time{})
 		if got, err := x.reader.ReadString('\n'); got != "two\n" {
-			t.Errorf("%s, then versioned: got %q, %v, want the line", m, got, err)
+			t.Errorf("mode %s, then mode Pass: got %q, %v, want the line", m, got, err)
 		}
 	}
 }
 
-func TestProxyDelays(t *testing.T) {
-	x := newLine(t)
-	x.set(Delay)
+func TestProxyDelaysBothDirections(t *testing.T) {
+	x := newEchoConn(t)
+	x.setMode(Delay)
 	began := time.Now()
 	x.send(t, "two\n")
-	if got, err := x.reader.ReadString('\n'); got != "two\n" || time.Since(began) < 2*delayTime {
+	if got, err := x.reader.ReadString('\n'); got != "two\n" || time.Since(began) < 2*proxyDelay {
 		t.Errorf("got %q, %v after %s, want the line after two delays", got, err, time.Since(began))
 	}
 }
 
-func TestProxyResets(t *testing.T) {
-	x := newLine(t)
-	x.set(Reset)
+func TestProxyResetsOpenAndNewConnections(t *testing.T) {
+	x := newEchoConn(t)
+	x.setMode(Reset)
 	if got, err := x.reader.ReadString('\n'); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("open connection: got %q, %v, want a reset", got, err)
 	}
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -9,93 +9,96 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// Sent is one call with what its caller saw.
-type Sent struct {
+// SentRequest is a request with what its caller received.
+type SentRequest struct {
 	hosted.Call
 	hosted.Reply
 	Kind      directory.Kind
 	Workspace api.WorkspaceName
-	// VM is the place of the entry VM that it went to.
+	// VM is the index of the entry VM that got the request.
 	VM   int
 	At   time.Time
 	Done time.Time
 }
 
-// Probe is one look at which configuration an entry VM serves by: a request on
-// a route that some versions have.
+// Probe is one observation of the configuration that an entry VM uses, by a request for a
+// path or key that only some versions have.
 type Probe struct {
 	VM int
-	// Life counts the starts of the VM's process.
-	Life int
-	At   time.Time
-	// From and Until are the versions that answer so: from the first up to, but
-	// not with, the last; Until is zero for no end.
-	From, Until int64
+	// Incarnation counts the starts of the VM's process.
+	Incarnation int
+	At          time.Time
+	// FromVersion and BeforeVersion bound the versions that give this answer: from the
+	// first up to, but not including, the second; a BeforeVersion of zero means no upper
+	// bound.
+	FromVersion, BeforeVersion int64
 }
 
-// Span is the time in which something held.
+// Span is a period of time.
 type Span struct {
 	From, Until time.Time
 }
 
-// overlaps reports whether a span shares time with another.
+// overlaps reports whether two spans share time.
 func (s Span) overlaps(o Span) bool {
 	return s.From.Before(o.Until) && o.From.Before(s.Until)
 }
 
-// Injection is a fault as it was brought about.
+// Injection is a fault that was injected, with the time for which it lasted.
 type Injection struct {
 	Fault
 	Span
-	// VM and Server name whom it met; VM is All for each of them and noVM for none.
+	// VM and Server are what the fault affected; VM is All for every entry VM and noVM for
+	// none.
 	VM     int
 	Server api.ServerName
 }
 
-// noVM is the VM of a trouble that meets none.
+// noVM is the VM of an injection that affects no entry VM.
 const noVM = -2
 
-// Leave is the acknowledgement that a server is leaving.
-type Leave struct {
+// LeaveNotice records when a server's announcement that it leaves was acknowledged.
+type LeaveNotice struct {
 	Server api.ServerName
 	At     time.Time
 }
 
-// Closure is the time for which a failure domain was closed to new work.
+// Closure is the period for which a failure domain was closed to new work.
 type Closure struct {
 	Domain api.DomainName
 	Span
 }
 
-// Record is all that a checker may go by.
+// Record is all that Check considers.
 type Record struct {
-	Sent     []Sent
-	Probes   []Probe
-	Arrivals []hosted.Arrival
-	Runs     []hosted.Run
-	Injected []Injection
-	Leaves   []Leave
-	// Configs tells when each version of the configuration was acknowledged.
-	Configs map[int64]time.Time
-	// Closures tells when each failure domain was acknowledged as closed, and open again.
+	Requests     []SentRequest
+	Probes       []Probe
+	Arrivals     []hosted.Arrival
+	Runs         []hosted.Run
+	Injections   []Injection
+	LeaveNotices []LeaveNotice
+	// ConfigTimes holds when each version of the configuration was acknowledged.
+	ConfigTimes map[int64]time.Time
+	// Closures holds from when and until when each failure domain was acknowledged as
+	// closed.
 	Closures []Closure
-	// Services are the services that some version sends a path's requests to.
-	Services map[string][]api.ServiceName
-	// Servers tells the service of each server.
-	Servers map[api.ServerName]api.ServiceName
-	// Domains tells the failure domain of each server.
-	Domains map[api.ServerName]api.DomainName
-	// Crashes tells when servers crashed under each deadly body.
-	Crashes map[string][]time.Time
-	// Failures are the VMs whose processes ended by themselves or wrote that they
-	// are broken.
+	// PathServices holds the services to which some version routes the requests of a path.
+	PathServices map[string][]api.ServiceName
+	// ServerServices holds the service of each server.
+	ServerServices map[api.ServerName]api.ServiceName
+	// ServerDomains holds the failure domain of each server.
+	ServerDomains map[api.ServerName]api.DomainName
+	// CrashTimes holds when servers crashed, by the body of the crashing request.
+	CrashTimes map[string][]time.Time
+	// Failures describes entry VMs whose processes ended unexpectedly or logged a failure
+	// mark, and errors of the soak itself.
 	Failures []string
-	// Calm begins once the last fault is over.
-	Calm time.Time
-	End  time.Time
+	// CalmSince is when the last fault ended.
+	CalmSince time.Time
+	End       time.Time
 }
 
-// recorder collects a record.
+// recorder collects a Record from several goroutines.
 type recorder struct {
 	mutex  sync.Mutex
 	record Record
@@ -103,13 +106,13 @@
 
 func newRecorder() *recorder {
 	return &recorder{record: Record{
-		Configs: map[int64]time.Time{}, Services: map[string][]api.ServiceName{}, Servers: map[api.ServerName]api.ServiceName{},
-		Domains: map[api.ServerName]api.DomainName{}, Crashes: map[string][]time.Time{},
+		ConfigTimes: map[int64]time.Time{}, PathServices: map[string][]api.ServiceName{}, ServerServices: map[api.ServerName]api.ServiceName{},
+		ServerDomains: map[api.ServerName]api.DomainName{}, CrashTimes: map[string][]time.Time{},
 	}}
 }
 
-// note changes the record.
-func (r *recorder) note(f func(r *Record)) {
+// update changes the record under the mutex.
+func (r *recorder) update(f func(r *Record)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	f(&r.record)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,18 +15,18 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// Options are what a soak works with.
+// Options configures a soak.
 type Options struct {
-	// Program is the path of the entry VM's program.
+	// Program is the path of the entry VM program.
 	Program string
-	// Wire is what it speaks.
+	// Wire is the platform protocol that the program speaks.
 	Wire hosted.Wire
-	// Dir takes settings, logs and the plan.
+	// Dir is the folder for settings, logs and the plan.
 	Dir string
 	Log *event.Log
 }
 
-// Result is what one plan showed.
+// Result is the outcome of one plan.
 type Result struct {
 	Plan       Plan        `json:"plan"`
 	Requests   int         `json:"requests"`
@@ -37,7 +37,7 @@
 	Violations []Violation `json:"violations"`
 }
 
-// Run plays a plan to its end and checks what it showed.
+// Run plays a plan to its end and checks the properties.
 func Run(ctx context.Context, o Options, p Plan) (Result, error) {
 	if err := os.MkdirAll(o.Dir, dirMode); err != nil {
 		return Result{}, fault.Wrap(fault.UnreadableFile, err, "making a folder for logs")
@@ -45,36 +45,36 @@
 	if err := p.Save(filepath.Join(o.Dir, "plan.json")); err != nil {
 		return Result{}, err
 	}
-	b, closer, err := newBed(ctx, o, p.Size)
+	b, closer, err := newTestbed(ctx, o, p.Size)
 	if err != nil {
 		return Result{}, err
 	}
 	defer closer()
-	b.play(ctx, p)
-	r := b.end()
-	return result(p, r), ctx.Err()
+	b.runPlan(ctx, p)
+	r := b.finish()
+	return newResult(p, r), ctx.Err()
 }
 
-// startTime is how long a system may take until it serves.
-const startTime = 20 * time.Second
+// maxStartTime is how long the entry VMs, or one process of them, may take to start.
+const maxStartTime = 20 * time.Second
 
-// play sends traffic and brings the faults about, each at its time.
-func (b *bed) play(ctx context.Context, p Plan) {
-	looks, stopLooks := duty.New(ctx)
-	defer stopLooks()
-	looks.Go(b.balance)
+// runPlan sends traffic and injects each fault at its time.
+func (b *testbed) runPlan(ctx context.Context, p Plan) {
+	polls, stopPolls := duty.New(ctx)
+	defer stopPolls()
+	polls.Go(b.pollReadiness)
 	b.awaitReady(ctx)
 	began := time.Now()
 	calls, stopCalls := duty.New(ctx)
 	for i := range p.Size.Callers {
 		calls.Go(func(ctx context.Context) error {
-			b.call(ctx, i, p.Seed)
+			b.runCaller(ctx, i, p.Seed)
 			return nil
 		})
 	}
 	for _, v := range b.vms {
 		calls.Go(func(ctx context.Context) error {
-			b.probe(ctx, v)
+			b.probeVM(ctx, v)
 			return nil
 		})
 	}
@@ -87,23 +87,23 @@
 			return nil
 		})
 	}
-	// Faults end by themselves and never fail.
+	// Faults end by themselves and never return an error.
 	_ = faults.Wait()
 	stopFaults()
 	calm := time.Now()
-	b.recorder.note(func(r *Record) { r.Calm = calm })
-	duty.Sleep(ctx, max(calmLast, time.Until(began.Add(p.Length.Duration()))))
+	b.recorder.update(func(r *Record) { r.CalmSince = calm })
+	duty.Sleep(ctx, max(finalCalm, time.Until(began.Add(p.Length.Duration()))))
 	stopCalls()
 }
 
-// awaitReady waits until every entry VM takes callers.
-func (b *bed) awaitReady(ctx context.Context) {
-	end := time.Now().Add(startTime)
+// awaitReady waits until every entry VM accepts callers, at most maxStartTime.
+func (b *testbed) awaitReady(ctx context.Context) {
+	end := time.Now().Add(maxStartTime)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		n := 0
 		for _, v := range b.vms {
 			v.mutex.Lock()
-			if v.accepts {
+			if v.acceptsCallers {
 				n++
 			}
 			v.mutex.Unlock()
@@ -111,21 +111,21 @@
 		if n == len(b.vms) {
 			return
 		}
-		duty.Sleep(ctx, holdEvery)
+		duty.Sleep(ctx, pollInterval)
 	}
 }
 
-// end closes the record.
-func (b *bed) end() Record {
+// finish ends the entry VMs, checks their logs and returns the record.
+func (b *testbed) finish() Record {
 	for _, v := range b.vms {
-		if v.current().died() {
-			b.fail(v.log + ": the process ended by itself")
+		if v.current().endedUnexpectedly() {
+			b.recordFailure(v.logPath + ": the process ended unexpectedly")
 		}
 		v.kill()
-		is, err := broken(v.log)
-		b.failed(err)
-		if is {
-			b.fail(v.log + ": the program tells that it is broken")
+		marked, err := hasFailureMark(v.logPath)
+		b.recordError(err)
+		if marked {
+			b.recordFailure(v.logPath + ": the log reports a data race, a panic or a fatal error")
 		}
 	}
 	b.recorder.mutex.Lock()
@@ -136,9 +136,9 @@
 	return r
 }
 
-func result(p Plan, r Record) Result {
-	x := Result{Plan: p, Requests: len(r.Sent), Runs: len(r.Runs), Probes: len(r.Probes), Violations: Check(r)}
-	for _, s := range r.Sent {
+func newResult(p Plan, r Record) Result {
+	x := Result{Plan: p, Requests: len(r.Requests), Runs: len(r.Runs), Probes: len(r.Probes), Violations: Check(r)}
+	for _, s := range r.Requests {
 		if s.Complete {
 			x.Served++
 		}
@@ -151,220 +151,222 @@
 	return x
 }
 
-// inject brings one fault about and ends it.
-func (b *bed) inject(ctx context.Context, f Fault) {
+// inject injects one fault and ends it.
+func (b *testbed) inject(ctx context.Context, f Fault) {
 	v := b.vms[max(0, f.Target)%len(b.vms)]
 	s := b.servers[max(0, f.Target)%len(b.servers)]
-	// It is noted before it begins and, with its end, again after it.
-	i := b.begins(f, v, s)
+	// The injection is recorded before the fault starts; its end is recorded afterwards.
+	i := b.recordInjection(f, v, s)
 	b.Log.Emit(event.SoakFault, zap.String("kind", string(f.Kind)), zap.Int("target", f.Target), zap.Duration("for", f.For.Duration()), zap.String("mode", string(f.Mode)))
 	switch f.Kind {
 	case KillVM, StopVM, PauseVM, ReloadVM:
-		b.signal(ctx, f, v)
+		b.injectVMFault(ctx, f, v)
 	case CallerLink:
-		b.link(ctx, v.callers, f)
-	case ServerLink, DarkServer, CrashServer, LeaveServer, RebirthServer, LoseAnswers:
-		b.serverFault(ctx, f, s)
-	case LimitServer, RestServer, SayLeaving:
-		b.say(ctx, f, s)
+		b.injectLinkFault(ctx, v.callerProxy, f)
+	case ServerLink, SilentServer, CrashServer, LeaveServer, RestartServer, LoseAnswers:
+		b.injectServerFault(ctx, f, s)
+	case SignalLimit, SignalBackoff, SignalLeaving:
+		b.injectSignal(ctx, f, s)
 	case CloseDomain:
 		b.closeDomain(ctx, s, f.For.Duration())
 	case ForeignEntry:
-		b.foreignEntry(s)
-	case DeadlyRequest:
-		b.comeBack(ctx, f)
-	case StoreForget:
+		b.writeForeignEntry(s)
+	case CrashingRequest:
+		b.repeatCrashingRequest(ctx, f)
+	case StoreDropHistory:
 		b.store.DropHistory()
 	case StoreRestore:
-		b.restore(ctx, f.For.Duration())
+		b.restoreStore(ctx, f.For.Duration())
 	case ChangeRoute:
-		b.changeRoute()
+		b.changeExtraRoutes()
 	case RevokeKey:
-		b.changeKey()
+		b.rotateSpareKey()
 	default:
-		b.storeFault(ctx, f, v)
+		b.injectStoreFault(ctx, f, v)
 	}
 	until := time.Now()
-	if f.Mode == Stale {
-		// What is sent over the connections that were open is met for as long as it
-		// may take.
-		until = until.Add(routeTime)
+	if f.Mode == HoldOpen {
+		// Requests over the connections that were open stay affected until they time out.
+		until = until.Add(routeTimeout)
 	}
-	b.recorder.note(func(r *Record) { r.Injected[i].Until = until })
+	b.recorder.update(func(r *Record) { r.Injections[i].Until = until })
 }
 
-// serverFault brings a fault of one server about and ends it.
-func (b *bed) serverFault(ctx context.Context, f Fault, s *server) {
+// injectServerFault injects a fault of one server and ends it.
+func (b *testbed) injectServerFault(ctx context.Context, f Fault, s *server) {
 	_, p := s.current()
 	switch f.Kind {
 	case ServerLink:
-		b.link(ctx, p, f)
-	case DarkServer:
-		p.set(Silent)
-		b.crash(ctx, s, f.For.Duration())
+		b.injectLinkFault(ctx, p, f)
+	case SilentServer:
+		p.setMode(HoldAll)
+		b.crashServer(ctx, s, f.For.Duration())
 	case CrashServer:
-		b.crash(ctx, s, f.For.Duration())
+		b.crashServer(ctx, s, f.For.Duration())
 	case LeaveServer:
-		b.leave(ctx, s, f.For.Duration())
-	case RebirthServer:
-		b.rebirth(s)
+		b.leaveServer(ctx, s, f.For.Duration())
+	case RestartServer:
+		b.restartServer(s)
 	default:
-		b.lose(ctx, s, f.For.Duration())
+		b.loseAnswers(ctx, s, f.For.Duration())
 	}
 }
 
-// signal sends a fault's signals to an entry VM's process.
-func (b *bed) signal(ctx context.Context, f Fault, v *vm) {
+// injectVMFault injects a fault of an entry VM's process by signals.
+func (b *testbed) injectVMFault(ctx context.Context, f Fault, v *vm) {
 	p := v.current()
 	switch f.Kind {
 	case KillVM:
 		p.kill()
 		duty.Sleep(ctx, f.For.Duration())
-		b.restart(v, p)
+		b.restartVM(v, p)
 	case StopVM:
-		p.stop(grace + time.Second)
-		b.restart(v, p)
+		p.stop(stopGrace + time.Second)
+		b.restartVM(v, p)
 	case PauseVM:
 		p.signal(syscall.SIGSTOP)
 		duty.Sleep(ctx, f.For.Duration())
 		p.signal(syscall.SIGCONT)
 	default:
-		// Before its first own line a program can't keep the signal from ending it.
+		// SIGHUP ends a program that has not yet installed its signal handler.
 		b.awaitStarted(ctx, v)
 		v.current().signal(syscall.SIGHUP)
 	}
 }
 
-// awaitStarted waits until the VM's present process says that it has started.
-func (b *bed) awaitStarted(ctx context.Context, v *vm) {
-	for end := time.Now().Add(startTime); time.Now().Before(end); {
-		ok, err := v.started()
-		b.failed(err)
-		if ok || err != nil || !duty.Sleep(ctx, holdEvery) {
+// awaitStarted waits until the current process of the VM has logged its start.
+func (b *testbed) awaitStarted(ctx context.Context, v *vm) {
+	for end := time.Now().Add(maxStartTime); time.Now().Before(end); {
+		ok, err := v.hasStarted()
+		b.recordError(err)
+		if ok || err != nil || !duty.Sleep(ctx, pollInterval) {
 			return
 		}
 	}
 }
 
-// begins records that a fault is about to begin and gives its place.
-func (b *bed) begins(f Fault, v *vm, s *server) int {
+// recordInjection records that a fault is about to start and returns the index of the
+// injection.
+func (b *testbed) recordInjection(f Fault, v *vm, s *server) int {
 	t := Injection{Fault: f, VM: noVM}
 	switch f.Kind {
-	case CrashServer, DarkServer, ServerLink, LeaveServer, LoseAnswers, RebirthServer:
+	case CrashServer, SilentServer, ServerLink, LeaveServer, LoseAnswers, RestartServer:
 		x, _ := s.current()
 		t.Server = x.Name
-	case ChangeRoute, RevokeKey, StoreForget, LimitServer, RestServer, SayLeaving, CloseDomain, ForeignEntry, DeadlyRequest:
+	case ChangeRoute, RevokeKey, StoreDropHistory, SignalLimit, SignalBackoff, SignalLeaving, CloseDomain, ForeignEntry, CrashingRequest:
 	default:
-		t.VM = v.place
+		t.VM = v.index
 		if f.Target == All {
 			t.VM = All
 		}
 	}
-	// Until its end is known it lasts beyond any span that is checked.
+	// Until the end is known, the span extends beyond every span that is checked.
 	now := time.Now()
 	t.Span = Span{From: now, Until: now.Add(time.Hour)}
 	i := 0
-	b.recorder.note(func(r *Record) {
-		i = len(r.Injected)
-		r.Injected = append(r.Injected, t)
+	b.recorder.update(func(r *Record) {
+		i = len(r.Injections)
+		r.Injections = append(r.Injections, t)
 	})
 	return i
 }
 
-// restart starts a VM whose process has ended, unless another fault has done so.
-func (b *bed) restart(v *vm, ended *process) {
-	b.failed(b.boot(v, ended))
+// restartVM starts a VM whose process has ended, unless another fault has restarted it
+// already.
+func (b *testbed) restartVM(v *vm, ended *process) {
+	b.recordError(b.bootVM(v, ended))
 }
 
-// failed notes that the soak itself could not do something.
-func (b *bed) failed(err error) {
+// recordError records a failure of the soak itself.
+func (b *testbed) recordError(err error) {
 	if err != nil {
-		b.fail(err.Error())
+		b.recordFailure(err.Error())
 	}
 }
 
-func (b *bed) fail(what string) {
-	b.recorder.note(func(r *Record) { r.Failures = append(r.Failures, what) })
+func (b *testbed) recordFailure(what string) {
+	b.recorder.update(func(r *Record) { r.Failures = append(r.Failures, what) })
 }
 
-// link makes a link fail for a time.
-func (b *bed) link(ctx context.Context, p *proxy, f Fault) {
-	p.set(f.Mode)
+// injectLinkFault sets the mode of a link's proxy for a time.
+func (b *testbed) injectLinkFault(ctx context.Context, p *proxy, f Fault) {
+	p.setMode(f.Mode)
 	duty.Sleep(ctx, f.For.Duration())
-	p.set(Pass)
+	p.setMode(Pass)
 }
 
-// lapseTime is how long the entry of a server that crashed stays.
-const lapseTime = 1500 * time.Millisecond
+// entryExpiry is how long the store keeps the entry of a server that has crashed.
+const entryExpiry = 1500 * time.Millisecond
 
-// crash ends a server without notice; another one takes its place.
-func (b *bed) crash(ctx context.Context, s *server, d time.Duration) {
+// crashServer crashes a server without notice and replaces it by one with a new name.
+func (b *testbed) crashServer(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	x.Crash()
-	duty.Sleep(ctx, lapseTime)
-	b.failed(x.Unregister())
+	duty.Sleep(ctx, entryExpiry)
+	b.recordError(x.Unregister())
 	duty.Sleep(ctx, d)
-	b.failed(b.begin(s, x, newName))
+	b.recordError(b.startServer(s, x, newName))
 }
 
-// leave ends a server after its notice; another one takes its place.
-func (b *bed) leave(ctx context.Context, s *server, d time.Duration) {
+// leaveServer ends a server after a leave notice and replaces it by one with a new name.
+func (b *testbed) leaveServer(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
-	notice := noticeLeast + d
-	b.failed(x.AnnounceStop(notice))
+	notice := minNotice + d
+	b.recordError(x.AnnounceStop(notice))
 	at := time.Now()
-	b.recorder.note(func(r *Record) { r.Leaves = append(r.Leaves, Leave{Server: x.Name, At: at}) })
+	b.recorder.update(func(r *Record) { r.LeaveNotices = append(r.LeaveNotices, LeaveNotice{Server: x.Name, At: at}) })
 	duty.Sleep(ctx, notice)
-	b.failed(x.Unregister())
+	b.recordError(x.Unregister())
 	x.Crash()
-	b.failed(b.begin(s, x, newName))
+	b.recordError(b.startServer(s, x, newName))
 }
 
-// lose makes a server lose answers to plain requests that it has run.
-func (b *bed) lose(ctx context.Context, s *server, d time.Duration) {
+// loseAnswers makes a server drop, for a time, the answers to plain requests that it has
+// run.
+func (b *testbed) loseAnswers(ctx context.Context, s *server, d time.Duration) {
 	x, _ := s.current()
 	x.LoseAnswers(true)
 	duty.Sleep(ctx, d)
 	x.LoseAnswers(false)
 }
 
-// noticeLeast is the least time between a notice and the end: as on the users'
-// platform.
-const noticeLeast = 1500 * time.Millisecond
+// minNotice is the minimum time between a leave notice and the end of a server, as on the
+// users' platform.
+const minNotice = 1500 * time.Millisecond
 
-// slowTime is what a slow store holds its answers back by.
-const slowTime = 200 * time.Millisecond
+// storeDelay is how long a slow store delays its answers.
+const storeDelay = 200 * time.Millisecond
 
-// storeFault makes the store fail for one VM or for all.
-func (b *bed) storeFault(ctx context.Context, f Fault, v *vm) {
+// injectStoreFault makes the store fail for one VM or for all.
+func (b *testbed) injectStoreFault(ctx context.Context, f Fault, v *vm) {
 	l := []*vm{v}
 	if f.Target == All {
 		l = b.vms
 	}
 	for _, v := range l {
-		v.meet(f.Kind)
+		v.failStore(f.Kind)
 	}
 	duty.Sleep(ctx, f.For.Duration())
 	for _, v := range l {
 		v.endpoint.SetOutcome(hosted.Answered, 0)
-		v.store.set(Pass)
+		v.storeProxy.setMode(Pass)
 	}
 }
 
-// meet makes the store fail for a VM.
-func (v *vm) meet(k Kind) {
+// failStore makes the store fail for a VM.
+func (v *vm) failStore(k Kind) {
 	switch k {
 	case StoreBusy:
 		v.endpoint.SetOutcome(hosted.Busy, 0)
-	case StoreLimit:
+	case StoreThrottle:
 		v.endpoint.SetOutcome(hosted.Throttled, 0)
 	case StoreReset:
 		v.endpoint.SetOutcome(hosted.Disconnected, 0)
 	case StoreSlow:
-		v.endpoint.SetOutcome(hosted.Answered, slowTime)
+		v.endpoint.SetOutcome(hosted.Answered, storeDelay)
 	case StoreStale:
-		v.store.set(Stale)
+		v.storeProxy.setMode(HoldOpen)
 	default:
-		v.store.set(Silent)
+		v.storeProxy.setMode(HoldAll)
 	}
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -11,36 +11,37 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// server is a place for backend servers, one life after the other.
+// server is a backend server of the testbed through its successive incarnations and
+// replacements.
 type server struct {
 	service api.ServiceName
-	place   int
+	index   int
 
-	mutex sync.Mutex
-	live  *hosted.Server
-	proxy *proxy
-	stop  func()
-	lives int
-	// id is kept by a server that starts again under its name.
+	mutex        sync.Mutex
+	instance     *hosted.Server
+	proxy        *proxy
+	stop         func()
+	incarnations int
+	// id stays the same for a server that restarts under the same name.
 	id api.ServerID
 }
 
-// naming is under which name a server starts.
+// naming selects the ID under which a server starts.
 type naming int
 
 // Namings.
 const (
-	// newName is one that no server had, sameName the one of the life before.
+	// newName is an ID that no server had before, sameName that of the incarnation before.
 	newName naming = iota
 	sameName
 )
 
-// begin starts the next life of a server, on an address of its own, unless
-// another one has followed the one that ended.
-func (b *bed) begin(s *server, ended *hosted.Server, n naming) error {
+// startServer starts the next incarnation of a server on a new address, unless the one
+// that ended has been replaced already.
+func (b *testbed) startServer(s *server, ended *hosted.Server, n naming) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.live != ended {
+	if s.instance != ended {
 		return nil
 	}
 	if s.stop != nil {
@@ -54,31 +55,31 @@
 	if err != nil {
 		return err
 	}
-	s.lives++
+	s.incarnations++
 	p, closer := newProxy(out, in.Addr().String())
 	if n == newName {
-		s.id = api.ServerID(fmt.Sprintf("s-%d-%d", s.place+1, s.lives))
+		s.id = api.ServerID(fmt.Sprintf("s-%d-%d", s.index+1, s.incarnations))
 	}
 	born := api.Birth(time.Now().UnixMilli())
 	x := roster.Server{
 		Name: roster.IncarnationName(s.id, born), ID: s.id, Born: born, Service: s.service, Address: p.address(),
-		Domain: domain(s.place), Slots: slots,
+		Domain: domainAt(s.index), Slots: slots,
 	}
-	live, end := b.fleet.StartServer(x, s.service == engines, in)
-	s.live, s.proxy = live, p
+	instance, end := b.fleet.StartServer(x, s.service == engines, in)
+	s.instance, s.proxy = instance, p
 	s.stop = func() {
 		closer()
 		end()
 	}
-	b.recorder.note(func(r *Record) {
-		r.Servers[x.Name] = s.service
-		r.Domains[x.Name] = x.Domain
+	b.recorder.update(func(r *Record) {
+		r.ServerServices[x.Name] = s.service
+		r.ServerDomains[x.Name] = x.Domain
 	})
-	return live.Register()
+	return instance.Register()
 }
 
-// finish ends a server's present life.
-func (s *server) finish() {
+// shutDown ends the current incarnation of a server.
+func (s *server) shutDown() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stop()
@@ -87,5 +88,5 @@
 func (s *server) current() (*hosted.Server, *proxy) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.live, s.proxy
+	return s.instance, s.proxy
 }
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -10,12 +10,13 @@
 	"github.com/wardridge/wardridge/internal/standin/hosted"
 )
 
-// arrivals adds requests of an entry VM that come to a server each so many ms, from a time on.
-func arrivals(r *soak.Record, vm, from, every, count int, w hosted.Signals) {
+// addArrivals adds requests of an entry VM that arrive at a server at a fixed interval,
+// from a time in milliseconds on.
+func addArrivals(r *soak.Record, vm, from, intervalMs, count int, w hosted.Signals) {
 	for i := range count {
 		id := api.RequestID(fmt.Sprintf("a-%d-%d-%d", vm, from, i))
-		t := at(from + i*every)
-		r.Sent = append(r.Sent, soak.Sent{
+		t := at(from + i*intervalMs)
+		r.Requests = append(r.Requests, soak.SentRequest{
 			Call:  hosted.Call{ID: id, Method: "POST", Target: "/orders/o", Body: "b"},
 			Reply: hosted.Reply{Head: hosted.Head{Status: 503}, Complete: true}, Workspace: "main", VM: vm, At: t, Done: t,
 		})
@@ -26,42 +27,42 @@
 	}
 }
 
-func TestSignalsAreChecked(t *testing.T) {
+func TestCheckReportsIgnoredSignals(t *testing.T) {
 	two := 2.0
-	limit, rest, leaving := hosted.Signals{Limit: &two}, hosted.Signals{Backoff: 2 * time.Second}, hosted.Signals{Leaving: true}
+	limit, backoff, leaving := hosted.Signals{Limit: &two}, hosted.Signals{Backoff: 2 * time.Second}, hosted.Signals{Leaving: true}
 	tests := []struct {
 		name   string
 		change func(r *soak.Record)
 		want   soak.Property
 	}{
-		{"within the limit", func(r *soak.Record) { arrivals(r, 0, 9000, 300, 30, limit) }, ""},
-		{"beyond the limit", func(r *soak.Record) { arrivals(r, 0, 9000, 100, 90, limit) }, soak.Limit},
-		{"beyond the limit at first", func(r *soak.Record) { arrivals(r, 0, 9000, 100, 29, limit) }, ""},
-		{"beyond the limit together", func(r *soak.Record) {
+		{"within the limit", func(r *soak.Record) { addArrivals(r, 0, 9000, 300, 30, limit) }, ""},
+		{"beyond the limit", func(r *soak.Record) { addArrivals(r, 0, 9000, 100, 90, limit) }, soak.ServerLimit},
+		{"beyond the limit before it has to be honored", func(r *soak.Record) { addArrivals(r, 0, 9000, 100, 29, limit) }, ""},
+		{"beyond the limit only together with other VMs", func(r *soak.Record) {
 			for vm := range 4 {
-				arrivals(r, vm, 9000, 400, 20, limit)
+				addArrivals(r, vm, 9000, 400, 20, limit)
 			}
-		}, soak.Limit},
-		{"rest that is kept", func(r *soak.Record) { arrivals(r, 0, 11000, 2100, 3, rest) }, ""},
-		{"rest that is not kept", func(r *soak.Record) { arrivals(r, 0, 11000, 300, 6, rest) }, soak.Rest},
-		{"rest asked of others", func(r *soak.Record) {
+		}, soak.ServerLimit},
+		{"backoff that is honored", func(r *soak.Record) { addArrivals(r, 0, 11000, 2100, 3, backoff) }, ""},
+		{"backoff that is not honored", func(r *soak.Record) { addArrivals(r, 0, 11000, 300, 6, backoff) }, soak.ServerBackoff},
+		{"backoff that was requested from other VMs", func(r *soak.Record) {
 			for vm := range 6 {
-				arrivals(r, vm, 11000+200*vm, 2100, 2, rest)
+				addArrivals(r, vm, 11000+200*vm, 2100, 2, backoff)
 			}
 		}, ""},
-		{"after a word of a leave", func(r *soak.Record) { arrivals(r, 0, 9000, 4500, 2, leaving) }, soak.Leaving},
-		{"after a word of a leave, at another VM", func(r *soak.Record) {
-			arrivals(r, 0, 9000, 0, 1, leaving)
-			arrivals(r, 1, 14000, 0, 1, leaving)
+		{"new request after a leave signal", func(r *soak.Record) { addArrivals(r, 0, 9000, 4500, 2, leaving) }, soak.LeavingServer},
+		{"new request from another VM after a leave signal", func(r *soak.Record) {
+			addArrivals(r, 0, 9000, 0, 1, leaving)
+			addArrivals(r, 1, 14000, 0, 1, leaving)
 		}, ""},
-		{"with a fault in between", func(r *soak.Record) {
-			arrivals(r, 0, 9000, 4500, 2, leaving)
-			r.Injected = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(10000), Until: at(11000)}}}
+		{"new request after a leave signal and an unplanned fault", func(r *soak.Record) {
+			addArrivals(r, 0, 9000, 4500, 2, leaving)
+			r.Injections = []soak.Injection{{Fault: soak.Fault{Kind: soak.PauseVM}, VM: 0, Span: soak.Span{From: at(10000), Until: at(11000)}}}
 		}, ""},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			r := good()
+			r := validRecord()
 			c.change(&r)
 			var got soak.Property
 			for _, v := range soak.Check(r) {
--- a/internal/soak/bed.go
+++ b/internal/soak/testbed.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Services of the bed, and the paths that lead to them.
+// Services of the testbed, and the paths that lead to them.
 const (
 	engines api.ServiceName = "engines"
 	plain   api.ServiceName = "plain"
@@ -26,7 +26,7 @@
 	pathExtra  = "extra"
 )
 
-// Workspaces of the bed.
+// Workspaces of the testbed.
 const (
 	mainWorkspace  api.WorkspaceName = "main"
 	mainKey                          = "main-key"
@@ -34,21 +34,23 @@
 )
 
 const (
-	// grace is the time from the signal to stop to the end.
-	grace = 8 * time.Second
-	// closeTime is the time in which a closed failure domain gets nothing new.
-	closeTime = 5 * time.Second
-	// slots and memory size a server so that none is full under the soak's load.
+	// stopGrace is the time that an entry VM has between the stop signal and its end.
+	stopGrace = 8 * time.Second
+	// closureDelay is the time that the entry VMs have to stop sending new work to a
+	// closed failure domain.
+	closureDelay = 5 * time.Second
+	// slots and memory size a server so that none is full under the load of the soak.
 	slots  = 64
 	memory = 400000
-	// Paces of the servers: fast enough for many runs in a short soak.
-	pauseEvent = 15 * time.Millisecond
-	pauseWork  = 8 * time.Millisecond
-	pauseCopy  = 25 * time.Millisecond
+	// Times of the simulated servers, short enough for many runs in a short soak.
+	eventInterval   = 15 * time.Millisecond
+	plainAnswerTime = 8 * time.Millisecond
+	copyTime        = 25 * time.Millisecond
 )
 
-// bed is a system under test.
-type bed struct {
+// testbed is a system under test: entry VMs, backend servers, a store and proxies between
+// them.
+type testbed struct {
 	Options
 	group    *duty.Group
 	http     *http.Client
@@ -58,27 +60,28 @@
 	servers  []*server
 	recorder *recorder
 	cleanups []func()
-	// closing lets one failure domain be closed at a time: the others have to serve.
-	closing sync.Mutex
+	// closureMutex allows only one closed failure domain at a time: the others have to
+	// serve.
+	closureMutex sync.Mutex
 
 	mutex sync.Mutex
-	// config is the newest configuration; extras are the paths of routes that
-	// come and go, keys those of the spare workspace.
-	config directory.Config
-	extras []versioned
-	keys   []versioned
-	// shut is the failure domain that operators keep closed, empty for none.
-	shut api.DomainName
+	// config is the newest configuration; extraRoutes are the paths of routes that are
+	// added and removed, spareKeys the keys of the spare workspace.
+	config      directory.Config
+	extraRoutes []versionedName
+	spareKeys   []versionedName
+	// closedDomain is the failure domain that operators have closed; empty means none.
+	closedDomain api.DomainName
 }
 
-// newBed starts a system; the clean-up ends all of it.
-func newBed(ctx context.Context, o Options, s Size) (*bed, func(), error) {
+// newTestbed starts a testbed; the returned function ends all of it.
+func newTestbed(ctx context.Context, o Options, s Size) (*testbed, func(), error) {
 	g, end := duty.New(context.WithoutCancel(ctx))
 	c, closer := wire.NewClient(time.Second, false)
 	store := hosted.NewStore(o.Wire)
-	b := &bed{
+	b := &testbed{
 		Options: o, group: g, http: c, store: store, recorder: newRecorder(),
-		fleet: hosted.NewFleet(store, hosted.Pace{PlainAnswer: pauseWork, EventInterval: pauseEvent, Copy: pauseCopy}),
+		fleet: hosted.NewFleet(store, hosted.Pace{PlainAnswer: plainAnswerTime, EventInterval: eventInterval, Copy: copyTime}),
 	}
 	b.cleanups = []func(){end, closer}
 	if err := b.build(s); err != nil {
@@ -88,25 +91,25 @@
 	return b, b.close, nil
 }
 
-// close ends what was started, the newest first.
-func (b *bed) close() {
+// close ends everything that was started, in reverse order.
+func (b *testbed) close() {
 	for i := len(b.cleanups) - 1; i >= 0; i-- {
 		b.cleanups[i]()
 	}
 }
 
-func (b *bed) build(s Size) error {
-	b.configure()
+func (b *testbed) build(s Size) error {
+	b.writeNextConfig()
 	for i := range s.Engines + s.Plain {
-		x := &server{service: engines, place: i}
+		x := &server{service: engines, index: i}
 		if i >= s.Engines {
 			x.service = plain
 		}
 		b.servers = append(b.servers, x)
-		if err := b.begin(x, nil, newName); err != nil {
+		if err := b.startServer(x, nil, newName); err != nil {
 			return err
 		}
-		b.cleanups = append(b.cleanups, x.finish)
+		b.cleanups = append(b.cleanups, x.shutDown)
 	}
 	var seeds []string
 	addresses := make([][3]string, s.VMs)
@@ -121,8 +124,8 @@
 		}
 		seeds = append(seeds, addresses[i][1])
 	}
-	const seedsMost = 3
-	seeds = seeds[:min(len(seeds), seedsMost)]
+	const maxSeeds = 3
+	seeds = seeds[:min(len(seeds), maxSeeds)]
 	for i, a := range addresses {
 		if err := b.addVM(i, a, seeds); err != nil {
 			return err
@@ -131,15 +134,15 @@
 	return nil
 }
 
-// domains are the failure domains that VMs and servers are spread over.
+// domains are the failure domains over which VMs and servers are spread.
 var domains = []api.DomainName{"hall-a", "hall-b", "hall-c"}
 
-func domain(place int) api.DomainName {
-	return domains[place%len(domains)]
+func domainAt(index int) api.DomainName {
+	return domains[index%len(domains)]
 }
 
-// proxy makes a proxy before an address.
-func (b *bed) proxy(target string) (*proxy, error) {
+// addProxy starts a proxy to an address.
+func (b *testbed) addProxy(target string) (*proxy, error) {
 	l, err := loopback.Listen()
 	if err != nil {
 		return nil, err
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -16,45 +16,47 @@
 )
 
 const (
-	// callerPause is the mean pause between a caller's requests.
-	callerPause = 60 * time.Millisecond
-	// stayCalls is how many requests a caller sends to one entry VM before it
-	// looks for another: callers keep their connections.
-	stayCalls = 20
-	// chatWait and callWait are how long callers wait.
-	chatWait = 15 * time.Second
-	callWait = 3 * time.Second
-	// answerMost bounds a stream, in events: below the grace of a stop.
-	answerMost = 220
-	// leaveChance is how often a caller leaves a stream.
-	leaveChance = 0.1
-	// probeEvery is the pause between looks at an entry VM's configuration.
-	probeEvery = 150 * time.Millisecond
-	// lookEvery is the pause between looks at an entry VM's readiness, as a
+	// meanCallerPause is the mean pause between a caller's requests.
+	meanCallerPause = 60 * time.Millisecond
+	// requestsPerVM is how many requests a caller sends to one entry VM before it chooses
+	// again, as callers reuse their connections.
+	requestsPerVM = 20
+	// chatTimeout and callTimeout are how long callers wait for streams and for other
+	// answers.
+	chatTimeout = 15 * time.Second
+	callTimeout = 3 * time.Second
+	// maxStreamEvents bounds the events of a stream, so that it ends within stopGrace.
+	maxStreamEvents = 220
+	// callerLeaveChance is the probability that a caller leaves a stream before its end.
+	callerLeaveChance = 0.1
+	// probeInterval is the pause between probes of an entry VM's configuration.
+	probeInterval = 150 * time.Millisecond
+	// readinessInterval is the pause between readiness checks of the entry VMs, as a load
 	// balancer makes them.
-	lookEvery = 300 * time.Millisecond
+	readinessInterval = 300 * time.Millisecond
 )
 
-// balance is the duty that asks each entry VM whether it takes callers.
-func (b *bed) balance(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return lookEvery }, func(ctx context.Context) {
+// pollReadiness is the duty that checks whether each entry VM accepts callers.
+func (b *testbed) pollReadiness(ctx context.Context) error {
+	return duty.Loop(ctx, func() time.Duration { return readinessInterval }, func(ctx context.Context) {
 		for _, v := range b.vms {
-			c, cancel := context.WithTimeout(ctx, lookEvery)
-			ok := hosted.Ready(c, b.Wire, b.http, v.ready)
+			c, cancel := context.WithTimeout(ctx, readinessInterval)
+			ok := hosted.Ready(c, b.Wire, b.http, v.readyAddress)
 			cancel()
 			v.mutex.Lock()
-			v.accepts = ok
+			v.acceptsCallers = ok
 			v.mutex.Unlock()
 		}
 	})
 }
 
-// choose gives an entry VM that takes callers, or any where none does.
-func (b *bed) choose(r *rand.Rand) *vm {
+// chooseVM returns a random entry VM among those that accept callers, or among all if none
+// does.
+func (b *testbed) chooseVM(r *rand.Rand) *vm {
 	var l []*vm
 	for _, v := range b.vms {
 		v.mutex.Lock()
-		if v.accepts {
+		if v.acceptsCallers {
 			l = append(l, v)
 		}
 		v.mutex.Unlock()
@@ -65,43 +67,44 @@
 	return l[r.IntN(len(l))]
 }
 
-// call is the duty of one caller, which sends one request after the other.
-func (b *bed) call(ctx context.Context, place int, seed uint64) {
-	r := rand.New(rand.NewPCG(seed, uint64(place)+2))
+// runCaller is the duty of one caller, which sends its requests one after the other.
+func (b *testbed) runCaller(ctx context.Context, index int, seed uint64) {
+	r := rand.New(rand.NewPCG(seed, uint64(index)+2))
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
 	defer closer()
 	c := hosted.NewCaller(b.Wire, p)
-	v := b.choose(r)
+	v := b.chooseVM(r)
 	for n := 0; ctx.Err() == nil; n++ {
-		if n%stayCalls == 0 {
-			v = b.choose(r)
+		if n%requestsPerVM == 0 {
+			v = b.chooseVM(r)
 		}
-		s := b.next(r, fmt.Sprintf("c%d-%d", place, n))
-		s.VM = v.place
+		s := b.nextRequest(r, fmt.Sprintf("c%d-%d", index, n))
+		s.VM = v.index
 		s.At = time.Now()
-		s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
+		s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
 		s.Done = time.Now()
-		b.recorder.note(func(x *Record) { x.Sent = append(x.Sent, s) })
+		b.recorder.update(func(x *Record) { x.Requests = append(x.Requests, s) })
 		if s.Err != nil {
-			// What broke off is not asked for again at once, and elsewhere.
-			v = b.choose(r)
+			// A request that failed is not retried; the next one may go to another entry
+			// VM.
+			v = b.chooseVM(r)
 		}
-		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(callerPause)))
+		duty.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanCallerPause)))
 	}
 }
 
-// next draws a caller's next request.
-func (b *bed) next(r *rand.Rand, id string) Sent {
-	s := Sent{Workspace: mainWorkspace, Call: hosted.Call{
-		ID: api.RequestID(id), Method: http.MethodPost, Host: host, Key: mainKey, Wait: callWait, Body: "body of " + id,
+// nextRequest draws a caller's next request.
+func (b *testbed) nextRequest(r *rand.Rand, id string) SentRequest {
+	s := SentRequest{Workspace: mainWorkspace, Call: hosted.Call{
+		ID: api.RequestID(id), Method: http.MethodPost, Host: host, Key: mainKey, Wait: callTimeout, Body: "body of " + id,
 	}}
 	switch x := r.Float64(); {
 	case x < 0.4:
 		s.Kind, s.Target = directory.Stream, "/"+pathChat+"/"+id
-		s.Wait = chatWait
-		s.Tokens = api.Tokens(hosted.TokensPerEvent * (1 + r.IntN(answerMost)))
-		if r.Float64() < leaveChance {
+		s.Wait = chatTimeout
+		s.Tokens = api.Tokens(hosted.TokensPerEvent * (1 + r.IntN(maxStreamEvents)))
+		if r.Float64() < callerLeaveChance {
 			s.LeaveAfter = 1 + r.IntN(int(s.Tokens)/hosted.TokensPerEvent)
 		}
 	case x < 0.7:
@@ -113,95 +116,95 @@
 	return s
 }
 
-// probe is the duty that looks which configuration an entry VM serves by.
-func (b *bed) probe(ctx context.Context, v *vm) {
+// probeVM is the duty that probes which configuration an entry VM uses.
+func (b *testbed) probeVM(ctx context.Context, v *vm) {
 	d := &net.Dialer{Timeout: time.Second}
 	p, closer := upstream.New(d.DialContext)
 	defer closer()
 	c := hosted.NewCaller(b.Wire, p)
 	for n := 0; ctx.Err() == nil; n++ {
 		b.probeOnce(ctx, v, c, n)
-		duty.Sleep(ctx, probeEvery)
+		duty.Sleep(ctx, probeInterval)
 	}
 }
 
-// newest is how many of the paths or keys that come and go are asked about: the
-// newest ones tell most.
-const newest = 4
+// probedNames is how many of the extra paths or spare keys are probed: the newest ones are
+// the most informative.
+const probedNames = 4
 
-// question asks an entry VM about one path or key that comes and goes.
-type question struct {
-	// list holds it, at a place.
-	list      *[]versioned
-	place     int
+// probeTarget is an extra path or spare key to probe an entry VM with.
+type probeTarget struct {
+	// list contains the path or key, at index.
+	list      *[]versionedName
+	index     int
 	path, key string
 	workspace api.WorkspaceName
-	// unknown is the status of versions that don't have it.
-	unknown int
+	// unknownStatus is the status that versions without the path or key answer with.
+	unknownStatus int
 }
 
-// question gives the n-th question, about paths and keys by turns, or false
-// where there is nothing to ask about yet.
-func (b *bed) question(n int) (question, bool) {
+// nextProbeTarget returns the n-th target, alternating between paths and keys, or false if
+// there is none yet.
+func (b *testbed) nextProbeTarget(n int) (probeTarget, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	q := question{list: &b.extras, key: mainKey, workspace: mainWorkspace, unknown: http.StatusNotFound}
+	q := probeTarget{list: &b.extraRoutes, key: mainKey, workspace: mainWorkspace, unknownStatus: http.StatusNotFound}
 	if n%2 == 1 {
-		q = question{list: &b.keys, path: pathParts, workspace: spareWorkspace, unknown: http.StatusUnauthorized}
+		q = probeTarget{list: &b.spareKeys, path: pathParts, workspace: spareWorkspace, unknownStatus: http.StatusUnauthorized}
 	}
 	l := *q.list
 	if len(l) == 0 {
 		return q, false
 	}
-	q.place = len(l) - 1 - n/2%min(newest, len(l))
+	q.index = len(l) - 1 - n/2%min(probedNames, len(l))
 	if q.path == "" {
-		q.path = l[q.place].name
+		q.path = l[q.index].name
 	} else {
-		q.key = l[q.place].name
+		q.key = l[q.index].name
 	}
 	return q, true
 }
 
-// probeOnce sends one request by a path or key that comes and goes.
-func (b *bed) probeOnce(ctx context.Context, v *vm, c *hosted.Caller, n int) {
-	q, ok := b.question(n)
+// probeOnce probes an entry VM with one request for an extra path or spare key.
+func (b *testbed) probeOnce(ctx context.Context, v *vm, c *hosted.Caller, n int) {
+	q, ok := b.nextProbeTarget(n)
 	if !ok {
 		return
 	}
-	id := api.RequestID(fmt.Sprintf("p%d-%d", v.place, n))
-	s := Sent{VM: v.place, Kind: directory.Safe, Workspace: q.workspace, Call: hosted.Call{
-		ID: id, Method: http.MethodGet, Host: host, Target: "/" + q.path + "/" + string(id), Key: q.key, Wait: callWait,
+	id := api.RequestID(fmt.Sprintf("p%d-%d", v.index, n))
+	s := SentRequest{VM: v.index, Kind: directory.Safe, Workspace: q.workspace, Call: hosted.Call{
+		ID: id, Method: http.MethodGet, Host: host, Target: "/" + q.path + "/" + string(id), Key: q.key, Wait: callTimeout,
 	}}
 	v.mutex.Lock()
-	w := Probe{VM: v.place, Life: v.life}
+	w := Probe{VM: v.index, Incarnation: v.incarnation}
 	v.mutex.Unlock()
 	s.At = time.Now()
 	w.At = s.At
-	// What was sent is waited for, also once the soak is over.
-	s.Reply = c.Do(context.WithoutCancel(ctx), v.callers.address(), s.Call)
+	// A request that was sent is waited for, even after the end of the soak.
+	s.Reply = c.Do(context.WithoutCancel(ctx), v.callerProxy.address(), s.Call)
 	s.Done = time.Now()
 	b.mutex.Lock()
-	// It may have been removed meanwhile.
-	x := (*q.list)[q.place]
+	// The path or key may have been removed meanwhile.
+	x := (*q.list)[q.index]
 	b.mutex.Unlock()
-	b.recorder.note(func(r *Record) {
-		r.Sent = append(r.Sent, s)
-		if w.seen(s.Status, q.unknown, x) {
+	b.recorder.update(func(r *Record) {
+		r.Requests = append(r.Requests, s)
+		if w.setVersions(s.Status, q.unknownStatus, x) {
 			r.Probes = append(r.Probes, w)
 		}
 	})
 }
 
-// seen takes which versions answer so to a request by a path or key that comes
-// and goes. A success comes from the versions that have it; the status of what
-// is unknown from those before or after it, which tells something only while
-// it stands.
-func (p *Probe) seen(status, unknown int, x versioned) bool {
+// setVersions sets which versions give a status for a path or key that is added and
+// removed. A success comes from the versions that have it. The unknown status comes from
+// versions before or after it, so it is conclusive only while the path or key has not been
+// removed. It returns false if the status is not conclusive.
+func (p *Probe) setVersions(status, unknownStatus int, x versionedName) bool {
 	switch {
 	case status == http.StatusOK:
-		p.From, p.Until = x.from, x.until
-	case status == unknown && x.until == 0:
-		p.Until = x.from
+		p.FromVersion, p.BeforeVersion = x.from, x.until
+	case status == unknownStatus && x.until == 0:
+		p.BeforeVersion = x.from
 	default:
 		return false
 	}
