--- a/contract/config_test.go
+++ b/contract/config_test.go
@@ -52,7 +52,7 @@
 	b := newBed(t)
 	b.engine("engine-1", nil, nil)
 	v := b.entry("entry-1", "")
-	b.platform.Set(platform.Faults{Copy: true})
+	b.platform.Set(platform.Faults{Snapshot: true})
 	n := b.revoke("dispatch")
 	b.inForce(v, n)
 	b.platform.Set(platform.Faults{StaleReads: true})
--- a/fleet/own_restored_mix_test.go
+++ b/fleet/own_restored_mix_test.go
@@ -16,7 +16,7 @@
 	*bed
 	t      *testing.T
 	rand   *rand.Rand
-	copies []platform.Copy
+	copies []platform.Backup
 	// weights counts the changes of the model, keys the orders that were asked for.
 	weights, keys int
 	cut           map[*vm]bool
@@ -36,7 +36,7 @@
 		m.change(fmt.Sprint("w", m.weights))
 	case 1:
 		m.note("copy %d", len(m.copies))
-		m.copies = append(m.copies, m.store.Copy())
+		m.copies = append(m.copies, m.store.Backup())
 	case 2:
 		m.comeBack()
 	case 3:
--- a/fleet/own_restored_test.go
+++ b/fleet/own_restored_test.go
@@ -16,7 +16,7 @@
 )
 
 // restoreBed has the platform go away for a moment and come back from a copy.
-func (b *bed) restoreBed(c platform.Copy) {
+func (b *bed) restoreBed(c platform.Backup) {
 	b.platform.Set(platform.Faults{Outage: true})
 	time.Sleep(2 * time.Second)
 	b.store.Restore(c)
@@ -49,7 +49,7 @@
 // A model's change that the platform's copy lost must stay in force.
 func TestDeclaredResourcesOutlastTheStore(t *testing.T) {
 	fleet(t, 6, func(t *testing.T, b *bed) {
-		c := b.store.Copy()
+		c := b.store.Backup()
 		b.within(force, "the change", b.inForce(b.change("second")))
 		b.restoreBed(c)
 		time.Sleep(force)
@@ -82,7 +82,7 @@
 		}
 		b.within(time.Minute, "a status", func() bool { return status() != "" })
 		time.Sleep(10 * time.Second)
-		c, before := b.store.Copy(), status()
+		c, before := b.store.Backup(), status()
 		b.work()
 		time.Sleep(10 * time.Second)
 		now := status()
@@ -121,7 +121,7 @@
 		t.Run(fmt.Sprintf("answer lost %v", lost), func(t *testing.T) {
 			fleet(t, 4, func(t *testing.T, b *bed) {
 				b.work()
-				c := b.store.Copy()
+				c := b.store.Backup()
 				if lost {
 					b.orders.Set(service.Faults{LoseAnswers: 1})
 				}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -32,8 +32,8 @@
 	SlowMS api.Milliseconds `json:"slow_ms"`
 	// LoseWrites carries out so many writes and loses their answers.
 	LoseWrites int `json:"lose_writes"`
-	// Copy takes the copy that stale reads answer from.
-	Copy bool `json:"copy"`
+	// Snapshot takes the copy that stale reads answer from.
+	Snapshot bool `json:"copy"`
 	// StaleReads answers lists from the copy, taken now if there is none, and
 	// watches as if nothing had changed.
 	StaleReads bool `json:"stale_reads"`
@@ -52,11 +52,11 @@
 	lag    time.Duration
 	calls  Calls
 
-	mutex  sync.Mutex
-	faults Faults
-	stale  api.ObjectList
-	saved  Copy
-	vms    []listing
+	mutex      sync.Mutex
+	faults     Faults
+	snapshot   api.ObjectList
+	lastBackup Backup
+	vms        []listing
 }
 
 // Calls counts what the platform was asked.
@@ -91,7 +91,7 @@
 	})
 	r.Put("/dev/faults", s.setFaults)
 	r.Get("/dev/calls", s.getCalls)
-	r.Post("/dev/copy", s.copy)
+	r.Post("/dev/copy", s.backup)
 	r.Post("/dev/restore", s.restore)
 	r.Put("/dev/vms/{name}", s.putVM)
 	r.Delete("/dev/vms/{name}", s.removeVM)
@@ -103,20 +103,20 @@
 	l := s.store.List(nil)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if f.Copy || f.StaleReads && s.stale.Items == nil {
-		s.stale = l
+	if f.Snapshot || f.StaleReads && s.snapshot.Items == nil {
+		s.snapshot = l
 	}
-	if !f.Copy && !f.StaleReads {
-		s.stale = api.ObjectList{}
+	if !f.Snapshot && !f.StaleReads {
+		s.snapshot = api.ObjectList{}
 	}
 	s.faults = f
 }
 
-// copy makes a copy of the store, for restore.
-func (s *Server) copy(w http.ResponseWriter, _ *http.Request) {
-	c := s.store.Copy()
+// backup makes a backup of the store, for restore.
+func (s *Server) backup(w http.ResponseWriter, _ *http.Request) {
+	c := s.store.Backup()
 	s.mutex.Lock()
-	s.saved = c
+	s.lastBackup = c
 	s.mutex.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -124,7 +124,7 @@
 // restore has the store come back from the last copy, or from nothing where none was made.
 func (s *Server) restore(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	c := s.saved
+	c := s.lastBackup
 	s.mutex.Unlock()
 	s.store.Restore(c)
 	w.WriteHeader(http.StatusNoContent)
@@ -197,8 +197,8 @@
 		return
 	}
 	s.mutex.Lock()
-	l := api.ObjectList{Version: s.stale.Version, Items: []api.Object{}}
-	for _, o := range s.stale.Items {
+	l := api.ObjectList{Version: s.snapshot.Version, Items: []api.Object{}}
+	for _, o := range s.snapshot.Items {
 		if len(k) == 0 || slices.Contains(k, o.Kind) {
 			l.Items = append(l.Items, o)
 		}
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -36,22 +36,22 @@
 	return &Store{objects: map[key]api.Object{}, wake: make(chan struct{})}
 }
 
-// Copy is a copy of a store's objects.
-type Copy struct {
+// Backup is a copy of a store's objects.
+type Backup struct {
 	version api.Version
 	objects map[key]api.Object
 }
 
-// Copy makes a copy of the store, to come back from later.
-func (s *Store) Copy() Copy {
+// Backup makes a copy of the store, to come back from later.
+func (s *Store) Backup() Backup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return Copy{version: s.version, objects: maps.Clone(s.objects)}
+	return Backup{version: s.version, objects: maps.Clone(s.objects)}
 }
 
 // Restore brings the store back from a copy: what was written since is gone. Who waits for
 // changes learns that the history is gone.
-func (s *Store) Restore(c Copy) {
+func (s *Store) Restore(c Backup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.version = api.NewVersion(s.version.Era()+1, c.version.Revision())
