--- a/cmd/dev.go
+++ b/cmd/dev.go
@@ -89,7 +89,7 @@
 // Run runs the platform until it is stopped.
 func (c *platformCommand) Run(e *environment) error {
 	return c.run(e, "platform", func(l *event.Log) error {
-		o := platform.Options{WritesPerSecond: c.Writes, ReadsPerSecond: c.Reads, ListLag: c.ListLag}
+		o := platform.Options{WritesPerSecond: c.Writes, ReadsPerSecond: c.Reads, VMListLag: c.ListLag}
 		return dev.Platform(e, c.Listen, platform.New(platform.NewStore(), o), l)
 	})
 }
--- a/contract/once_test.go
+++ b/contract/once_test.go
@@ -68,7 +68,7 @@
 
 // disturb draws the faults of the next moment.
 func (b *bed) disturb(r *rand.Rand, s *service.Service) {
-	b.platform.Set(platform.Faults{LoseWrites: r.IntN(3), Outage: r.IntN(12) == 0})
+	b.platform.Set(platform.Faults{LoseWriteAnswers: r.IntN(3), Outage: r.IntN(12) == 0})
 	f := service.Faults{}
 	switch r.IntN(6) {
 	case 0:
--- a/contract/pairs_test.go
+++ b/contract/pairs_test.go
@@ -30,7 +30,7 @@
 		b.platform.Set(platform.Faults{})
 	}},
 	{"platform loses answers", func(b *bed) {
-		b.platform.Set(platform.Faults{LoseWrites: 5})
+		b.platform.Set(platform.Faults{LoseWriteAnswers: 5})
 		time.Sleep(moment)
 	}},
 	{"engine frozen", func(b *bed) {
--- a/contract/platform_test.go
+++ b/contract/platform_test.go
@@ -40,15 +40,15 @@
 			_, err := c.Put(ctx, object("m", "b", v-1))
 			return err
 		}, fault.VersionConflict, "a"},
-		{"answer lost", platform.Faults{LoseWrites: 1}, func(c *client.Client, v api.Version) error {
+		{"answer lost", platform.Faults{LoseWriteAnswers: 1}, func(c *client.Client, v api.Version) error {
 			_, err := c.Put(ctx, object("m", "b", v))
 			return err
 		}, fault.OutcomeUnknown, "b"},
-		{"answer lost, read back", platform.Faults{LoseWrites: 1}, func(c *client.Client, v api.Version) error {
+		{"answer lost, read back", platform.Faults{LoseWriteAnswers: 1}, func(c *client.Client, v api.Version) error {
 			_, err := c.PutConfirmed(ctx, object("m", "b", v))
 			return err
 		}, 0, "b"},
-		{"lost answer to a conflict, read back", platform.Faults{LoseWrites: 1}, func(c *client.Client, v api.Version) error {
+		{"lost answer to a conflict, read back", platform.Faults{LoseWriteAnswers: 1}, func(c *client.Client, v api.Version) error {
 			_, err := c.PutConfirmed(ctx, object("m", "b", v-1))
 			return err
 		}, fault.VersionConflict, "a"},
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -148,7 +148,7 @@
 		runs   int
 	}{
 		{"down", platform.Faults{Outage: true}, fault.ClaimUnavailable, 0},
-		{"claim's answer lost", platform.Faults{LoseWrites: 1}, 0, 1},
+		{"claim's answer lost", platform.Faults{LoseWriteAnswers: 1}, 0, 1},
 		{"slower than the wait", platform.Faults{SlowMS: 700}, fault.ClaimUnavailable, 0},
 	}
 	for _, c := range tests {
--- a/fleet/bed_test.go
+++ b/fleet/bed_test.go
@@ -50,7 +50,7 @@
 func newBed(t *testing.T, n int) *bed {
 	t.Helper()
 	b := &bed{t: t, net: newNetwork(), store: platform.NewStore()}
-	b.platform = platform.New(b.store, platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, ListLag: 2 * time.Second})
+	b.platform = platform.New(b.store, platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, VMListLag: 2 * time.Second})
 	var end func()
 	b.group, end = duty.New(context.Background())
 	t.Cleanup(end)
--- a/internal/dev/up.go
+++ b/internal/dev/up.go
@@ -48,7 +48,7 @@
 }
 
 // Calls are the rates that the platform's stand-in allows by default.
-var Calls = platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, ListLag: time.Second}
+var Calls = platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, VMListLag: time.Second}
 
 // Up runs a whole small system at an IP address in this process until the
 // context ends, and writes to out how to use it.
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -20,8 +20,8 @@
 type Options struct {
 	WritesPerSecond int
 	ReadsPerSecond  int
-	// ListLag is how late the list of VMs is.
-	ListLag time.Duration
+	// VMListLag is how late the list of VMs is.
+	VMListLag time.Duration
 }
 
 // Faults are injected by tests, and through the stand-in's own /dev/faults.
@@ -30,8 +30,8 @@
 	Outage bool `json:"outage"`
 	// SlowMS delays every answer.
 	SlowMS api.Milliseconds `json:"slow_ms"`
-	// LoseWrites carries out so many writes and loses their answers.
-	LoseWrites int `json:"lose_writes"`
+	// LoseWriteAnswers carries out so many writes and loses their answers.
+	LoseWriteAnswers int `json:"lose_writes"`
 	// Snapshot takes the copy that stale reads answer from.
 	Snapshot bool `json:"copy"`
 	// StaleReads answers lists from the copy, taken now if there is none, and
@@ -39,24 +39,24 @@
 	StaleReads bool `json:"stale_reads"`
 }
 
-type listing struct {
+type vmList struct {
 	at  time.Time
 	vms []api.VM
 }
 
 // Server serves a store over HTTP.
 type Server struct {
-	store  *Store
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	lag    time.Duration
-	calls  Calls
+	store     *Store
+	writes    *rate.Limiter
+	reads     *rate.Limiter
+	vmListLag time.Duration
+	calls     Calls
 
 	mutex      sync.Mutex
 	faults     Faults
 	snapshot   api.ObjectList
 	lastBackup Backup
-	vms        []listing
+	vmLists    []vmList
 }
 
 // Calls counts what the platform was asked.
@@ -70,10 +70,10 @@
 // New makes a server on a store.
 func New(s *Store, o Options) *Server {
 	return &Server{
-		store:  s,
-		writes: rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WritesPerSecond),
-		reads:  rate.NewLimiter(rate.Limit(o.ReadsPerSecond), o.ReadsPerSecond),
-		lag:    o.ListLag,
+		store:     s,
+		writes:    rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WritesPerSecond),
+		reads:     rate.NewLimiter(rate.Limit(o.ReadsPerSecond), o.ReadsPerSecond),
+		vmListLag: o.VMListLag,
 	}
 }
 
@@ -81,13 +81,13 @@
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Route("/v1", func(r chi.Router) {
-		r.Use(s.inject)
-		r.With(s.limit(s.reads, &s.calls.Reads)).Get("/objects", s.list)
-		r.With(s.limit(s.reads, &s.calls.Reads)).Get("/objects/{kind}/{name}", s.get)
-		r.With(s.limit(s.writes, &s.calls.Writes)).Put("/objects/{kind}/{name}", s.put)
-		r.With(s.limit(s.writes, &s.calls.Writes)).Delete("/objects/{kind}/{name}", s.remove)
-		r.With(s.limit(s.reads, &s.calls.Watches)).Get("/watch", s.watch)
-		r.With(s.limit(s.reads, &s.calls.Reads)).Get("/vms", s.listVMs)
+		r.Use(s.injectFaults)
+		r.With(s.limitRate(s.reads, &s.calls.Reads)).Get("/objects", s.list)
+		r.With(s.limitRate(s.reads, &s.calls.Reads)).Get("/objects/{kind}/{name}", s.get)
+		r.With(s.limitRate(s.writes, &s.calls.Writes)).Put("/objects/{kind}/{name}", s.put)
+		r.With(s.limitRate(s.writes, &s.calls.Writes)).Delete("/objects/{kind}/{name}", s.remove)
+		r.With(s.limitRate(s.reads, &s.calls.Watches)).Get("/watch", s.watch)
+		r.With(s.limitRate(s.reads, &s.calls.Reads)).Get("/vms", s.listVMs)
 	})
 	r.Put("/dev/faults", s.setFaults)
 	r.Get("/dev/calls", s.getCalls)
@@ -137,15 +137,15 @@
 	return s.calls
 }
 
-func (s *Server) current() Faults {
+func (s *Server) currentFaults() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-func (s *Server) inject(next http.Handler) http.Handler {
+func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f := s.current()
+		f := s.currentFaults()
 		if f.SlowMS > 0 {
 			select {
 			case <-time.After(f.SlowMS.Duration()):
@@ -161,7 +161,7 @@
 	})
 }
 
-func (s *Server) limit(l *rate.Limiter, count *int) func(http.Handler) http.Handler {
+func (s *Server) limitRate(l *rate.Limiter, count *int) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			ok := l.Allow()
@@ -180,7 +180,7 @@
 	}
 }
 
-func kinds(r *http.Request) []api.ResourceKind {
+func requestedKinds(r *http.Request) []api.ResourceKind {
 	var l []api.ResourceKind
 	for k := range strings.SplitSeq(r.URL.Query().Get("kinds"), ",") {
 		if k != "" {
@@ -191,8 +191,8 @@
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	k := kinds(r)
-	if !s.current().StaleReads {
+	k := requestedKinds(r)
+	if !s.currentFaults().StaleReads {
 		wire.Write(w, http.StatusOK, s.store.List(k))
 		return
 	}
@@ -207,12 +207,12 @@
 	wire.Write(w, http.StatusOK, l)
 }
 
-func named(r *http.Request) (api.ResourceKind, string) {
+func requestedObject(r *http.Request) (api.ResourceKind, string) {
 	return api.ResourceKind(chi.URLParam(r, "kind")), chi.URLParam(r, "name")
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	k, n := named(r)
+	k, n := requestedObject(r)
 	o, err := s.store.Get(k, n)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
@@ -221,37 +221,37 @@
 	wire.Write(w, http.StatusOK, o)
 }
 
-// valueLimit is the largest value the platform holds.
-const valueLimit = 1 << 20
+// maxValueBytes is the largest value the platform holds.
+const maxValueBytes = 1 << 20
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	var o api.Object
-	if err := wire.Read(w, r, valueLimit, &o); err != nil {
+	if err := wire.Read(w, r, maxValueBytes, &o); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	o.Kind, o.Name = named(r)
+	o.Kind, o.Name = requestedObject(r)
 	o, err := s.store.Put(o)
-	s.confirm(w, o, err)
+	s.answerWrite(w, o, err)
 }
 
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
-	k, n := named(r)
+	k, n := requestedObject(r)
 	v, err := strconv.Atoi(r.URL.Query().Get("version"))
 	if err != nil {
 		wire.Refuse(w, fault.New(fault.InvalidRequest, "version is not a number"), "")
 		return
 	}
 	err = s.store.Delete(k, n, api.Version(v))
-	s.confirm(w, api.Object{Kind: k, Name: n}, err)
+	s.answerWrite(w, api.Object{Kind: k, Name: n}, err)
 }
 
-// confirm answers a write, or loses the answer by closing the connection.
-func (s *Server) confirm(w http.ResponseWriter, o api.Object, err error) {
+// answerWrite answers a write, or loses the answer by closing the connection.
+func (s *Server) answerWrite(w http.ResponseWriter, o api.Object, err error) {
 	s.mutex.Lock()
-	lose := s.faults.LoseWrites > 0
+	lose := s.faults.LoseWriteAnswers > 0
 	if lose {
-		s.faults.LoseWrites--
+		s.faults.LoseWriteAnswers--
 	}
 	s.mutex.Unlock()
 	if lose {
@@ -264,8 +264,8 @@
 	wire.Write(w, http.StatusOK, o)
 }
 
-// watchMost bounds one waiting watch.
-const watchMost = time.Minute
+// maxWatchWait bounds one waiting watch.
+const maxWatchWait = time.Minute
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
@@ -275,11 +275,11 @@
 		wire.Refuse(w, fault.New(fault.InvalidRequest, "from and wait_ms have to be numbers"), "")
 		return
 	}
-	k := kinds(r)
-	end := time.NewTimer(min(api.Milliseconds(wait).Duration(), watchMost))
+	k := requestedKinds(r)
+	end := time.NewTimer(min(api.Milliseconds(wait).Duration(), maxWatchWait))
 	defer end.Stop()
 	for {
-		if s.current().StaleReads {
+		if s.currentFaults().StaleReads {
 			<-end.C
 			wire.Write(w, http.StatusOK, api.ChangeList{Version: api.Version(from), Changes: []api.Change{}})
 			return
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -10,8 +10,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// history is the number of changes kept for watches.
-const history = 1000
+// maxChanges is the number of changes kept for watches.
+const maxChanges = 1000
 
 type key struct {
 	kind api.ResourceKind
@@ -24,16 +24,16 @@
 type Store struct {
 	mutex   sync.Mutex
 	version api.Version
-	// floor is the version from which changes are kept.
-	floor   api.Version
-	objects map[key]api.Object
-	changes []api.Change
-	wake    chan struct{}
+	// historyStart is the version from which changes are kept.
+	historyStart api.Version
+	objects      map[key]api.Object
+	changes      []api.Change
+	changed      chan struct{}
 }
 
 // NewStore makes an empty store.
 func NewStore() *Store {
-	return &Store{objects: map[key]api.Object{}, wake: make(chan struct{})}
+	return &Store{objects: map[key]api.Object{}, changed: make(chan struct{})}
 }
 
 // Backup is a copy of a store's objects.
@@ -55,11 +55,11 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.version = api.NewVersion(s.version.Era()+1, c.version.Revision())
-	s.floor = s.version
+	s.historyStart = s.version
 	s.objects = map[key]api.Object{}
 	maps.Copy(s.objects, c.objects)
 	s.changes = nil
-	s.wakeAll()
+	s.notifyWatchers()
 }
 
 // Get reads one object.
@@ -127,16 +127,16 @@
 
 func (s *Store) record(c api.Change) {
 	s.changes = append(s.changes, c)
-	if len(s.changes) > history {
-		s.changes = slices.Clone(s.changes[len(s.changes)-history:])
+	if len(s.changes) > maxChanges {
+		s.changes = slices.Clone(s.changes[len(s.changes)-maxChanges:])
 	}
-	s.wakeAll()
+	s.notifyWatchers()
 }
 
-// wakeAll wakes who waits for a change; the mutex is held.
-func (s *Store) wakeAll() {
-	close(s.wake)
-	s.wake = make(chan struct{})
+// notifyWatchers wakes who waits for a change; the mutex is held.
+func (s *Store) notifyWatchers() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // Changes gives the changes of the kinds after a version, and a channel that
@@ -144,7 +144,7 @@
 func (s *Store) Changes(from api.Version, kinds []api.ResourceKind) (api.ChangeList, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if from < s.floor || len(s.changes) > 0 && from < s.changes[0].Version-1 {
+	if from < s.historyStart || len(s.changes) > 0 && from < s.changes[0].Version-1 {
 		return api.ChangeList{}, nil, fault.New(fault.WatchTooOld, "the version is no longer kept")
 	}
 	l := api.ChangeList{Version: s.version, Changes: []api.Change{}}
@@ -153,5 +153,5 @@
 			l.Changes = append(l.Changes, c)
 		}
 	}
-	return l, s.wake, nil
+	return l, s.changed, nil
 }
--- a/internal/standin/platform/vms.go
+++ b/internal/standin/platform/vms.go
@@ -15,27 +15,27 @@
 
 // SetVM puts a VM on the list; the list shows it after the lag.
 func (s *Server) SetVM(v api.VM) {
-	s.edit(v.Name, &v)
+	s.updateVMList(v.Name, &v)
 }
 
 // RemoveVM takes a VM off the list; the list shows it after the lag.
 func (s *Server) RemoveVM(n string) {
-	s.edit(n, nil)
+	s.updateVMList(n, nil)
 }
 
-func (s *Server) edit(name string, v *api.VM) {
+func (s *Server) updateVMList(name string, v *api.VM) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var l []api.VM
-	if n := len(s.vms); n > 0 {
-		l = slices.Clone(s.vms[n-1].vms)
+	if n := len(s.vmLists); n > 0 {
+		l = slices.Clone(s.vmLists[n-1].vms)
 	}
 	l = slices.DeleteFunc(l, func(x api.VM) bool { return x.Name == name })
 	if v != nil {
 		l = append(l, *v)
 	}
 	slices.SortFunc(l, func(a, b api.VM) int { return strings.Compare(a.Name, b.Name) })
-	s.vms = append(s.vms, listing{at: time.Now(), vms: l})
+	s.vmLists = append(s.vmLists, vmList{at: time.Now(), vms: l})
 }
 
 func (s *Server) listVMs(w http.ResponseWriter, _ *http.Request) {
@@ -43,8 +43,8 @@
 	defer s.mutex.Unlock()
 	l := api.VMList{VMs: []api.VM{}}
 	now := time.Now()
-	for _, x := range s.vms {
-		if now.Sub(x.at) >= s.lag {
+	for _, x := range s.vmLists {
+		if now.Sub(x.at) >= s.vmListLag {
 			l.VMs = x.vms
 		}
 	}
@@ -53,7 +53,7 @@
 
 func (s *Server) putVM(w http.ResponseWriter, r *http.Request) {
 	var v api.VM
-	if err := wire.Read(w, r, valueLimit, &v); err != nil {
+	if err := wire.Read(w, r, maxValueBytes, &v); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
@@ -69,7 +69,7 @@
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if err := wire.Read(w, r, valueLimit, &f); err != nil {
+	if err := wire.Read(w, r, maxValueBytes, &f); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
