--- a/cmd/dev.go
+++ b/cmd/dev.go
@@ -119,7 +119,7 @@
 	o.Batch.StepBase = c.Step
 	o.Batch.StepPerGeneration = c.StepMore
 	o.ReportLag = c.ReportLag
-	o.Orphan = c.Orphan
+	o.OrphanTimeout = c.Orphan
 	o.LoadTime = c.LoadTime
 	o.ChecksFence = c.CheckFence
 	o.Loaded = c.Loaded
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -32,8 +32,8 @@
 	CacheLag time.Duration
 	// CacheLossPercent is the share of cache events that get lost.
 	CacheLossPercent int
-	// Orphan is how long a generation runs with no reader.
-	Orphan time.Duration
+	// OrphanTimeout is how long a generation runs with no reader.
+	OrphanTimeout time.Duration
 	// LoadTime is the time an order to load takes.
 	LoadTime time.Duration
 	// ChecksFence refuses orders with an old fence.
@@ -51,7 +51,7 @@
 		ReportLag:        200 * time.Millisecond,
 		CacheLag:         200 * time.Millisecond,
 		CacheLossPercent: 5,
-		Orphan:           30 * time.Second,
+		OrphanTimeout:    30 * time.Second,
 		LoadTime:         200 * time.Millisecond,
 		ChecksFence:      true,
 		Seed:             1,
@@ -61,12 +61,12 @@
 // generation is one generation and those that read it.
 type generation struct {
 	id        api.GenerationID
-	made      int
+	generated int
 	finish    api.FinishReason
 	preempted int
 	readers   int
-	idle      time.Time
-	wake      chan struct{}
+	idleSince time.Time
+	changed   chan struct{}
 }
 
 type cacheEvent struct {
@@ -80,21 +80,21 @@
 	log     *event.Log
 	random  *rand.Rand
 
-	mutex       sync.Mutex
-	model       *batch.Model
-	generations map[api.GenerationID]*generation
-	reports     []api.LoadReport
-	cache       []cacheEvent
-	cacheSeq    int
-	step        time.Duration
-	leaving     bool
-	frozen      time.Time
-	drop        int
-	role        api.EngineRole
-	loaded      []string
-	fence       api.Fence
-	started     int
-	busy        chan struct{}
+	mutex         sync.Mutex
+	model         *batch.Model
+	generations   map[api.GenerationID]*generation
+	reports       []api.LoadReport
+	cacheLog      []cacheEvent
+	cacheSeq      int
+	lastStep      time.Duration
+	leaving       bool
+	frozenUntil   time.Time
+	streamsToDrop int
+	role          api.EngineRole
+	loaded        []string
+	fence         api.Fence
+	started       int
+	workAdded     chan struct{}
 }
 
 // New makes an engine that does nothing until Run.
@@ -107,7 +107,7 @@
 		generations: map[api.GenerationID]*generation{},
 		role:        api.EngineRoleServe,
 		loaded:      slices.Clone(o.Loaded),
-		busy:        make(chan struct{}, 1),
+		workAdded:   make(chan struct{}, 1),
 	}
 }
 
@@ -118,15 +118,15 @@
 	for {
 		now := time.Now()
 		if now.Sub(last) >= reportEvery {
-			e.takeReport(now)
-			e.sweep(now)
+			e.recordLoad(now)
+			e.removeOrphans(now)
 			last = now
 		}
 		d := e.advance(now)
 		if d == 0 {
 			d = reportEvery
 			select {
-			case <-e.busy:
+			case <-e.workAdded:
 				d = 0
 			case <-time.After(d):
 			case <-ctx.Done():
@@ -143,16 +143,16 @@
 func (e *Engine) advance(now time.Time) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if now.Before(e.frozen) {
-		return e.frozen.Sub(now)
+	if now.Before(e.frozenUntil) {
+		return e.frozenUntil.Sub(now)
 	}
 	if e.model.Idle() {
 		return 0
 	}
 	r := e.model.Step()
-	e.step = r.Took
+	e.lastStep = r.Took
 	for _, x := range r.Emitted {
-		e.emit(now, x)
+		e.recordToken(now, x)
 	}
 	for _, id := range r.Preempted {
 		if g, ok := e.generations[id]; ok {
@@ -160,46 +160,46 @@
 		}
 	}
 	for _, c := range r.Cache {
-		e.noteCache(now, c)
+		e.recordCacheChange(now, c)
 	}
 	return r.Took
 }
 
-func (e *Engine) emit(now time.Time, x batch.Emitted) {
+func (e *Engine) recordToken(now time.Time, x batch.Emitted) {
 	g, ok := e.generations[x.ID]
 	if !ok {
 		return
 	}
-	g.made = int(x.Index) + 1
+	g.generated = int(x.Index) + 1
 	if x.Last && g.finish == "" {
 		g.finish = api.FinishReasonStop
-		g.idle = now
+		g.idleSince = now
 	}
-	g.notify()
+	g.notifyReaders()
 }
 
-// notify wakes every reader; the engine's mutex is held.
-func (g *generation) notify() {
-	close(g.wake)
-	g.wake = make(chan struct{})
+// notifyReaders wakes every reader; the engine's mutex is held.
+func (g *generation) notifyReaders() {
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
-func (e *Engine) noteCache(now time.Time, c batch.CacheChange) {
+func (e *Engine) recordCacheChange(now time.Time, c batch.CacheChange) {
 	e.cacheSeq++
 	if e.random.IntN(100) < e.options.CacheLossPercent {
 		return
 	}
 	const kept = 1024
-	e.cache = append(e.cache, cacheEvent{api.CacheEvent{Seq: e.cacheSeq, Prefix: c.Prefix, Stored: c.Stored}, now})
-	if len(e.cache) > kept {
-		e.cache = slices.Clone(e.cache[len(e.cache)-kept:])
+	e.cacheLog = append(e.cacheLog, cacheEvent{api.CacheEvent{Seq: e.cacheSeq, Prefix: c.Prefix, Stored: c.Stored}, now})
+	if len(e.cacheLog) > kept {
+		e.cacheLog = slices.Clone(e.cacheLog[len(e.cacheLog)-kept:])
 	}
 }
 
-func (e *Engine) takeReport(now time.Time) {
+func (e *Engine) recordLoad(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if now.Before(e.frozen) {
+	if now.Before(e.frozenUntil) {
 		return
 	}
 	l := e.model.Load()
@@ -210,7 +210,7 @@
 		Waiting:     l.Waiting,
 		KVUsed:      l.Used,
 		KVTotal:     l.Total,
-		StepMS:      float64(e.step) / float64(time.Millisecond),
+		StepMS:      float64(e.lastStep) / float64(time.Millisecond),
 		Preemptions: l.Preemptions,
 		Leaving:     e.leaving,
 		Role:        e.role,
@@ -224,12 +224,12 @@
 	}
 }
 
-// sweep cancels generations without a reader and forgets old ones.
-func (e *Engine) sweep(now time.Time) {
+// removeOrphans cancels generations without a reader and forgets old ones.
+func (e *Engine) removeOrphans(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for id, g := range e.generations {
-		if g.readers > 0 || now.Sub(g.idle) < e.options.Orphan {
+		if g.readers > 0 || now.Sub(g.idleSince) < e.options.OrphanTimeout {
 			continue
 		}
 		e.model.Cancel(id)
@@ -237,16 +237,16 @@
 	}
 }
 
-// refusal is a reason to refuse a generation; empty when there is none.
-func (e *Engine) refusal(r api.GenerateRequest) api.EngineRefusalReason {
+// refusalReason is a reason to refuse a generation; empty when there is none.
+func (e *Engine) refusalReason(r api.GenerateRequest) api.EngineRefusalReason {
 	switch {
 	case e.leaving:
 		return api.EngineRefusalReasonLeaving
 	case e.role != api.EngineRoleServe:
 		return api.EngineRefusalReasonNotServing
-	case !e.has(api.ResourceKindModel, string(r.Model)):
+	case !e.hasLoaded(api.ResourceKindModel, string(r.Model)):
 		return api.EngineRefusalReasonNotLoaded
-	case r.Adapter != "" && !e.has(api.ResourceKindAdapter, string(r.Adapter)):
+	case r.Adapter != "" && !e.hasLoaded(api.ResourceKindAdapter, string(r.Adapter)):
 		return api.EngineRefusalReasonNotLoaded
 	case r.PromptTokens <= 0 || r.PromptTokens >= e.options.Batch.KVTokens:
 		return api.EngineRefusalReasonBadRequest
@@ -257,22 +257,22 @@
 	}
 }
 
-func (e *Engine) has(k api.ResourceKind, n string) bool {
+func (e *Engine) hasLoaded(k api.ResourceKind, n string) bool {
 	want := string(k) + "/" + n
 	return slices.ContainsFunc(e.loaded, func(i string) bool { return api.ItemName(i) == want })
 }
 
-// begin starts a generation and gives its first reader.
-func (e *Engine) begin(r api.GenerateRequest) (*generation, api.EngineRefusalReason) {
+// start starts a generation and gives its first reader.
+func (e *Engine) start(r api.GenerateRequest) (*generation, api.EngineRefusalReason) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if why := e.refusal(r); why != "" {
+	if why := e.refusalReason(r); why != "" {
 		return nil, why
 	}
-	g := &generation{id: r.Generation, readers: 1, wake: make(chan struct{})}
+	g := &generation{id: r.Generation, readers: 1, changed: make(chan struct{})}
 	e.generations[r.Generation] = g
 	e.started++
-	n := e.length(r)
+	n := e.answerLength(r)
 	e.model.Add(batch.Work{
 		ID:           r.Generation,
 		Prompt:       r.PromptTokens,
@@ -282,15 +282,15 @@
 		PrefixTokens: r.PrefixTokens,
 	})
 	select {
-	case e.busy <- struct{}{}:
+	case e.workAdded <- struct{}{}:
 	default:
 	}
 	return g, ""
 }
 
-// length is the answer's true length: as the load tool set it, or drawn from
+// answerLength is the answer's true answerLength: as the load tool set it, or drawn from
 // a heavy tail by the prompt.
-func (e *Engine) length(r api.GenerateRequest) api.Tokens {
+func (e *Engine) answerLength(r api.GenerateRequest) api.Tokens {
 	if n, err := strconv.Atoi(r.Metadata[MetadataTokens]); err == nil && n > 0 {
 		return api.Tokens(n)
 	}
@@ -299,8 +299,8 @@
 	return api.Tokens(max(1, median*math.Exp(spread*d.NormFloat64())))
 }
 
-// join adds a reader to a generation that is still known.
-func (e *Engine) join(id api.GenerationID) (*generation, bool) {
+// addReader adds a reader to a generation that is still known.
+func (e *Engine) addReader(id api.GenerationID) (*generation, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	g, ok := e.generations[id]
@@ -310,11 +310,11 @@
 	return g, ok
 }
 
-func (e *Engine) leave(g *generation) {
+func (e *Engine) removeReader(g *generation) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	g.readers--
-	g.idle = time.Now()
+	g.idleSince = time.Now()
 }
 
 // cancel ends a generation and reports whether it was known.
@@ -328,9 +328,9 @@
 	e.model.Cancel(id)
 	if g.finish == "" {
 		g.finish = api.FinishReasonCancelled
-		g.idle = time.Now()
+		g.idleSince = time.Now()
 	}
-	g.notify()
+	g.notifyReaders()
 	return true
 }
 
@@ -370,14 +370,14 @@
 func (e *Engine) Freeze(d time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.frozen = time.Now().Add(d)
+	e.frozenUntil = time.Now().Add(d)
 }
 
 // DropStreams breaks the next n streams in the middle.
 func (e *Engine) DropStreams(n int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.drop = n
+	e.streamsToDrop = n
 }
 
 // Started counts the generations started so far.
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -16,8 +16,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bodyLimit bounds the requests that the engine reads.
-const bodyLimit = 16 << 20
+// maxBodyBytes bounds the requests that the engine reads.
+const maxBodyBytes = 16 << 20
 
 // Faults are injected through the stand-in's own /dev/faults.
 type Faults struct {
@@ -57,11 +57,11 @@
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	var q api.GenerateRequest
-	if err := wire.Read(w, r, bodyLimit, &q); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &q); err != nil {
 		refuse(w, http.StatusBadRequest, api.EngineRefusalReasonBadRequest)
 		return
 	}
-	g, why := e.begin(q)
+	g, why := e.start(q)
 	switch why {
 	case "":
 	case api.EngineRefusalReasonBadRequest:
@@ -80,7 +80,7 @@
 		refuse(w, http.StatusBadRequest, api.EngineRefusalReasonBadRequest)
 		return
 	}
-	g, ok := e.join(api.GenerationID(chi.URLParam(r, "id")))
+	g, ok := e.addReader(api.GenerationID(chi.URLParam(r, "id")))
 	if !ok {
 		refuse(w, http.StatusNotFound, api.EngineRefusalReasonUnknownGeneration)
 		return
@@ -96,22 +96,22 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// state is a copy of a generation's progress.
-type state struct {
-	made      int
-	finish    api.FinishReason
-	preempted int
-	wake      <-chan struct{}
-	frozen    time.Time
-	drop      bool
+// progress is a copy of a generation's progress.
+type progress struct {
+	generated   int
+	finish      api.FinishReason
+	preempted   int
+	changed     <-chan struct{}
+	frozenUntil time.Time
+	drop        bool
 }
 
-func (e *Engine) look(g *generation, next int) state {
+func (e *Engine) progressOf(g *generation, next int) progress {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	s := state{made: g.made, finish: g.finish, preempted: g.preempted, wake: g.wake, frozen: e.frozen}
-	if e.drop > 0 && g.made > next && g.made > 1 {
-		e.drop--
+	s := progress{generated: g.generated, finish: g.finish, preempted: g.preempted, changed: g.changed, frozenUntil: e.frozenUntil}
+	if e.streamsToDrop > 0 && g.generated > next && g.generated > 1 {
+		e.streamsToDrop--
 		s.drop = true
 	}
 	return s
@@ -119,13 +119,13 @@
 
 // stream writes the tokens of a generation from an index to its end.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, next int) {
-	defer e.leave(g)
+	defer e.removeReader(g)
 	w.Header().Set(wire.HeaderContentType, wire.TypeEventStream)
 	c := http.NewResponseController(w)
 	var b bytes.Buffer
 	for {
-		s := e.look(g, next)
-		if d := time.Until(s.frozen); d > 0 {
+		s := e.progressOf(g, next)
+		if d := time.Until(s.frozenUntil); d > 0 {
 			select {
 			case <-time.After(d):
 			case <-r.Context().Done():
@@ -137,11 +137,11 @@
 			panic(http.ErrAbortHandler)
 		}
 		b.Reset()
-		for ; next < s.made; next++ {
-			line(&b, api.TokenEvent{Generation: g.id, Index: next, Text: Text(g.id, next)})
+		for ; next < s.generated; next++ {
+			writeEvent(&b, api.TokenEvent{Generation: g.id, Index: next, Text: Text(g.id, next)})
 		}
 		if s.finish != "" {
-			line(&b, api.TokenEvent{Generation: g.id, Index: s.made, Finish: string(s.finish), Preempted: s.preempted})
+			writeEvent(&b, api.TokenEvent{Generation: g.id, Index: s.generated, Finish: string(s.finish), Preempted: s.preempted})
 		}
 		if _, err := w.Write(b.Bytes()); err != nil {
 			return
@@ -150,7 +150,7 @@
 			return
 		}
 		select {
-		case <-s.wake:
+		case <-s.changed:
 		case <-r.Context().Done():
 			return
 		}
@@ -168,7 +168,7 @@
 	return s + ":" + strconv.Itoa(i) + " "
 }
 
-func line(b *bytes.Buffer, t api.TokenEvent) {
+func writeEvent(b *bytes.Buffer, t api.TokenEvent) {
 	j, err := json.Marshal(t)
 	if err != nil {
 		return
@@ -180,7 +180,7 @@
 
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
 	e.mutex.Lock()
-	frozen := time.Until(e.frozen)
+	frozen := time.Until(e.frozenUntil)
 	var l []api.LoadReport
 	if len(e.reports) > 0 {
 		l = e.reports[:1]
@@ -206,7 +206,7 @@
 	l := api.CacheEventList{Next: from, Events: []api.CacheEvent{}}
 	cut := time.Now().Add(-e.options.CacheLag)
 	e.mutex.Lock()
-	for _, c := range e.cache {
+	for _, c := range e.cacheLog {
 		if c.Seq >= from && !c.at.After(cut) {
 			l.Events = append(l.Events, c.CacheEvent)
 			l.Next = c.Seq + 1
@@ -218,7 +218,7 @@
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o api.Order
-	if err := wire.Read(w, r, bodyLimit, &o); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &o); err != nil {
 		refuse(w, http.StatusBadRequest, api.EngineRefusalReasonBadRequest)
 		return
 	}
@@ -237,7 +237,7 @@
 
 func (e *Engine) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if err := wire.Read(w, r, bodyLimit, &f); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &f); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
