--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -64,7 +64,7 @@
 		e.mutex.Lock()
 		r := e.model.Step()
 		e.mutex.Unlock()
-		if !duty.Sleep(ctx, r.Took) {
+		if !duty.Sleep(ctx, r.Duration) {
 			return nil
 		}
 		e.emit(r)
@@ -74,7 +74,7 @@
 func (e *engine) emit(r batch.Result) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	for _, x := range r.Emitted {
+	for _, x := range r.Tokens {
 		c, ok := e.streams[x.ID]
 		if !ok {
 			continue
--- a/internal/measure/bench.go
+++ b/internal/measure/bench.go
@@ -149,7 +149,7 @@
 	l := x.model.Load()
 	r := api.LoadReport{
 		Server: x.name, TimeMS: api.UnixMilliseconds(b.now), Running: l.Running, Waiting: l.Waiting,
-		KVUsed: l.Used, KVTotal: l.Total, Preemptions: l.Preemptions, Role: api.EngineRoleServe,
+		KVUsed: l.KVUsed, KVTotal: l.KVTotal, Preemptions: l.Preemptions, Role: api.EngineRoleServe,
 		Loaded: []string{"model/" + model}, StepMS: x.stepMS(b.size),
 	}
 	b.after(b.lag, func() { b.carry(e, e.decide.Report(b.now, r)) })
@@ -256,18 +256,18 @@
 	r := x.model.Step()
 	life := x.life
 	b.result.preempted(b, len(r.Preempted))
-	b.after(r.Took, func() {
+	b.after(r.Duration, func() {
 		if x.life != life {
 			return
 		}
-		for _, m := range r.Emitted {
+		for _, m := range r.Tokens {
 			b.token(x, m)
 		}
 		b.step(x)
 	})
 }
 
-func (b *bench) token(x *engine, m batch.Emitted) {
+func (b *bench) token(x *engine, m batch.Token) {
 	q, ok := x.runs[m.ID]
 	if !ok {
 		return
--- a/internal/standin/batch/batch_test.go
+++ b/internal/standin/batch/batch_test.go
@@ -17,19 +17,19 @@
 func TestStepTimeGrowsWithBatchAndPrefill(t *testing.T) {
 	m := batch.New(batch.Defaults())
 	m.Add(work("a", 1000, 100, api.PriorityStandard))
-	prefill := m.Step().Took
-	one := m.Step().Took
+	prefill := m.Step().Duration
+	one := m.Step().Duration
 	for i := range 10 {
 		m.Add(work(fmt.Sprint(i), 1, 100, api.PriorityStandard))
 	}
 	m.Step()
-	many := m.Step().Took
+	many := m.Step().Duration
 	if prefill <= one || many <= one {
 		t.Errorf("step times: prefill %v, one %v, eleven %v; want one to be the least", prefill, one, many)
 	}
 }
 
-func TestFullMemoryPreemptsTheLatestOfTheLowestPriority(t *testing.T) {
+func TestFullMemoryPreemptsLowestPriority(t *testing.T) {
 	o := batch.Defaults()
 	o.KVTokens = 300
 	m := batch.New(o)
@@ -52,7 +52,7 @@
 		w := work(prefix, 500, 1, api.PriorityStandard)
 		w.Prefix, w.PrefixTokens = prefix, 400
 		m.Add(w)
-		return float64(m.Step().Took)
+		return float64(m.Step().Duration)
 	}
 	cold, warm := first("a"), first("a")
 	if warm >= cold {
@@ -66,7 +66,7 @@
 
 // Each generation makes exactly its tokens, in order, whatever is preempted or
 // cancelled, and memory is never above the limit while more than one runs.
-func TestEveryTokenOnceInOrder(t *testing.T) {
+func TestEveryTokenIsGeneratedOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := batch.Defaults()
 		o.KVTokens = 200
@@ -81,14 +81,14 @@
 		}
 		for range 5000 {
 			r := m.Step()
-			for _, e := range r.Emitted {
+			for _, e := range r.Tokens {
 				if e.Index != got[e.ID] {
 					t.Fatalf("%s: token %d after %d tokens", e.ID, e.Index, got[e.ID])
 				}
 				got[e.ID]++
 			}
-			if l := m.Load(); l.Running > 1 && l.Used > l.Total {
-				t.Fatalf("memory %d of %d", l.Used, l.Total)
+			if l := m.Load(); l.Running > 1 && l.KVUsed > l.KVTotal {
+				t.Fatalf("memory %d of %d", l.KVUsed, l.KVTotal)
 			}
 			if m.Idle() {
 				break
--- a/internal/standin/batch/model.go
+++ b/internal/standin/batch/model.go
@@ -49,8 +49,8 @@
 	PrefixTokens api.Tokens
 }
 
-// Emitted is one new token, or the end once Index reaches the length.
-type Emitted struct {
+// Token is one new token, or the end once Index reaches the length.
+type Token struct {
 	ID    api.GenerationID
 	Index api.Tokens
 	Last  bool
@@ -64,23 +64,23 @@
 
 // Result is what one step did.
 type Result struct {
-	Took      time.Duration
-	Emitted   []Emitted
-	Preempted []api.GenerationID
-	Cache     []CacheChange
+	Duration     time.Duration
+	Tokens       []Token
+	Preempted    []api.GenerationID
+	CacheChanges []CacheChange
 }
 
 type sequence struct {
 	Work
-	made      api.Tokens
-	prefill   api.Tokens
-	arrived   int
-	preempted int
+	generated   api.Tokens
+	prefillLeft api.Tokens
+	arrival     int
+	preempted   int
 }
 
-// held is the memory the sequence takes while it runs.
-func (s *sequence) held() api.Tokens {
-	return s.Prompt + s.made
+// kvTokens is the memory the sequence takes while it runs.
+func (s *sequence) kvTokens() api.Tokens {
+	return s.Prompt + s.generated
 }
 
 // Model is the state of one engine.
@@ -89,7 +89,7 @@
 	running     []*sequence
 	waiting     []*sequence
 	prefixes    []prefix
-	used        api.Tokens
+	kvUsed      api.Tokens
 	arrivals    int
 	preemptions int
 }
@@ -102,27 +102,27 @@
 // Add puts a generation in line.
 func (m *Model) Add(w Work) {
 	m.arrivals++
-	m.wait(&sequence{Work: w, arrived: m.arrivals})
+	m.enqueue(&sequence{Work: w, arrival: m.arrivals})
 }
 
-// wait keeps the line in order of priority and arrival.
-func (m *Model) wait(s *sequence) {
-	i, _ := slices.BinarySearchFunc(m.waiting, s, order)
+// enqueue keeps the line in order of priority and arrival.
+func (m *Model) enqueue(s *sequence) {
+	i, _ := slices.BinarySearchFunc(m.waiting, s, compareRank)
 	m.waiting = slices.Insert(m.waiting, i, s)
 }
 
-func order(a, b *sequence) int {
+func compareRank(a, b *sequence) int {
 	if r := a.Priority.Rank() - b.Priority.Rank(); r != 0 {
 		return r
 	}
-	return a.arrived - b.arrived
+	return a.arrival - b.arrival
 }
 
 // Cancel ends a generation and reports whether it was there.
 func (m *Model) Cancel(id api.GenerationID) bool {
 	is := func(s *sequence) bool { return s.ID == id }
 	if i := slices.IndexFunc(m.running, is); i >= 0 {
-		m.used -= m.running[i].held()
+		m.kvUsed -= m.running[i].kvTokens()
 		m.running = slices.Delete(m.running, i, i+1)
 		return true
 	}
@@ -140,8 +140,8 @@
 type Load struct {
 	Running     int
 	Waiting     int
-	Used        api.Tokens
-	Total       api.Tokens
+	KVUsed      api.Tokens
+	KVTotal     api.Tokens
 	Preemptions int
 }
 
@@ -150,8 +150,8 @@
 	return Load{
 		Running:     len(m.running),
 		Waiting:     len(m.waiting),
-		Used:        m.used,
-		Total:       m.options.KVTokens,
+		KVUsed:      m.kvUsed,
+		KVTotal:     m.options.KVTokens,
 		Preemptions: m.preemptions,
 	}
 }
@@ -162,32 +162,32 @@
 	var r Result
 	m.admit(&r)
 	p := m.prefill()
-	m.makeRoom(&r)
+	m.preempt(&r)
 	n := m.decode(&r)
-	r.Took = m.options.StepBase +
+	r.Duration = m.options.StepBase +
 		time.Duration(n)*m.options.StepPerGeneration +
 		time.Duration(p)*m.options.StepPerPrefill
 	return r
 }
 
-// makeRoom preempts until every decoding generation can grow by one token.
-func (m *Model) makeRoom(r *Result) {
-	for len(m.running) > 1 && m.used+m.growing() > m.options.KVTokens {
+// preempt preempts until every decoding generation can grow by one token.
+func (m *Model) preempt(r *Result) {
+	for len(m.running) > 1 && m.kvUsed+m.decoding() > m.options.KVTokens {
 		i := m.victim()
 		s := m.running[i]
 		m.running = slices.Delete(m.running, i, i+1)
-		m.used -= s.held()
+		m.kvUsed -= s.kvTokens()
 		s.preempted++
 		m.preemptions++
 		r.Preempted = append(r.Preempted, s.ID)
-		m.wait(s)
+		m.enqueue(s)
 	}
 }
 
-func (m *Model) growing() api.Tokens {
+func (m *Model) decoding() api.Tokens {
 	n := api.Tokens(0)
 	for _, s := range m.running {
-		if s.prefill == 0 {
+		if s.prefillLeft == 0 {
 			n++
 		}
 	}
@@ -198,7 +198,7 @@
 func (m *Model) victim() int {
 	v := 0
 	for i, s := range m.running {
-		if order(s, m.running[v]) > 0 {
+		if compareRank(s, m.running[v]) > 0 {
 			v = i
 		}
 	}
@@ -211,14 +211,14 @@
 	const reserve = 100
 	for len(m.waiting) > 0 && len(m.running) < m.options.MaxBatch {
 		s := m.waiting[0]
-		free := m.options.KVTokens - m.used - m.growing() - m.options.KVTokens/reserve
-		if s.held() > free && len(m.running) > 0 {
+		free := m.options.KVTokens - m.kvUsed - m.decoding() - m.options.KVTokens/reserve
+		if s.kvTokens() > free && len(m.running) > 0 {
 			return
 		}
 		m.waiting = m.waiting[1:]
 		m.running = append(m.running, s)
-		m.used += s.held()
-		s.prefill = max(1, s.held()-m.hit(s, r))
+		m.kvUsed += s.kvTokens()
+		s.prefillLeft = max(1, s.kvTokens()-m.usePrefix(s, r))
 	}
 }
 
@@ -226,8 +226,8 @@
 func (m *Model) prefill() api.Tokens {
 	left := m.options.PrefillChunk
 	for _, s := range m.running {
-		n := min(left, s.prefill)
-		s.prefill -= n
+		n := min(left, s.prefillLeft)
+		s.prefillLeft -= n
 		left -= n
 	}
 	return m.options.PrefillChunk - left
@@ -238,17 +238,17 @@
 	n := 0
 	kept := m.running[:0]
 	for _, s := range m.running {
-		if s.prefill > 0 {
+		if s.prefillLeft > 0 {
 			kept = append(kept, s)
 			continue
 		}
 		n++
-		s.made++
-		m.used++
-		last := s.made >= s.Length
-		r.Emitted = append(r.Emitted, Emitted{ID: s.ID, Index: s.made - 1, Last: last})
+		s.generated++
+		m.kvUsed++
+		last := s.generated >= s.Length
+		r.Tokens = append(r.Tokens, Token{ID: s.ID, Index: s.generated - 1, Last: last})
 		if last {
-			m.used -= s.held()
+			m.kvUsed -= s.kvTokens()
 			continue
 		}
 		kept = append(kept, s)
--- a/internal/standin/batch/prefix.go
+++ b/internal/standin/batch/prefix.go
@@ -11,9 +11,9 @@
 	tokens api.Tokens
 }
 
-// hit gives the prompt tokens that the prefix cache saves, and stores the
+// usePrefix gives the prompt tokens that the prefix cache saves, and stores the
 // prefix as the one used last.
-func (m *Model) hit(s *sequence, r *Result) api.Tokens {
+func (m *Model) usePrefix(s *sequence, r *Result) api.Tokens {
 	if s.Prefix == "" {
 		return 0
 	}
@@ -23,7 +23,7 @@
 		saved = min(m.prefixes[i].tokens, s.Prompt)
 		m.prefixes = slices.Delete(m.prefixes, i, i+1)
 	} else {
-		r.Cache = append(r.Cache, CacheChange{Prefix: s.Prefix, Stored: true})
+		r.CacheChanges = append(r.CacheChanges, CacheChange{Prefix: s.Prefix, Stored: true})
 	}
 	m.prefixes = append(m.prefixes, prefix{s.Prefix, s.PrefixTokens})
 	m.evict(r)
@@ -40,6 +40,6 @@
 		p := m.prefixes[0]
 		m.prefixes = m.prefixes[1:]
 		n -= p.tokens
-		r.Cache = append(r.Cache, CacheChange{Prefix: p.name, Stored: false})
+		r.CacheChanges = append(r.CacheChanges, CacheChange{Prefix: p.name, Stored: false})
 	}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -150,8 +150,8 @@
 		return 0
 	}
 	r := e.model.Step()
-	e.lastStep = r.Took
-	for _, x := range r.Emitted {
+	e.lastStep = r.Duration
+	for _, x := range r.Tokens {
 		e.recordToken(now, x)
 	}
 	for _, id := range r.Preempted {
@@ -159,13 +159,13 @@
 			g.preempted++
 		}
 	}
-	for _, c := range r.Cache {
+	for _, c := range r.CacheChanges {
 		e.recordCacheChange(now, c)
 	}
-	return r.Took
+	return r.Duration
 }
 
-func (e *Engine) recordToken(now time.Time, x batch.Emitted) {
+func (e *Engine) recordToken(now time.Time, x batch.Token) {
 	g, ok := e.generations[x.ID]
 	if !ok {
 		return
@@ -208,8 +208,8 @@
 		TimeMS:      api.UnixMilliseconds(now),
 		Running:     l.Running,
 		Waiting:     l.Waiting,
-		KVUsed:      l.Used,
-		KVTotal:     l.Total,
+		KVUsed:      l.KVUsed,
+		KVTotal:     l.KVTotal,
 		StepMS:      float64(e.lastStep) / float64(time.Millisecond),
 		Preemptions: l.Preemptions,
 		Leaving:     e.leaving,
