--- a/fleet/own_signals_test.go
+++ b/fleet/own_signals_test.go
@@ -125,9 +125,9 @@
 	fleet(t, 6, func(t *testing.T, b *bed) {
 		b.work()
 		b.order("before", 30, time.Second)
-		b.orders.Set(service.Faults{RestS: restTime.Seconds()})
+		b.orders.Set(service.Faults{BackoffS: restTime.Seconds()})
 		o := b.order("rest", 30, restTime)
-		if got, most := b.orders.Refused(), (1+restSlack)*len(b.vms); got > most {
+		if got, most := b.orders.RefusedForBackoff(), (1+restSlack)*len(b.vms); got > most {
 			t.Errorf("calls in the rest: got %d, want at most %d", got, most)
 		}
 		b.orders.Set(service.Faults{})
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -14,8 +14,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bodyLimit bounds the requests that the service reads.
-const bodyLimit = 16 << 20
+// maxBodyBytes bounds the requests that the service reads.
+const maxBodyBytes = 16 << 20
 
 // Answer is what the service answers.
 type Answer struct {
@@ -44,8 +44,8 @@
 	Limit float64 `json:"limit"`
 	// Leaving is said in every answer.
 	Leaving bool `json:"leaving"`
-	// RestS turns every call away and asks for so many seconds of rest; zero turns none away.
-	RestS float64 `json:"rest_s"`
+	// BackoffS turns every call away and asks for so many seconds of rest; zero turns none away.
+	BackoffS float64 `json:"rest_s"`
 }
 
 // Service is the state of one stand-in.
@@ -55,8 +55,8 @@
 	mutex  sync.Mutex
 	faults Faults
 	counts map[string]int
-	// refused counts the calls that were turned away for rest.
-	refused int
+	// refusedForBackoff counts the calls that were turned away for rest.
+	refusedForBackoff int
 }
 
 // New makes a service that has run nothing.
@@ -96,7 +96,7 @@
 
 func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if err := wire.Read(w, r, bodyLimit, &f); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &f); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
@@ -104,8 +104,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take uses one of a kind of fault up.
-func (s *Service) take(n *int) bool {
+// consumeFault uses one of a kind of fault up.
+func (s *Service) consumeFault(n *int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if *n == 0 {
@@ -115,15 +115,15 @@
 	return true
 }
 
-func (s *Service) run(key string) int {
+func (s *Service) countRun(key string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counts[key]++
 	return s.counts[key]
 }
 
-// signal writes what the service says of itself.
-func (s *Service) signal(h http.Header) {
+// writeSignals writes what the service says of itself.
+func (s *Service) writeSignals(h http.Header) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if l := s.faults.Limit; l > 0 {
@@ -134,23 +134,23 @@
 	}
 }
 
-// rests reports whether the service turns calls away, and writes for how long.
-func (s *Service) rests(h http.Header) bool {
+// refuseForBackoff reports whether the service turns calls away, and writes for how long.
+func (s *Service) refuseForBackoff(h http.Header) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.faults.RestS == 0 {
+	if s.faults.BackoffS == 0 {
 		return false
 	}
-	s.refused++
-	h.Set(wire.HeaderRetryAfter, strconv.FormatFloat(s.faults.RestS, 'f', -1, 64))
+	s.refusedForBackoff++
+	h.Set(wire.HeaderRetryAfter, strconv.FormatFloat(s.faults.BackoffS, 'f', -1, 64))
 	return true
 }
 
-// Refused counts the calls that were turned away for rest.
-func (s *Service) Refused() int {
+// RefusedForBackoff counts the calls that were turned away for rest.
+func (s *Service) RefusedForBackoff() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.refused
+	return s.refusedForBackoff
 }
 
 func (s *Service) delay() time.Duration {
@@ -160,12 +160,12 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, bodyLimit))
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
-	s.signal(w.Header())
-	if s.rests(w.Header()) || s.take(&s.faults.Refuse) {
+	s.writeSignals(w.Header())
+	if s.refuseForBackoff(w.Header()) || s.consumeFault(&s.faults.Refuse) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -174,16 +174,16 @@
 	if key == "" {
 		key = id
 	}
-	n := s.run(key)
+	n := s.countRun(key)
 	time.Sleep(s.delay())
-	if s.take(&s.faults.LoseAnswers) {
+	if s.consumeFault(&s.faults.LoseAnswers) {
 		panic(http.ErrAbortHandler)
 	}
-	if s.take(&s.faults.CrossAnswers) {
+	if s.consumeFault(&s.faults.CrossAnswers) {
 		id = "another-" + id
 	}
 	w.Header().Set(wire.HeaderRequestID, id)
-	if s.take(&s.faults.CutAnswers) {
+	if s.consumeFault(&s.faults.CutAnswers) {
 		w.Header().Set("Content-Length", "100")
 		w.WriteHeader(http.StatusOK)
 		_, _ = w.Write([]byte("{"))
