--- a/cmd/load.go
+++ b/cmd/load.go
@@ -41,8 +41,8 @@
 	if err := c.printReport(e, r); err != nil {
 		return err
 	}
-	if len(r.Wrong) > 0 {
-		return fault.New(fault.CheckFailed, strconv.Itoa(len(r.Wrong))+" answers violated a guarantee")
+	if len(r.Violations) > 0 {
+		return fault.New(fault.CheckFailed, strconv.Itoa(len(r.Violations))+" answers violated a guarantee")
 	}
 	if c.Strict && r.Whole != r.Requests {
 		return fault.New(fault.CheckFailed, strconv.Itoa(r.Requests-r.Whole)+" requests were not answered in full")
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -344,8 +344,8 @@
 	s := newSystem(t, options{entries: 2, engines: 2, settings: patientSettings})
 	s.put("http://"+s.platform.listen+"/dev/faults", map[string]bool{"outage": true})
 	r := s.load(150, 30, 9)
-	if len(r.Wrong) != 0 {
-		t.Errorf("wrong answers: got %v, want none", r.Wrong)
+	if len(r.Violations) != 0 {
+		t.Errorf("wrong answers: got %v, want none", r.Violations)
 	}
 	for _, e := range r.Errors {
 		if e.Type != "claim_unavailable" || e.Ran != api.RanNo {
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -41,8 +41,8 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					if len(r.Wrong) > 0 {
-						b.Errorf("wrong answers: got %v", r.Wrong)
+					if len(r.Violations) > 0 {
+						b.Errorf("wrong answers: got %v", r.Violations)
 					}
 					b.ReportMetric(r.All.StallSum/1000, "stall-s")
 					b.ReportMetric(1000*float64(s.preemptions())/float64(r.Requests), "preempted/1000")
--- a/fleet/work_test.go
+++ b/fleet/work_test.go
@@ -59,8 +59,8 @@
 		b.t.Fatal(err)
 	}
 	b.t.Logf("%d of %d whole, errors %v", r.Whole, r.Requests, r.Errors)
-	if len(r.Wrong) > 0 {
-		b.t.Errorf("wrong answers: got %v, want none", r.Wrong)
+	if len(r.Violations) > 0 {
+		b.t.Errorf("wrong answers: got %v, want none", r.Violations)
 	}
 	return r
 }
--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -11,31 +11,31 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// healthEvery is the time between looks at an entry VM's health.
-const healthEvery = 100 * time.Millisecond
+// healthCheckInterval is the time between looks at an entry VM's health.
+const healthCheckInterval = 100 * time.Millisecond
 
 // balancer stands in for the platform's balancer: it sends new requests to
 // entry VMs whose health check says yes.
 type balancer struct {
-	http    *http.Client
-	mutex   sync.Mutex
-	entries []string
-	down    map[string]bool
+	http      *http.Client
+	mutex     sync.Mutex
+	entries   []string
+	unhealthy map[string]bool
 }
 
 func newBalancer(entries []string, d wire.DialFunc) *balancer {
 	const wait = time.Second
 	t := &http.Transport{DisableKeepAlives: true, DialContext: d}
-	return &balancer{http: &http.Client{Transport: t, Timeout: wait}, entries: entries, down: map[string]bool{}}
+	return &balancer{http: &http.Client{Transport: t, Timeout: wait}, entries: entries, unhealthy: map[string]bool{}}
 }
 
-// run looks at every entry VM until the context ends.
-func (b *balancer) run(ctx context.Context) error {
-	return duty.Loop(ctx, func() time.Duration { return healthEvery }, func(ctx context.Context) {
+// checkHealth looks at every entry VM until the context ends.
+func (b *balancer) checkHealth(ctx context.Context) error {
+	return duty.Loop(ctx, func() time.Duration { return healthCheckInterval }, func(ctx context.Context) {
 		for _, e := range b.entries {
 			ok := b.healthy(ctx, e)
 			b.mutex.Lock()
-			b.down[e] = !ok
+			b.unhealthy[e] = !ok
 			b.mutex.Unlock()
 		}
 	})
@@ -54,14 +54,14 @@
 	return a.StatusCode == http.StatusOK
 }
 
-// order gives the entry VMs to try for a request, healthy ones first.
-func (b *balancer) order(serial int) []string {
+// candidates gives the entry VMs to try for a request, healthy ones first.
+func (b *balancer) candidates(serial int) []string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var up, down []string
 	for i := range b.entries {
 		e := b.entries[(serial+i)%len(b.entries)]
-		if b.down[e] {
+		if b.unhealthy[e] {
 			down = append(down, e)
 		} else {
 			up = append(up, e)
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -28,14 +28,14 @@
 type result struct {
 	class *Class
 	// request is the id that the entry VM gave it; empty where none answered.
-	request api.RequestID
-	first   time.Duration
-	gaps    []time.Duration
-	tokens  int
-	fault   *fault.Error
-	// wrong tells that an answer broke a promise: a token missing, doubled,
+	request    api.RequestID
+	firstToken time.Duration
+	gaps       []time.Duration
+	tokens     int
+	fault      *fault.Error
+	// violation tells that an answer broke a promise: a token missing, doubled,
 	// out of order or of another generation, or a call run more than once.
-	wrong string
+	violation string
 }
 
 // caller sends the requests of a plan.
@@ -45,18 +45,18 @@
 	model    string
 }
 
-// do sends one request, through the next entry VM when one can't be reached,
+// send sends one request, through the next entry VM when one can't be reached,
 // as the balancer in front of them would.
-func (c *caller) do(ctx context.Context, a Arrival) result {
+func (c *caller) send(ctx context.Context, a Arrival) result {
 	key := uuid.NewString()
 	var out result
-	for _, e := range c.balancer.order(a.Serial) {
+	for _, e := range c.balancer.candidates(a.Serial) {
 		if a.Class.Chat {
 			out = c.chat(ctx, e, a)
 		} else {
-			out = c.call(ctx, e, a, key)
+			out = c.callService(ctx, e, a, key)
 		}
-		if !elsewhere(out.fault) {
+		if !retriesElsewhere(out.fault) {
 			break
 		}
 	}
@@ -64,9 +64,9 @@
 	return out
 }
 
-// elsewhere reports whether the balancer tries another entry VM: this one was
+// retriesElsewhere reports whether the balancer tries another entry VM: this one was
 // not reached, or said that it takes no requests.
-func elsewhere(f *fault.Error) bool {
+func retriesElsewhere(f *fault.Error) bool {
 	if f == nil {
 		return false
 	}
@@ -92,7 +92,7 @@
 		Stream: true,
 		Messages: []api.ChatMessage{
 			{Role: "system", Content: a.Class.System},
-			{Role: "user", Content: filler(a)},
+			{Role: "user", Content: promptText(a)},
 		},
 		Metadata: map[string]string{engine.MetadataTokens: strconv.Itoa(int(a.Output))},
 	}
@@ -108,14 +108,14 @@
 	defer func() { _ = resp.Body.Close() }()
 	out := result{fault: refusal(resp)}
 	if out.fault == nil {
-		out = read(resp.Body, began, int(a.Output))
+		out = readStream(resp.Body, began, int(a.Output))
 	}
 	out.request = api.RequestID(resp.Header.Get(wire.HeaderRequestID))
 	return out
 }
 
-// filler is a prompt of the planned length that no other request has.
-func filler(a Arrival) string {
+// promptText is a prompt of the planned length that no other request has.
+func promptText(a Arrival) string {
 	s := strconv.Itoa(a.Serial) + " "
 	n := int(a.Prompt)*bytesPerToken - len(s)
 	return s + strings.Repeat("word ", max(0, n/len("word ")))
@@ -137,8 +137,8 @@
 	return fault.FromBody(e)
 }
 
-// read takes a stream and checks every token.
-func read(body io.Reader, began time.Time, want int) result {
+// readStream takes a stream and checks every token.
+func readStream(body io.Reader, began time.Time, want int) result {
 	out := result{}
 	last := began
 	generation := ""
@@ -151,7 +151,7 @@
 		if e.Type == "error" {
 			var b api.ErrorBody
 			if err := json.Unmarshal([]byte(e.Data), &b); err != nil {
-				out.wrong = "an error event is not JSON"
+				out.violation = "an error event is not JSON"
 			}
 			out.fault = fault.FromBody(b)
 			return false
@@ -160,31 +160,31 @@
 			ended = true
 			return false
 		}
-		text, err := content(e.Data)
+		text, err := deltaText(e.Data)
 		if err != nil || text == "" {
 			return err == nil
 		}
 		now := time.Now()
 		if out.tokens == 0 {
-			out.first = now.Sub(began)
+			out.firstToken = now.Sub(began)
 		} else {
 			out.gaps = append(out.gaps, now.Sub(last))
 		}
 		last = now
-		out.check(text, &generation)
+		out.checkToken(text, &generation)
 		return true
 	})
 	switch {
-	case out.fault != nil || out.wrong != "":
+	case out.fault != nil || out.violation != "":
 	case !ended:
 		out.fault = fault.New(fault.BadAnswer, "the stream ended without its mark")
 	case out.tokens != want:
-		out.wrong = fmt.Sprintf("got %d tokens, want %d", out.tokens, want)
+		out.violation = fmt.Sprintf("got %d tokens, want %d", out.tokens, want)
 	}
 	return out
 }
 
-func content(data string) (string, error) {
+func deltaText(data string) (string, error) {
 	var k api.ChatChunk
 	if err := json.Unmarshal([]byte(data), &k); err != nil {
 		return "", err
@@ -195,22 +195,22 @@
 	return k.Choices[0].Delta.Content, nil
 }
 
-// check reads a stand-in's token, which tells its generation and index.
-func (r *result) check(text string, generation *string) {
+// checkToken reads a stand-in's token, which tells its generation and index.
+func (r *result) checkToken(text string, generation *string) {
 	g, n, _ := strings.Cut(strings.TrimSpace(text), ":")
 	if r.tokens == 0 {
 		*generation = g
 	}
 	i, err := strconv.Atoi(n)
-	if r.wrong == "" && (err != nil || i != r.tokens || g != *generation) {
-		r.wrong = fmt.Sprintf("token %q at place %d of generation %s", text, r.tokens, *generation)
+	if r.violation == "" && (err != nil || i != r.tokens || g != *generation) {
+		r.violation = fmt.Sprintf("token %q at place %d of generation %s", text, r.tokens, *generation)
 	}
 	r.tokens++
 }
 
-// call calls a plain service; one that is not repeatable is asked for again
+// callService calls a plain service; one that is not repeatable is asked for again
 // with the same key while its outcome is not known and asking may help.
-func (c *caller) call(ctx context.Context, address string, a Arrival, key string) result {
+func (c *caller) callService(ctx context.Context, address string, a Arrival, key string) result {
 	began := time.Now()
 	r, err := c.request(ctx, a.Class.Method, "http://"+address+entry.PathServices+a.Class.Path, a, nil)
 	if err != nil {
@@ -229,14 +229,14 @@
 		return result{fault: f, request: id}
 	}
 	var s service.Answer
-	out := result{first: time.Since(began), request: id}
+	out := result{firstToken: time.Since(began), request: id}
 	switch err := json.NewDecoder(resp.Body).Decode(&s); {
 	case err != nil:
 		out.fault = fault.Wrap(fault.BadAnswer, err, "the answer is not whole")
 	case s.Request != id:
-		out.wrong = "the answer is of request " + string(s.Request)
+		out.violation = "the answer is of request " + string(s.Request)
 	case a.Class.Once && s.Count != 1:
-		out.wrong = fmt.Sprintf("the call ran %d times", s.Count)
+		out.violation = fmt.Sprintf("the call ran %d times", s.Count)
 	}
 	return out
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -59,8 +59,8 @@
 	Errors   []ErrorCount  `json:"errors"`
 	// Failures are the first requests that got an error.
 	Failures []Failure `json:"failures"`
-	// Wrong lists answers that broke a promise.
-	Wrong []string `json:"wrong"`
+	// Violations lists answers that broke a promise.
+	Violations []string `json:"wrong"`
 	// Preemptions is what the engines told the entry VMs during the run.
 	Preemptions int64 `json:"preemptions"`
 }
@@ -76,11 +76,11 @@
 }
 
 type summary struct {
-	all     *class
-	classes map[string]*class
-	errors  map[ErrorCount]int
-	wrong   []string
-	tokens  int
+	all        *class
+	classes    map[string]*class
+	errors     map[ErrorCount]int
+	violations []string
+	tokens     int
 	// failures are the first of those that got an error, sent counts all.
 	failures []Failure
 	sent     int
@@ -106,8 +106,8 @@
 		s.errors[ErrorCount{Type: r.fault.Code.Kind().Type, Ran: r.fault.Ran}]++
 		s.fail(r)
 	}
-	if r.wrong != "" {
-		s.wrong = append(s.wrong, r.class.Name+": "+r.wrong)
+	if r.violation != "" {
+		s.violations = append(s.violations, r.class.Name+": "+r.violation)
 	}
 }
 
@@ -125,11 +125,11 @@
 
 func (c *class) add(r result) {
 	c.requests++
-	if r.fault == nil && r.wrong == "" {
+	if r.fault == nil && r.violation == "" {
 		c.whole++
 	}
-	if r.first > 0 {
-		c.first.Record(r.first)
+	if r.firstToken > 0 {
+		c.first.Record(r.firstToken)
 	}
 	if !r.class.Chat || r.tokens == 0 {
 		return
@@ -154,7 +154,7 @@
 func (s *summary) report(o Options, d time.Duration) Report {
 	r := Report{
 		Mix: o.Mix.Name, Seed: o.Seed, Seconds: d.Seconds(), Requests: s.all.requests, Whole: s.all.whole,
-		Tokens: s.tokens, All: s.all.report("all"), Errors: []ErrorCount{}, Wrong: append([]string{}, s.wrong...),
+		Tokens: s.tokens, All: s.all.report("all"), Errors: []ErrorCount{}, Violations: append([]string{}, s.violations...),
 		Failures: append([]Failure{}, s.failures...),
 	}
 	for n, c := range s.classes {
@@ -187,7 +187,7 @@
 	for _, f := range r.Failures {
 		fmt.Fprintf(&b, "failed %s %s: %s (ran: %s)\n", f.Class, named(f.Request), f.Type, f.Ran)
 	}
-	for _, w := range r.Wrong {
+	for _, w := range r.Violations {
 		fmt.Fprintf(&b, "WRONG %s\n", w)
 	}
 	return b.String()
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -42,7 +42,7 @@
 	b := newBalancer(o.Entries, t.DialContext)
 	looks, stop := duty.New(ctx)
 	defer stop()
-	looks.Go(b.run)
+	looks.Go(b.checkHealth)
 	c := &caller{http: &http.Client{Transport: t}, balancer: b, model: o.Model}
 	var mutex sync.Mutex
 	s := newSummary()
@@ -67,7 +67,7 @@
 		s.sent++
 		mutex.Unlock()
 		g.Go(func(ctx context.Context) error {
-			r := c.do(ctx, a)
+			r := c.send(ctx, a)
 			mutex.Lock()
 			defer mutex.Unlock()
 			s.add(r)
