--- a/cmd/load.go
+++ b/cmd/load.go
@@ -25,7 +25,7 @@
 
 // Run sends the requests and prints the report.
 func (c *loadCommand) Run(e *environment) error {
-	m, ok := load.Find(c.Mix)
+	m, ok := load.FindMix(c.Mix)
 	if !ok {
 		return fault.New(fault.InvalidRequest, "no mix "+c.Mix)
 	}
--- a/cmd/measure.go
+++ b/cmd/measure.go
@@ -25,7 +25,7 @@
 func (c *measureCommand) Run(e *environment) error {
 	o := measure.Options{Size: measure.Today(), Factors: c.Factors, Seeds: c.Seeds, Only: c.Only, Workers: c.Workers}
 	for _, n := range c.Mixes {
-		m, ok := load.Find(n)
+		m, ok := load.FindMix(n)
 		if !ok {
 			return fault.New(fault.InvalidRequest, "no mix "+n)
 		}
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -19,7 +19,7 @@
 // BenchmarkPolicies confirms docs/MEASUREMENTS.md with real processes: 4 entry
 // VMs before 4 engines of the measured size, skip-hire at shares of capacity.
 func BenchmarkPolicies(b *testing.B) {
-	m, ok := load.Find("skip-hire")
+	m, ok := load.FindMix("skip-hire")
 	if !ok {
 		b.Fatal("no mix")
 	}
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -362,7 +362,7 @@
 // load runs a mix against all entry VMs.
 func (s *system) load(n int, perSecond float64, seed uint64) load.Report {
 	s.t.Helper()
-	m, ok := load.Find("both")
+	m, ok := load.FindMix("both")
 	if !ok {
 		s.t.Fatal("no mix")
 	}
--- a/fleet/work_test.go
+++ b/fleet/work_test.go
@@ -43,7 +43,7 @@
 // callers sends a mix of work through all entry VMs.
 func (b *bed) callers(n int, perSecond float64) load.Report {
 	b.t.Helper()
-	m, ok := load.Find("both")
+	m, ok := load.FindMix("both")
 	if !ok {
 		b.t.Fatal("no mix")
 	}
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -216,7 +216,7 @@
 	if err != nil {
 		return result{fault: fault.From(err)}
 	}
-	if a.Class.Once {
+	if a.Class.NotRepeatable {
 		r.Header.Set(wire.HeaderIdempotencyKey, key)
 	}
 	resp, err := c.http.Do(r)
@@ -235,7 +235,7 @@
 		out.fault = fault.Wrap(fault.BadAnswer, err, "the answer is not whole")
 	case s.Request != id:
 		out.violation = "the answer is of request " + string(s.Request)
-	case a.Class.Once && s.Count != 1:
+	case a.Class.NotRepeatable && s.Count != 1:
 		out.violation = fmt.Sprintf("the call ran %d times", s.Count)
 	}
 	return out
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -23,21 +23,21 @@
 	Prompt, Output Length
 	// Method and Path call a plain service.
 	Method, Path string
-	// Once marks calls that are not repeatable.
-	Once bool
+	// NotRepeatable marks calls that are not repeatable.
+	NotRepeatable bool
 }
 
 // Length is a lognormal distribution of lengths in tokens.
 type Length struct {
 	Median float64
-	Spread float64
-	Most   api.Tokens
+	Sigma  float64
+	Max    api.Tokens
 }
 
 // Draw gives one length.
 func (l Length) Draw(r *rand.Rand) api.Tokens {
-	n := api.Tokens(math.Round(l.Median * math.Exp(l.Spread*r.NormFloat64())))
-	return min(max(n, 1), l.Most)
+	n := api.Tokens(math.Round(l.Median * math.Exp(l.Sigma*r.NormFloat64())))
+	return min(max(n, 1), l.Max)
 }
 
 // Mix is a user's work.
@@ -57,8 +57,8 @@
 	return []Mix{s, a, both}
 }
 
-// Find gives a mix by name.
-func Find(name string) (Mix, bool) {
+// FindMix gives a mix by name.
+func FindMix(name string) (Mix, bool) {
 	for _, m := range Mixes() {
 		if m.Name == name {
 			return m, true
@@ -85,7 +85,7 @@
 			System: "You answer where a collection stands.",
 			Prompt: Length{60, 0.4, 500}, Output: Length{15, 0.5, 300},
 		},
-		{Name: "delivery-booking", Share: 0.05, Key: key, Method: "POST", Path: "/orders/bookings/skip", Once: true},
+		{Name: "delivery-booking", Share: 0.05, Key: key, Method: "POST", Path: "/orders/bookings/skip", NotRepeatable: true},
 	}}
 }
 
@@ -104,7 +104,7 @@
 		},
 		{Name: "alarm-check", Share: 0.20, Key: key, Method: "GET", Path: "/orders/alarms"},
 		{Name: "part-lookup", Share: 0.15, Key: key, Method: "GET", Path: "/orders/parts"},
-		{Name: "order-confirmation", Share: 0.05, Key: key, Method: "POST", Path: "/orders/confirm", Once: true},
+		{Name: "order-confirmation", Share: 0.05, Key: key, Method: "POST", Path: "/orders/confirm", NotRepeatable: true},
 	}}
 }
 
--- a/internal/measure/bench.go
+++ b/internal/measure/bench.go
@@ -178,7 +178,7 @@
 	q.work = dispatch.Work{
 		Request: api.RequestID(fmt.Sprint(a.Serial)), Workspace: api.WorkspaceName(a.Class.Key), Weight: 1,
 		Kind: api.RequestKind(a.Class.Name), Priority: a.Class.Priority, Model: model,
-		PromptTokens: a.Prompt, MaxTokens: a.Class.Output.Most, Prefix: a.Class.System, Deadline: b.now.Add(10 * time.Minute),
+		PromptTokens: a.Prompt, MaxTokens: a.Class.Output.Max, Prefix: a.Class.System, Deadline: b.now.Add(10 * time.Minute),
 	}
 	b.result.asked(b, q)
 	b.pending[q.work.Request] = q
--- a/internal/measure/calibration.go
+++ b/internal/measure/calibration.go
@@ -62,7 +62,7 @@
 	const draws = 20000
 	var out []string
 	for _, q := range quantiles {
-		bound := c.Quantile(0, l.Most, q)
+		bound := c.Quantile(0, l.Max, q)
 		in := 0
 		for range draws {
 			if l.Draw(r) <= bound {
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -20,7 +20,7 @@
 	class := func(name string, share float64) load.Class {
 		return load.Class{
 			Name: name, Share: share, Key: name, Priority: api.PriorityInteractive, Chat: true,
-			Prompt: load.Length{Median: 300, Spread: 0.5, Most: 3000}, Output: load.Length{Median: 120, Spread: 0.8, Most: 6000},
+			Prompt: load.Length{Median: 300, Sigma: 0.5, Max: 3000}, Output: load.Length{Median: 120, Sigma: 0.8, Max: 6000},
 		}
 	}
 	return load.Mix{Name: "flood", Classes: []load.Class{
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestRunsRepeatBySeed(t *testing.T) {
-	m, _ := load.Find("skip-hire")
+	m, _ := load.FindMix("skip-hire")
 	p := Policies(small(), m)[6]
 	a := measure(small(), p, m, 0.9, true, 3).Figures()
 	b := measure(small(), p, m, 0.9, true, 3).Figures()
@@ -24,7 +24,7 @@
 }
 
 func TestEveryRequestHasOneOutcome(t *testing.T) {
-	m, _ := load.Find("both")
+	m, _ := load.FindMix("both")
 	for _, p := range Policies(small(), m) {
 		r := measure(small(), p, m, 1.5, true, 1)
 		if got := r.Refused + r.Whole + r.Lost; got > r.Asked || r.Whole == 0 {
