--- a/cmd/load.go
+++ b/cmd/load.go
@@ -44,8 +44,8 @@
 	if len(r.Violations) > 0 {
 		return fault.New(fault.CheckFailed, strconv.Itoa(len(r.Violations))+" answers violated a guarantee")
 	}
-	if c.Strict && r.Whole != r.Requests {
-		return fault.New(fault.CheckFailed, strconv.Itoa(r.Requests-r.Whole)+" requests were not answered in full")
+	if c.Strict && r.Complete != r.Requests {
+		return fault.New(fault.CheckFailed, strconv.Itoa(r.Requests-r.Complete)+" requests were not answered in full")
 	}
 	return nil
 }
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -44,12 +44,12 @@
 					if len(r.Violations) > 0 {
 						b.Errorf("wrong answers: got %v", r.Violations)
 					}
-					b.ReportMetric(r.All.StallSum/1000, "stall-s")
+					b.ReportMetric(r.All.StallTotalMS/1000, "stall-s")
 					b.ReportMetric(1000*float64(s.preemptions())/float64(r.Requests), "preempted/1000")
-					b.ReportMetric(r.All.Gaps.P99, "gap-p99-ms")
-					b.ReportMetric(r.All.First.P95, "first-p95-ms")
+					b.ReportMetric(r.All.TokenGaps.P99, "gap-p99-ms")
+					b.ReportMetric(r.All.FirstToken.P95, "first-p95-ms")
 					b.ReportMetric(float64(r.Tokens)/r.Seconds, "tokens/s")
-					b.ReportMetric(100*float64(r.Requests-r.Whole)/float64(r.Requests), "refused%")
+					b.ReportMetric(100*float64(r.Requests-r.Complete)/float64(r.Requests), "refused%")
 				}
 			})
 		}
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -379,7 +379,7 @@
 // whole checks that every request of a run was answered whole and right.
 func whole(t *testing.T, r load.Report) {
 	t.Helper()
-	if len(r.Violations) != 0 || r.Whole != r.Requests {
-		t.Errorf("answers: got %d whole of %d, wrong %v, errors %v; want all whole", r.Whole, r.Requests, r.Violations, r.Errors)
+	if len(r.Violations) != 0 || r.Complete != r.Requests {
+		t.Errorf("answers: got %d whole of %d, wrong %v, errors %v; want all whole", r.Complete, r.Requests, r.Violations, r.Errors)
 	}
 }
--- a/fleet/work_test.go
+++ b/fleet/work_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.t.Logf("%d of %d whole, errors %v", r.Whole, r.Requests, r.Errors)
+	b.t.Logf("%d of %d whole, errors %v", r.Complete, r.Requests, r.Errors)
 	if len(r.Violations) > 0 {
 		b.t.Errorf("wrong answers: got %v, want none", r.Violations)
 	}
@@ -83,7 +83,7 @@
 		})
 		r := b.callers(300, 15)
 		// Callers whose connection broke hear nothing typed; the rest is whole.
-		lost := r.Requests - r.Whole
+		lost := r.Requests - r.Complete
 		if most := r.Requests / 10; lost > most {
 			t.Errorf("work lost: got %d requests of %d, want at most %d", lost, r.Requests, most)
 		}
@@ -105,8 +105,8 @@
 		})
 		// Nothing may be started any more when the test ends.
 		defer func() { <-done }()
-		if r := b.callers(400, 15); r.Whole != r.Requests {
-			t.Errorf("through a replacement of all: got %d of %d whole, want all", r.Whole, r.Requests)
+		if r := b.callers(400, 15); r.Complete != r.Requests {
+			t.Errorf("through a replacement of all: got %d of %d whole, want all", r.Complete, r.Requests)
 		}
 	})
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -11,8 +11,8 @@
 	"github.com/wardridge/wardridge/internal/quantile"
 )
 
-// StallBound is the gap between tokens beyond which it counts as a stall.
-const StallBound = entry.StallThreshold
+// StallThreshold is the gap between tokens beyond which it counts as a stall.
+const StallThreshold = entry.StallThreshold
 
 // ErrorCount is how often one type of error came.
 type ErrorCount struct {
@@ -32,18 +32,18 @@
 
 // Progress is how far a run has come.
 type Progress struct {
-	Planned, Sent, Answered, Whole int
+	Planned, Sent, Answered, Complete int
 }
 
 // ClassReport is what the callers of one class saw.
 type ClassReport struct {
-	Class    string           `json:"class"`
-	Requests int              `json:"requests"`
-	Whole    int              `json:"whole"`
-	First    quantile.Summary `json:"first_token"`
-	Gaps     quantile.Summary `json:"token_gaps"`
-	Stalls   quantile.Summary `json:"stall_per_stream"`
-	StallSum float64          `json:"stall_total_ms"`
+	Class        string           `json:"class"`
+	Requests     int              `json:"requests"`
+	Complete     int              `json:"whole"`
+	FirstToken   quantile.Summary `json:"first_token"`
+	TokenGaps    quantile.Summary `json:"token_gaps"`
+	Stalls       quantile.Summary `json:"stall_per_stream"`
+	StallTotalMS float64          `json:"stall_total_ms"`
 }
 
 // Report is what the callers of a run saw.
@@ -52,7 +52,7 @@
 	Seed     uint64        `json:"seed"`
 	Seconds  float64       `json:"seconds"`
 	Requests int           `json:"requests"`
-	Whole    int           `json:"whole"`
+	Complete int           `json:"whole"`
 	Tokens   int           `json:"tokens"`
 	All      ClassReport   `json:"all"`
 	Classes  []ClassReport `json:"classes"`
@@ -65,19 +65,19 @@
 	Preemptions int64 `json:"preemptions"`
 }
 
-type class struct {
-	requests, whole     int
+type classSummary struct {
+	requests, complete  int
 	first, gaps, stalls *quantile.Times
 	stall               time.Duration
 }
 
-func newClass() *class {
-	return &class{first: quantile.New(), gaps: quantile.New(), stalls: quantile.New()}
+func newClassSummary() *classSummary {
+	return &classSummary{first: quantile.New(), gaps: quantile.New(), stalls: quantile.New()}
 }
 
 type summary struct {
-	all        *class
-	classes    map[string]*class
+	all        *classSummary
+	classes    map[string]*classSummary
 	errors     map[ErrorCount]int
 	violations []string
 	tokens     int
@@ -86,17 +86,17 @@
 	sent     int
 }
 
-// failuresMost bounds the failures that are named: enough to look into each kind.
-const failuresMost = 20
+// maxFailures bounds the failures that are named: enough to look into each kind.
+const maxFailures = 20
 
 func newSummary() *summary {
-	return &summary{all: newClass(), classes: map[string]*class{}, errors: map[ErrorCount]int{}}
+	return &summary{all: newClassSummary(), classes: map[string]*classSummary{}, errors: map[ErrorCount]int{}}
 }
 
 func (s *summary) add(r result) {
 	c, ok := s.classes[r.class.Name]
 	if !ok {
-		c = newClass()
+		c = newClassSummary()
 		s.classes[r.class.Name] = c
 	}
 	c.add(r)
@@ -104,29 +104,29 @@
 	s.tokens += r.tokens
 	if r.fault != nil {
 		s.errors[ErrorCount{Type: r.fault.Code.Kind().Type, Ran: r.fault.Ran}]++
-		s.fail(r)
+		s.addFailure(r)
 	}
 	if r.violation != "" {
 		s.violations = append(s.violations, r.class.Name+": "+r.violation)
 	}
 }
 
-// fail names a failure while there are few.
-func (s *summary) fail(r result) {
-	if len(s.failures) < failuresMost {
+// addFailure names a failure while there are few.
+func (s *summary) addFailure(r result) {
+	if len(s.failures) < maxFailures {
 		s.failures = append(s.failures, Failure{Request: r.request, Class: r.class.Name, Type: r.fault.Code.Kind().Type, Ran: r.fault.Ran})
 	}
 }
 
 // progress tells how far a run of so many requests has come.
 func (s *summary) progress(planned int) Progress {
-	return Progress{Planned: planned, Sent: s.sent, Answered: s.all.requests, Whole: s.all.whole}
+	return Progress{Planned: planned, Sent: s.sent, Answered: s.all.requests, Complete: s.all.complete}
 }
 
-func (c *class) add(r result) {
+func (c *classSummary) add(r result) {
 	c.requests++
 	if r.fault == nil && r.violation == "" {
-		c.whole++
+		c.complete++
 	}
 	if r.firstToken > 0 {
 		c.first.Record(r.firstToken)
@@ -137,23 +137,23 @@
 	stall := time.Duration(0)
 	for _, g := range r.gaps {
 		c.gaps.Record(g)
-		stall += max(0, g-StallBound)
+		stall += max(0, g-StallThreshold)
 	}
 	c.stalls.Record(stall)
 	c.stall += stall
 }
 
-func (c *class) report(name string) ClassReport {
+func (c *classSummary) report(name string) ClassReport {
 	return ClassReport{
-		Class: name, Requests: c.requests, Whole: c.whole,
-		First: c.first.Summary(), Gaps: c.gaps.Summary(), Stalls: c.stalls.Summary(),
-		StallSum: float64(c.stall.Milliseconds()),
+		Class: name, Requests: c.requests, Complete: c.complete,
+		FirstToken: c.first.Summary(), TokenGaps: c.gaps.Summary(), Stalls: c.stalls.Summary(),
+		StallTotalMS: float64(c.stall.Milliseconds()),
 	}
 }
 
 func (s *summary) report(o Options, d time.Duration) Report {
 	r := Report{
-		Mix: o.Mix.Name, Seed: o.Seed, Seconds: d.Seconds(), Requests: s.all.requests, Whole: s.all.whole,
+		Mix: o.Mix.Name, Seed: o.Seed, Seconds: d.Seconds(), Requests: s.all.requests, Complete: s.all.complete,
 		Tokens: s.tokens, All: s.all.report("all"), Errors: []ErrorCount{}, Violations: append([]string{}, s.violations...),
 		Failures: append([]Failure{}, s.failures...),
 	}
@@ -174,18 +174,18 @@
 // Text writes the report for a person.
 func (r Report) Text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "mix %s, seed %d: %d requests in %.1f s, %d whole, %d tokens, %d preemptions\n", r.Mix, r.Seed, r.Requests, r.Seconds, r.Whole, r.Tokens, r.Preemptions)
+	fmt.Fprintf(&b, "mix %s, seed %d: %d requests in %.1f s, %d whole, %d tokens, %d preemptions\n", r.Mix, r.Seed, r.Requests, r.Seconds, r.Complete, r.Tokens, r.Preemptions)
 	fmt.Fprintf(&b, "%-20s %8s %8s | %29s | %37s | %s\n", "class", "requests", "whole", "first token p50/p95/p99 ms", "token gap p50/p95/p99/p99.9 ms", "stall p50/p99/total ms")
 	for _, c := range append(r.Classes, r.All) {
 		fmt.Fprintf(&b, "%-20s %8d %8d | %9.1f %9.1f %9.1f | %9.1f %8.1f %8.1f %9.1f | %.1f %.1f %.0f\n",
-			c.Class, c.Requests, c.Whole, c.First.P50, c.First.P95, c.First.P99,
-			c.Gaps.P50, c.Gaps.P95, c.Gaps.P99, c.Gaps.P999, c.Stalls.P50, c.Stalls.P99, c.StallSum)
+			c.Class, c.Requests, c.Complete, c.FirstToken.P50, c.FirstToken.P95, c.FirstToken.P99,
+			c.TokenGaps.P50, c.TokenGaps.P95, c.TokenGaps.P99, c.TokenGaps.P999, c.Stalls.P50, c.Stalls.P99, c.StallTotalMS)
 	}
 	for _, e := range r.Errors {
 		fmt.Fprintf(&b, "error %s (ran: %s): %d\n", e.Type, e.Ran, e.Count)
 	}
 	for _, f := range r.Failures {
-		fmt.Fprintf(&b, "failed %s %s: %s (ran: %s)\n", f.Class, named(f.Request), f.Type, f.Ran)
+		fmt.Fprintf(&b, "failed %s %s: %s (ran: %s)\n", f.Class, requestLabel(f.Request), f.Type, f.Ran)
 	}
 	for _, w := range r.Violations {
 		fmt.Fprintf(&b, "WRONG %s\n", w)
@@ -193,8 +193,8 @@
 	return b.String()
 }
 
-// named gives a request's id for a person.
-func named(r api.RequestID) string {
+// requestLabel gives a request's id for a person.
+func requestLabel(r api.RequestID) string {
 	if r == "" {
 		return "(no answer)"
 	}
@@ -203,5 +203,5 @@
 
 // Text writes the progress for a person.
 func (p Progress) Text() string {
-	return fmt.Sprintf("%d of %d sent, %d answered, %d whole", p.Sent, p.Planned, p.Answered, p.Whole)
+	return fmt.Sprintf("%d of %d sent, %d answered, %d whole", p.Sent, p.Planned, p.Answered, p.Complete)
 }
--- a/internal/load/report_test.go
+++ b/internal/load/report_test.go
@@ -19,8 +19,8 @@
 	}
 	s.add(result{class: c, tokens: 1})
 	r := s.report(Options{}, 0)
-	if len(r.Failures) != failuresMost || r.Failures[0].Request != "r0" || r.Failures[0].Ran != api.RanNo {
-		t.Errorf("failures: got %+v, want the first %d by id", r.Failures, failuresMost)
+	if len(r.Failures) != maxFailures || r.Failures[0].Request != "r0" || r.Failures[0].Ran != api.RanNo {
+		t.Errorf("failures: got %+v, want the first %d by id", r.Failures, maxFailures)
 	}
 	if got := r.Text(); !strings.Contains(got, "failed chat r3: no_server (ran: no)") {
 		t.Errorf("text: got %q, want the failures named", got)
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -100,7 +100,7 @@
 		return
 	}
 	r.gaps.Record(d)
-	q.stall += max(0, d-load.StallBound)
+	q.stall += max(0, d-load.StallThreshold)
 }
 
 func (r *Result) whole(b *bench, q *request) {
