--- a/cmd/measure.go
+++ b/cmd/measure.go
@@ -23,7 +23,7 @@
 
 // Run measures the policies and prints the tables, or writes tables and plots to files.
 func (c *measureCommand) Run(e *environment) error {
-	o := measure.Options{Size: measure.Today(), Factors: c.Factors, Seeds: c.Seeds, Only: c.Only, Workers: c.Workers}
+	o := measure.Options{Size: measure.DefaultSize(), Factors: c.Factors, Seeds: c.Seeds, Only: c.Only, Workers: c.Workers}
 	for _, n := range c.Mixes {
 		m, ok := load.FindMix(n)
 		if !ok {
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -23,7 +23,7 @@
 	if !ok {
 		b.Fatal("no mix")
 	}
-	size := measure.Today()
+	size := measure.DefaultSize()
 	for _, p := range policies {
 		for _, f := range []struct {
 			name  string
--- a/internal/measure/bench.go
+++ b/internal/measure/bench.go
@@ -20,16 +20,16 @@
 	ReportEvery time.Duration
 	// ReportLag is the age of a report when it is read.
 	ReportLag time.Duration
-	// Warm is left out of the figures; Span is measured.
-	Warm, Span time.Duration
+	// WarmUp is left out of the figures; Span is measured.
+	WarmUp, Span time.Duration
 }
 
-// Today is a small part of today's system.
-func Today() Size {
+// DefaultSize is a small part of today's system.
+func DefaultSize() Size {
 	return Size{
 		Entries: 4, Engines: 4, Batch: batch.Defaults(),
 		ReportEvery: 500 * time.Millisecond, ReportLag: 200 * time.Millisecond,
-		Warm: 20 * time.Second, Span: 60 * time.Second,
+		WarmUp: 20 * time.Second, Span: 60 * time.Second,
 	}
 }
 
@@ -39,80 +39,80 @@
 
 // Times of faults after the warm time, and how long they last.
 const (
-	deathAt    = 10 * time.Second
-	deathFor   = 10 * time.Second
-	freezeAt   = 25 * time.Second
-	freezeFor  = 3 * time.Second
-	lateAt     = 35 * time.Second
-	lateFor    = 10 * time.Second
-	lateReport = 5 * time.Second
+	crashAt        = 10 * time.Second
+	crashFor       = 10 * time.Second
+	freezeAt       = 25 * time.Second
+	freezeFor      = 3 * time.Second
+	lateReportsAt  = 35 * time.Second
+	lateReportsFor = 10 * time.Second
+	lateReportLag  = 5 * time.Second
 )
 
-// tick is the time between the dispatchers' own rounds; queueWait is the
+// tickInterval is the time between the dispatchers' own rounds; maxQueueWait is the
 // product's longest wait for an engine.
 const (
-	tick      = 50 * time.Millisecond
-	queueWait = 10 * time.Second
+	tickInterval = 50 * time.Millisecond
+	maxQueueWait = 10 * time.Second
 )
 
 type request struct {
-	work   dispatch.Work
-	length api.Tokens
-	entry  *entry
-	class  *load.Class
-	came   time.Time
-	last   time.Time
-	made   api.Tokens
-	stall  time.Duration
-	engine *engine
-	id     api.GenerationID
-	tries  int
-	prefix api.Tokens
+	work         dispatch.Work
+	length       api.Tokens
+	entry        *entry
+	class        *load.Class
+	arrived      time.Time
+	lastToken    time.Time
+	generated    api.Tokens
+	stall        time.Duration
+	engine       *engine
+	id           api.GenerationID
+	attempts     int
+	prefixTokens api.Tokens
 }
 
 type entry struct {
-	decide *dispatch.Dispatcher
+	dispatcher *dispatch.Dispatcher
 }
 
 type engine struct {
-	name   api.ServerName
-	model  *batch.Model
-	busy   bool
-	dead   bool
-	frozen time.Time
-	life   int
-	runs   map[api.GenerationID]*request
+	name        api.ServerName
+	model       *batch.Model
+	busy        bool
+	dead        bool
+	frozenUntil time.Time
+	incarnation int
+	runs        map[api.GenerationID]*request
 }
 
 // bench is one run.
 type bench struct {
 	clock
-	size    Size
-	random  *rand.Rand
-	entries []*entry
-	engines []*engine
-	lag     time.Duration
-	result  *Result
-	counted time.Time
+	size        Size
+	random      *rand.Rand
+	entries     []*entry
+	engines     []*engine
+	reportLag   time.Duration
+	result      *Result
+	measureFrom time.Time
 	// pending are the requests that have no engine yet.
 	pending map[api.RequestID]*request
 }
 
 // run measures one policy on one plan.
 func measure(s Size, p Policy, m load.Mix, factor float64, faults Faults, seed uint64) *Result {
-	b := &bench{size: s, random: rand.New(rand.NewPCG(seed, 99)), lag: s.ReportLag, result: newResult(), pending: map[api.RequestID]*request{}}
+	b := &bench{size: s, random: rand.New(rand.NewPCG(seed, 99)), reportLag: s.ReportLag, result: newResult(), pending: map[api.RequestID]*request{}}
 	b.now = epoch
-	b.counted = epoch.Add(s.Warm)
+	b.measureFrom = epoch.Add(s.WarmUp)
 	b.build(p, seed)
 	perSecond := Capacity(s, m) * factor
-	n := int(perSecond * (s.Warm + s.Span).Seconds())
+	n := int(perSecond * (s.WarmUp + s.Span).Seconds())
 	for _, a := range load.Plan(m, n, perSecond, seed) {
 		b.at(epoch.Add(a.At), func() { b.arrive(a) })
 	}
 	if faults {
-		b.fault()
+		b.scheduleFaults()
 	}
-	end := epoch.Add(s.Warm + s.Span)
+	end := epoch.Add(s.WarmUp + s.Span)
 	b.run(end)
 	b.result.close(s.Span)
 	return b.result
@@ -126,8 +126,8 @@
 		b.engines = append(b.engines, &engine{name: n, model: batch.New(b.size.Batch), runs: map[api.GenerationID]*request{}})
 	}
 	for i := range b.size.Entries {
-		e := &entry{decide: dispatch.New(p.options(seed + uint64(i)*1000))}
-		e.decide.Declare(epoch, l)
+		e := &entry{dispatcher: dispatch.New(p.options(seed + uint64(i)*1000))}
+		e.dispatcher.Declare(epoch, l)
 		b.entries = append(b.entries, e)
 		b.after(0, func() { b.tick(e) })
 		for _, x := range b.engines {
@@ -140,10 +140,10 @@
 func (b *bench) poll(e *entry, x *engine) {
 	b.after(b.size.ReportEvery, func() { b.poll(e, x) })
 	if x.dead {
-		e.decide.MarkUnreachable(x.name)
+		e.dispatcher.MarkUnreachable(x.name)
 		return
 	}
-	if b.now.Before(x.frozen) {
+	if b.now.Before(x.frozenUntil) {
 		return
 	}
 	l := x.model.Load()
@@ -152,7 +152,7 @@
 		KVUsed: l.KVUsed, KVTotal: l.KVTotal, Preemptions: l.Preemptions, Role: api.EngineRoleServe,
 		Loaded: []string{"model/" + model}, StepMS: x.stepMS(b.size),
 	}
-	b.after(b.lag, func() { b.carry(e, e.decide.Report(b.now, r)) })
+	b.after(b.reportLag, func() { b.execute(e, e.dispatcher.Report(b.now, r)) })
 }
 
 // stepMS is the step time that an engine reports.
@@ -162,8 +162,8 @@
 }
 
 func (b *bench) tick(e *entry) {
-	b.after(tick, func() { b.tick(e) })
-	b.carry(e, e.decide.Tick(b.now))
+	b.after(tickInterval, func() { b.tick(e) })
+	b.execute(e, e.dispatcher.Tick(b.now))
 }
 
 // model is the one model of the bench.
@@ -174,7 +174,7 @@
 		return
 	}
 	e := b.entries[a.Serial%len(b.entries)]
-	q := &request{length: a.Output, entry: e, class: a.Class, came: b.now, last: b.now, prefix: 16}
+	q := &request{length: a.Output, entry: e, class: a.Class, arrived: b.now, lastToken: b.now, prefixTokens: 16}
 	q.work = dispatch.Work{
 		Request: api.RequestID(fmt.Sprint(a.Serial)), Workspace: api.WorkspaceName(a.Class.Key), Weight: 1,
 		Kind: api.RequestKind(a.Class.Name), Priority: a.Class.Priority, Model: model,
@@ -182,11 +182,11 @@
 	}
 	b.result.asked(b, q)
 	b.pending[q.work.Request] = q
-	b.carry(e, e.decide.Submit(b.now, q.work))
+	b.execute(e, e.dispatcher.Submit(b.now, q.work))
 }
 
-// carry carries a dispatcher's decisions out.
-func (b *bench) carry(e *entry, l []dispatch.Action) {
+// execute carries a dispatcher's decisions out.
+func (b *bench) execute(e *entry, l []dispatch.Action) {
 	for _, a := range l {
 		q, ok := b.pending[a.Request]
 		if !ok {
@@ -214,25 +214,25 @@
 	x := b.find(n)
 	q.engine = x
 	if x.dead {
-		e.decide.MarkUnreachable(n)
-		b.again(q)
+		e.dispatcher.MarkUnreachable(n)
+		b.retry(q)
 		return
 	}
-	q.tries++
+	q.attempts++
 	b.result.sent(b, q)
-	q.id = api.GenerationID(fmt.Sprintf("%s-%d", q.work.Request, q.tries))
+	q.id = api.GenerationID(fmt.Sprintf("%s-%d", q.work.Request, q.attempts))
 	x.runs[q.id] = q
-	x.model.Add(batch.Work{ID: q.id, Prompt: q.work.PromptTokens, Length: q.length, Priority: q.work.Priority, Prefix: q.work.Prefix, PrefixTokens: q.prefix})
+	x.model.Add(batch.Work{ID: q.id, Prompt: q.work.PromptTokens, Length: q.length, Priority: q.work.Priority, Prefix: q.work.Prefix, PrefixTokens: q.prefixTokens})
 	b.wake(x)
 }
 
-// again tries a request without a token on another engine.
-func (b *bench) again(q *request) {
+// retry tries a request without a token on another engine.
+func (b *bench) retry(q *request) {
 	e := q.entry
 	b.pending[q.work.Request] = q
 	q.work.Avoid = q.engine.name
-	b.carry(e, e.decide.Finish(b.now, q.work.Request, 0, false))
-	b.carry(e, e.decide.Retry(b.now, q.work))
+	b.execute(e, e.dispatcher.Finish(b.now, q.work.Request, 0, false))
+	b.execute(e, e.dispatcher.Retry(b.now, q.work))
 }
 
 // wake steps an engine that stood idle.
@@ -245,8 +245,8 @@
 }
 
 func (b *bench) step(x *engine) {
-	if b.now.Before(x.frozen) {
-		b.at(x.frozen, func() { b.step(x) })
+	if b.now.Before(x.frozenUntil) {
+		b.at(x.frozenUntil, func() { b.step(x) })
 		return
 	}
 	if x.dead || x.model.Idle() {
@@ -254,10 +254,10 @@
 		return
 	}
 	r := x.model.Step()
-	life := x.life
+	life := x.incarnation
 	b.result.preempted(b, len(r.Preempted))
 	b.after(r.Duration, func() {
-		if x.life != life {
+		if x.incarnation != life {
 			return
 		}
 		for _, m := range r.Tokens {
@@ -272,43 +272,43 @@
 	if !ok {
 		return
 	}
-	q.made++
+	q.generated++
 	b.result.token(b, q)
-	q.last = b.now
+	q.lastToken = b.now
 	const progressEvery = 16
 	switch {
 	case m.Last:
 		delete(x.runs, m.ID)
 		b.result.whole(b, q)
-		b.carry(q.entry, q.entry.decide.Finish(b.now, q.work.Request, q.made, true))
-	case q.made == 1 || q.made%progressEvery == 0:
-		q.entry.decide.Progress(q.work.Request, q.made)
+		b.execute(q.entry, q.entry.dispatcher.Finish(b.now, q.work.Request, q.generated, true))
+	case q.generated == 1 || q.generated%progressEvery == 0:
+		q.entry.dispatcher.Progress(q.work.Request, q.generated)
 	}
 }
 
-// fault plans the faults of a run.
-func (b *bench) fault() {
-	base := epoch.Add(b.size.Warm)
-	b.at(base.Add(deathAt), func() { b.die(b.engines[0]) })
-	b.at(base.Add(deathAt+deathFor), func() { b.engines[0].dead = false })
-	b.at(base.Add(freezeAt), func() { b.engines[1].frozen = b.now.Add(freezeFor) })
-	b.at(base.Add(lateAt), func() { b.lag = lateReport })
-	b.at(base.Add(lateAt+lateFor), func() { b.lag = b.size.ReportLag })
+// scheduleFaults plans the faults of a run.
+func (b *bench) scheduleFaults() {
+	base := epoch.Add(b.size.WarmUp)
+	b.at(base.Add(crashAt), func() { b.crash(b.engines[0]) })
+	b.at(base.Add(crashAt+crashFor), func() { b.engines[0].dead = false })
+	b.at(base.Add(freezeAt), func() { b.engines[1].frozenUntil = b.now.Add(freezeFor) })
+	b.at(base.Add(lateReportsAt), func() { b.reportLag = lateReportLag })
+	b.at(base.Add(lateReportsAt+lateReportsFor), func() { b.reportLag = b.size.ReportLag })
 }
 
-func (b *bench) die(x *engine) {
+func (b *bench) crash(x *engine) {
 	x.dead, x.busy = true, false
-	x.life++
+	x.incarnation++
 	x.model = batch.New(b.size.Batch)
 	lost := x.runs
 	x.runs = map[api.GenerationID]*request{}
 	for _, q := range ordered(lost) {
-		q.entry.decide.MarkUnreachable(x.name)
-		if q.made == 0 {
-			b.again(q)
+		q.entry.dispatcher.MarkUnreachable(x.name)
+		if q.generated == 0 {
+			b.retry(q)
 			continue
 		}
 		b.result.lost(b, q)
-		b.carry(q.entry, q.entry.decide.Finish(b.now, q.work.Request, q.made, false))
+		b.execute(q.entry, q.entry.dispatcher.Finish(b.now, q.work.Request, q.generated, false))
 	}
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -8,8 +8,8 @@
 )
 
 func small() Size {
-	s := Today()
-	s.Warm, s.Span = 5*time.Second, 50*time.Second
+	s := DefaultSize()
+	s.WarmUp, s.Span = 5*time.Second, 50*time.Second
 	return s
 }
 
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -27,7 +27,7 @@
 
 func (p Policy) options(seed uint64) dispatch.Options {
 	return dispatch.Options{
-		Admission: p.Admit(), Routing: p.Route(), QueueLimit: queueLimit, MaxQueueWait: queueWait,
+		Admission: p.Admit(), Routing: p.Route(), QueueLimit: queueLimit, MaxQueueWait: maxQueueWait,
 		SuspectAfter: suspect, RetryPermille: 100, Seed: seed,
 	}
 }
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -52,7 +52,7 @@
 
 // measured reports whether a request belongs to the measured span.
 func (b *bench) measured(q *request) bool {
-	return !q.came.Before(b.counted)
+	return !q.arrived.Before(b.measureFrom)
 }
 
 func (r *Result) asked(b *bench, q *request) {
@@ -81,21 +81,21 @@
 }
 
 func (r *Result) preempted(b *bench, n int) {
-	if !b.now.Before(b.counted) {
+	if !b.now.Before(b.measureFrom) {
 		r.Preempted += n
 	}
 }
 
 func (r *Result) token(b *bench, q *request) {
-	d := b.now.Sub(q.last)
+	d := b.now.Sub(q.lastToken)
 	if !b.measured(q) {
 		return
 	}
-	if q.made == 1 {
-		r.firsts.Record(b.now.Sub(q.came))
-		r.of(q).firsts.Record(b.now.Sub(q.came))
+	if q.generated == 1 {
+		r.firsts.Record(b.now.Sub(q.arrived))
+		r.of(q).firsts.Record(b.now.Sub(q.arrived))
 		if q.work.Priority == api.PriorityInteractive {
-			r.onLine.Record(b.now.Sub(q.came))
+			r.onLine.Record(b.now.Sub(q.arrived))
 		}
 		return
 	}
@@ -104,8 +104,8 @@
 }
 
 func (r *Result) whole(b *bench, q *request) {
-	if b.now.After(b.counted) {
-		r.good += int(q.made)
+	if b.now.After(b.measureFrom) {
+		r.good += int(q.generated)
 	}
 	if !b.measured(q) {
 		return
