--- a/internal/measure/bench.go
+++ b/internal/measure/bench.go
@@ -114,7 +114,7 @@
 	}
 	end := epoch.Add(s.WarmUp + s.Span)
 	b.run(end)
-	b.result.close(s.Span)
+	b.result.finish(s.Span)
 	return b.result
 }
 
@@ -180,7 +180,7 @@
 		Kind: api.RequestKind(a.Class.Name), Priority: a.Class.Priority, Model: model,
 		PromptTokens: a.Prompt, MaxTokens: a.Class.Output.Max, Prefix: a.Class.System, Deadline: b.now.Add(10 * time.Minute),
 	}
-	b.result.asked(b, q)
+	b.result.addRequest(b, q)
 	b.pending[q.work.Request] = q
 	b.execute(e, e.dispatcher.Submit(b.now, q.work))
 }
@@ -194,7 +194,7 @@
 		}
 		delete(b.pending, a.Request)
 		if a.Refusal != nil {
-			b.result.refused(b, q)
+			b.result.addRefusal(b, q)
 			continue
 		}
 		b.start(e, q, a.Server)
@@ -219,7 +219,7 @@
 		return
 	}
 	q.attempts++
-	b.result.sent(b, q)
+	b.result.addSend(b, q)
 	q.id = api.GenerationID(fmt.Sprintf("%s-%d", q.work.Request, q.attempts))
 	x.runs[q.id] = q
 	x.model.Add(batch.Work{ID: q.id, Prompt: q.work.PromptTokens, Length: q.length, Priority: q.work.Priority, Prefix: q.work.Prefix, PrefixTokens: q.prefixTokens})
@@ -255,7 +255,7 @@
 	}
 	r := x.model.Step()
 	life := x.incarnation
-	b.result.preempted(b, len(r.Preempted))
+	b.result.addPreemptions(b, len(r.Preempted))
 	b.after(r.Duration, func() {
 		if x.incarnation != life {
 			return
@@ -273,13 +273,13 @@
 		return
 	}
 	q.generated++
-	b.result.token(b, q)
+	b.result.addToken(b, q)
 	q.lastToken = b.now
 	const progressEvery = 16
 	switch {
 	case m.Last:
 		delete(x.runs, m.ID)
-		b.result.whole(b, q)
+		b.result.addComplete(b, q)
 		b.execute(q.entry, q.entry.dispatcher.Finish(b.now, q.work.Request, q.generated, true))
 	case q.generated == 1 || q.generated%progressEvery == 0:
 		q.entry.dispatcher.Progress(q.work.Request, q.generated)
@@ -302,13 +302,13 @@
 	x.model = batch.New(b.size.Batch)
 	lost := x.runs
 	x.runs = map[api.GenerationID]*request{}
-	for _, q := range ordered(lost) {
+	for _, q := range sortedByID(lost) {
 		q.entry.dispatcher.MarkUnreachable(x.name)
 		if q.generated == 0 {
 			b.retry(q)
 			continue
 		}
-		b.result.lost(b, q)
+		b.result.addLoss(b, q)
 		b.execute(q.entry, q.entry.dispatcher.Finish(b.now, q.work.Request, q.generated, false))
 	}
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -27,8 +27,8 @@
 	m, _ := load.FindMix("both")
 	for _, p := range Policies(small(), m) {
 		r := measure(small(), p, m, 1.5, true, 1)
-		if got := r.Refused + r.Whole + r.Lost; got > r.Asked || r.Whole == 0 {
-			t.Errorf("%s: got %d outcomes of %d requests, %d whole", p.Name, got, r.Asked, r.Whole)
+		if got := r.Refused + r.Complete + r.Lost; got > r.Requests || r.Complete == 0 {
+			t.Errorf("%s: got %d outcomes of %d requests, %d whole", p.Name, got, r.Requests, r.Complete)
 		}
 	}
 }
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -22,7 +22,7 @@
 var Plotted = []Figure{
 	{"stall", "total stall time, s", func(f *Figures) *float64 { return &f.StallTotal }},
 	{"preemptions", "preemptions per 1,000 requests", func(f *Figures) *float64 { return &f.Preemptions }},
-	{"goodput", "good tokens a second", func(f *Figures) *float64 { return &f.Good }},
+	{"goodput", "good tokens a second", func(f *Figures) *float64 { return &f.Goodput }},
 }
 
 // Plot writes one figure of a mix's tables, quiet or with faults, as SVG.
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -12,42 +12,42 @@
 
 // Result is what callers saw in the measured span of one run.
 type Result struct {
-	Asked, Refused, Whole, Lost, Sent int
-	Preempted                         int
-	// GoodTokens are the tokens of whole answers, a second.
-	GoodTokens float64
+	Requests, Refused, Complete, Lost, Sent int
+	Preempted                               int
+	// Goodput are the tokens of whole answers, a second.
+	Goodput float64
 	// StallTotal is the sum of stalls over all streams.
 	StallTotal time.Duration
 	gaps       *quantile.Times
 	stalls     *quantile.Times
 	firsts     *quantile.Times
-	// onLine are the first tokens of callers on the line.
-	onLine  *quantile.Times
-	good    int
-	classes map[string]*share
+	// interactiveFirsts are the first tokens of callers on the line.
+	interactiveFirsts *quantile.Times
+	goodTokens        int
+	classes           map[string]*classResult
 }
 
 func newResult() *Result {
-	return &Result{gaps: quantile.New(), stalls: quantile.New(), firsts: quantile.New(), onLine: quantile.New(), classes: map[string]*share{}}
+	return &Result{gaps: quantile.New(), stalls: quantile.New(), firsts: quantile.New(), interactiveFirsts: quantile.New(), classes: map[string]*classResult{}}
 }
 
-// share is what one class of requests got.
-type share struct {
-	asked, whole int
-	firsts       *quantile.Times
+// classResult is what one class of requests got.
+type classResult struct {
+	requests, complete int
+	firsts             *quantile.Times
 }
 
-func (r *Result) of(q *request) *share {
+func (r *Result) classOf(q *request) *classResult {
 	s, ok := r.classes[q.class.Name]
 	if !ok {
-		s = &share{firsts: quantile.New()}
+		s = &classResult{firsts: quantile.New()}
 		r.classes[q.class.Name] = s
 	}
 	return s
 }
 
-func (s *share) percent() float64 {
-	return 100 * float64(s.whole) / float64(max(s.asked, 1))
+func (s *classResult) completePercent() float64 {
+	return 100 * float64(s.complete) / float64(max(s.requests, 1))
 }
 
 // measured reports whether a request belongs to the measured span.
@@ -55,47 +55,47 @@
 	return !q.arrived.Before(b.measureFrom)
 }
 
-func (r *Result) asked(b *bench, q *request) {
+func (r *Result) addRequest(b *bench, q *request) {
 	if b.measured(q) {
-		r.Asked++
-		r.of(q).asked++
+		r.Requests++
+		r.classOf(q).requests++
 	}
 }
 
-func (r *Result) refused(b *bench, q *request) {
+func (r *Result) addRefusal(b *bench, q *request) {
 	if b.measured(q) {
 		r.Refused++
 	}
 }
 
-func (r *Result) sent(b *bench, q *request) {
+func (r *Result) addSend(b *bench, q *request) {
 	if b.measured(q) {
 		r.Sent++
 	}
 }
 
-func (r *Result) lost(b *bench, q *request) {
+func (r *Result) addLoss(b *bench, q *request) {
 	if b.measured(q) {
 		r.Lost++
 	}
 }
 
-func (r *Result) preempted(b *bench, n int) {
+func (r *Result) addPreemptions(b *bench, n int) {
 	if !b.now.Before(b.measureFrom) {
 		r.Preempted += n
 	}
 }
 
-func (r *Result) token(b *bench, q *request) {
+func (r *Result) addToken(b *bench, q *request) {
 	d := b.now.Sub(q.lastToken)
 	if !b.measured(q) {
 		return
 	}
 	if q.generated == 1 {
 		r.firsts.Record(b.now.Sub(q.arrived))
-		r.of(q).firsts.Record(b.now.Sub(q.arrived))
+		r.classOf(q).firsts.Record(b.now.Sub(q.arrived))
 		if q.work.Priority == api.PriorityInteractive {
-			r.onLine.Record(b.now.Sub(q.arrived))
+			r.interactiveFirsts.Record(b.now.Sub(q.arrived))
 		}
 		return
 	}
@@ -103,21 +103,21 @@
 	q.stall += max(0, d-load.StallThreshold)
 }
 
-func (r *Result) whole(b *bench, q *request) {
+func (r *Result) addComplete(b *bench, q *request) {
 	if b.now.After(b.measureFrom) {
-		r.good += int(q.generated)
+		r.goodTokens += int(q.generated)
 	}
 	if !b.measured(q) {
 		return
 	}
-	r.Whole++
-	r.of(q).whole++
+	r.Complete++
+	r.classOf(q).complete++
 	r.StallTotal += q.stall
 	r.stalls.Record(q.stall)
 }
 
-func (r *Result) close(span time.Duration) {
-	r.GoodTokens = float64(r.good) / span.Seconds()
+func (r *Result) finish(span time.Duration) {
+	r.Goodput = float64(r.goodTokens) / span.Seconds()
 }
 
 // Figures are the figures of one run.
@@ -125,30 +125,30 @@
 	StallP50, StallP99, StallTotal float64
 	Preemptions                    float64
 	GapP95, GapP99, GapP999        float64
-	FirstP95, OnLineP95            float64
-	Good                           float64
+	FirstP95, InteractiveFirstP95  float64
+	Goodput                        float64
 	Refused, Lost                  float64
-	SentPerAsked                   float64
+	SentPerAdmitted                float64
 }
 
 // Figures gives the run's figures: stalls, gaps and first token in ms, the
 // total stall in seconds, preemptions per 1,000 requests, good tokens a
 // second, and refused and lost requests in percent.
 func (r *Result) Figures() Figures {
-	n := float64(max(r.Asked, 1))
-	taken := float64(max(r.Asked-r.Refused, 1))
+	n := float64(max(r.Requests, 1))
+	taken := float64(max(r.Requests-r.Refused, 1))
 	return Figures{
 		StallP50: r.stalls.At(50), StallP99: r.stalls.At(99), StallTotal: r.StallTotal.Seconds(),
 		Preemptions: 1000 * float64(r.Preempted) / n,
 		GapP95:      r.gaps.At(95), GapP99: r.gaps.At(99), GapP999: r.gaps.At(99.9),
-		FirstP95: r.firsts.At(95), OnLineP95: r.onLine.At(95), Good: r.GoodTokens,
+		FirstP95: r.firsts.At(95), InteractiveFirstP95: r.interactiveFirsts.At(95), Goodput: r.Goodput,
 		Refused: 100 * float64(r.Refused) / n, Lost: 100 * float64(r.Lost) / n,
-		SentPerAsked: float64(r.Sent) / taken,
+		SentPerAdmitted: float64(r.Sent) / taken,
 	}
 }
 
-// ordered lists requests in order of their ids, so that runs repeat.
-func ordered(m map[api.GenerationID]*request) []*request {
+// sortedByID lists requests in order of their ids, so that runs repeat.
+func sortedByID(m map[api.GenerationID]*request) []*request {
 	l := make([]*request, 0, len(m))
 	for _, q := range m {
 		l = append(l, q)
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -101,11 +101,11 @@
 	{"gap p99 ms", func(f *Figures) *float64 { return &f.GapP99 }},
 	{"gap p99.9 ms", func(f *Figures) *float64 { return &f.GapP999 }},
 	{"first p95 ms", func(f *Figures) *float64 { return &f.FirstP95 }},
-	{"first p95 ms on the line", func(f *Figures) *float64 { return &f.OnLineP95 }},
-	{"good tokens/s", func(f *Figures) *float64 { return &f.Good }},
+	{"first p95 ms on the line", func(f *Figures) *float64 { return &f.InteractiveFirstP95 }},
+	{"good tokens/s", func(f *Figures) *float64 { return &f.Goodput }},
 	{"refused %", func(f *Figures) *float64 { return &f.Refused }},
 	{"lost %", func(f *Figures) *float64 { return &f.Lost }},
-	{"sent / taken", func(f *Figures) *float64 { return &f.SentPerAsked }},
+	{"sent / taken", func(f *Figures) *float64 { return &f.SentPerAdmitted }},
 }
 
 // summary gives the mean and the standard deviation of each figure.
