--- a/cmd/measure.go
+++ b/cmd/measure.go
@@ -59,7 +59,7 @@
 		return fault.Wrap(fault.UnreadableFile, err, "writing the tables")
 	}
 	for _, m := range c.Mixes {
-		for _, f := range measure.Plotted {
+		for _, f := range measure.Charts {
 			if err := c.writePlot(l, m, f); err != nil {
 				return err
 			}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (c *measureCommand) writePlot(l []measure.Table, mix string, f measure.Figure) error {
+func (c *measureCommand) writePlot(l []measure.Table, mix string, f measure.Chart) error {
 	w, err := os.Create(filepath.Join(c.Out, fmt.Sprintf("%s-%s.svg", mix, f.File)))
 	if err != nil {
 		return fault.Wrap(fault.UnreadableFile, err, "writing a plot")
--- a/internal/measure/calibration.go
+++ b/internal/measure/calibration.go
@@ -10,8 +10,8 @@
 	"github.com/wardridge/wardridge/internal/load"
 )
 
-// learned are the numbers of answers after which curves are judged.
-var learned = []int{0, 20, 100, 1000}
+// learnedCounts are the numbers of answers after which curves are judged.
+var learnedCounts = []int{0, 20, 100, 1000}
 
 // quantiles are the bounds whose coverage is judged.
 var quantiles = []float64{0.5, 0.9, 0.99}
@@ -22,10 +22,10 @@
 func Calibration(mixes []load.Mix) string {
 	var b strings.Builder
 	b.WriteString("### Coverage of length curves, percent within the bound of 50, 90 and 99\n\n| class |")
-	for _, n := range learned {
+	for _, n := range learnedCounts {
 		fmt.Fprintf(&b, " %d answers |", n)
 	}
-	b.WriteString(" 200 after drift |\n|---|" + strings.Repeat("---|", len(learned)+1) + "\n")
+	b.WriteString(" 200 after drift |\n|---|" + strings.Repeat("---|", len(learnedCounts)+1) + "\n")
 	for _, m := range mixes {
 		for _, c := range m.Classes {
 			if c.Chat {
@@ -43,7 +43,7 @@
 	k := length.Key{Workspace: api.WorkspaceName(c.Key), Kind: api.RequestKind(c.Name)}
 	row := "| " + c.Name + " |"
 	seen := 0
-	for _, n := range learned {
+	for _, n := range learnedCounts {
 		for ; seen < n; seen++ {
 			p.Observe(k, c.Output.Draw(r), true)
 		}
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -11,22 +11,22 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Figure names one figure to plot.
-type Figure struct {
+// Chart names one figure to plot.
+type Chart struct {
 	File  string
 	Title string
 	get   func(f *Figures) *float64
 }
 
-// Plotted are the figures that are plotted over the load.
-var Plotted = []Figure{
+// Charts are the figures that are plotted over the load.
+var Charts = []Chart{
 	{"stall", "total stall time, s", func(f *Figures) *float64 { return &f.StallTotal }},
 	{"preemptions", "preemptions per 1,000 requests", func(f *Figures) *float64 { return &f.Preemptions }},
 	{"goodput", "good tokens a second", func(f *Figures) *float64 { return &f.Goodput }},
 }
 
 // Plot writes one figure of a mix's tables, quiet or with faults, as SVG.
-func Plot(w io.Writer, l []Table, mix string, faults bool, f Figure) error {
+func Plot(w io.Writer, l []Table, mix string, faults bool, f Chart) error {
 	p := plot.New()
 	p.Title.Text = mix
 	p.X.Label.Text = "load, share of capacity"
@@ -35,7 +35,7 @@
 	p.Legend.Left = true
 	var args []any
 	for i := range rows(l, mix, faults) {
-		name, points := line(l, mix, faults, i, f)
+		name, points := linePoints(l, mix, faults, i, f)
 		args = append(args, name, points)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// line gives one policy's points over the load.
-func line(l []Table, mix string, faults bool, row int, f Figure) (string, plotter.XYs) {
+// linePoints gives one policy's points over the load.
+func linePoints(l []Table, mix string, faults bool, row int, f Chart) (string, plotter.XYs) {
 	var x plotter.XYs
 	name := ""
 	for _, t := range l {
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -20,22 +20,22 @@
 
 // Settings that the product takes by default.
 const (
-	overflow   = 0.02
-	queueLimit = 512
-	suspect    = 2 * time.Second
+	overflowProbability = 0.02
+	queueLimit          = 512
+	suspectAfter        = 2 * time.Second
 )
 
 func (p Policy) options(seed uint64) dispatch.Options {
 	return dispatch.Options{
 		Admission: p.Admit(), Routing: p.Route(), QueueLimit: queueLimit, MaxQueueWait: maxQueueWait,
-		SuspectAfter: suspect, RetryPermille: 100, Seed: seed,
+		SuspectAfter: suspectAfter, RetryPermille: 100, Seed: seed,
 	}
 }
 
 // Policies are the baselines and the choice, for a mix: slots are set to what
 // the mix needs on average, as a careful operator would, and to the batch.
 func Policies(s Size, m load.Mix) []Policy {
-	tuned := int(math.Round(batchOf(s, m)))
+	tuned := int(math.Round(meanBatch(s, m)))
 	slots := func(n int) func() admit.Policy {
 		return func() admit.Policy { return admit.Slots{N: n} }
 	}
@@ -53,55 +53,55 @@
 }
 
 func survival() admit.Policy {
-	return admit.NewSurvival(overflow, admit.StepTargetMS)
+	return admit.NewSurvival(overflowProbability, admit.StepTargetMS)
 }
 
-// moments are what capacity is worked out from.
-type moments struct {
-	chat   float64
-	output float64
-	held   float64
-	prompt float64
+// mixStats are what capacity is worked out from.
+type mixStats struct {
+	chatShare    float64
+	outputTokens float64
+	kvTokens     float64
+	promptTokens float64
 }
 
-// sample draws a mix's lengths.
-func sample(m load.Mix) moments {
+// sampleMix draws a mix's lengths.
+func sampleMix(m load.Mix) mixStats {
 	const draws = 20000
 	r := rand.New(rand.NewPCG(7, 7))
-	var x moments
+	var x mixStats
 	weight := 0.0
 	for _, c := range m.Classes {
 		if !c.Chat {
 			continue
 		}
-		x.chat += c.Share
+		x.chatShare += c.Share
 		for range int(draws * c.Share) {
 			p, l := float64(c.Prompt.Draw(r)), float64(c.Output.Draw(r))
-			x.output += l
-			x.prompt += p
-			x.held += l * (p + l/2)
+			x.outputTokens += l
+			x.promptTokens += p
+			x.kvTokens += l * (p + l/2)
 			weight += l
 		}
 	}
-	n := draws * x.chat
-	x.held /= weight
-	x.output /= n
-	x.prompt /= n
+	n := draws * x.chatShare
+	x.kvTokens /= weight
+	x.outputTokens /= n
+	x.promptTokens /= n
 	return x
 }
 
-// batchOf is the batch that fills an engine's memory on average.
-func batchOf(s Size, m load.Mix) float64 {
-	return math.Min(float64(s.Batch.KVTokens)/sample(m).held, float64(s.Batch.MaxBatch))
+// meanBatch is the batch that fills an engine's memory on average.
+func meanBatch(s Size, m load.Mix) float64 {
+	return math.Min(float64(s.Batch.KVTokens)/sampleMix(m).kvTokens, float64(s.Batch.MaxBatch))
 }
 
 // Capacity is the requests a second of a mix at which the engines' memory is
 // full on average: each makes batch tokens in a step, whose time counts the
 // prompts that come with them.
 func Capacity(s Size, m load.Mix) float64 {
-	x := sample(m)
-	b := batchOf(s, m)
-	perStep := b / x.output
-	step := s.Batch.StepBase + time.Duration(b*float64(s.Batch.StepPerGeneration)) + time.Duration(perStep*x.prompt*float64(s.Batch.StepPerPrefill))
-	return float64(s.Engines) * perStep / step.Seconds() / x.chat
+	x := sampleMix(m)
+	b := meanBatch(s, m)
+	perStep := b / x.outputTokens
+	step := s.Batch.StepBase + time.Duration(b*float64(s.Batch.StepPerGeneration)) + time.Duration(perStep*x.promptTokens*float64(s.Batch.StepPerPrefill))
+	return float64(s.Engines) * perStep / step.Seconds() / x.chatShare
 }
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -90,8 +90,8 @@
 
 // columns are the figures of a table, in order.
 var columns = []struct {
-	head string
-	get  func(f *Figures) *float64
+	header string
+	get    func(f *Figures) *float64
 }{
 	{"stall p50 ms", func(f *Figures) *float64 { return &f.StallP50 }},
 	{"stall p99 ms", func(f *Figures) *float64 { return &f.StallP99 }},
@@ -133,7 +133,7 @@
 	}
 	fmt.Fprintf(&b, "### %s at %.1f of capacity, %s\n\n| policy |", t.Mix, t.Factor, word)
 	for _, c := range columns {
-		fmt.Fprintf(&b, " %s |", c.head)
+		fmt.Fprintf(&b, " %s |", c.header)
 	}
 	b.WriteString("\n|---|" + strings.Repeat("---|", len(columns)) + "\n")
 	for _, r := range t.Rows {
