--- a/cmd/load.go
+++ b/cmd/load.go
@@ -32,7 +32,7 @@
 	before := c.countPreemptions(e)
 	r, err := load.Run(e, load.Options{
 		Entries: c.Entries, Mix: m, Model: c.Model, Requests: c.Requests,
-		PerSecond: c.PerSecond, Seed: c.Seed, Wait: c.Wait, Progress: e.printProgress,
+		PerSecond: c.PerSecond, Seed: c.Seed, DrainTimeout: c.Wait, Progress: e.printProgress,
 	})
 	if err != nil {
 		return err
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -36,7 +36,7 @@
 					const span = 40 * time.Second
 					r, err := load.Run(context.Background(), load.Options{
 						Entries: addresses(s.entries), Mix: m, Model: "desk",
-						Requests: int(rate * span.Seconds()), PerSecond: rate, Seed: 1, Wait: time.Minute,
+						Requests: int(rate * span.Seconds()), PerSecond: rate, Seed: 1, DrainTimeout: time.Minute,
 					})
 					if err != nil {
 						b.Fatal(err)
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -368,7 +368,7 @@
 	}
 	r, err := load.Run(context.Background(), load.Options{
 		Entries: addresses(s.entries), Mix: m, Model: "desk", Requests: n,
-		PerSecond: perSecond, Seed: seed, Wait: 5 * time.Minute,
+		PerSecond: perSecond, Seed: seed, DrainTimeout: 5 * time.Minute,
 	})
 	if err != nil {
 		s.t.Fatal(err)
--- a/fleet/work_test.go
+++ b/fleet/work_test.go
@@ -52,7 +52,7 @@
 		l = append(l, v.host+":80")
 	}
 	r, err := load.Run(context.Background(), load.Options{
-		Entries: l, Mix: m, Model: "desk", Requests: n, PerSecond: perSecond, Seed: 1, Wait: 10 * time.Minute,
+		Entries: l, Mix: m, Model: "desk", Requests: n, PerSecond: perSecond, Seed: 1, DrainTimeout: 10 * time.Minute,
 		Dial: machine{b.net, "callers"}.dial,
 	})
 	if err != nil {
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func fleet(servers int) *dispatch.Dispatcher {
+func newDispatcher(servers int) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Options{
 		Admission: admit.NewSurvival(0.05, 63), Routing: route.Prefix{MaxExcess: 0.15},
 		QueueLimit: 512, MaxQueueWait: time.Second, SuspectAfter: time.Hour, RetryPermille: 100, Seed: 1,
@@ -62,7 +62,7 @@
 func BenchmarkSubmit(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			d := fleet(n)
+			d := newDispatcher(n)
 			b.ResetTimer()
 			for i := range b.N {
 				w := work(i)
@@ -78,7 +78,7 @@
 func BenchmarkReport(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			d := fleet(n)
+			d := newDispatcher(n)
 			for i := range 20 * n {
 				d.Submit(epoch, work(i))
 			}
@@ -211,7 +211,7 @@
 			}
 		})
 	}
-	measure("server", 250, 2500, func(n int) any { return fleet(n) })
+	measure("server", 250, 2500, func(n int) any { return newDispatcher(n) })
 	measure("workspace-with-4-kinds", 160, 1600, func(n int) any {
 		p := length.New()
 		for i := range n {
@@ -229,7 +229,7 @@
 		return [2]any{s, v}
 	})
 	measure("request-in-flight", 1000, 10000, func(n int) any {
-		d := fleet(240)
+		d := newDispatcher(240)
 		for i := range n {
 			w := work(i)
 			w.Prefix = ""
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -18,8 +18,8 @@
 	Requests  int
 	PerSecond float64
 	Seed      uint64
-	// Wait bounds the whole run after the last arrival.
-	Wait time.Duration
+	// DrainTimeout bounds the whole run after the last arrival.
+	DrainTimeout time.Duration
 	// Progress is told how far the run has come every few seconds; nil for nobody.
 	Progress func(p Progress)
 	// Dial makes connections; nil for the machine's own.
@@ -74,7 +74,7 @@
 			return nil
 		})
 	}
-	defer time.AfterFunc(o.Wait, cancel).Stop()
+	defer time.AfterFunc(o.DrainTimeout, cancel).Stop()
 	// Failures are part of the report.
 	_ = g.Wait()
 	return s.report(o, time.Since(began)), nil
