--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -1,3 +1,3 @@
-// Package platform stands in for the platform's object API: versions,
+// Package platform is a stand-in for the platform's object API, with versions,
 // conditional updates, watches, rate limits and injected faults.
 package platform
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -16,26 +16,26 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Options are the limits of the stand-in.
+// Options are the rate limits and delays of the stand-in.
 type Options struct {
 	WritesPerSecond int
 	ReadsPerSecond  int
-	// VMListLag is how late the list of VMs is.
+	// VMListLag is the delay until a change shows in the list of VMs.
 	VMListLag time.Duration
 }
 
-// Faults are injected by tests, and through the stand-in's own /dev/faults.
+// Faults are the failures to inject, set by tests or through /dev/faults.
 type Faults struct {
-	// Outage refuses every call.
+	// Outage fails every request.
 	Outage bool `json:"outage"`
-	// SlowMS delays every answer.
+	// SlowMS delays every response.
 	SlowMS api.Milliseconds `json:"slow_ms"`
-	// LoseWriteAnswers carries out so many writes and loses their answers.
+	// LoseWriteAnswers is the number of writes that are executed but not answered.
 	LoseWriteAnswers int `json:"lose_writes"`
-	// Snapshot takes the copy that stale reads answer from.
+	// Snapshot captures the object list that stale reads return.
 	Snapshot bool `json:"copy"`
-	// StaleReads answers lists from the copy, taken now if there is none, and
-	// watches as if nothing had changed.
+	// StaleReads answers lists from the snapshot, which is captured now if there is
+	// none, and watches as if nothing had changed.
 	StaleReads bool `json:"stale_reads"`
 }
 
@@ -44,7 +44,7 @@
 	vms []api.VM
 }
 
-// Server serves a store over HTTP.
+// Server serves a Store over HTTP and injects faults.
 type Server struct {
 	store     *Store
 	writes    *rate.Limiter
@@ -59,7 +59,7 @@
 	vmLists    []vmList
 }
 
-// Calls counts what the platform was asked.
+// Calls counts the requests received by type, and those refused by a rate limit.
 type Calls struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -67,7 +67,7 @@
 	Refused int `json:"refused"`
 }
 
-// New makes a server on a store.
+// New returns a server for a store.
 func New(s *Store, o Options) *Server {
 	return &Server{
 		store:     s,
@@ -77,7 +77,7 @@
 	}
 }
 
-// Handler routes the object API and the stand-in's own controls.
+// Handler routes the object API under /v1 and the stand-in's controls under /dev.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Route("/v1", func(r chi.Router) {
@@ -98,7 +98,7 @@
 	return r
 }
 
-// Set injects faults from now on.
+// Set replaces the injected faults.
 func (s *Server) Set(f Faults) {
 	l := s.store.List(nil)
 	s.mutex.Lock()
@@ -112,7 +112,7 @@
 	s.faults = f
 }
 
-// backup makes a backup of the store, for restore.
+// backup stores a backup for restore, and replaces the previous one.
 func (s *Server) backup(w http.ResponseWriter, _ *http.Request) {
 	c := s.store.Backup()
 	s.mutex.Lock()
@@ -121,7 +121,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// restore has the store come back from the last copy, or from nothing where none was made.
+// restore restores the store from the last backup; without one the store becomes empty.
 func (s *Server) restore(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
 	c := s.lastBackup
@@ -130,7 +130,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Calls counts the calls so far.
+// Calls returns the request counts so far.
 func (s *Server) Calls() Calls {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -172,7 +172,7 @@
 			}
 			s.mutex.Unlock()
 			if !ok {
-				wire.Refuse(w, fault.New(fault.PlatformThrottled, "too many calls").After(time.Second), "")
+				wire.Refuse(w, fault.New(fault.PlatformThrottled, "request rate limit exceeded").After(time.Second), "")
 				return
 			}
 			next.ServeHTTP(w, r)
@@ -221,7 +221,7 @@
 	wire.Write(w, http.StatusOK, o)
 }
 
-// maxValueBytes is the largest value the platform holds.
+// maxValueBytes bounds the size of a stored object.
 const maxValueBytes = 1 << 20
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
@@ -239,14 +239,14 @@
 	k, n := requestedObject(r)
 	v, err := strconv.Atoi(r.URL.Query().Get("version"))
 	if err != nil {
-		wire.Refuse(w, fault.New(fault.InvalidRequest, "version is not a number"), "")
+		wire.Refuse(w, fault.New(fault.InvalidRequest, "version must be an integer"), "")
 		return
 	}
 	err = s.store.Delete(k, n, api.Version(v))
 	s.answerWrite(w, api.Object{Kind: k, Name: n}, err)
 }
 
-// answerWrite answers a write, or loses the answer by closing the connection.
+// answerWrite answers a write, or closes the connection without an answer if one is to be lost.
 func (s *Server) answerWrite(w http.ResponseWriter, o api.Object, err error) {
 	s.mutex.Lock()
 	lose := s.faults.LoseWriteAnswers > 0
@@ -264,7 +264,7 @@
 	wire.Write(w, http.StatusOK, o)
 }
 
-// maxWatchWait bounds one waiting watch.
+// maxWatchWait bounds how long a watch waits for a change.
 const maxWatchWait = time.Minute
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
@@ -272,7 +272,7 @@
 	from, err := strconv.Atoi(q.Get("from"))
 	wait, e := strconv.Atoi(q.Get("wait_ms"))
 	if err != nil || e != nil {
-		wire.Refuse(w, fault.New(fault.InvalidRequest, "from and wait_ms have to be numbers"), "")
+		wire.Refuse(w, fault.New(fault.InvalidRequest, "from and wait_ms must be integers"), "")
 		return
 	}
 	k := requestedKinds(r)
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// maxChanges is the number of changes kept for watches.
+// maxChanges bounds the change history that watches are answered from.
 const maxChanges = 1000
 
 type key struct {
@@ -18,39 +18,39 @@
 	name string
 }
 
-// Store is the platform's objects in one order of versions. When it comes back from a copy
-// its versions go on in a later era, above all that it gave before; objects of the copy keep
-// the version of their last write.
+// Store holds the platform's objects under versions that rise with each write. After it is
+// restored from a backup, versions continue in a later era, above all versions issued before;
+// the restored objects keep the version of their last write.
 type Store struct {
 	mutex   sync.Mutex
 	version api.Version
-	// historyStart is the version from which changes are kept.
+	// historyStart is the lowest version that a watch may start from; a restore raises it.
 	historyStart api.Version
 	objects      map[key]api.Object
 	changes      []api.Change
 	changed      chan struct{}
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{objects: map[key]api.Object{}, changed: make(chan struct{})}
 }
 
-// Backup is a copy of a store's objects.
+// Backup is a copy of a store's objects and its version.
 type Backup struct {
 	version api.Version
 	objects map[key]api.Object
 }
 
-// Backup makes a copy of the store, to come back from later.
+// Backup copies the store, so that Restore can bring it back to this state.
 func (s *Store) Backup() Backup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return Backup{version: s.version, objects: maps.Clone(s.objects)}
 }
 
-// Restore brings the store back from a copy: what was written since is gone. Who waits for
-// changes learns that the history is gone.
+// Restore replaces the objects by those of a backup, so writes since then are lost. The
+// change history is dropped: pending watches wake, and watches from older versions fail.
 func (s *Store) Restore(c Backup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -62,7 +62,7 @@
 	s.notifyWatchers()
 }
 
-// Get reads one object.
+// Get returns one object, or a NotFound fault.
 func (s *Store) Get(k api.ResourceKind, n string) (api.Object, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -73,7 +73,7 @@
 	return o, nil
 }
 
-// List reads all objects of the kinds; no kind means every one.
+// List returns all objects of the kinds, sorted by kind and name; no kinds means all kinds.
 func (s *Store) List(kinds []api.ResourceKind) api.ObjectList {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,14 +92,14 @@
 	return l
 }
 
-// Put writes an object if its present version is the one given; 0 means that
-// there is none yet.
+// Put writes an object if its stored version equals the given one; version 0
+// creates an object that must not exist yet.
 func (s *Store) Put(o api.Object) (api.Object, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	k := key{o.Kind, o.Name}
 	if s.objects[k].Version != o.Version {
-		return s.objects[k], fault.New(fault.VersionConflict, "the object has another version")
+		return s.objects[k], fault.New(fault.VersionConflict, "the object has a different version")
 	}
 	s.version++
 	o.Version = s.version
@@ -108,7 +108,7 @@
 	return o, nil
 }
 
-// Delete removes an object if its present version is the one given.
+// Delete removes an object if its stored version equals the given one.
 func (s *Store) Delete(k api.ResourceKind, n string, v api.Version) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -117,7 +117,7 @@
 		return fault.New(fault.NotFound, "no "+string(k)+" "+n)
 	}
 	if o.Version != v {
-		return fault.New(fault.VersionConflict, "the object has another version")
+		return fault.New(fault.VersionConflict, "the object has a different version")
 	}
 	s.version++
 	delete(s.objects, key{k, n})
@@ -133,19 +133,19 @@
 	s.notifyWatchers()
 }
 
-// notifyWatchers wakes who waits for a change; the mutex is held.
+// notifyWatchers wakes all pending watches. The caller holds the mutex.
 func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Changes gives the changes of the kinds after a version, and a channel that
-// closes with the next one.
+// Changes returns the changes of the kinds after a version, and a channel that
+// closes on the next change.
 func (s *Store) Changes(from api.Version, kinds []api.ResourceKind) (api.ChangeList, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if from < s.historyStart || len(s.changes) > 0 && from < s.changes[0].Version-1 {
-		return api.ChangeList{}, nil, fault.New(fault.WatchTooOld, "the version is no longer kept")
+		return api.ChangeList{}, nil, fault.New(fault.WatchTooOld, "changes from this version are no longer retained")
 	}
 	l := api.ChangeList{Version: s.version, Changes: []api.Change{}}
 	for _, c := range s.changes {
--- a/internal/standin/platform/vms.go
+++ b/internal/standin/platform/vms.go
@@ -13,12 +13,12 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// SetVM puts a VM on the list; the list shows it after the lag.
+// SetVM adds or replaces a VM. The VM list shows the change after VMListLag.
 func (s *Server) SetVM(v api.VM) {
 	s.updateVMList(v.Name, &v)
 }
 
-// RemoveVM takes a VM off the list; the list shows it after the lag.
+// RemoveVM removes a VM. The VM list shows the change after VMListLag.
 func (s *Server) RemoveVM(n string) {
 	s.updateVMList(n, nil)
 }
