--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine stands in for a model engine: it serves the batch model over
-// HTTP with resume, cancel, late reports, cache events and fenced orders.
+// Package engine is a stand-in for a model engine. It serves the batch model over
+// HTTP with resume, cancel, delayed load reports, cache events and fenced orders.
 package engine
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -18,32 +18,32 @@
 	"github.com/wardridge/wardridge/internal/standin/batch"
 )
 
-// MetadataTokens is the metadata key by which a load tool sets the true length
-// of an answer, which the entry VMs pass on unread.
+// MetadataTokens is the metadata key by which a load generator sets the actual length
+// of an answer. Entry VMs forward it without reading it.
 const MetadataTokens = "standin_tokens"
 
-// Options are an engine's settings.
+// Options configure an engine.
 type Options struct {
 	Name  api.ServerName
 	Batch batch.Options
-	// ReportLag is how old a load report is when it is given out.
+	// ReportLag is the age of a load report when it is served.
 	ReportLag time.Duration
-	// CacheLag is how old a cache event is when it is given out.
+	// CacheLag is the age of a cache event when it is first served.
 	CacheLag time.Duration
-	// CacheLossPercent is the share of cache events that get lost.
+	// CacheLossPercent is the percentage of cache events that are lost.
 	CacheLossPercent int
-	// OrphanTimeout is how long a generation runs with no reader.
+	// OrphanTimeout is how long a generation is retained without a reader.
 	OrphanTimeout time.Duration
-	// LoadTime is the time an order to load takes.
+	// LoadTime is the duration of an order to load an item.
 	LoadTime time.Duration
-	// ChecksFence refuses orders with an old fence.
+	// ChecksFence makes the engine refuse orders whose fence is older than one it has seen.
 	ChecksFence bool
-	// Loaded is what is loaded at the start, as kind/name@weights.
+	// Loaded are the items loaded at start, as kind/name@weights.
 	Loaded []string
 	Seed   uint64
 }
 
-// Defaults are the settings of a small engine.
+// Defaults returns the options of a small engine.
 func Defaults() Options {
 	return Options{
 		Name:             "engine",
@@ -58,7 +58,7 @@
 	}
 }
 
-// generation is one generation and those that read it.
+// generation is the state of one generation and the number of streams that read it.
 type generation struct {
 	id        api.GenerationID
 	generated int
@@ -74,7 +74,7 @@
 	at time.Time
 }
 
-// Engine is the state of one stand-in engine.
+// Engine is a stand-in for one model engine.
 type Engine struct {
 	options Options
 	log     *event.Log
@@ -97,7 +97,7 @@
 	workAdded     chan struct{}
 }
 
-// New makes an engine that does nothing until Run.
+// New returns an engine that executes no steps until Run is called.
 func New(o Options, l *event.Log) *Engine {
 	return &Engine{
 		options:     o,
@@ -111,7 +111,7 @@
 	}
 }
 
-// Run steps the batch until the context ends.
+// Run executes batch steps, records load reports and removes orphans until the context ends.
 func (e *Engine) Run(ctx context.Context) error {
 	const reportEvery = 20 * time.Millisecond
 	last := time.Time{}
@@ -139,7 +139,8 @@
 	}
 }
 
-// advance makes one step and gives its time; 0 when there is nothing to do.
+// advance executes one step and returns its duration: the rest of a freeze while frozen,
+// 0 when the engine is idle.
 func (e *Engine) advance(now time.Time) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -178,7 +179,7 @@
 	g.notifyReaders()
 }
 
-// notifyReaders wakes every reader; the engine's mutex is held.
+// notifyReaders wakes every reader. The caller holds the engine's mutex.
 func (g *generation) notifyReaders() {
 	close(g.changed)
 	g.changed = make(chan struct{})
@@ -217,14 +218,15 @@
 		Loaded:      slices.Clone(e.loaded),
 		Fence:       e.fence,
 	})
-	// Only the newest report that is old enough, and younger ones, matter.
+	// Keep the newest report that is at least ReportLag old and all later ones.
 	cut := api.UnixMilliseconds(now.Add(-e.options.ReportLag))
 	for len(e.reports) > 1 && e.reports[1].TimeMS <= cut {
 		e.reports = e.reports[1:]
 	}
 }
 
-// removeOrphans cancels generations without a reader and forgets old ones.
+// removeOrphans cancels and removes generations, finished or not, that have had no reader
+// for OrphanTimeout.
 func (e *Engine) removeOrphans(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -237,7 +239,7 @@
 	}
 }
 
-// refusalReason is a reason to refuse a generation; empty when there is none.
+// refusalReason returns why a request must be refused, or "" if it is accepted.
 func (e *Engine) refusalReason(r api.GenerateRequest) api.EngineRefusalReason {
 	switch {
 	case e.leaving:
@@ -262,7 +264,7 @@
 	return slices.ContainsFunc(e.loaded, func(i string) bool { return api.ItemName(i) == want })
 }
 
-// start starts a generation and gives its first reader.
+// start starts a generation with one reader, or returns the reason for refusing it.
 func (e *Engine) start(r api.GenerateRequest) (*generation, api.EngineRefusalReason) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -288,8 +290,8 @@
 	return g, ""
 }
 
-// answerLength is the answer's true answerLength: as the load tool set it, or drawn from
-// a heavy tail by the prompt.
+// answerLength returns the actual length of the answer: the one set under MetadataTokens,
+// or one drawn from a heavy-tailed distribution seeded with the prompt.
 func (e *Engine) answerLength(r api.GenerateRequest) api.Tokens {
 	if n, err := strconv.Atoi(r.Metadata[MetadataTokens]); err == nil && n > 0 {
 		return api.Tokens(n)
@@ -299,7 +301,7 @@
 	return api.Tokens(max(1, median*math.Exp(spread*d.NormFloat64())))
 }
 
-// addReader adds a reader to a generation that is still known.
+// addReader adds a reader to a generation, and reports whether the generation is known.
 func (e *Engine) addReader(id api.GenerationID) (*generation, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -317,7 +319,7 @@
 	g.idleSince = time.Now()
 }
 
-// cancel ends a generation and reports whether it was known.
+// cancel cancels a generation and reports whether it was known.
 func (e *Engine) cancel(id api.GenerationID) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -334,8 +336,8 @@
 	return true
 }
 
-// apply carries out an order, which an engine that checks fences refuses when
-// its fence is older than one seen before.
+// apply executes an order, or returns the reason for refusing it. With ChecksFence, an
+// order whose fence is older than one seen before is refused.
 func (e *Engine) apply(o api.Order) api.EngineRefusalReason {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -359,35 +361,35 @@
 	return ""
 }
 
-// Leave makes the engine say that it is leaving.
+// Leave makes load reports say that the engine is leaving, and refuses new generations.
 func (e *Engine) Leave() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.leaving = true
 }
 
-// Freeze stops the engine's steps, reports and streams for a while.
+// Freeze stops the engine's steps, reports and streams for a duration.
 func (e *Engine) Freeze(d time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.frozenUntil = time.Now().Add(d)
 }
 
-// DropStreams breaks the next n streams in the middle.
+// DropStreams aborts n streams after their generations have made more than one token.
 func (e *Engine) DropStreams(n int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.streamsToDrop = n
 }
 
-// Started counts the generations started so far.
+// Started returns the number of generations started so far.
 func (e *Engine) Started() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.started
 }
 
-// Active counts the generations that have not finished.
+// Active returns the number of running and waiting generations.
 func (e *Engine) Active() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -16,16 +16,16 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// maxBodyBytes bounds the requests that the engine reads.
+// maxBodyBytes bounds a request body.
 const maxBodyBytes = 16 << 20
 
-// Faults are injected through the stand-in's own /dev/faults.
+// Faults are the failures to inject, set through /dev/faults.
 type Faults struct {
 	FreezeMS    api.Milliseconds `json:"freeze_ms"`
 	DropStreams int              `json:"drop_streams"`
 }
 
-// Handler routes the engine's protocol and the stand-in's own controls.
+// Handler routes the engine protocol under /v1 and the stand-in's controls under /dev.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v1/generations", e.generate)
@@ -45,7 +45,7 @@
 	return r
 }
 
-// Counts is what the engine ran.
+// Counts are the numbers of generations started so far and of unfinished ones.
 type Counts struct {
 	Started int `json:"started"`
 	Active  int `json:"active"`
@@ -96,7 +96,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// progress is a copy of a generation's progress.
+// progress is a snapshot of a generation that a stream reads without the engine's mutex.
 type progress struct {
 	generated   int
 	finish      api.FinishReason
@@ -117,7 +117,8 @@
 	return s
 }
 
-// stream writes the tokens of a generation from an index to its end.
+// stream writes a generation's tokens, from index next to the end, as server-sent events.
+// A freeze pauses it, and DropStreams makes it abort the connection.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, next int) {
 	defer e.removeReader(g)
 	w.Header().Set(wire.HeaderContentType, wire.TypeEventStream)
@@ -157,8 +158,8 @@
 	}
 }
 
-// Text is a token's text; it tells its generation and index, so that a reader
-// can check what it got.
+// Text returns a token's text. It contains the start of the generation's id and the
+// token's index, so that a reader can check that no token is lost or repeated.
 func Text(g api.GenerationID, i int) string {
 	const tag = 8
 	s := string(g)
