--- a/internal/standin/batch/batch_test.go
+++ b/internal/standin/batch/batch_test.go
@@ -25,7 +25,7 @@
 	m.Step()
 	many := m.Step().Duration
 	if prefill <= one || many <= one {
-		t.Errorf("step times: prefill %v, one %v, eleven %v; want one to be the least", prefill, one, many)
+		t.Errorf("step times: prefill %v, one %v, eleven %v; want one below both others", prefill, one, many)
 	}
 }
 
@@ -64,8 +64,8 @@
 	}
 }
 
-// Each generation makes exactly its tokens, in order, whatever is preempted or
-// cancelled, and memory is never above the limit while more than one runs.
+// Each generation yields exactly its tokens, in order, even after preemptions, and memory
+// stays within the limit while more than one generation runs.
 func TestEveryTokenIsGeneratedOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := batch.Defaults()
@@ -83,12 +83,12 @@
 			r := m.Step()
 			for _, e := range r.Tokens {
 				if e.Index != got[e.ID] {
-					t.Fatalf("%s: token %d after %d tokens", e.ID, e.Index, got[e.ID])
+					t.Fatalf("%s: got token %d after %d tokens, want them in order", e.ID, e.Index, got[e.ID])
 				}
 				got[e.ID]++
 			}
 			if l := m.Load(); l.Running > 1 && l.KVUsed > l.KVTotal {
-				t.Fatalf("memory %d of %d", l.KVUsed, l.KVTotal)
+				t.Fatalf("memory: got %d tokens used, want at most %d", l.KVUsed, l.KVTotal)
 			}
 			if m.Idle() {
 				break
--- a/internal/standin/batch/doc.go
+++ b/internal/standin/batch/doc.go
@@ -1,3 +1,3 @@
-// Package batch models an engine that batches continuously in limited memory:
+// Package batch models an engine with continuous batching in limited KV memory:
 // prefill, decode steps, a prefix cache, priorities and preemption.
 package batch
--- a/internal/standin/batch/model.go
+++ b/internal/standin/batch/model.go
@@ -7,25 +7,25 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Options size one engine.
+// Options are the memory, the batch size and the step times of an engine.
 type Options struct {
-	// KVTokens is the cache memory for generations.
+	// KVTokens is the KV cache memory for generations.
 	KVTokens api.Tokens
-	// PrefixTokens is the cache memory for prompt prefixes.
+	// PrefixTokens is the cache memory for shared prompt prefixes.
 	PrefixTokens api.Tokens
-	// MaxBatch bounds the generations that run at once.
+	// MaxBatch bounds the number of generations that run at once.
 	MaxBatch int
-	// PrefillChunk bounds the prompt tokens that one step works on.
+	// PrefillChunk bounds the prompt tokens that one step prefills.
 	PrefillChunk api.Tokens
-	// StepBase is the time of an empty step.
+	// StepBase is the fixed part of the duration of a step.
 	StepBase time.Duration
 	// StepPerGeneration is added for each generation that decodes.
 	StepPerGeneration time.Duration
-	// StepPerPrefill is added for each prompt token worked on.
+	// StepPerPrefill is added for each prefilled prompt token.
 	StepPerPrefill time.Duration
 }
 
-// Defaults size an engine of a few tens of generations.
+// Defaults returns options of an engine that runs a few tens of generations at once.
 func Defaults() Options {
 	return Options{
 		KVTokens:          32768,
@@ -38,8 +38,8 @@
 	}
 }
 
-// Work is one generation; Length is the true length, which only the engine
-// learns by generating.
+// Work is one generation. Length is the actual number of tokens of the answer, which
+// callers learn only when the generation ends.
 type Work struct {
 	ID           api.GenerationID
 	Prompt       api.Tokens
@@ -49,20 +49,20 @@
 	PrefixTokens api.Tokens
 }
 
-// Token is one new token, or the end once Index reaches the length.
+// Token is one generated token; Last marks the final token of its generation.
 type Token struct {
 	ID    api.GenerationID
 	Index api.Tokens
 	Last  bool
 }
 
-// CacheChange tells that a prefix entered or left the cache.
+// CacheChange records that a prefix entered the cache (Stored) or left it.
 type CacheChange struct {
 	Prefix string
 	Stored bool
 }
 
-// Result is what one step did.
+// Result is the outcome of one step.
 type Result struct {
 	Duration     time.Duration
 	Tokens       []Token
@@ -78,12 +78,12 @@
 	preempted   int
 }
 
-// kvTokens is the memory the sequence takes while it runs.
+// kvTokens returns the KV memory of the sequence while it runs.
 func (s *sequence) kvTokens() api.Tokens {
 	return s.Prompt + s.generated
 }
 
-// Model is the state of one engine.
+// Model is the simulated state of one engine.
 type Model struct {
 	options     Options
 	running     []*sequence
@@ -94,18 +94,18 @@
 	preemptions int
 }
 
-// New makes an idle engine.
+// New returns an idle engine.
 func New(o Options) *Model {
 	return &Model{options: o}
 }
 
-// Add puts a generation in line.
+// Add queues a generation.
 func (m *Model) Add(w Work) {
 	m.arrivals++
 	m.enqueue(&sequence{Work: w, arrival: m.arrivals})
 }
 
-// enqueue keeps the line in order of priority and arrival.
+// enqueue inserts a sequence into the queue, which is ordered by priority and arrival.
 func (m *Model) enqueue(s *sequence) {
 	i, _ := slices.BinarySearchFunc(m.waiting, s, compareRank)
 	m.waiting = slices.Insert(m.waiting, i, s)
@@ -118,7 +118,7 @@
 	return a.arrival - b.arrival
 }
 
-// Cancel ends a generation and reports whether it was there.
+// Cancel removes a generation and reports whether it was running or waiting.
 func (m *Model) Cancel(id api.GenerationID) bool {
 	is := func(s *sequence) bool { return s.ID == id }
 	if i := slices.IndexFunc(m.running, is); i >= 0 {
@@ -131,12 +131,12 @@
 	return len(m.waiting) < n
 }
 
-// Idle reports whether nothing runs or waits.
+// Idle reports whether no generation runs or waits.
 func (m *Model) Idle() bool {
 	return len(m.running) == 0 && len(m.waiting) == 0
 }
 
-// Load is the engine's state for a report.
+// Load is the load of an engine as it appears in a load report.
 type Load struct {
 	Running     int
 	Waiting     int
@@ -145,7 +145,7 @@
 	Preemptions int
 }
 
-// Load counts the engine's state now.
+// Load returns the current load.
 func (m *Model) Load() Load {
 	return Load{
 		Running:     len(m.running),
@@ -156,8 +156,8 @@
 	}
 }
 
-// Step admits what fits, works on prompts and makes one token for every
-// generation whose prompt is done.
+// Step admits the generations that fit, prefills prompts, preempts if memory runs out,
+// and generates one token for every generation whose prefill is done.
 func (m *Model) Step() Result {
 	var r Result
 	m.admit(&r)
@@ -170,7 +170,8 @@
 	return r
 }
 
-// preempt preempts until every decoding generation can grow by one token.
+// preempt returns running generations to the queue until every decoding generation has
+// memory for one more token. The last one running is never preempted.
 func (m *Model) preempt(r *Result) {
 	for len(m.running) > 1 && m.kvUsed+m.decoding() > m.options.KVTokens {
 		i := m.victim()
@@ -194,7 +195,7 @@
 	return n
 }
 
-// victim is the latest of the lowest priority.
+// victim returns the index of the running generation to preempt: the one of the lowest priority that arrived last.
 func (m *Model) victim() int {
 	v := 0
 	for i, s := range m.running {
@@ -205,8 +206,8 @@
 	return v
 }
 
-// admit starts waiting generations while their prompts fit, and keeps a little
-// memory free for those that run.
+// admit starts waiting generations while they fit into memory, and keeps 1/reserve of the
+// memory free for the growth of those that run. An idle engine admits regardless of size.
 func (m *Model) admit(r *Result) {
 	const reserve = 100
 	for len(m.waiting) > 0 && len(m.running) < m.options.MaxBatch {
@@ -222,7 +223,7 @@
 	}
 }
 
-// prefill works on prompts in order of arrival and returns the tokens done.
+// prefill processes up to PrefillChunk prompt tokens in order of admission and returns their number.
 func (m *Model) prefill() api.Tokens {
 	left := m.options.PrefillChunk
 	for _, s := range m.running {
@@ -233,7 +234,8 @@
 	return m.options.PrefillChunk - left
 }
 
-// decode makes a token for each generation whose prompt is done.
+// decode generates one token for each generation whose prefill is done, and returns the
+// number of tokens.
 func (m *Model) decode(r *Result) int {
 	n := 0
 	kept := m.running[:0]
--- a/internal/standin/batch/prefix.go
+++ b/internal/standin/batch/prefix.go
@@ -11,8 +11,8 @@
 	tokens api.Tokens
 }
 
-// usePrefix gives the prompt tokens that the prefix cache saves, and stores the
-// prefix as the one used last.
+// usePrefix returns the prompt tokens that the prefix cache saves, and stores the
+// prefix as the most recently used one.
 func (m *Model) usePrefix(s *sequence, r *Result) api.Tokens {
 	if s.Prefix == "" {
 		return 0
@@ -30,7 +30,7 @@
 	return saved
 }
 
-// evict drops the prefixes used least recently while they are over the limit.
+// evict removes the least recently used prefixes until the cache is within its limit.
 func (m *Model) evict(r *Result) {
 	n := api.Tokens(0)
 	for _, p := range m.prefixes {
