--- a/internal/standin/service/doc.go
+++ b/internal/standin/service/doc.go
@@ -1,2 +1,2 @@
-// Package service stands in for a plain service that counts what it ran.
+// Package service is a stand-in for a plain HTTP service that counts how often it ran each call.
 package service
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -14,10 +14,10 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// maxBodyBytes bounds the requests that the service reads.
+// maxBodyBytes bounds the part of a request body that is read.
 const maxBodyBytes = 16 << 20
 
-// Answer is what the service answers.
+// Answer is the body of a response: an echo of the request and how often its call ran.
 type Answer struct {
 	Server  api.ServerName `json:"server"`
 	Request api.RequestID  `json:"request"`
@@ -27,44 +27,44 @@
 	Count   int            `json:"count"`
 }
 
-// Faults are injected through the stand-in's own /dev/faults.
+// Faults are the failures and signals to inject, set by tests or through /dev/faults.
 type Faults struct {
-	// DelayMS delays every answer.
+	// DelayMS delays every response.
 	DelayMS api.Milliseconds `json:"delay_ms"`
-	// LoseAnswers runs so many calls and closes the connection unanswered.
+	// LoseAnswers is the number of calls that are run but not answered: the connection closes.
 	LoseAnswers int `json:"lose_answers"`
-	// CutAnswers runs so many calls and cuts their answers short.
+	// CutAnswers is the number of calls that are run and whose answers are truncated.
 	CutAnswers int `json:"cut_answers"`
-	// CrossAnswers answers so many calls with another request's id.
+	// CrossAnswers is the number of calls that are answered with the id of another request.
 	CrossAnswers int `json:"cross_answers"`
-	// Refuse answers so many calls with 503 and does not run them.
+	// Refuse is the number of calls that get status 503 and are not run.
 	Refuse int `json:"refuse"`
-	// Limit is named in every answer as the calls a second that the service takes; zero names
+	// Limit is the rate limit, in calls a second, that every response announces; zero announces
 	// none.
 	Limit float64 `json:"limit"`
-	// Leaving is said in every answer.
+	// Leaving makes every response announce that the server is leaving.
 	Leaving bool `json:"leaving"`
-	// BackoffS turns every call away and asks for so many seconds of rest; zero turns none away.
+	// BackoffS refuses every call with a Retry-After of so many seconds; zero refuses none.
 	BackoffS float64 `json:"rest_s"`
 }
 
-// Service is the state of one stand-in.
+// Service is a stand-in for one backend server of a service.
 type Service struct {
 	name api.ServerName
 
 	mutex  sync.Mutex
 	faults Faults
 	counts map[string]int
-	// refusedForBackoff counts the calls that were turned away for rest.
+	// refusedForBackoff counts the calls that BackoffS refused.
 	refusedForBackoff int
 }
 
-// New makes a service that has run nothing.
+// New returns a service that has run no calls.
 func New(n api.ServerName) *Service {
 	return &Service{name: n, counts: map[string]int{}}
 }
 
-// Handler routes every call to the service, and the stand-in's own controls.
+// Handler routes the stand-in's controls under /dev, and every other path to the service.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/dev/counts", func(w http.ResponseWriter, _ *http.Request) {
@@ -75,8 +75,8 @@
 	return r
 }
 
-// Counts tells how often each call was run, by the caller's idempotency key or
-// else by request id.
+// Counts returns how often each call was run, by idempotency key, or by request id for
+// calls without a key.
 func (s *Service) Counts() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,7 +87,7 @@
 	return m
 }
 
-// Set injects faults from now on.
+// Set replaces the injected faults.
 func (s *Service) Set(f Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -104,7 +104,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// consumeFault uses one of a kind of fault up.
+// consumeFault decrements the count of a fault and reports whether one was left to inject.
 func (s *Service) consumeFault(n *int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -122,7 +122,7 @@
 	return s.counts[key]
 }
 
-// writeSignals writes what the service says of itself.
+// writeSignals adds the headers that announce a rate limit and that the server is leaving.
 func (s *Service) writeSignals(h http.Header) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// refuseForBackoff reports whether the service turns calls away, and writes for how long.
+// refuseForBackoff reports whether the call is refused for a backoff, and sets Retry-After if so.
 func (s *Service) refuseForBackoff(h http.Header) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -146,7 +146,7 @@
 	return true
 }
 
-// RefusedForBackoff counts the calls that were turned away for rest.
+// RefusedForBackoff returns the number of calls that were refused for a backoff.
 func (s *Service) RefusedForBackoff() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
