--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -87,7 +87,7 @@
 }
 
 func (c *caller) chat(ctx context.Context, address string, a Arrival) result {
-	ask := api.ChatRequest{
+	body := api.ChatRequest{
 		Model:  api.ModelName(c.model),
 		Stream: true,
 		Messages: []api.ChatMessage{
@@ -96,7 +96,7 @@
 		},
 		Metadata: map[string]string{engine.MetadataTokens: strconv.Itoa(int(a.Output))},
 	}
-	r, err := c.request(ctx, http.MethodPost, "http://"+address+entry.PathChat, a, ask)
+	r, err := c.request(ctx, http.MethodPost, "http://"+address+entry.PathChat, a, body)
 	if err != nil {
 		return result{fault: fault.From(err)}
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -66,13 +66,13 @@
 }
 
 type classSummary struct {
-	requests, complete  int
-	first, gaps, stalls *quantile.Times
-	stall               time.Duration
+	requests, complete        int
+	firstTokens, gaps, stalls *quantile.Times
+	stall                     time.Duration
 }
 
 func newClassSummary() *classSummary {
-	return &classSummary{first: quantile.New(), gaps: quantile.New(), stalls: quantile.New()}
+	return &classSummary{firstTokens: quantile.New(), gaps: quantile.New(), stalls: quantile.New()}
 }
 
 type summary struct {
@@ -129,7 +129,7 @@
 		c.complete++
 	}
 	if r.firstToken > 0 {
-		c.first.Record(r.firstToken)
+		c.firstTokens.Record(r.firstToken)
 	}
 	if !r.class.Chat || r.tokens == 0 {
 		return
@@ -146,7 +146,7 @@
 func (c *classSummary) report(name string) ClassReport {
 	return ClassReport{
 		Class: name, Requests: c.requests, Complete: c.complete,
-		FirstToken: c.first.Summary(), TokenGaps: c.gaps.Summary(), Stalls: c.stalls.Summary(),
+		FirstToken: c.firstTokens.Summary(), TokenGaps: c.gaps.Summary(), Stalls: c.stalls.Summary(),
 		StallTotalMS: float64(c.stall.Milliseconds()),
 	}
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -40,14 +40,14 @@
 	}
 	defer t.CloseIdleConnections()
 	b := newBalancer(o.Entries, t.DialContext)
-	looks, stop := duty.New(ctx)
+	background, stop := duty.New(ctx)
 	defer stop()
-	looks.Go(b.checkHealth)
+	background.Go(b.checkHealth)
 	c := &caller{http: &http.Client{Transport: t}, balancer: b, model: o.Model}
 	var mutex sync.Mutex
 	s := newSummary()
 	if o.Progress != nil {
-		looks.Every(progressEvery, func(context.Context) {
+		background.Every(progressEvery, func(context.Context) {
 			mutex.Lock()
 			p := s.progress(o.Requests)
 			mutex.Unlock()
