--- a/internal/measure/bench.go
+++ b/internal/measure/bench.go
@@ -78,7 +78,7 @@
 	name        api.ServerName
 	model       *batch.Model
 	busy        bool
-	dead        bool
+	crashed     bool
 	frozenUntil time.Time
 	incarnation int
 	runs        map[api.GenerationID]*request
@@ -139,7 +139,7 @@
 // poll reads an engine's load, which arrives late, again and again.
 func (b *bench) poll(e *entry, x *engine) {
 	b.after(b.size.ReportEvery, func() { b.poll(e, x) })
-	if x.dead {
+	if x.crashed {
 		e.dispatcher.MarkUnreachable(x.name)
 		return
 	}
@@ -213,13 +213,13 @@
 func (b *bench) start(e *entry, q *request, n api.ServerName) {
 	x := b.find(n)
 	q.engine = x
-	if x.dead {
+	if x.crashed {
 		e.dispatcher.MarkUnreachable(n)
 		b.retry(q)
 		return
 	}
 	q.attempts++
-	b.result.addSend(b, q)
+	b.result.addAttempt(b, q)
 	q.id = api.GenerationID(fmt.Sprintf("%s-%d", q.work.Request, q.attempts))
 	x.runs[q.id] = q
 	x.model.Add(batch.Work{ID: q.id, Prompt: q.work.PromptTokens, Length: q.length, Priority: q.work.Priority, Prefix: q.work.Prefix, PrefixTokens: q.prefixTokens})
@@ -237,7 +237,7 @@
 
 // wake steps an engine that stood idle.
 func (b *bench) wake(x *engine) {
-	if x.busy || x.dead {
+	if x.busy || x.crashed {
 		return
 	}
 	x.busy = true
@@ -249,15 +249,15 @@
 		b.at(x.frozenUntil, func() { b.step(x) })
 		return
 	}
-	if x.dead || x.model.Idle() {
+	if x.crashed || x.model.Idle() {
 		x.busy = false
 		return
 	}
 	r := x.model.Step()
-	life := x.incarnation
+	incarnation := x.incarnation
 	b.result.addPreemptions(b, len(r.Preempted))
 	b.after(r.Duration, func() {
-		if x.incarnation != life {
+		if x.incarnation != incarnation {
 			return
 		}
 		for _, m := range r.Tokens {
@@ -290,14 +290,14 @@
 func (b *bench) scheduleFaults() {
 	base := epoch.Add(b.size.WarmUp)
 	b.at(base.Add(crashAt), func() { b.crash(b.engines[0]) })
-	b.at(base.Add(crashAt+crashFor), func() { b.engines[0].dead = false })
+	b.at(base.Add(crashAt+crashFor), func() { b.engines[0].crashed = false })
 	b.at(base.Add(freezeAt), func() { b.engines[1].frozenUntil = b.now.Add(freezeFor) })
 	b.at(base.Add(lateReportsAt), func() { b.reportLag = lateReportLag })
 	b.at(base.Add(lateReportsAt+lateReportsFor), func() { b.reportLag = b.size.ReportLag })
 }
 
 func (b *bench) crash(x *engine) {
-	x.dead, x.busy = true, false
+	x.crashed, x.busy = true, false
 	x.incarnation++
 	x.model = batch.New(b.size.Batch)
 	lost := x.runs
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -43,7 +43,7 @@
 		for k := range seeds {
 			r := measure(s, p, m, steadyLoad+floodLoad, false, uint64(k+1))
 			x, y := r.classes["steady"], r.classes["flooding"]
-			fmt.Fprintf(&b, "| %d | %.1f | %.0f | %.1f | %.0f |\n", k+1, x.completePercent(), x.firsts.At(95), y.completePercent(), y.firsts.At(95))
+			fmt.Fprintf(&b, "| %d | %.1f | %.0f | %.1f | %.0f |\n", k+1, x.completePercent(), x.firstTokens.At(95), y.completePercent(), y.firstTokens.At(95))
 		}
 	}
 	b.WriteString("\n")
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -12,35 +12,35 @@
 
 // Result is what callers saw in the measured span of one run.
 type Result struct {
-	Requests, Refused, Complete, Lost, Sent int
-	Preempted                               int
+	Requests, Refused, Complete, Lost, Attempts int
+	Preempted                                   int
 	// Goodput are the tokens of whole answers, a second.
 	Goodput float64
 	// StallTotal is the sum of stalls over all streams.
-	StallTotal time.Duration
-	gaps       *quantile.Times
-	stalls     *quantile.Times
-	firsts     *quantile.Times
-	// interactiveFirsts are the first tokens of callers on the line.
-	interactiveFirsts *quantile.Times
-	goodTokens        int
-	classes           map[string]*classResult
+	StallTotal  time.Duration
+	gaps        *quantile.Times
+	stalls      *quantile.Times
+	firstTokens *quantile.Times
+	// interactiveFirstTokens are the first tokens of callers on the line.
+	interactiveFirstTokens *quantile.Times
+	goodTokens             int
+	classes                map[string]*classResult
 }
 
 func newResult() *Result {
-	return &Result{gaps: quantile.New(), stalls: quantile.New(), firsts: quantile.New(), interactiveFirsts: quantile.New(), classes: map[string]*classResult{}}
+	return &Result{gaps: quantile.New(), stalls: quantile.New(), firstTokens: quantile.New(), interactiveFirstTokens: quantile.New(), classes: map[string]*classResult{}}
 }
 
 // classResult is what one class of requests got.
 type classResult struct {
 	requests, complete int
-	firsts             *quantile.Times
+	firstTokens        *quantile.Times
 }
 
 func (r *Result) classOf(q *request) *classResult {
 	s, ok := r.classes[q.class.Name]
 	if !ok {
-		s = &classResult{firsts: quantile.New()}
+		s = &classResult{firstTokens: quantile.New()}
 		r.classes[q.class.Name] = s
 	}
 	return s
@@ -68,9 +68,9 @@
 	}
 }
 
-func (r *Result) addSend(b *bench, q *request) {
+func (r *Result) addAttempt(b *bench, q *request) {
 	if b.measured(q) {
-		r.Sent++
+		r.Attempts++
 	}
 }
 
@@ -92,10 +92,10 @@
 		return
 	}
 	if q.generated == 1 {
-		r.firsts.Record(b.now.Sub(q.arrived))
-		r.classOf(q).firsts.Record(b.now.Sub(q.arrived))
+		r.firstTokens.Record(b.now.Sub(q.arrived))
+		r.classOf(q).firstTokens.Record(b.now.Sub(q.arrived))
 		if q.work.Priority == api.PriorityInteractive {
-			r.interactiveFirsts.Record(b.now.Sub(q.arrived))
+			r.interactiveFirstTokens.Record(b.now.Sub(q.arrived))
 		}
 		return
 	}
@@ -128,7 +128,7 @@
 	FirstP95, InteractiveFirstP95  float64
 	Goodput                        float64
 	Refused, Lost                  float64
-	SentPerAdmitted                float64
+	AttemptsPerAdmitted            float64
 }
 
 // Figures gives the run's figures: stalls, gaps and first token in ms, the
@@ -141,9 +141,9 @@
 		StallP50: r.stalls.At(50), StallP99: r.stalls.At(99), StallTotal: r.StallTotal.Seconds(),
 		Preemptions: 1000 * float64(r.Preempted) / n,
 		GapP95:      r.gaps.At(95), GapP99: r.gaps.At(99), GapP999: r.gaps.At(99.9),
-		FirstP95: r.firsts.At(95), InteractiveFirstP95: r.interactiveFirsts.At(95), Goodput: r.Goodput,
+		FirstP95: r.firstTokens.At(95), InteractiveFirstP95: r.interactiveFirstTokens.At(95), Goodput: r.Goodput,
 		Refused: 100 * float64(r.Refused) / n, Lost: 100 * float64(r.Lost) / n,
-		SentPerAdmitted: float64(r.Sent) / taken,
+		AttemptsPerAdmitted: float64(r.Attempts) / taken,
 	}
 }
 
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -28,7 +28,7 @@
 type Row struct {
 	Policy string
 	Mean   Figures
-	Spread Figures
+	StdDev Figures
 }
 
 // Table is the policies under one mix, load and set of faults.
@@ -79,7 +79,7 @@
 				defer mutex.Unlock()
 				all[k] = x
 				if left--; left == 0 {
-					t.Rows[i].Mean, t.Rows[i].Spread = summary(all)
+					t.Rows[i].Mean, t.Rows[i].StdDev = summary(all)
 				}
 				return nil
 			})
@@ -105,11 +105,11 @@
 	{"good tokens/s", func(f *Figures) *float64 { return &f.Goodput }},
 	{"refused %", func(f *Figures) *float64 { return &f.Refused }},
 	{"lost %", func(f *Figures) *float64 { return &f.Lost }},
-	{"sent / taken", func(f *Figures) *float64 { return &f.SentPerAdmitted }},
+	{"sent / taken", func(f *Figures) *float64 { return &f.AttemptsPerAdmitted }},
 }
 
 // summary gives the mean and the standard deviation of each figure.
-func summary(l []Figures) (mean, spread Figures) {
+func summary(l []Figures) (mean, stdDev Figures) {
 	n := float64(len(l))
 	for _, c := range columns {
 		sum, square := 0.0, 0.0
@@ -119,19 +119,19 @@
 			square += v * v
 		}
 		*c.get(&mean) = sum / n
-		*c.get(&spread) = math.Sqrt(math.Max(0, square/n-sum*sum/n/n))
+		*c.get(&stdDev) = math.Sqrt(math.Max(0, square/n-sum*sum/n/n))
 	}
-	return mean, spread
+	return mean, stdDev
 }
 
 // Markdown writes a table for the docs, each figure with its spread.
 func (t Table) Markdown() string {
 	var b strings.Builder
-	word := "quiet"
+	condition := "quiet"
 	if t.Faults {
-		word = "with an engine's death, a freeze and late reports"
+		condition = "with an engine's death, a freeze and late reports"
 	}
-	fmt.Fprintf(&b, "### %s at %.1f of capacity, %s\n\n| policy |", t.Mix, t.Factor, word)
+	fmt.Fprintf(&b, "### %s at %.1f of capacity, %s\n\n| policy |", t.Mix, t.Factor, condition)
 	for _, c := range columns {
 		fmt.Fprintf(&b, " %s |", c.header)
 	}
@@ -139,7 +139,7 @@
 	for _, r := range t.Rows {
 		fmt.Fprintf(&b, "| %s |", r.Policy)
 		for _, c := range columns {
-			fmt.Fprintf(&b, " %s |", cell(*c.get(&r.Mean), *c.get(&r.Spread)))
+			fmt.Fprintf(&b, " %s |", cell(*c.get(&r.Mean), *c.get(&r.StdDev)))
 		}
 		b.WriteString("\n")
 	}
@@ -147,9 +147,9 @@
 	return b.String()
 }
 
-func cell(mean, spread float64) string {
+func cell(mean, stdDev float64) string {
 	if mean >= 100 {
-		return fmt.Sprintf("%.0f ± %.0f", mean, spread)
+		return fmt.Sprintf("%.0f ± %.0f", mean, stdDev)
 	}
-	return fmt.Sprintf("%.1f ± %.1f", mean, spread)
+	return fmt.Sprintf("%.1f ± %.1f", mean, stdDev)
 }
