--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -11,11 +11,11 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// healthCheckInterval is the time between looks at an entry VM's health.
+// healthCheckInterval is the pause between health checks of the entry VMs.
 const healthCheckInterval = 100 * time.Millisecond
 
-// balancer stands in for the platform's balancer: it sends new requests to
-// entry VMs whose health check says yes.
+// balancer is a stand-in for the platform's load balancer: it prefers entry VMs whose
+// last health check succeeded, in turn.
 type balancer struct {
 	http      *http.Client
 	mutex     sync.Mutex
@@ -29,7 +29,7 @@
 	return &balancer{http: &http.Client{Transport: t, Timeout: wait}, entries: entries, unhealthy: map[string]bool{}}
 }
 
-// checkHealth looks at every entry VM until the context ends.
+// checkHealth checks every entry VM periodically until the context ends.
 func (b *balancer) checkHealth(ctx context.Context) error {
 	return duty.Loop(ctx, func() time.Duration { return healthCheckInterval }, func(ctx context.Context) {
 		for _, e := range b.entries {
@@ -54,7 +54,7 @@
 	return a.StatusCode == http.StatusOK
 }
 
-// candidates gives the entry VMs to try for a request, healthy ones first.
+// candidates returns the entry VMs to try for a request, healthy ones first.
 func (b *balancer) candidates(serial int) []string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -21,32 +21,33 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bytesPerToken is the length of a made prompt in bytes per token.
+// bytesPerToken is the length of a generated prompt per planned token.
 const bytesPerToken = 4
 
-// result is what one request saw.
+// result is the outcome of one request as its caller saw it.
 type result struct {
 	class *Class
-	// request is the id that the entry VM gave it; empty where none answered.
+	// request is the id that the entry VM assigned; empty if none answered.
 	request    api.RequestID
 	firstToken time.Duration
 	gaps       []time.Duration
 	tokens     int
 	fault      *fault.Error
-	// violation tells that an answer broke a promise: a token missing, doubled,
-	// out of order or of another generation, or a call run more than once.
+	// violation says which guarantee an answer violated: a token missing, repeated,
+	// out of order or of another generation, an answer to another request, or a call run
+	// more than once; empty if none.
 	violation string
 }
 
-// caller sends the requests of a plan.
+// caller sends planned requests and checks their answers.
 type caller struct {
 	http     *http.Client
 	balancer *balancer
 	model    string
 }
 
-// send sends one request, through the next entry VM when one can't be reached,
-// as the balancer in front of them would.
+// send sends one request. If an entry VM can't be reached or takes no requests, it tries
+// the next, as a load balancer in front of them would.
 func (c *caller) send(ctx context.Context, a Arrival) result {
 	key := uuid.NewString()
 	var out result
@@ -64,8 +65,8 @@
 	return out
 }
 
-// retriesElsewhere reports whether the balancer tries another entry VM: this one was
-// not reached, or said that it takes no requests.
+// retriesElsewhere reports whether a balancer would try another entry VM after this fault:
+// this one was not reached, or refused because it is starting or stopping.
 func retriesElsewhere(f *fault.Error) bool {
 	if f == nil {
 		return false
@@ -114,14 +115,14 @@
 	return out
 }
 
-// promptText is a prompt of the planned length that no other request has.
+// promptText returns a prompt of the planned length that is unique within the run.
 func promptText(a Arrival) string {
 	s := strconv.Itoa(a.Serial) + " "
 	n := int(a.Prompt)*bytesPerToken - len(s)
 	return s + strings.Repeat("word ", max(0, n/len("word ")))
 }
 
-// refusal is the typed error of an answer that is no success; nil for one.
+// refusal returns the typed error of a response, or nil if its status is 200.
 func refusal(r *http.Response) *fault.Error {
 	if r.StatusCode == http.StatusOK {
 		return nil
@@ -132,12 +133,12 @@
 		err = json.Unmarshal(b, &e)
 	}
 	if err != nil || e.Error.Code == 0 {
-		return fault.New(fault.Internal, "answer "+r.Status+" without a typed error")
+		return fault.New(fault.Internal, "response "+r.Status+" without a typed error body")
 	}
 	return fault.FromBody(e)
 }
 
-// readStream takes a stream and checks every token.
+// readStream reads the events of a chat stream and checks every token.
 func readStream(body io.Reader, began time.Time, want int) result {
 	out := result{}
 	last := began
@@ -145,13 +146,13 @@
 	ended := false
 	sse.Read(body, nil)(func(e sse.Event, err error) bool {
 		if err != nil {
-			out.fault = fault.Wrap(fault.BadAnswer, err, "the stream broke")
+			out.fault = fault.Wrap(fault.BadAnswer, err, "stream broke off")
 			return false
 		}
 		if e.Type == "error" {
 			var b api.ErrorBody
 			if err := json.Unmarshal([]byte(e.Data), &b); err != nil {
-				out.violation = "an error event is not JSON"
+				out.violation = "an error event is not valid JSON"
 			}
 			out.fault = fault.FromBody(b)
 			return false
@@ -177,7 +178,7 @@
 	switch {
 	case out.fault != nil || out.violation != "":
 	case !ended:
-		out.fault = fault.New(fault.BadAnswer, "the stream ended without its mark")
+		out.fault = fault.New(fault.BadAnswer, "the stream ended without [DONE]")
 	case out.tokens != want:
 		out.violation = fmt.Sprintf("got %d tokens, want %d", out.tokens, want)
 	}
@@ -195,7 +196,7 @@
 	return k.Choices[0].Delta.Content, nil
 }
 
-// checkToken reads a stand-in's token, which tells its generation and index.
+// checkToken checks the generation and index that an engine stand-in writes into each token's text.
 func (r *result) checkToken(text string, generation *string) {
 	g, n, _ := strings.Cut(strings.TrimSpace(text), ":")
 	if r.tokens == 0 {
@@ -203,13 +204,13 @@
 	}
 	i, err := strconv.Atoi(n)
 	if r.violation == "" && (err != nil || i != r.tokens || g != *generation) {
-		r.violation = fmt.Sprintf("token %q at place %d of generation %s", text, r.tokens, *generation)
+		r.violation = fmt.Sprintf("got token %q at index %d of generation %s", text, r.tokens, *generation)
 	}
 	r.tokens++
 }
 
-// callService calls a plain service; one that is not repeatable is asked for again
-// with the same key while its outcome is not known and asking may help.
+// callService calls a plain service once. A call that is not repeatable carries the
+// idempotency key, so that it runs at most once however often it is sent.
 func (c *caller) callService(ctx context.Context, address string, a Arrival, key string) result {
 	began := time.Now()
 	r, err := c.request(ctx, a.Class.Method, "http://"+address+entry.PathServices+a.Class.Path, a, nil)
@@ -232,11 +233,11 @@
 	out := result{firstToken: time.Since(began), request: id}
 	switch err := json.NewDecoder(resp.Body).Decode(&s); {
 	case err != nil:
-		out.fault = fault.Wrap(fault.BadAnswer, err, "the answer is not whole")
+		out.fault = fault.Wrap(fault.BadAnswer, err, "the answer is truncated or not valid JSON")
 	case s.Request != id:
-		out.violation = "the answer is of request " + string(s.Request)
+		out.violation = "the answer belongs to another request: " + string(s.Request)
 	case a.Class.NotRepeatable && s.Count != 1:
-		out.violation = fmt.Sprintf("the call ran %d times", s.Count)
+		out.violation = fmt.Sprintf("the call ran %d times, want once", s.Count)
 	}
 	return out
 }
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,3 +1,3 @@
-// Package load drives a system with the two users' mixes of work, open loop
-// and seeded, checks every answer, and reports what callers saw.
+// Package load is an open-loop load generator. It sends seeded mixes of two example
+// users' requests, checks every answer, and reports what callers saw.
 package load
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -9,44 +9,44 @@
 	"github.com/wardridge/wardridge/internal/sample"
 )
 
-// Class is one kind of work in a mix.
+// Class is one kind of request in a mix.
 type Class struct {
 	Name     string
 	Share    float64
 	Key      string
 	Priority api.Priority
-	// Chat tells completions from calls of a plain service.
+	// Chat marks chat completions; other classes call a plain service.
 	Chat bool
-	// System is the shared system message of completions.
+	// System is the system message that all chats of the class share.
 	System string
-	// Prompt and Output are lognormal lengths in tokens.
+	// Prompt and Output are the distributions of lengths of chats.
 	Prompt, Output Length
-	// Method and Path call a plain service.
+	// Method and Path are those of a call to a plain service.
 	Method, Path string
-	// NotRepeatable marks calls that are not repeatable.
+	// NotRepeatable marks calls that must run at most once; they carry an idempotency key.
 	NotRepeatable bool
 }
 
-// Length is a lognormal distribution of lengths in tokens.
+// Length is a lognormal distribution of lengths in tokens, at least 1 and at most Max.
 type Length struct {
 	Median float64
 	Sigma  float64
 	Max    api.Tokens
 }
 
-// Draw gives one length.
+// Draw draws one length.
 func (l Length) Draw(r *rand.Rand) api.Tokens {
 	n := api.Tokens(math.Round(l.Median * math.Exp(l.Sigma*r.NormFloat64())))
 	return min(max(n, 1), l.Max)
 }
 
-// Mix is a user's work.
+// Mix is a set of request classes with their shares.
 type Mix struct {
 	Name    string
 	Classes []Class
 }
 
-// Mixes are the two users' work and both together.
+// Mixes returns the mixes of the two example users, and one of both in equal parts.
 func Mixes() []Mix {
 	s, a := skipHire(), airworks()
 	both := Mix{Name: "both"}
@@ -57,7 +57,7 @@
 	return []Mix{s, a, both}
 }
 
-// FindMix gives a mix by name.
+// FindMix returns the mix of a name.
 func FindMix(name string) (Mix, bool) {
 	for _, m := range Mixes() {
 		if m.Name == name {
@@ -108,7 +108,7 @@
 	}}
 }
 
-// Arrival is one request of a plan.
+// Arrival is one planned request.
 type Arrival struct {
 	At     time.Duration
 	Class  *Class
@@ -117,7 +117,7 @@
 	Serial int
 }
 
-// Plan draws arrivals: exponential gaps at a rate per second.
+// Plan draws n arrivals of a Poisson process at a rate per second; it depends only on the seed.
 func Plan(m Mix, n int, perSecond float64, seed uint64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, seed+1))
 	l := make([]Arrival, 0, n)
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -11,18 +11,18 @@
 	"github.com/wardridge/wardridge/internal/quantile"
 )
 
-// StallThreshold is the gap between tokens beyond which it counts as a stall.
+// StallThreshold is the gap between tokens above which the excess counts as a stall.
 const StallThreshold = entry.StallThreshold
 
-// ErrorCount is how often one type of error came.
+// ErrorCount is the number of requests that ended with one type of error.
 type ErrorCount struct {
 	Type  string  `json:"type"`
 	Ran   api.Ran `json:"ran"`
 	Count int     `json:"count"`
 }
 
-// Failure is one request that was not answered whole, so that its decisions can be
-// looked up.
+// Failure identifies a request that ended with an error, so that the decisions on it can
+// be looked up.
 type Failure struct {
 	Request api.RequestID `json:"request"`
 	Class   string        `json:"class"`
@@ -30,12 +30,12 @@
 	Ran     api.Ran       `json:"ran"`
 }
 
-// Progress is how far a run has come.
+// Progress counts the requests of a run that is under way.
 type Progress struct {
 	Planned, Sent, Answered, Complete int
 }
 
-// ClassReport is what the callers of one class saw.
+// ClassReport summarizes what the callers of one class saw.
 type ClassReport struct {
 	Class        string           `json:"class"`
 	Requests     int              `json:"requests"`
@@ -46,7 +46,7 @@
 	StallTotalMS float64          `json:"stall_total_ms"`
 }
 
-// Report is what the callers of a run saw.
+// Report summarizes what the callers of a run saw.
 type Report struct {
 	Mix      string        `json:"mix"`
 	Seed     uint64        `json:"seed"`
@@ -57,11 +57,11 @@
 	All      ClassReport   `json:"all"`
 	Classes  []ClassReport `json:"classes"`
 	Errors   []ErrorCount  `json:"errors"`
-	// Failures are the first requests that got an error.
+	// Failures are the first requests that ended with an error, at most maxFailures.
 	Failures []Failure `json:"failures"`
-	// Violations lists answers that broke a promise.
+	// Violations lists the answers that violated a guarantee.
 	Violations []string `json:"wrong"`
-	// Preemptions is what the engines told the entry VMs during the run.
+	// Preemptions is the number that engines reported to the entry VMs during the run.
 	Preemptions int64 `json:"preemptions"`
 }
 
@@ -81,12 +81,13 @@
 	errors     map[ErrorCount]int
 	violations []string
 	tokens     int
-	// failures are the first of those that got an error, sent counts all.
+	// failures are the first requests that ended with an error.
 	failures []Failure
-	sent     int
+	// sent counts all requests sent so far.
+	sent int
 }
 
-// maxFailures bounds the failures that are named: enough to look into each kind.
+// maxFailures bounds the failures listed in a report; 20 are enough to look into each kind.
 const maxFailures = 20
 
 func newSummary() *summary {
@@ -111,14 +112,14 @@
 	}
 }
 
-// addFailure names a failure while there are few.
+// addFailure lists a failure unless there are maxFailures already.
 func (s *summary) addFailure(r result) {
 	if len(s.failures) < maxFailures {
 		s.failures = append(s.failures, Failure{Request: r.request, Class: r.class.Name, Type: r.fault.Code.Kind().Type, Ran: r.fault.Ran})
 	}
 }
 
-// progress tells how far a run of so many requests has come.
+// progress returns the progress of a run of so many planned requests.
 func (s *summary) progress(planned int) Progress {
 	return Progress{Planned: planned, Sent: s.sent, Answered: s.all.requests, Complete: s.all.complete}
 }
@@ -171,7 +172,7 @@
 	return r
 }
 
-// Text writes the report for a person.
+// Text formats the report for the terminal.
 func (r Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "mix %s, seed %d: %d requests in %.1f s, %d whole, %d tokens, %d preemptions\n", r.Mix, r.Seed, r.Requests, r.Seconds, r.Complete, r.Tokens, r.Preemptions)
@@ -193,7 +194,7 @@
 	return b.String()
 }
 
-// requestLabel gives a request's id for a person.
+// requestLabel returns a request's id, or a note if no entry VM answered.
 func requestLabel(r api.RequestID) string {
 	if r == "" {
 		return "(no answer)"
@@ -201,7 +202,7 @@
 	return string(r)
 }
 
-// Text writes the progress for a person.
+// Text formats the progress for the terminal.
 func (p Progress) Text() string {
 	return fmt.Sprintf("%d of %d sent, %d answered, %d whole", p.Sent, p.Planned, p.Answered, p.Complete)
 }
--- a/internal/load/report_test.go
+++ b/internal/load/report_test.go
@@ -9,7 +9,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Each failure is named, so that its decisions can be looked up; many are bounded.
+// A report lists failures by request id, so that the decisions on them can be looked up,
+// and at most maxFailures of them.
 func TestReportNamesFailures(t *testing.T) {
 	c := &Class{Name: "chat", Chat: true}
 	s := newSummary()
@@ -23,7 +24,7 @@
 		t.Errorf("failures: got %+v, want the first %d by id", r.Failures, maxFailures)
 	}
 	if got := r.Text(); !strings.Contains(got, "failed chat r3: no_server (ran: no)") {
-		t.Errorf("text: got %q, want the failures named", got)
+		t.Errorf("text: got %q, want the failures listed by id", got)
 	}
 	if got, want := s.progress(50).Text(), "40 of 50 sent, 31 answered, 1 whole"; got != want {
 		t.Errorf("progress: got %q, want %q", got, want)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Options are what a run does.
+// Options configure a run.
 type Options struct {
 	Entries   []string
 	Mix       Mix
@@ -18,18 +18,18 @@
 	Requests  int
 	PerSecond float64
 	Seed      uint64
-	// DrainTimeout bounds the whole run after the last arrival.
+	// DrainTimeout bounds the time from the last arrival to the end of the run.
 	DrainTimeout time.Duration
-	// Progress is told how far the run has come every few seconds; nil for nobody.
+	// Progress is called every progressEvery while the run is under way; may be nil.
 	Progress func(p Progress)
-	// Dial makes connections; nil for the machine's own.
+	// Dial opens connections; nil uses the default dialer.
 	Dial wire.DialFunc
 }
 
-// progressEvery is the pause between words on a run's progress.
+// progressEvery is the interval between progress reports.
 const progressEvery = 2 * time.Second
 
-// Run sends a plan and reports what the callers saw.
+// Run sends the planned requests at their times and reports what the callers saw.
 func Run(ctx context.Context, o Options) (Report, error) {
 	const dial = 2 * time.Second
 	const perHost = 512
@@ -75,7 +75,7 @@
 		})
 	}
 	defer time.AfterFunc(o.DrainTimeout, cancel).Stop()
-	// Failures are part of the report.
+	// The tasks return no errors; failures are part of the report.
 	_ = g.Wait()
 	return s.report(o, time.Since(began)), nil
 }
