--- a/internal/measure/bench.go
+++ b/internal/measure/bench.go
@@ -11,20 +11,20 @@
 	"github.com/wardridge/wardridge/internal/standin/batch"
 )
 
-// Size is the system that a run measures.
+// Size is the size and timing of the simulated system.
 type Size struct {
 	Entries int
 	Engines int
 	Batch   batch.Options
-	// ReportEvery is the time between reads of an engine's load.
+	// ReportEvery is the interval between reads of an engine's load.
 	ReportEvery time.Duration
-	// ReportLag is the age of a report when it is read.
+	// ReportLag is the age of a load report when an entry VM gets it.
 	ReportLag time.Duration
-	// WarmUp is left out of the figures; Span is measured.
+	// WarmUp is the time before the measured Span; it is left out of the figures.
 	WarmUp, Span time.Duration
 }
 
-// DefaultSize is a small part of today's system.
+// DefaultSize returns a system that is a small part of a deployment.
 func DefaultSize() Size {
 	return Size{
 		Entries: 4, Engines: 4, Batch: batch.Defaults(),
@@ -33,11 +33,11 @@
 	}
 }
 
-// Faults tells whether a run has an engine's death, a freeze and a spell of
-// late reports in it.
+// Faults says whether an engine crashes, another freezes and load reports are late for a
+// time during a run.
 type Faults bool
 
-// Times of faults after the warm time, and how long they last.
+// Start of each fault after the warm-up, and its duration; lateReportLag is the age of late reports.
 const (
 	crashAt        = 10 * time.Second
 	crashFor       = 10 * time.Second
@@ -48,8 +48,8 @@
 	lateReportLag  = 5 * time.Second
 )
 
-// tickInterval is the time between the dispatchers' own rounds; maxQueueWait is the
-// product's longest wait for an engine.
+// tickInterval is the time between periodic ticks of the dispatchers; maxQueueWait is the
+// default of the real system.
 const (
 	tickInterval = 50 * time.Millisecond
 	maxQueueWait = 10 * time.Second
@@ -84,7 +84,7 @@
 	runs        map[api.GenerationID]*request
 }
 
-// bench is one run.
+// bench is the simulation of one run.
 type bench struct {
 	clock
 	size        Size
@@ -94,11 +94,11 @@
 	reportLag   time.Duration
 	result      *Result
 	measureFrom time.Time
-	// pending are the requests that have no engine yet.
+	// pending are the requests that wait for an engine.
 	pending map[api.RequestID]*request
 }
 
-// run measures one policy on one plan.
+// measure simulates one policy under one plan of arrivals, at factor times the capacity.
 func measure(s Size, p Policy, m load.Mix, factor float64, faults Faults, seed uint64) *Result {
 	b := &bench{size: s, random: rand.New(rand.NewPCG(seed, 99)), reportLag: s.ReportLag, result: newResult(), pending: map[api.RequestID]*request{}}
 	b.now = epoch
@@ -136,7 +136,7 @@
 	}
 }
 
-// poll reads an engine's load, which arrives late, again and again.
+// poll reads an engine's load periodically; the report arrives after reportLag.
 func (b *bench) poll(e *entry, x *engine) {
 	b.after(b.size.ReportEvery, func() { b.poll(e, x) })
 	if x.crashed {
@@ -155,7 +155,7 @@
 	b.after(b.reportLag, func() { b.execute(e, e.dispatcher.Report(b.now, r)) })
 }
 
-// stepMS is the step time that an engine reports.
+// stepMS returns the step time that an engine reports.
 func (x *engine) stepMS(s Size) float64 {
 	d := s.Batch.StepBase + time.Duration(x.model.Load().Running)*s.Batch.StepPerGeneration
 	return float64(d) / float64(time.Millisecond)
@@ -166,7 +166,7 @@
 	b.execute(e, e.dispatcher.Tick(b.now))
 }
 
-// model is the one model of the bench.
+// model is the only model of the simulation.
 const model = "desk"
 
 func (b *bench) arrive(a load.Arrival) {
@@ -185,7 +185,7 @@
 	b.execute(e, e.dispatcher.Submit(b.now, q.work))
 }
 
-// execute carries a dispatcher's decisions out.
+// execute carries out a dispatcher's actions: it starts or refuses their requests.
 func (b *bench) execute(e *entry, l []dispatch.Action) {
 	for _, a := range l {
 		q, ok := b.pending[a.Request]
@@ -226,7 +226,7 @@
 	b.wake(x)
 }
 
-// retry tries a request without a token on another engine.
+// retry submits a request that got no token again, avoiding the engine that failed.
 func (b *bench) retry(q *request) {
 	e := q.entry
 	b.pending[q.work.Request] = q
@@ -235,7 +235,7 @@
 	b.execute(e, e.dispatcher.Retry(b.now, q.work))
 }
 
-// wake steps an engine that stood idle.
+// wake starts the steps of an idle engine.
 func (b *bench) wake(x *engine) {
 	if x.busy || x.crashed {
 		return
@@ -286,7 +286,7 @@
 	}
 }
 
-// scheduleFaults plans the faults of a run.
+// scheduleFaults schedules the faults of a run.
 func (b *bench) scheduleFaults() {
 	base := epoch.Add(b.size.WarmUp)
 	b.at(base.Add(crashAt), func() { b.crash(b.engines[0]) })
--- a/internal/measure/calibration.go
+++ b/internal/measure/calibration.go
@@ -10,15 +10,15 @@
 	"github.com/wardridge/wardridge/internal/load"
 )
 
-// learnedCounts are the numbers of answers after which curves are judged.
+// learnedCounts are the numbers of observed answers after which coverage is measured.
 var learnedCounts = []int{0, 20, 100, 1000}
 
-// quantiles are the bounds whose coverage is judged.
+// quantiles are the quantiles whose coverage is measured.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// Calibration writes how many answers of each class stay within the bounds
-// that curves give, after so many answers were learned; drifted after the
-// class's lengths have tripled and 200 of them were learned.
+// Calibration returns a Markdown table of the percentage of answers within the quantiles
+// that length curves predict, for each class after each of learnedCounts. The last column
+// is after a drift: the lengths tripled, and 200 of the new ones were observed.
 func Calibration(mixes []load.Mix) string {
 	var b strings.Builder
 	b.WriteString("### Coverage of length curves, percent within the bound of 50, 90 and 99\n\n| class |")
--- a/internal/measure/clock.go
+++ b/internal/measure/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// epoch is the virtual time at which every run begins.
+// epoch is the virtual time at which every run starts.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 type event struct {
@@ -36,7 +36,7 @@
 	return v
 }
 
-// clock runs events in order of virtual time.
+// clock is a virtual clock that runs events in order of time, then of scheduling.
 type clock struct {
 	now    time.Time
 	events events
@@ -52,7 +52,7 @@
 	c.at(c.now.Add(d), do)
 }
 
-// run runs events until a time.
+// run runs the events up to a time.
 func (c *clock) run(until time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(until) {
 		e := heap.Pop(&c.events).(event)
--- a/internal/measure/doc.go
+++ b/internal/measure/doc.go
@@ -1,4 +1,4 @@
-// Package measure runs the decisions of several entry VMs against the engine
-// stand-in's own batch model in virtual time, and reports what callers see
-// under each policy.
+// Package measure simulates the dispatchers of several entry VMs in virtual time, against
+// the batch model of the engine stand-in, and reports what callers see under each routing
+// and admission policy.
 package measure
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -8,14 +8,14 @@
 	"github.com/wardridge/wardridge/internal/load"
 )
 
-// steadyLoad and floodLoad are the shares of capacity that two workspaces of
-// equal weight ask for.
+// steadyLoad and floodLoad are the loads, as shares of capacity, that two workspaces of
+// equal weight offer.
 const (
 	steadyLoad = 0.4
 	floodLoad  = 1.6
 )
 
-// flood is a mix in which one workspace asks for four times the other's work.
+// flood returns a mix in which one workspace offers four times the load of the other.
 func flood() load.Mix {
 	class := func(name string, share float64) load.Class {
 		return load.Class{
@@ -29,8 +29,8 @@
 	}}
 }
 
-// Flood writes what a steady workspace gets beside one that floods, under the
-// default policy, one run a seed.
+// Flood returns a Markdown table of what a steady workspace gets beside one that floods
+// the system, under the default policy, with one run for each seed.
 func Flood(s Size, seeds int) string {
 	m := flood()
 	var b strings.Builder
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -19,7 +19,7 @@
 	a := measure(small(), p, m, 0.9, true, 3).Figures()
 	b := measure(small(), p, m, 0.9, true, 3).Figures()
 	if a != b {
-		t.Errorf("same seed: got %+v and %+v, want the same", a, b)
+		t.Errorf("two runs with one seed: got %+v and %+v, want equal figures", a, b)
 	}
 }
 
@@ -28,7 +28,7 @@
 	for _, p := range Policies(small(), m) {
 		r := measure(small(), p, m, 1.5, true, 1)
 		if got := r.Refused + r.Complete + r.Lost; got > r.Requests || r.Complete == 0 {
-			t.Errorf("%s: got %d outcomes of %d requests, %d whole", p.Name, got, r.Requests, r.Complete)
+			t.Errorf("%s: got %d outcomes of %d requests, %d complete; want no more outcomes than requests, and some complete", p.Name, got, r.Requests, r.Complete)
 		}
 	}
 }
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -11,21 +11,21 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Chart names one figure to plot.
+// Chart describes a plot of one of the Figures: its file, its title and the value.
 type Chart struct {
 	File  string
 	Title string
 	get   func(f *Figures) *float64
 }
 
-// Charts are the figures that are plotted over the load.
+// Charts are the plots over the load that are drawn for each mix.
 var Charts = []Chart{
 	{"stall", "total stall time, s", func(f *Figures) *float64 { return &f.StallTotal }},
 	{"preemptions", "preemptions per 1,000 requests", func(f *Figures) *float64 { return &f.Preemptions }},
 	{"goodput", "good tokens a second", func(f *Figures) *float64 { return &f.Goodput }},
 }
 
-// Plot writes one figure of a mix's tables, quiet or with faults, as SVG.
+// Plot writes one chart of a mix's tables as SVG, for the runs with or without faults.
 func Plot(w io.Writer, l []Table, mix string, faults bool, f Chart) error {
 	p := plot.New()
 	p.Title.Text = mix
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// linePoints gives one policy's points over the load.
+// linePoints returns a policy's name and its points over the load.
 func linePoints(l []Table, mix string, faults bool, row int, f Chart) (string, plotter.XYs) {
 	var x plotter.XYs
 	name := ""
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -11,14 +11,14 @@
 	"github.com/wardridge/wardridge/internal/load"
 )
 
-// Policy is one way of routing and admission.
+// Policy is a named combination of a routing and an admission policy.
 type Policy struct {
 	Name  string
 	Admit func() admit.Policy
 	Route func() route.Policy
 }
 
-// Settings that the product takes by default.
+// Default settings of the real system.
 const (
 	overflowProbability = 0.02
 	queueLimit          = 512
@@ -32,8 +32,8 @@
 	}
 }
 
-// Policies are the baselines and the choice, for a mix: slots are set to what
-// the mix needs on average, as a careful operator would, and to the batch.
+// Policies returns the baselines and the default policy for a mix. Baselines with slots
+// use the mean batch of the mix, as a careful operator would set it, or the maximum batch.
 func Policies(s Size, m load.Mix) []Policy {
 	tuned := int(math.Round(meanBatch(s, m)))
 	slots := func(n int) func() admit.Policy {
@@ -56,7 +56,8 @@
 	return admit.NewSurvival(overflowProbability, admit.StepTargetMS)
 }
 
-// mixStats are what capacity is worked out from.
+// mixStats are the sampled figures of a mix from which capacity is computed. kvTokens is the
+// mean KV memory of a running generation, where longer generations count for longer.
 type mixStats struct {
 	chatShare    float64
 	outputTokens float64
@@ -64,7 +65,7 @@
 	promptTokens float64
 }
 
-// sampleMix draws a mix's lengths.
+// sampleMix estimates the statistics of a mix from lengths drawn with a fixed seed.
 func sampleMix(m load.Mix) mixStats {
 	const draws = 20000
 	r := rand.New(rand.NewPCG(7, 7))
@@ -90,14 +91,14 @@
 	return x
 }
 
-// meanBatch is the batch that fills an engine's memory on average.
+// meanBatch returns the batch size that fills an engine's KV memory on average, at most MaxBatch.
 func meanBatch(s Size, m load.Mix) float64 {
 	return math.Min(float64(s.Batch.KVTokens)/sampleMix(m).kvTokens, float64(s.Batch.MaxBatch))
 }
 
-// Capacity is the requests a second of a mix at which the engines' memory is
-// full on average: each makes batch tokens in a step, whose time counts the
-// prompts that come with them.
+// Capacity returns the requests per second of a mix at which the engines' memory is full on
+// average. Each step generates one token for each of the mean batch, and its duration includes
+// the prefill of the prompts that arrive meanwhile.
 func Capacity(s Size, m load.Mix) float64 {
 	x := sampleMix(m)
 	b := meanBatch(s, m)
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -10,18 +10,18 @@
 	"github.com/wardridge/wardridge/internal/quantile"
 )
 
-// Result is what callers saw in the measured span of one run.
+// Result holds what callers saw in the measured span of one run.
 type Result struct {
 	Requests, Refused, Complete, Lost, Attempts int
 	Preempted                                   int
-	// Goodput are the tokens of whole answers, a second.
+	// Goodput is the number of tokens of complete answers per second.
 	Goodput float64
-	// StallTotal is the sum of stalls over all streams.
+	// StallTotal is the sum of the stalls of all complete streams.
 	StallTotal  time.Duration
 	gaps        *quantile.Times
 	stalls      *quantile.Times
 	firstTokens *quantile.Times
-	// interactiveFirstTokens are the first tokens of callers on the line.
+	// interactiveFirstTokens are the times to first token of interactive requests.
 	interactiveFirstTokens *quantile.Times
 	goodTokens             int
 	classes                map[string]*classResult
@@ -31,7 +31,7 @@
 	return &Result{gaps: quantile.New(), stalls: quantile.New(), firstTokens: quantile.New(), interactiveFirstTokens: quantile.New(), classes: map[string]*classResult{}}
 }
 
-// classResult is what one class of requests got.
+// classResult holds the outcomes of one class of requests.
 type classResult struct {
 	requests, complete int
 	firstTokens        *quantile.Times
@@ -50,7 +50,7 @@
 	return 100 * float64(s.complete) / float64(max(s.requests, 1))
 }
 
-// measured reports whether a request belongs to the measured span.
+// measured reports whether a request arrived in the measured span.
 func (b *bench) measured(q *request) bool {
 	return !q.arrived.Before(b.measureFrom)
 }
@@ -120,7 +120,7 @@
 	r.Goodput = float64(r.goodTokens) / span.Seconds()
 }
 
-// Figures are the figures of one run.
+// Figures are the figures of one run, in the units that Result.Figures states.
 type Figures struct {
 	StallP50, StallP99, StallTotal float64
 	Preemptions                    float64
@@ -131,9 +131,9 @@
 	AttemptsPerAdmitted            float64
 }
 
-// Figures gives the run's figures: stalls, gaps and first token in ms, the
-// total stall in seconds, preemptions per 1,000 requests, good tokens a
-// second, and refused and lost requests in percent.
+// Figures returns the run's figures: stalls, token gaps and times to first token in ms, the
+// total stall in seconds, preemptions per 1,000 requests, goodput in tokens per second,
+// refused and lost requests in percent, and attempts per admitted request.
 func (r *Result) Figures() Figures {
 	n := float64(max(r.Requests, 1))
 	taken := float64(max(r.Requests-r.Refused, 1))
@@ -147,7 +147,7 @@
 	}
 }
 
-// sortedByID lists requests in order of their ids, so that runs repeat.
+// sortedByID returns requests in order of their ids, so that runs are reproducible.
 func sortedByID(m map[api.GenerationID]*request) []*request {
 	l := make([]*request, 0, len(m))
 	for _, q := range m {
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -12,26 +12,26 @@
 	"github.com/wardridge/wardridge/internal/load"
 )
 
-// Options are what a measurement covers.
+// Options configure a measurement.
 type Options struct {
 	Size    Size
 	Mixes   []load.Mix
 	Factors []float64
 	Seeds   int
-	// Only keeps the policies whose name contains it.
+	// Only selects the policies whose name contains this text.
 	Only string
-	// Workers is the number of runs at once.
+	// Workers is the number of runs executed in parallel.
 	Workers int
 }
 
-// Row is one policy under one load, over all seeds.
+// Row holds the figures of one policy over all seeds.
 type Row struct {
 	Policy string
 	Mean   Figures
 	StdDev Figures
 }
 
-// Table is the policies under one mix, load and set of faults.
+// Table compares the policies under one mix and load, with or without faults.
 type Table struct {
 	Mix    string
 	Factor float64
@@ -39,7 +39,7 @@
 	Rows   []Row
 }
 
-// Run measures every policy under every load, quiet and with faults.
+// Run measures every policy under every mix and load, without and with faults.
 func Run(ctx context.Context, o Options) ([]Table, error) {
 	var tables []Table
 	for _, m := range o.Mixes {
@@ -88,7 +88,7 @@
 	return t, g.Wait()
 }
 
-// columns are the figures of a table, in order.
+// columns are the columns of a table in order.
 var columns = []struct {
 	header string
 	get    func(f *Figures) *float64
@@ -108,7 +108,7 @@
 	{"sent / taken", func(f *Figures) *float64 { return &f.AttemptsPerAdmitted }},
 }
 
-// summary gives the mean and the standard deviation of each figure.
+// summary returns the mean and the standard deviation of each figure.
 func summary(l []Figures) (mean, stdDev Figures) {
 	n := float64(len(l))
 	for _, c := range columns {
@@ -124,7 +124,7 @@
 	return mean, stdDev
 }
 
-// Markdown writes a table for the docs, each figure with its spread.
+// Markdown formats the table as Markdown; each cell is a mean ± its standard deviation.
 func (t Table) Markdown() string {
 	var b strings.Builder
 	condition := "quiet"
