--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,3 +1,3 @@
-// Package capacity measures the slopes that docs/CAPACITY.md works with, on
-// the code that runs in production.
+// Package capacity benchmarks, on production code, how cost grows with the size of the
+// system. docs/CAPACITY.md computes with these slopes.
 package capacity
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -58,7 +58,7 @@
 
 var serverSizes = []int{27, 240, 2500}
 
-// BenchmarkSubmit is the decision on one request and its end.
+// BenchmarkSubmit measures the decision on one request and the handling of its end.
 func BenchmarkSubmit(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkReport is the work on one load report of an engine that runs 20
+// BenchmarkReport measures the handling of one load report when each engine runs 20
 // generations of this entry VM.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range serverSizes {
@@ -108,7 +108,7 @@
 	return l
 }
 
-// BenchmarkConfigChange is the work on one change of the configuration.
+// BenchmarkConfigChange measures the handling of one configuration change.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, n := range []int{10, 200, 1600} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -131,7 +131,7 @@
 	}
 }
 
-// BenchmarkMembers is one round of heartbeats' answers.
+// BenchmarkMembers measures one round of heartbeats from every member.
 func BenchmarkMembers(b *testing.B) {
 	for _, n := range []int{9, 100, 520} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// BenchmarkOrders is one plan of orders with nothing to do.
+// BenchmarkOrders measures planning when every engine is in its target state.
 func BenchmarkOrders(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -173,7 +173,7 @@
 	}
 }
 
-// BenchmarkLease is one look at a held lease.
+// BenchmarkLease measures one step and check of a held lease.
 func BenchmarkLease(b *testing.B) {
 	l := lease.New(lease.Owner{VM: "a"}, lease.Timing{Duration: 6 * time.Second, Skew: time.Second})
 	l.HandleRead(epoch, lease.Object{})
@@ -185,7 +185,7 @@
 	}
 }
 
-// heap is the memory in use after a collection.
+// heap returns the heap memory in use after a garbage collection.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -194,8 +194,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkMemory gives the state held per thing, from the difference of two
-// sizes.
+// BenchmarkMemory measures the memory for each additional item, from the difference between
+// two sizes.
 func BenchmarkMemory(b *testing.B) {
 	measure := func(name string, low, high int, make func(n int) any) {
 		b.Run(name, func(b *testing.B) {
@@ -239,7 +239,7 @@
 	})
 }
 
-// BenchmarkMessages gives the sizes of control messages in JSON.
+// BenchmarkMessages reports the sizes of control messages as JSON.
 func BenchmarkMessages(b *testing.B) {
 	size := func(v any) float64 {
 		j, err := json.Marshal(v)
