--- a/internal/load/report_test.go
+++ b/internal/load/report_test.go
@@ -11,7 +11,7 @@
 
 // A report lists failures by request id, so that the decisions on them can be looked up,
 // and at most maxFailures of them.
-func TestReportNamesFailures(t *testing.T) {
+func TestReportListsFailuresByID(t *testing.T) {
 	c := &Class{Name: "chat", Chat: true}
 	s := newSummary()
 	s.sent = 40
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -13,7 +13,7 @@
 	return s
 }
 
-func TestRunsRepeatBySeed(t *testing.T) {
+func TestRunsAreReproducibleBySeed(t *testing.T) {
 	m, _ := load.FindMix("skip-hire")
 	p := Policies(small(), m)[6]
 	a := measure(small(), p, m, 0.9, true, 3).Figures()
