--- a/cmd/load.go
+++ b/cmd/load.go
@@ -25,14 +25,14 @@
 
 // Run sends the requests and prints the report.
 func (c *loadCommand) Run(e *environment) error {
-	m, ok := load.Find(c.Mix)
+	m, ok := load.FindMix(c.Mix)
 	if !ok {
 		return fault.New(fault.InvalidRequest, "no mix "+c.Mix)
 	}
 	before := c.countPreemptions(e)
 	r, err := load.Run(e, load.Options{
 		Entries: c.Entries, Mix: m, Model: c.Model, Requests: c.Requests,
-		PerSecond: c.PerSecond, Seed: c.Seed, Wait: c.Wait, Progress: e.printProgress,
+		PerSecond: c.PerSecond, Seed: c.Seed, DrainTimeout: c.Wait, Progress: e.printProgress,
 	})
 	if err != nil {
 		return err
@@ -41,11 +41,11 @@
 	if err := c.printReport(e, r); err != nil {
 		return err
 	}
-	if len(r.Wrong) > 0 {
-		return fault.New(fault.CheckFailed, strconv.Itoa(len(r.Wrong))+" answers violated a guarantee")
+	if len(r.Violations) > 0 {
+		return fault.New(fault.CheckFailed, strconv.Itoa(len(r.Violations))+" answers violated a guarantee")
 	}
-	if c.Strict && r.Whole != r.Requests {
-		return fault.New(fault.CheckFailed, strconv.Itoa(r.Requests-r.Whole)+" requests were not answered in full")
+	if c.Strict && r.Complete != r.Requests {
+		return fault.New(fault.CheckFailed, strconv.Itoa(r.Requests-r.Complete)+" requests were not answered in full")
 	}
 	return nil
 }
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -20,11 +20,11 @@
 // VMs in front of 4 engines of the measured size, with the skip-hire mix at shares of the
 // capacity.
 func BenchmarkPolicies(b *testing.B) {
-	m, ok := load.Find("skip-hire")
+	m, ok := load.FindMix("skip-hire")
 	if !ok {
 		b.Fatal("the load mix \"skip-hire\" does not exist")
 	}
-	size := measure.Today()
+	size := measure.DefaultSize()
 	for _, p := range policies {
 		for _, f := range []struct {
 			name  string
@@ -37,20 +37,20 @@
 					const span = 40 * time.Second
 					r, err := load.Run(context.Background(), load.Options{
 						Entries: addresses(s.entries), Mix: m, Model: "desk",
-						Requests: int(rate * span.Seconds()), PerSecond: rate, Seed: 1, Wait: time.Minute,
+						Requests: int(rate * span.Seconds()), PerSecond: rate, Seed: 1, DrainTimeout: time.Minute,
 					})
 					if err != nil {
 						b.Fatal(err)
 					}
-					if len(r.Wrong) > 0 {
-						b.Errorf("wrong answers: got %v, want none", r.Wrong)
+					if len(r.Violations) > 0 {
+						b.Errorf("wrong answers: got %v, want none", r.Violations)
 					}
-					b.ReportMetric(r.All.StallSum/1000, "stall-s")
+					b.ReportMetric(r.All.StallTotalMS/1000, "stall-s")
 					b.ReportMetric(1000*float64(s.sumPreemptions())/float64(r.Requests), "preempted/1000")
-					b.ReportMetric(r.All.Gaps.P99, "gap-p99-ms")
-					b.ReportMetric(r.All.First.P95, "first-p95-ms")
+					b.ReportMetric(r.All.TokenGaps.P99, "gap-p99-ms")
+					b.ReportMetric(r.All.FirstToken.P95, "first-p95-ms")
 					b.ReportMetric(float64(r.Tokens)/r.Seconds, "tokens/s")
-					b.ReportMetric(100*float64(r.Requests-r.Whole)/float64(r.Requests), "refused%")
+					b.ReportMetric(100*float64(r.Requests-r.Complete)/float64(r.Requests), "refused%")
 				}
 			})
 		}
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -372,13 +372,13 @@
 // runLoad sends n requests of the mix of completions and calls to all entry VMs.
 func (s *system) runLoad(n int, perSecond float64, seed uint64) load.Report {
 	s.t.Helper()
-	m, ok := load.Find("both")
+	m, ok := load.FindMix("both")
 	if !ok {
 		s.t.Fatal("the load mix \"both\" does not exist")
 	}
 	r, err := load.Run(context.Background(), load.Options{
 		Entries: addresses(s.entries), Mix: m, Model: "desk", Requests: n,
-		PerSecond: perSecond, Seed: seed, Wait: 5 * time.Minute,
+		PerSecond: perSecond, Seed: seed, DrainTimeout: 5 * time.Minute,
 	})
 	if err != nil {
 		s.t.Fatal(err)
@@ -389,7 +389,7 @@
 // checkComplete checks that every request of a run got a complete and correct answer.
 func checkComplete(t *testing.T, r load.Report) {
 	t.Helper()
-	if len(r.Wrong) != 0 || r.Whole != r.Requests {
-		t.Errorf("answers: got %d complete of %d, wrong %v, errors %v; want all complete", r.Whole, r.Requests, r.Wrong, r.Errors)
+	if len(r.Violations) != 0 || r.Complete != r.Requests {
+		t.Errorf("answers: got %d complete of %d, wrong %v, errors %v; want all complete", r.Complete, r.Requests, r.Violations, r.Errors)
 	}
 }
--- a/fleet/requests_test.go
+++ b/fleet/requests_test.go
@@ -43,7 +43,7 @@
 // runLoad sends n requests of the mix of completions and calls through all entry VMs.
 func (b *testbed) runLoad(n int, perSecond float64) load.Report {
 	b.t.Helper()
-	m, ok := load.Find("both")
+	m, ok := load.FindMix("both")
 	if !ok {
 		b.t.Fatal("the load mix \"both\" does not exist")
 	}
@@ -52,15 +52,15 @@
 		l = append(l, v.host+":80")
 	}
 	r, err := load.Run(context.Background(), load.Options{
-		Entries: l, Mix: m, Model: "desk", Requests: n, PerSecond: perSecond, Seed: 1, Wait: 10 * time.Minute,
+		Entries: l, Mix: m, Model: "desk", Requests: n, PerSecond: perSecond, Seed: 1, DrainTimeout: 10 * time.Minute,
 		Dial: machine{b.net, "callers"}.dial,
 	})
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.t.Logf("%d of %d requests complete, errors %v", r.Whole, r.Requests, r.Errors)
-	if len(r.Wrong) > 0 {
-		b.t.Errorf("wrong answers: got %v, want none", r.Wrong)
+	b.t.Logf("%d of %d requests complete, errors %v", r.Complete, r.Requests, r.Errors)
+	if len(r.Violations) > 0 {
+		b.t.Errorf("wrong answers: got %v, want none", r.Violations)
 	}
 	return r
 }
@@ -84,7 +84,7 @@
 		})
 		r := b.runLoad(300, 15)
 		// Callers whose connection broke get no typed error; all other requests complete.
-		lost := r.Requests - r.Whole
+		lost := r.Requests - r.Complete
 		if maxLost := r.Requests / 10; lost > maxLost {
 			t.Errorf("lost requests: got %d of %d, want at most %d", lost, r.Requests, maxLost)
 		}
@@ -106,8 +106,8 @@
 		})
 		// No entry VM may be started after the test has ended.
 		defer func() { <-done }()
-		if r := b.runLoad(400, 15); r.Whole != r.Requests {
-			t.Errorf("requests during the replacement of all entry VMs: got %d of %d complete, want all", r.Whole, r.Requests)
+		if r := b.runLoad(400, 15); r.Complete != r.Requests {
+			t.Errorf("requests during the replacement of all entry VMs: got %d of %d complete, want all", r.Complete, r.Requests)
 		}
 	})
 }
--- a/fleet/standalone_restore_faults_test.go
+++ b/fleet/standalone_restore_faults_test.go
@@ -17,7 +17,7 @@
 	*testbed
 	t       *testing.T
 	rand    *rand.Rand
-	backups []platform.Copy
+	backups []platform.Backup
 	// modelChanges counts the changes of the model, and orderCount the orders sent.
 	modelChanges, orderCount int
 	isolated                 map[*vm]bool
@@ -38,7 +38,7 @@
 		m.changeModel(fmt.Sprint("w", m.modelChanges))
 	case 1:
 		m.logf("backup %d", len(m.backups))
-		m.backups = append(m.backups, m.store.Copy())
+		m.backups = append(m.backups, m.store.Backup())
 	case 2:
 		m.restoreRandomBackup()
 	case 3:
--- a/fleet/standalone_restore_test.go
+++ b/fleet/standalone_restore_test.go
@@ -16,7 +16,7 @@
 )
 
 // restore restores the platform from a backup after an outage of two seconds.
-func (b *testbed) restore(c platform.Copy) {
+func (b *testbed) restore(c platform.Backup) {
 	b.platform.Set(platform.Faults{Outage: true})
 	time.Sleep(2 * time.Second)
 	b.store.Restore(c)
@@ -50,7 +50,7 @@
 // was restored from it.
 func TestDeclaredResourcesSurviveStoreRestore(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
-		c := b.store.Copy()
+		c := b.store.Backup()
 		b.waitFor(maxChangeDelay, "the change", b.inForceOnAll(b.changeModel("second")))
 		b.restore(c)
 		time.Sleep(maxChangeDelay)
@@ -83,7 +83,7 @@
 		}
 		b.waitFor(time.Minute, "a status to be written", func() bool { return status() != "" })
 		time.Sleep(10 * time.Second)
-		c, before := b.store.Copy(), status()
+		c, before := b.store.Backup(), status()
 		b.startBackends()
 		time.Sleep(10 * time.Second)
 		latest := status()
@@ -123,7 +123,7 @@
 		t.Run(fmt.Sprintf("answer lost %v", lost), func(t *testing.T) {
 			withFleet(t, 4, func(t *testing.T, b *testbed) {
 				b.startBackends()
-				c := b.store.Copy()
+				c := b.store.Backup()
 				if lost {
 					b.orders.Set(service.Faults{LoseAnswers: 1})
 				}
--- a/fleet/standalone_signals_test.go
+++ b/fleet/standalone_signals_test.go
@@ -126,9 +126,9 @@
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		b.startBackends()
 		b.sendOrders("before", 30, time.Second)
-		b.orders.Set(service.Faults{RestS: backoffTime.Seconds()})
+		b.orders.Set(service.Faults{BackoffS: backoffTime.Seconds()})
 		o := b.sendOrders("rest", 30, backoffTime)
-		if got, allowed := b.orders.Refused(), (1+backoffSlack)*len(b.vms); got > allowed {
+		if got, allowed := b.orders.RefusedForBackoff(), (1+backoffSlack)*len(b.vms); got > allowed {
 			t.Errorf("calls during the backoff: got %d, want at most %d", got, allowed)
 		}
 		b.orders.Set(service.Faults{})
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -21,42 +21,43 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bytesPerToken is the length of a made prompt in bytes per token.
+// bytesPerToken is the length of a generated prompt per planned token.
 const bytesPerToken = 4
 
-// result is what one request saw.
+// result is the outcome of one request as its caller saw it.
 type result struct {
 	class *Class
-	// request is the id that the entry VM gave it; empty where none answered.
-	request api.RequestID
-	first   time.Duration
-	gaps    []time.Duration
-	tokens  int
-	fault   *fault.Error
-	// wrong tells that an answer broke a promise: a token missing, doubled,
-	// out of order or of another generation, or a call run more than once.
-	wrong string
+	// request is the id that the entry VM assigned; empty if none answered.
+	request    api.RequestID
+	firstToken time.Duration
+	gaps       []time.Duration
+	tokens     int
+	fault      *fault.Error
+	// violation says which guarantee an answer violated: a token missing, repeated,
+	// out of order or of another generation, an answer to another request, or a call run
+	// more than once; empty if none.
+	violation string
 }
 
-// caller sends the requests of a plan.
+// caller sends planned requests and checks their answers.
 type caller struct {
 	http     *http.Client
 	balancer *balancer
 	model    string
 }
 
-// do sends one request, through the next entry VM when one can't be reached,
-// as the balancer in front of them would.
-func (c *caller) do(ctx context.Context, a Arrival) result {
+// send sends one request. If an entry VM can't be reached or takes no requests, it tries
+// the next, as a load balancer in front of them would.
+func (c *caller) send(ctx context.Context, a Arrival) result {
 	key := uuid.NewString()
 	var out result
-	for _, e := range c.balancer.order(a.Serial) {
+	for _, e := range c.balancer.candidates(a.Serial) {
 		if a.Class.Chat {
 			out = c.chat(ctx, e, a)
 		} else {
-			out = c.call(ctx, e, a, key)
+			out = c.callService(ctx, e, a, key)
 		}
-		if !elsewhere(out.fault) {
+		if !retriesElsewhere(out.fault) {
 			break
 		}
 	}
@@ -64,9 +65,9 @@
 	return out
 }
 
-// elsewhere reports whether the balancer tries another entry VM: this one was
-// not reached, or said that it takes no requests.
-func elsewhere(f *fault.Error) bool {
+// retriesElsewhere reports whether a balancer would try another entry VM after this fault:
+// this one was not reached, or refused because it is starting or stopping.
+func retriesElsewhere(f *fault.Error) bool {
 	if f == nil {
 		return false
 	}
@@ -87,16 +88,16 @@
 }
 
 func (c *caller) chat(ctx context.Context, address string, a Arrival) result {
-	ask := api.ChatRequest{
+	body := api.ChatRequest{
 		Model:  api.ModelName(c.model),
 		Stream: true,
 		Messages: []api.ChatMessage{
 			{Role: "system", Content: a.Class.System},
-			{Role: "user", Content: filler(a)},
+			{Role: "user", Content: promptText(a)},
 		},
 		Metadata: map[string]string{engine.MetadataTokens: strconv.Itoa(int(a.Output))},
 	}
-	r, err := c.request(ctx, http.MethodPost, "http://"+address+entry.PathChat, a, ask)
+	r, err := c.request(ctx, http.MethodPost, "http://"+address+entry.PathChat, a, body)
 	if err != nil {
 		return result{fault: fault.From(err)}
 	}
@@ -108,20 +109,20 @@
 	defer func() { _ = resp.Body.Close() }()
 	out := result{fault: refusal(resp)}
 	if out.fault == nil {
-		out = read(resp.Body, began, int(a.Output))
+		out = readStream(resp.Body, began, int(a.Output))
 	}
 	out.request = api.RequestID(resp.Header.Get(wire.HeaderRequestID))
 	return out
 }
 
-// filler is a prompt of the planned length that no other request has.
-func filler(a Arrival) string {
+// promptText returns a prompt of the planned length that is unique within the run.
+func promptText(a Arrival) string {
 	s := strconv.Itoa(a.Serial) + " "
 	n := int(a.Prompt)*bytesPerToken - len(s)
 	return s + strings.Repeat("word ", max(0, n/len("word ")))
 }
 
-// refusal is the typed error of an answer that is no success; nil for one.
+// refusal returns the typed error of a response, or nil if its status is 200.
 func refusal(r *http.Response) *fault.Error {
 	if r.StatusCode == http.StatusOK {
 		return nil
@@ -132,26 +133,26 @@
 		err = json.Unmarshal(b, &e)
 	}
 	if err != nil || e.Error.Code == 0 {
-		return fault.New(fault.Internal, "answer "+r.Status+" without a typed error")
+		return fault.New(fault.Internal, "response "+r.Status+" without a typed error body")
 	}
 	return fault.FromBody(e)
 }
 
-// read takes a stream and checks every token.
-func read(body io.Reader, began time.Time, want int) result {
+// readStream reads the events of a chat stream and checks every token.
+func readStream(body io.Reader, began time.Time, want int) result {
 	out := result{}
 	last := began
 	generation := ""
 	ended := false
 	sse.Read(body, nil)(func(e sse.Event, err error) bool {
 		if err != nil {
-			out.fault = fault.Wrap(fault.BadAnswer, err, "the stream broke")
+			out.fault = fault.Wrap(fault.BadAnswer, err, "stream broke off")
 			return false
 		}
 		if e.Type == "error" {
 			var b api.ErrorBody
 			if err := json.Unmarshal([]byte(e.Data), &b); err != nil {
-				out.wrong = "an error event is not JSON"
+				out.violation = "an error event is not valid JSON"
 			}
 			out.fault = fault.FromBody(b)
 			return false
@@ -160,31 +161,31 @@
 			ended = true
 			return false
 		}
-		text, err := content(e.Data)
+		text, err := deltaText(e.Data)
 		if err != nil || text == "" {
 			return err == nil
 		}
 		now := time.Now()
 		if out.tokens == 0 {
-			out.first = now.Sub(began)
+			out.firstToken = now.Sub(began)
 		} else {
 			out.gaps = append(out.gaps, now.Sub(last))
 		}
 		last = now
-		out.check(text, &generation)
+		out.checkToken(text, &generation)
 		return true
 	})
 	switch {
-	case out.fault != nil || out.wrong != "":
+	case out.fault != nil || out.violation != "":
 	case !ended:
-		out.fault = fault.New(fault.BadAnswer, "the stream ended without its mark")
+		out.fault = fault.New(fault.BadAnswer, "the stream ended without [DONE]")
 	case out.tokens != want:
-		out.wrong = fmt.Sprintf("got %d tokens, want %d", out.tokens, want)
+		out.violation = fmt.Sprintf("got %d tokens, want %d", out.tokens, want)
 	}
 	return out
 }
 
-func content(data string) (string, error) {
+func deltaText(data string) (string, error) {
 	var k api.ChatChunk
 	if err := json.Unmarshal([]byte(data), &k); err != nil {
 		return "", err
@@ -195,28 +196,28 @@
 	return k.Choices[0].Delta.Content, nil
 }
 
-// check reads a stand-in's token, which tells its generation and index.
-func (r *result) check(text string, generation *string) {
+// checkToken checks the generation and index that an engine stand-in writes into each token's text.
+func (r *result) checkToken(text string, generation *string) {
 	g, n, _ := strings.Cut(strings.TrimSpace(text), ":")
 	if r.tokens == 0 {
 		*generation = g
 	}
 	i, err := strconv.Atoi(n)
-	if r.wrong == "" && (err != nil || i != r.tokens || g != *generation) {
-		r.wrong = fmt.Sprintf("token %q at place %d of generation %s", text, r.tokens, *generation)
+	if r.violation == "" && (err != nil || i != r.tokens || g != *generation) {
+		r.violation = fmt.Sprintf("got token %q at index %d of generation %s", text, r.tokens, *generation)
 	}
 	r.tokens++
 }
 
-// call calls a plain service; one that is not repeatable is asked for again
-// with the same key while its outcome is not known and asking may help.
-func (c *caller) call(ctx context.Context, address string, a Arrival, key string) result {
+// callService calls a plain service once. A call that is not repeatable carries the
+// idempotency key, so that it runs at most once however often it is sent.
+func (c *caller) callService(ctx context.Context, address string, a Arrival, key string) result {
 	began := time.Now()
 	r, err := c.request(ctx, a.Class.Method, "http://"+address+entry.PathServices+a.Class.Path, a, nil)
 	if err != nil {
 		return result{fault: fault.From(err)}
 	}
-	if a.Class.Once {
+	if a.Class.NotRepeatable {
 		r.Header.Set(wire.HeaderIdempotencyKey, key)
 	}
 	resp, err := c.http.Do(r)
@@ -229,14 +230,14 @@
 		return result{fault: f, request: id}
 	}
 	var s service.Answer
-	out := result{first: time.Since(began), request: id}
+	out := result{firstToken: time.Since(began), request: id}
 	switch err := json.NewDecoder(resp.Body).Decode(&s); {
 	case err != nil:
-		out.fault = fault.Wrap(fault.BadAnswer, err, "the answer is not whole")
+		out.fault = fault.Wrap(fault.BadAnswer, err, "the answer is truncated or not valid JSON")
 	case s.Request != id:
-		out.wrong = "the answer is of request " + string(s.Request)
-	case a.Class.Once && s.Count != 1:
-		out.wrong = fmt.Sprintf("the call ran %d times", s.Count)
+		out.violation = "the answer belongs to another request: " + string(s.Request)
+	case a.Class.NotRepeatable && s.Count != 1:
+		out.violation = fmt.Sprintf("the call ran %d times, want once", s.Count)
 	}
 	return out
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -11,18 +11,18 @@
 	"github.com/wardridge/wardridge/internal/quantile"
 )
 
-// StallBound is the gap between tokens beyond which it counts as a stall.
-const StallBound = entry.StallThreshold
+// StallThreshold is the gap between tokens above which the excess counts as a stall.
+const StallThreshold = entry.StallThreshold
 
-// ErrorCount is how often one type of error came.
+// ErrorCount is the number of requests that ended with one type of error.
 type ErrorCount struct {
 	Type  string  `json:"type"`
 	Ran   api.Ran `json:"ran"`
 	Count int     `json:"count"`
 }
 
-// Failure is one request that was not answered whole, so that its decisions can be
-// looked up.
+// Failure identifies a request that ended with an error, so that the decisions on it can
+// be looked up.
 type Failure struct {
 	Request api.RequestID `json:"request"`
 	Class   string        `json:"class"`
@@ -30,73 +30,74 @@
 	Ran     api.Ran       `json:"ran"`
 }
 
-// Progress is how far a run has come.
+// Progress counts the requests of a run that is under way.
 type Progress struct {
-	Planned, Sent, Answered, Whole int
+	Planned, Sent, Answered, Complete int
 }
 
-// ClassReport is what the callers of one class saw.
+// ClassReport summarizes what the callers of one class saw.
 type ClassReport struct {
-	Class    string           `json:"class"`
-	Requests int              `json:"requests"`
-	Whole    int              `json:"whole"`
-	First    quantile.Summary `json:"first_token"`
-	Gaps     quantile.Summary `json:"token_gaps"`
-	Stalls   quantile.Summary `json:"stall_per_stream"`
-	StallSum float64          `json:"stall_total_ms"`
+	Class        string           `json:"class"`
+	Requests     int              `json:"requests"`
+	Complete     int              `json:"whole"`
+	FirstToken   quantile.Summary `json:"first_token"`
+	TokenGaps    quantile.Summary `json:"token_gaps"`
+	Stalls       quantile.Summary `json:"stall_per_stream"`
+	StallTotalMS float64          `json:"stall_total_ms"`
 }
 
-// Report is what the callers of a run saw.
+// Report summarizes what the callers of a run saw.
 type Report struct {
 	Mix      string        `json:"mix"`
 	Seed     uint64        `json:"seed"`
 	Seconds  float64       `json:"seconds"`
 	Requests int           `json:"requests"`
-	Whole    int           `json:"whole"`
+	Complete int           `json:"whole"`
 	Tokens   int           `json:"tokens"`
 	All      ClassReport   `json:"all"`
 	Classes  []ClassReport `json:"classes"`
 	Errors   []ErrorCount  `json:"errors"`
-	// Failures are the first requests that got an error.
+	// Failures are the first requests that ended with an error, at most maxFailures.
 	Failures []Failure `json:"failures"`
-	// Wrong lists answers that broke a promise.
-	Wrong []string `json:"wrong"`
-	// Preemptions is what the engines told the entry VMs during the run.
+	// Violations lists the answers that violated a guarantee.
+	Violations []string `json:"wrong"`
+	// Preemptions is the number that engines reported to the entry VMs during the run.
 	Preemptions int64 `json:"preemptions"`
 }
 
-type class struct {
-	requests, whole     int
-	first, gaps, stalls *quantile.Times
-	stall               time.Duration
+type classSummary struct {
+	requests, complete        int
+	firstTokens, gaps, stalls *quantile.Times
+	stall                     time.Duration
 }
 
-func newClass() *class {
-	return &class{first: quantile.New(), gaps: quantile.New(), stalls: quantile.New()}
+func newClassSummary() *classSummary {
+	return &classSummary{firstTokens: quantile.New(), gaps: quantile.New(), stalls: quantile.New()}
 }
 
 type summary struct {
-	all     *class
-	classes map[string]*class
-	errors  map[ErrorCount]int
-	wrong   []string
-	tokens  int
-	// failures are the first of those that got an error, sent counts all.
+	all        *classSummary
+	classes    map[string]*classSummary
+	errors     map[ErrorCount]int
+	violations []string
+	tokens     int
+	// failures are the first requests that ended with an error.
 	failures []Failure
-	sent     int
+	// sent counts all requests sent so far.
+	sent int
 }
 
-// failuresMost bounds the failures that are named: enough to look into each kind.
-const failuresMost = 20
+// maxFailures bounds the failures listed in a report; 20 are enough to look into each kind.
+const maxFailures = 20
 
 func newSummary() *summary {
-	return &summary{all: newClass(), classes: map[string]*class{}, errors: map[ErrorCount]int{}}
+	return &summary{all: newClassSummary(), classes: map[string]*classSummary{}, errors: map[ErrorCount]int{}}
 }
 
 func (s *summary) add(r result) {
 	c, ok := s.classes[r.class.Name]
 	if !ok {
-		c = newClass()
+		c = newClassSummary()
 		s.classes[r.class.Name] = c
 	}
 	c.add(r)
@@ -104,32 +105,32 @@
 	s.tokens += r.tokens
 	if r.fault != nil {
 		s.errors[ErrorCount{Type: r.fault.Code.Kind().Type, Ran: r.fault.Ran}]++
-		s.fail(r)
+		s.addFailure(r)
 	}
-	if r.wrong != "" {
-		s.wrong = append(s.wrong, r.class.Name+": "+r.wrong)
+	if r.violation != "" {
+		s.violations = append(s.violations, r.class.Name+": "+r.violation)
 	}
 }
 
-// fail names a failure while there are few.
-func (s *summary) fail(r result) {
-	if len(s.failures) < failuresMost {
+// addFailure lists a failure unless there are maxFailures already.
+func (s *summary) addFailure(r result) {
+	if len(s.failures) < maxFailures {
 		s.failures = append(s.failures, Failure{Request: r.request, Class: r.class.Name, Type: r.fault.Code.Kind().Type, Ran: r.fault.Ran})
 	}
 }
 
-// progress tells how far a run of so many requests has come.
+// progress returns the progress of a run of so many planned requests.
 func (s *summary) progress(planned int) Progress {
-	return Progress{Planned: planned, Sent: s.sent, Answered: s.all.requests, Whole: s.all.whole}
+	return Progress{Planned: planned, Sent: s.sent, Answered: s.all.requests, Complete: s.all.complete}
 }
 
-func (c *class) add(r result) {
+func (c *classSummary) add(r result) {
 	c.requests++
-	if r.fault == nil && r.wrong == "" {
-		c.whole++
+	if r.fault == nil && r.violation == "" {
+		c.complete++
 	}
-	if r.first > 0 {
-		c.first.Record(r.first)
+	if r.firstToken > 0 {
+		c.firstTokens.Record(r.firstToken)
 	}
 	if !r.class.Chat || r.tokens == 0 {
 		return
@@ -137,24 +138,24 @@
 	stall := time.Duration(0)
 	for _, g := range r.gaps {
 		c.gaps.Record(g)
-		stall += max(0, g-StallBound)
+		stall += max(0, g-StallThreshold)
 	}
 	c.stalls.Record(stall)
 	c.stall += stall
 }
 
-func (c *class) report(name string) ClassReport {
+func (c *classSummary) report(name string) ClassReport {
 	return ClassReport{
-		Class: name, Requests: c.requests, Whole: c.whole,
-		First: c.first.Summary(), Gaps: c.gaps.Summary(), Stalls: c.stalls.Summary(),
-		StallSum: float64(c.stall.Milliseconds()),
+		Class: name, Requests: c.requests, Complete: c.complete,
+		FirstToken: c.firstTokens.Summary(), TokenGaps: c.gaps.Summary(), Stalls: c.stalls.Summary(),
+		StallTotalMS: float64(c.stall.Milliseconds()),
 	}
 }
 
 func (s *summary) report(o Options, d time.Duration) Report {
 	r := Report{
-		Mix: o.Mix.Name, Seed: o.Seed, Seconds: d.Seconds(), Requests: s.all.requests, Whole: s.all.whole,
-		Tokens: s.tokens, All: s.all.report("all"), Errors: []ErrorCount{}, Wrong: append([]string{}, s.wrong...),
+		Mix: o.Mix.Name, Seed: o.Seed, Seconds: d.Seconds(), Requests: s.all.requests, Complete: s.all.complete,
+		Tokens: s.tokens, All: s.all.report("all"), Errors: []ErrorCount{}, Violations: append([]string{}, s.violations...),
 		Failures: append([]Failure{}, s.failures...),
 	}
 	for n, c := range s.classes {
@@ -171,37 +172,37 @@
 	return r
 }
 
-// Text writes the report for a person.
+// Text formats the report for the terminal.
 func (r Report) Text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "mix %s, seed %d: %d requests in %.1f s, %d whole, %d tokens, %d preemptions\n", r.Mix, r.Seed, r.Requests, r.Seconds, r.Whole, r.Tokens, r.Preemptions)
+	fmt.Fprintf(&b, "mix %s, seed %d: %d requests in %.1f s, %d whole, %d tokens, %d preemptions\n", r.Mix, r.Seed, r.Requests, r.Seconds, r.Complete, r.Tokens, r.Preemptions)
 	fmt.Fprintf(&b, "%-20s %8s %8s | %29s | %37s | %s\n", "class", "requests", "whole", "first token p50/p95/p99 ms", "token gap p50/p95/p99/p99.9 ms", "stall p50/p99/total ms")
 	for _, c := range append(r.Classes, r.All) {
 		fmt.Fprintf(&b, "%-20s %8d %8d | %9.1f %9.1f %9.1f | %9.1f %8.1f %8.1f %9.1f | %.1f %.1f %.0f\n",
-			c.Class, c.Requests, c.Whole, c.First.P50, c.First.P95, c.First.P99,
-			c.Gaps.P50, c.Gaps.P95, c.Gaps.P99, c.Gaps.P999, c.Stalls.P50, c.Stalls.P99, c.StallSum)
+			c.Class, c.Requests, c.Complete, c.FirstToken.P50, c.FirstToken.P95, c.FirstToken.P99,
+			c.TokenGaps.P50, c.TokenGaps.P95, c.TokenGaps.P99, c.TokenGaps.P999, c.Stalls.P50, c.Stalls.P99, c.StallTotalMS)
 	}
 	for _, e := range r.Errors {
 		fmt.Fprintf(&b, "error %s (ran: %s): %d\n", e.Type, e.Ran, e.Count)
 	}
 	for _, f := range r.Failures {
-		fmt.Fprintf(&b, "failed %s %s: %s (ran: %s)\n", f.Class, named(f.Request), f.Type, f.Ran)
+		fmt.Fprintf(&b, "failed %s %s: %s (ran: %s)\n", f.Class, requestLabel(f.Request), f.Type, f.Ran)
 	}
-	for _, w := range r.Wrong {
+	for _, w := range r.Violations {
 		fmt.Fprintf(&b, "WRONG %s\n", w)
 	}
 	return b.String()
 }
 
-// named gives a request's id for a person.
-func named(r api.RequestID) string {
+// requestLabel returns a request's id, or a note if no entry VM answered.
+func requestLabel(r api.RequestID) string {
 	if r == "" {
 		return "(no answer)"
 	}
 	return string(r)
 }
 
-// Text writes the progress for a person.
+// Text formats the progress for the terminal.
 func (p Progress) Text() string {
-	return fmt.Sprintf("%d of %d sent, %d answered, %d whole", p.Sent, p.Planned, p.Answered, p.Whole)
+	return fmt.Sprintf("%d of %d sent, %d answered, %d whole", p.Sent, p.Planned, p.Answered, p.Complete)
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Options are what a run does.
+// Options configure a run.
 type Options struct {
 	Entries   []string
 	Mix       Mix
@@ -18,18 +18,18 @@
 	Requests  int
 	PerSecond float64
 	Seed      uint64
-	// Wait bounds the whole run after the last arrival.
-	Wait time.Duration
-	// Progress is told how far the run has come every few seconds; nil for nobody.
+	// DrainTimeout bounds the time from the last arrival to the end of the run.
+	DrainTimeout time.Duration
+	// Progress is called every progressEvery while the run is under way; may be nil.
 	Progress func(p Progress)
-	// Dial makes connections; nil for the machine's own.
+	// Dial opens connections; nil uses the default dialer.
 	Dial wire.DialFunc
 }
 
-// progressEvery is the pause between words on a run's progress.
+// progressEvery is the interval between progress reports.
 const progressEvery = 2 * time.Second
 
-// Run sends a plan and reports what the callers saw.
+// Run sends the planned requests at their times and reports what the callers saw.
 func Run(ctx context.Context, o Options) (Report, error) {
 	const dial = 2 * time.Second
 	const perHost = 512
@@ -40,14 +40,14 @@
 	}
 	defer t.CloseIdleConnections()
 	b := newBalancer(o.Entries, t.DialContext)
-	looks, stop := duty.New(ctx)
+	background, stop := duty.New(ctx)
 	defer stop()
-	looks.Go(b.run)
+	background.Go(b.checkHealth)
 	c := &caller{http: &http.Client{Transport: t}, balancer: b, model: o.Model}
 	var mutex sync.Mutex
 	s := newSummary()
 	if o.Progress != nil {
-		looks.Every(progressEvery, func(context.Context) {
+		background.Every(progressEvery, func(context.Context) {
 			mutex.Lock()
 			p := s.progress(o.Requests)
 			mutex.Unlock()
@@ -67,15 +67,15 @@
 		s.sent++
 		mutex.Unlock()
 		g.Go(func(ctx context.Context) error {
-			r := c.do(ctx, a)
+			r := c.send(ctx, a)
 			mutex.Lock()
 			defer mutex.Unlock()
 			s.add(r)
 			return nil
 		})
 	}
-	defer time.AfterFunc(o.Wait, cancel).Stop()
-	// Failures are part of the report.
+	defer time.AfterFunc(o.DrainTimeout, cancel).Stop()
+	// The tasks return no errors; failures are part of the report.
 	_ = g.Wait()
 	return s.report(o, time.Since(began)), nil
 }
--- a/internal/measure/calibration.go
+++ b/internal/measure/calibration.go
@@ -10,22 +10,22 @@
 	"github.com/wardridge/wardridge/internal/load"
 )
 
-// learned are the numbers of answers after which curves are judged.
-var learned = []int{0, 20, 100, 1000}
+// learnedCounts are the numbers of observed answers after which coverage is measured.
+var learnedCounts = []int{0, 20, 100, 1000}
 
-// quantiles are the bounds whose coverage is judged.
+// quantiles are the quantiles whose coverage is measured.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// Calibration writes how many answers of each class stay within the bounds
-// that curves give, after so many answers were learned; drifted after the
-// class's lengths have tripled and 200 of them were learned.
+// Calibration returns a Markdown table of the percentage of answers within the quantiles
+// that length curves predict, for each class after each of learnedCounts. The last column
+// is after a drift: the lengths tripled, and 200 of the new ones were observed.
 func Calibration(mixes []load.Mix) string {
 	var b strings.Builder
 	b.WriteString("### Coverage of length curves, percent within the bound of 50, 90 and 99\n\n| class |")
-	for _, n := range learned {
+	for _, n := range learnedCounts {
 		fmt.Fprintf(&b, " %d answers |", n)
 	}
-	b.WriteString(" 200 after drift |\n|---|" + strings.Repeat("---|", len(learned)+1) + "\n")
+	b.WriteString(" 200 after drift |\n|---|" + strings.Repeat("---|", len(learnedCounts)+1) + "\n")
 	for _, m := range mixes {
 		for _, c := range m.Classes {
 			if c.Chat {
@@ -43,7 +43,7 @@
 	k := length.Key{Workspace: api.WorkspaceName(c.Key), Kind: api.RequestKind(c.Name)}
 	row := "| " + c.Name + " |"
 	seen := 0
-	for _, n := range learned {
+	for _, n := range learnedCounts {
 		for ; seen < n; seen++ {
 			p.Observe(k, c.Output.Draw(r), true)
 		}
@@ -62,7 +62,7 @@
 	const draws = 20000
 	var out []string
 	for _, q := range quantiles {
-		bound := c.Quantile(0, l.Most, q)
+		bound := c.Quantile(0, l.Max, q)
 		in := 0
 		for range draws {
 			if l.Draw(r) <= bound {
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -8,19 +8,19 @@
 	"github.com/wardridge/wardridge/internal/load"
 )
 
-// steadyLoad and floodLoad are the shares of capacity that two workspaces of
-// equal weight ask for.
+// steadyLoad and floodLoad are the loads, as shares of capacity, that two workspaces of
+// equal weight offer.
 const (
 	steadyLoad = 0.4
 	floodLoad  = 1.6
 )
 
-// flood is a mix in which one workspace asks for four times the other's work.
+// flood returns a mix in which one workspace offers four times the load of the other.
 func flood() load.Mix {
 	class := func(name string, share float64) load.Class {
 		return load.Class{
 			Name: name, Share: share, Key: name, Priority: api.PriorityInteractive, Chat: true,
-			Prompt: load.Length{Median: 300, Spread: 0.5, Most: 3000}, Output: load.Length{Median: 120, Spread: 0.8, Most: 6000},
+			Prompt: load.Length{Median: 300, Sigma: 0.5, Max: 3000}, Output: load.Length{Median: 120, Sigma: 0.8, Max: 6000},
 		}
 	}
 	return load.Mix{Name: "flood", Classes: []load.Class{
@@ -29,8 +29,8 @@
 	}}
 }
 
-// Flood writes what a steady workspace gets beside one that floods, under the
-// default policy, one run a seed.
+// Flood returns a Markdown table of what a steady workspace gets beside one that floods
+// the system, under the default policy, with one run for each seed.
 func Flood(s Size, seeds int) string {
 	m := flood()
 	var b strings.Builder
@@ -43,7 +43,7 @@
 		for k := range seeds {
 			r := measure(s, p, m, steadyLoad+floodLoad, false, uint64(k+1))
 			x, y := r.classes["steady"], r.classes["flooding"]
-			fmt.Fprintf(&b, "| %d | %.1f | %.0f | %.1f | %.0f |\n", k+1, x.percent(), x.firsts.At(95), y.percent(), y.firsts.At(95))
+			fmt.Fprintf(&b, "| %d | %.1f | %.0f | %.1f | %.0f |\n", k+1, x.completePercent(), x.firstTokens.At(95), y.completePercent(), y.firstTokens.At(95))
 		}
 	}
 	b.WriteString("\n")
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -10,145 +10,145 @@
 	"github.com/wardridge/wardridge/internal/quantile"
 )
 
-// Result is what callers saw in the measured span of one run.
+// Result holds what callers saw in the measured span of one run.
 type Result struct {
-	Asked, Refused, Whole, Lost, Sent int
-	Preempted                         int
-	// GoodTokens are the tokens of whole answers, a second.
-	GoodTokens float64
-	// StallTotal is the sum of stalls over all streams.
-	StallTotal time.Duration
-	gaps       *quantile.Times
-	stalls     *quantile.Times
-	firsts     *quantile.Times
-	// onLine are the first tokens of callers on the line.
-	onLine  *quantile.Times
-	good    int
-	classes map[string]*share
+	Requests, Refused, Complete, Lost, Attempts int
+	Preempted                                   int
+	// Goodput is the number of tokens of complete answers per second.
+	Goodput float64
+	// StallTotal is the sum of the stalls of all complete streams.
+	StallTotal  time.Duration
+	gaps        *quantile.Times
+	stalls      *quantile.Times
+	firstTokens *quantile.Times
+	// interactiveFirstTokens are the times to first token of interactive requests.
+	interactiveFirstTokens *quantile.Times
+	goodTokens             int
+	classes                map[string]*classResult
 }
 
 func newResult() *Result {
-	return &Result{gaps: quantile.New(), stalls: quantile.New(), firsts: quantile.New(), onLine: quantile.New(), classes: map[string]*share{}}
+	return &Result{gaps: quantile.New(), stalls: quantile.New(), firstTokens: quantile.New(), interactiveFirstTokens: quantile.New(), classes: map[string]*classResult{}}
 }
 
-// share is what one class of requests got.
-type share struct {
-	asked, whole int
-	firsts       *quantile.Times
+// classResult holds the outcomes of one class of requests.
+type classResult struct {
+	requests, complete int
+	firstTokens        *quantile.Times
 }
 
-func (r *Result) of(q *request) *share {
+func (r *Result) classOf(q *request) *classResult {
 	s, ok := r.classes[q.class.Name]
 	if !ok {
-		s = &share{firsts: quantile.New()}
+		s = &classResult{firstTokens: quantile.New()}
 		r.classes[q.class.Name] = s
 	}
 	return s
 }
 
-func (s *share) percent() float64 {
-	return 100 * float64(s.whole) / float64(max(s.asked, 1))
+func (s *classResult) completePercent() float64 {
+	return 100 * float64(s.complete) / float64(max(s.requests, 1))
 }
 
-// measured reports whether a request belongs to the measured span.
+// measured reports whether a request arrived in the measured span.
 func (b *bench) measured(q *request) bool {
-	return !q.came.Before(b.counted)
+	return !q.arrived.Before(b.measureFrom)
 }
 
-func (r *Result) asked(b *bench, q *request) {
+func (r *Result) addRequest(b *bench, q *request) {
 	if b.measured(q) {
-		r.Asked++
-		r.of(q).asked++
+		r.Requests++
+		r.classOf(q).requests++
 	}
 }
 
-func (r *Result) refused(b *bench, q *request) {
+func (r *Result) addRefusal(b *bench, q *request) {
 	if b.measured(q) {
 		r.Refused++
 	}
 }
 
-func (r *Result) sent(b *bench, q *request) {
+func (r *Result) addAttempt(b *bench, q *request) {
 	if b.measured(q) {
-		r.Sent++
+		r.Attempts++
 	}
 }
 
-func (r *Result) lost(b *bench, q *request) {
+func (r *Result) addLoss(b *bench, q *request) {
 	if b.measured(q) {
 		r.Lost++
 	}
 }
 
-func (r *Result) preempted(b *bench, n int) {
-	if !b.now.Before(b.counted) {
+func (r *Result) addPreemptions(b *bench, n int) {
+	if !b.now.Before(b.measureFrom) {
 		r.Preempted += n
 	}
 }
 
-func (r *Result) token(b *bench, q *request) {
-	d := b.now.Sub(q.last)
+func (r *Result) addToken(b *bench, q *request) {
+	d := b.now.Sub(q.lastToken)
 	if !b.measured(q) {
 		return
 	}
-	if q.made == 1 {
-		r.firsts.Record(b.now.Sub(q.came))
-		r.of(q).firsts.Record(b.now.Sub(q.came))
+	if q.generated == 1 {
+		r.firstTokens.Record(b.now.Sub(q.arrived))
+		r.classOf(q).firstTokens.Record(b.now.Sub(q.arrived))
 		if q.work.Priority == api.PriorityInteractive {
-			r.onLine.Record(b.now.Sub(q.came))
+			r.interactiveFirstTokens.Record(b.now.Sub(q.arrived))
 		}
 		return
 	}
 	r.gaps.Record(d)
-	q.stall += max(0, d-load.StallBound)
+	q.stall += max(0, d-load.StallThreshold)
 }
 
-func (r *Result) whole(b *bench, q *request) {
-	if b.now.After(b.counted) {
-		r.good += int(q.made)
+func (r *Result) addComplete(b *bench, q *request) {
+	if b.now.After(b.measureFrom) {
+		r.goodTokens += int(q.generated)
 	}
 	if !b.measured(q) {
 		return
 	}
-	r.Whole++
-	r.of(q).whole++
+	r.Complete++
+	r.classOf(q).complete++
 	r.StallTotal += q.stall
 	r.stalls.Record(q.stall)
 }
 
-func (r *Result) close(span time.Duration) {
-	r.GoodTokens = float64(r.good) / span.Seconds()
+func (r *Result) finish(span time.Duration) {
+	r.Goodput = float64(r.goodTokens) / span.Seconds()
 }
 
-// Figures are the figures of one run.
+// Figures are the figures of one run, in the units that Result.Figures states.
 type Figures struct {
 	StallP50, StallP99, StallTotal float64
 	Preemptions                    float64
 	GapP95, GapP99, GapP999        float64
-	FirstP95, OnLineP95            float64
-	Good                           float64
+	FirstP95, InteractiveFirstP95  float64
+	Goodput                        float64
 	Refused, Lost                  float64
-	SentPerAsked                   float64
+	AttemptsPerAdmitted            float64
 }
 
-// Figures gives the run's figures: stalls, gaps and first token in ms, the
-// total stall in seconds, preemptions per 1,000 requests, good tokens a
-// second, and refused and lost requests in percent.
+// Figures returns the run's figures: stalls, token gaps and times to first token in ms, the
+// total stall in seconds, preemptions per 1,000 requests, goodput in tokens per second,
+// refused and lost requests in percent, and attempts per admitted request.
 func (r *Result) Figures() Figures {
-	n := float64(max(r.Asked, 1))
-	taken := float64(max(r.Asked-r.Refused, 1))
+	n := float64(max(r.Requests, 1))
+	taken := float64(max(r.Requests-r.Refused, 1))
 	return Figures{
 		StallP50: r.stalls.At(50), StallP99: r.stalls.At(99), StallTotal: r.StallTotal.Seconds(),
 		Preemptions: 1000 * float64(r.Preempted) / n,
 		GapP95:      r.gaps.At(95), GapP99: r.gaps.At(99), GapP999: r.gaps.At(99.9),
-		FirstP95: r.firsts.At(95), OnLineP95: r.onLine.At(95), Good: r.GoodTokens,
+		FirstP95: r.firstTokens.At(95), InteractiveFirstP95: r.interactiveFirstTokens.At(95), Goodput: r.Goodput,
 		Refused: 100 * float64(r.Refused) / n, Lost: 100 * float64(r.Lost) / n,
-		SentPerAsked: float64(r.Sent) / taken,
+		AttemptsPerAdmitted: float64(r.Attempts) / taken,
 	}
 }
 
-// ordered lists requests in order of their ids, so that runs repeat.
-func ordered(m map[api.GenerationID]*request) []*request {
+// sortedByID returns requests in order of their ids, so that runs are reproducible.
+func sortedByID(m map[api.GenerationID]*request) []*request {
 	l := make([]*request, 0, len(m))
 	for _, q := range m {
 		l = append(l, q)
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -12,26 +12,26 @@
 	"github.com/wardridge/wardridge/internal/load"
 )
 
-// Options are what a measurement covers.
+// Options configure a measurement.
 type Options struct {
 	Size    Size
 	Mixes   []load.Mix
 	Factors []float64
 	Seeds   int
-	// Only keeps the policies whose name contains it.
+	// Only selects the policies whose name contains this text.
 	Only string
-	// Workers is the number of runs at once.
+	// Workers is the number of runs executed in parallel.
 	Workers int
 }
 
-// Row is one policy under one load, over all seeds.
+// Row holds the figures of one policy over all seeds.
 type Row struct {
 	Policy string
 	Mean   Figures
-	Spread Figures
+	StdDev Figures
 }
 
-// Table is the policies under one mix, load and set of faults.
+// Table compares the policies under one mix and load, with or without faults.
 type Table struct {
 	Mix    string
 	Factor float64
@@ -39,7 +39,7 @@
 	Rows   []Row
 }
 
-// Run measures every policy under every load, quiet and with faults.
+// Run measures every policy under every mix and load, without and with faults.
 func Run(ctx context.Context, o Options) ([]Table, error) {
 	var tables []Table
 	for _, m := range o.Mixes {
@@ -79,7 +79,7 @@
 				defer mutex.Unlock()
 				all[k] = x
 				if left--; left == 0 {
-					t.Rows[i].Mean, t.Rows[i].Spread = summary(all)
+					t.Rows[i].Mean, t.Rows[i].StdDev = summary(all)
 				}
 				return nil
 			})
@@ -88,10 +88,10 @@
 	return t, g.Wait()
 }
 
-// columns are the figures of a table, in order.
+// columns are the columns of a table in order.
 var columns = []struct {
-	head string
-	get  func(f *Figures) *float64
+	header string
+	get    func(f *Figures) *float64
 }{
 	{"stall p50 ms", func(f *Figures) *float64 { return &f.StallP50 }},
 	{"stall p99 ms", func(f *Figures) *float64 { return &f.StallP99 }},
@@ -101,15 +101,15 @@
 	{"gap p99 ms", func(f *Figures) *float64 { return &f.GapP99 }},
 	{"gap p99.9 ms", func(f *Figures) *float64 { return &f.GapP999 }},
 	{"first p95 ms", func(f *Figures) *float64 { return &f.FirstP95 }},
-	{"first p95 ms on the line", func(f *Figures) *float64 { return &f.OnLineP95 }},
-	{"good tokens/s", func(f *Figures) *float64 { return &f.Good }},
+	{"first p95 ms on the line", func(f *Figures) *float64 { return &f.InteractiveFirstP95 }},
+	{"good tokens/s", func(f *Figures) *float64 { return &f.Goodput }},
 	{"refused %", func(f *Figures) *float64 { return &f.Refused }},
 	{"lost %", func(f *Figures) *float64 { return &f.Lost }},
-	{"sent / taken", func(f *Figures) *float64 { return &f.SentPerAsked }},
+	{"sent / taken", func(f *Figures) *float64 { return &f.AttemptsPerAdmitted }},
 }
 
-// summary gives the mean and the standard deviation of each figure.
-func summary(l []Figures) (mean, spread Figures) {
+// summary returns the mean and the standard deviation of each figure.
+func summary(l []Figures) (mean, stdDev Figures) {
 	n := float64(len(l))
 	for _, c := range columns {
 		sum, square := 0.0, 0.0
@@ -119,27 +119,27 @@
 			square += v * v
 		}
 		*c.get(&mean) = sum / n
-		*c.get(&spread) = math.Sqrt(math.Max(0, square/n-sum*sum/n/n))
+		*c.get(&stdDev) = math.Sqrt(math.Max(0, square/n-sum*sum/n/n))
 	}
-	return mean, spread
+	return mean, stdDev
 }
 
-// Markdown writes a table for the docs, each figure with its spread.
+// Markdown formats the table as Markdown; each cell is a mean ± its standard deviation.
 func (t Table) Markdown() string {
 	var b strings.Builder
-	word := "quiet"
+	condition := "quiet"
 	if t.Faults {
-		word = "with an engine's death, a freeze and late reports"
+		condition = "with an engine's death, a freeze and late reports"
 	}
-	fmt.Fprintf(&b, "### %s at %.1f of capacity, %s\n\n| policy |", t.Mix, t.Factor, word)
+	fmt.Fprintf(&b, "### %s at %.1f of capacity, %s\n\n| policy |", t.Mix, t.Factor, condition)
 	for _, c := range columns {
-		fmt.Fprintf(&b, " %s |", c.head)
+		fmt.Fprintf(&b, " %s |", c.header)
 	}
 	b.WriteString("\n|---|" + strings.Repeat("---|", len(columns)) + "\n")
 	for _, r := range t.Rows {
 		fmt.Fprintf(&b, "| %s |", r.Policy)
 		for _, c := range columns {
-			fmt.Fprintf(&b, " %s |", cell(*c.get(&r.Mean), *c.get(&r.Spread)))
+			fmt.Fprintf(&b, " %s |", cell(*c.get(&r.Mean), *c.get(&r.StdDev)))
 		}
 		b.WriteString("\n")
 	}
@@ -147,9 +147,9 @@
 	return b.String()
 }
 
-func cell(mean, spread float64) string {
+func cell(mean, stdDev float64) string {
 	if mean >= 100 {
-		return fmt.Sprintf("%.0f ± %.0f", mean, spread)
+		return fmt.Sprintf("%.0f ± %.0f", mean, stdDev)
 	}
-	return fmt.Sprintf("%.1f ± %.1f", mean, spread)
+	return fmt.Sprintf("%.1f ± %.1f", mean, stdDev)
 }
--- a/internal/standin/batch/model.go
+++ b/internal/standin/batch/model.go
@@ -7,25 +7,25 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Options size one engine.
+// Options are the memory, the batch size and the step times of an engine.
 type Options struct {
-	// KVTokens is the cache memory for generations.
+	// KVTokens is the KV cache memory for generations.
 	KVTokens api.Tokens
-	// PrefixTokens is the cache memory for prompt prefixes.
+	// PrefixTokens is the cache memory for shared prompt prefixes.
 	PrefixTokens api.Tokens
-	// MaxBatch bounds the generations that run at once.
+	// MaxBatch bounds the number of generations that run at once.
 	MaxBatch int
-	// PrefillChunk bounds the prompt tokens that one step works on.
+	// PrefillChunk bounds the prompt tokens that one step prefills.
 	PrefillChunk api.Tokens
-	// StepBase is the time of an empty step.
+	// StepBase is the fixed part of the duration of a step.
 	StepBase time.Duration
 	// StepPerGeneration is added for each generation that decodes.
 	StepPerGeneration time.Duration
-	// StepPerPrefill is added for each prompt token worked on.
+	// StepPerPrefill is added for each prefilled prompt token.
 	StepPerPrefill time.Duration
 }
 
-// Defaults size an engine of a few tens of generations.
+// Defaults returns options of an engine that runs a few tens of generations at once.
 func Defaults() Options {
 	return Options{
 		KVTokens:          32768,
@@ -38,8 +38,8 @@
 	}
 }
 
-// Work is one generation; Length is the true length, which only the engine
-// learns by generating.
+// Work is one generation. Length is the actual number of tokens of the answer, which
+// callers learn only when the generation ends.
 type Work struct {
 	ID           api.GenerationID
 	Prompt       api.Tokens
@@ -49,80 +49,80 @@
 	PrefixTokens api.Tokens
 }
 
-// Emitted is one new token, or the end once Index reaches the length.
-type Emitted struct {
+// Token is one generated token; Last marks the final token of its generation.
+type Token struct {
 	ID    api.GenerationID
 	Index api.Tokens
 	Last  bool
 }
 
-// CacheChange tells that a prefix entered or left the cache.
+// CacheChange records that a prefix entered the cache (Stored) or left it.
 type CacheChange struct {
 	Prefix string
 	Stored bool
 }
 
-// Result is what one step did.
+// Result is the outcome of one step.
 type Result struct {
-	Took      time.Duration
-	Emitted   []Emitted
-	Preempted []api.GenerationID
-	Cache     []CacheChange
+	Duration     time.Duration
+	Tokens       []Token
+	Preempted    []api.GenerationID
+	CacheChanges []CacheChange
 }
 
 type sequence struct {
 	Work
-	made      api.Tokens
-	prefill   api.Tokens
-	arrived   int
-	preempted int
+	generated   api.Tokens
+	prefillLeft api.Tokens
+	arrival     int
+	preempted   int
 }
 
-// held is the memory the sequence takes while it runs.
-func (s *sequence) held() api.Tokens {
-	return s.Prompt + s.made
+// kvTokens returns the KV memory of the sequence while it runs.
+func (s *sequence) kvTokens() api.Tokens {
+	return s.Prompt + s.generated
 }
 
-// Model is the state of one engine.
+// Model is the simulated state of one engine.
 type Model struct {
 	options     Options
 	running     []*sequence
 	waiting     []*sequence
 	prefixes    []prefix
-	used        api.Tokens
+	kvUsed      api.Tokens
 	arrivals    int
 	preemptions int
 }
 
-// New makes an idle engine.
+// New returns an idle engine.
 func New(o Options) *Model {
 	return &Model{options: o}
 }
 
-// Add puts a generation in line.
+// Add queues a generation.
 func (m *Model) Add(w Work) {
 	m.arrivals++
-	m.wait(&sequence{Work: w, arrived: m.arrivals})
+	m.enqueue(&sequence{Work: w, arrival: m.arrivals})
 }
 
-// wait keeps the line in order of priority and arrival.
-func (m *Model) wait(s *sequence) {
-	i, _ := slices.BinarySearchFunc(m.waiting, s, order)
+// enqueue inserts a sequence into the queue, which is ordered by priority and arrival.
+func (m *Model) enqueue(s *sequence) {
+	i, _ := slices.BinarySearchFunc(m.waiting, s, compareRank)
 	m.waiting = slices.Insert(m.waiting, i, s)
 }
 
-func order(a, b *sequence) int {
+func compareRank(a, b *sequence) int {
 	if r := a.Priority.Rank() - b.Priority.Rank(); r != 0 {
 		return r
 	}
-	return a.arrived - b.arrived
+	return a.arrival - b.arrival
 }
 
-// Cancel ends a generation and reports whether it was there.
+// Cancel removes a generation and reports whether it was running or waiting.
 func (m *Model) Cancel(id api.GenerationID) bool {
 	is := func(s *sequence) bool { return s.ID == id }
 	if i := slices.IndexFunc(m.running, is); i >= 0 {
-		m.used -= m.running[i].held()
+		m.kvUsed -= m.running[i].kvTokens()
 		m.running = slices.Delete(m.running, i, i+1)
 		return true
 	}
@@ -131,124 +131,126 @@
 	return len(m.waiting) < n
 }
 
-// Idle reports whether nothing runs or waits.
+// Idle reports whether no generation runs or waits.
 func (m *Model) Idle() bool {
 	return len(m.running) == 0 && len(m.waiting) == 0
 }
 
-// Load is the engine's state for a report.
+// Load is the load of an engine as it appears in a load report.
 type Load struct {
 	Running     int
 	Waiting     int
-	Used        api.Tokens
-	Total       api.Tokens
+	KVUsed      api.Tokens
+	KVTotal     api.Tokens
 	Preemptions int
 }
 
-// Load counts the engine's state now.
+// Load returns the current load.
 func (m *Model) Load() Load {
 	return Load{
 		Running:     len(m.running),
 		Waiting:     len(m.waiting),
-		Used:        m.used,
-		Total:       m.options.KVTokens,
+		KVUsed:      m.kvUsed,
+		KVTotal:     m.options.KVTokens,
 		Preemptions: m.preemptions,
 	}
 }
 
-// Step admits what fits, works on prompts and makes one token for every
-// generation whose prompt is done.
+// Step admits the generations that fit, prefills prompts, preempts if memory runs out,
+// and generates one token for every generation whose prefill is done.
 func (m *Model) Step() Result {
 	var r Result
 	m.admit(&r)
 	p := m.prefill()
-	m.makeRoom(&r)
+	m.preempt(&r)
 	n := m.decode(&r)
-	r.Took = m.options.StepBase +
+	r.Duration = m.options.StepBase +
 		time.Duration(n)*m.options.StepPerGeneration +
 		time.Duration(p)*m.options.StepPerPrefill
 	return r
 }
 
-// makeRoom preempts until every decoding generation can grow by one token.
-func (m *Model) makeRoom(r *Result) {
-	for len(m.running) > 1 && m.used+m.growing() > m.options.KVTokens {
+// preempt returns running generations to the queue until every decoding generation has
+// memory for one more token. The last one running is never preempted.
+func (m *Model) preempt(r *Result) {
+	for len(m.running) > 1 && m.kvUsed+m.decoding() > m.options.KVTokens {
 		i := m.victim()
 		s := m.running[i]
 		m.running = slices.Delete(m.running, i, i+1)
-		m.used -= s.held()
+		m.kvUsed -= s.kvTokens()
 		s.preempted++
 		m.preemptions++
 		r.Preempted = append(r.Preempted, s.ID)
-		m.wait(s)
+		m.enqueue(s)
 	}
 }
 
-func (m *Model) growing() api.Tokens {
+func (m *Model) decoding() api.Tokens {
 	n := api.Tokens(0)
 	for _, s := range m.running {
-		if s.prefill == 0 {
+		if s.prefillLeft == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// victim is the latest of the lowest priority.
+// victim returns the index of the running generation to preempt: the one of the lowest priority that arrived last.
 func (m *Model) victim() int {
 	v := 0
 	for i, s := range m.running {
-		if order(s, m.running[v]) > 0 {
+		if compareRank(s, m.running[v]) > 0 {
 			v = i
 		}
 	}
 	return v
 }
 
-// admit starts waiting generations while their prompts fit, and keeps a little
-// memory free for those that run.
+// admit starts waiting generations while they fit into memory, and keeps 1/reserve of the
+// memory free for the growth of those that run. An idle engine admits regardless of size.
 func (m *Model) admit(r *Result) {
 	const reserve = 100
 	for len(m.waiting) > 0 && len(m.running) < m.options.MaxBatch {
 		s := m.waiting[0]
-		free := m.options.KVTokens - m.used - m.growing() - m.options.KVTokens/reserve
-		if s.held() > free && len(m.running) > 0 {
+		free := m.options.KVTokens - m.kvUsed - m.decoding() - m.options.KVTokens/reserve
+		if s.kvTokens() > free && len(m.running) > 0 {
 			return
 		}
 		m.waiting = m.waiting[1:]
 		m.running = append(m.running, s)
-		m.used += s.held()
-		s.prefill = max(1, s.held()-m.hit(s, r))
+		m.kvUsed += s.kvTokens()
+		s.prefillLeft = max(1, s.kvTokens()-m.usePrefix(s, r))
 	}
 }
 
-// prefill works on prompts in order of arrival and returns the tokens done.
+// prefill processes up to PrefillChunk prompt tokens in order of admission and returns their number.
 func (m *Model) prefill() api.Tokens {
 	left := m.options.PrefillChunk
 	for _, s := range m.running {
-		n := min(left, s.prefill)
-		s.prefill -= n
+		n := min(left, s.prefillLeft)
+		s.prefillLeft -= n
 		left -= n
 	}
 	return m.options.PrefillChunk - left
 }
 
-// decode makes a token for each generation whose prompt is done.
+// decode generates one token for each generation whose prefill is done, and returns the
+// number of tokens.
 func (m *Model) decode(r *Result) int {
 	n := 0
 	kept := m.running[:0]
 	for _, s := range m.running {
-		if s.prefill > 0 {
+		if s.prefillLeft > 0 {
 			kept = append(kept, s)
 			continue
 		}
 		n++
-		s.made++
-		m.used++
-		last := s.made >= s.Length
-		r.Emitted = append(r.Emitted, Emitted{ID: s.ID, Index: s.made - 1, Last: last})
+		s.generated++
+		m.kvUsed++
+		last := s.generated >= s.Length
+		r.Tokens = append(r.Tokens, Token{ID: s.ID, Index: s.generated - 1, Last: last})
 		if last {
-			m.used -= s.held()
+			m.kvUsed -= s.kvTokens()
 			continue
 		}
 		kept = append(kept, s)
--- a/internal/standin/batch/prefix.go
+++ b/internal/standin/batch/prefix.go
@@ -11,9 +11,9 @@
 	tokens api.Tokens
 }
 
-// hit gives the prompt tokens that the prefix cache saves, and stores the
-// prefix as the one used last.
-func (m *Model) hit(s *sequence, r *Result) api.Tokens {
+// usePrefix returns the prompt tokens that the prefix cache saves, and stores the
+// prefix as the most recently used one.
+func (m *Model) usePrefix(s *sequence, r *Result) api.Tokens {
 	if s.Prefix == "" {
 		return 0
 	}
@@ -23,14 +23,14 @@
 		saved = min(m.prefixes[i].tokens, s.Prompt)
 		m.prefixes = slices.Delete(m.prefixes, i, i+1)
 	} else {
-		r.Cache = append(r.Cache, CacheChange{Prefix: s.Prefix, Stored: true})
+		r.CacheChanges = append(r.CacheChanges, CacheChange{Prefix: s.Prefix, Stored: true})
 	}
 	m.prefixes = append(m.prefixes, prefix{s.Prefix, s.PrefixTokens})
 	m.evict(r)
 	return saved
 }
 
-// evict drops the prefixes used least recently while they are over the limit.
+// evict removes the least recently used prefixes until the cache is within its limit.
 func (m *Model) evict(r *Result) {
 	n := api.Tokens(0)
 	for _, p := range m.prefixes {
@@ -40,6 +40,6 @@
 		p := m.prefixes[0]
 		m.prefixes = m.prefixes[1:]
 		n -= p.tokens
-		r.Cache = append(r.Cache, CacheChange{Prefix: p.name, Stored: false})
+		r.CacheChanges = append(r.CacheChanges, CacheChange{Prefix: p.name, Stored: false})
 	}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -18,32 +18,32 @@
 	"github.com/wardridge/wardridge/internal/standin/batch"
 )
 
-// MetadataTokens is the metadata key by which a load tool sets the true length
-// of an answer, which the entry VMs pass on unread.
+// MetadataTokens is the metadata key by which a load generator sets the actual length
+// of an answer. Entry VMs forward it without reading it.
 const MetadataTokens = "standin_tokens"
 
-// Options are an engine's settings.
+// Options configure an engine.
 type Options struct {
 	Name  api.ServerName
 	Batch batch.Options
-	// ReportLag is how old a load report is when it is given out.
+	// ReportLag is the age of a load report when it is served.
 	ReportLag time.Duration
-	// CacheLag is how old a cache event is when it is given out.
+	// CacheLag is the age of a cache event when it is first served.
 	CacheLag time.Duration
-	// CacheLossPercent is the share of cache events that get lost.
+	// CacheLossPercent is the percentage of cache events that are lost.
 	CacheLossPercent int
-	// Orphan is how long a generation runs with no reader.
-	Orphan time.Duration
-	// LoadTime is the time an order to load takes.
+	// OrphanTimeout is how long a generation is retained without a reader.
+	OrphanTimeout time.Duration
+	// LoadTime is the duration of an order to load an item.
 	LoadTime time.Duration
-	// ChecksFence refuses orders with an old fence.
+	// ChecksFence makes the engine refuse orders whose fence is older than one it has seen.
 	ChecksFence bool
-	// Loaded is what is loaded at the start, as kind/name@weights.
+	// Loaded are the items loaded at start, as kind/name@weights.
 	Loaded []string
 	Seed   uint64
 }
 
-// Defaults are the settings of a small engine.
+// Defaults returns the options of a small engine.
 func Defaults() Options {
 	return Options{
 		Name:             "engine",
@@ -51,22 +51,22 @@
 		ReportLag:        200 * time.Millisecond,
 		CacheLag:         200 * time.Millisecond,
 		CacheLossPercent: 5,
-		Orphan:           30 * time.Second,
+		OrphanTimeout:    30 * time.Second,
 		LoadTime:         200 * time.Millisecond,
 		ChecksFence:      true,
 		Seed:             1,
 	}
 }
 
-// generation is one generation and those that read it.
+// generation is the state of one generation and the number of streams that read it.
 type generation struct {
 	id        api.GenerationID
-	made      int
+	generated int
 	finish    api.FinishReason
 	preempted int
 	readers   int
-	idle      time.Time
-	wake      chan struct{}
+	idleSince time.Time
+	changed   chan struct{}
 }
 
 type cacheEvent struct {
@@ -74,30 +74,30 @@
 	at time.Time
 }
 
-// Engine is the state of one stand-in engine.
+// Engine is a stand-in for one model engine.
 type Engine struct {
 	options Options
 	log     *event.Log
 	random  *rand.Rand
 
-	mutex       sync.Mutex
-	model       *batch.Model
-	generations map[api.GenerationID]*generation
-	reports     []api.LoadReport
-	cache       []cacheEvent
-	cacheSeq    int
-	step        time.Duration
-	leaving     bool
-	frozen      time.Time
-	drop        int
-	role        api.EngineRole
-	loaded      []string
-	fence       api.Fence
-	started     int
-	busy        chan struct{}
+	mutex         sync.Mutex
+	model         *batch.Model
+	generations   map[api.GenerationID]*generation
+	reports       []api.LoadReport
+	cacheLog      []cacheEvent
+	cacheSeq      int
+	lastStep      time.Duration
+	leaving       bool
+	frozenUntil   time.Time
+	streamsToDrop int
+	role          api.EngineRole
+	loaded        []string
+	fence         api.Fence
+	started       int
+	workAdded     chan struct{}
 }
 
-// New makes an engine that does nothing until Run.
+// New returns an engine that executes no steps until Run is called.
 func New(o Options, l *event.Log) *Engine {
 	return &Engine{
 		options:     o,
@@ -107,26 +107,26 @@
 		generations: map[api.GenerationID]*generation{},
 		role:        api.EngineRoleServe,
 		loaded:      slices.Clone(o.Loaded),
-		busy:        make(chan struct{}, 1),
+		workAdded:   make(chan struct{}, 1),
 	}
 }
 
-// Run steps the batch until the context ends.
+// Run executes batch steps, records load reports and removes orphans until the context ends.
 func (e *Engine) Run(ctx context.Context) error {
 	const reportEvery = 20 * time.Millisecond
 	last := time.Time{}
 	for {
 		now := time.Now()
 		if now.Sub(last) >= reportEvery {
-			e.takeReport(now)
-			e.sweep(now)
+			e.recordLoad(now)
+			e.removeOrphans(now)
 			last = now
 		}
 		d := e.advance(now)
 		if d == 0 {
 			d = reportEvery
 			select {
-			case <-e.busy:
+			case <-e.workAdded:
 				d = 0
 			case <-time.After(d):
 			case <-ctx.Done():
@@ -139,67 +139,68 @@
 	}
 }
 
-// advance makes one step and gives its time; 0 when there is nothing to do.
+// advance executes one step and returns its duration: the rest of a freeze while frozen,
+// 0 when the engine is idle.
 func (e *Engine) advance(now time.Time) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if now.Before(e.frozen) {
-		return e.frozen.Sub(now)
+	if now.Before(e.frozenUntil) {
+		return e.frozenUntil.Sub(now)
 	}
 	if e.model.Idle() {
 		return 0
 	}
 	r := e.model.Step()
-	e.step = r.Took
-	for _, x := range r.Emitted {
-		e.emit(now, x)
+	e.lastStep = r.Duration
+	for _, x := range r.Tokens {
+		e.recordToken(now, x)
 	}
 	for _, id := range r.Preempted {
 		if g, ok := e.generations[id]; ok {
 			g.preempted++
 		}
 	}
-	for _, c := range r.Cache {
-		e.noteCache(now, c)
+	for _, c := range r.CacheChanges {
+		e.recordCacheChange(now, c)
 	}
-	return r.Took
+	return r.Duration
 }
 
-func (e *Engine) emit(now time.Time, x batch.Emitted) {
+func (e *Engine) recordToken(now time.Time, x batch.Token) {
 	g, ok := e.generations[x.ID]
 	if !ok {
 		return
 	}
-	g.made = int(x.Index) + 1
+	g.generated = int(x.Index) + 1
 	if x.Last && g.finish == "" {
 		g.finish = api.FinishReasonStop
-		g.idle = now
+		g.idleSince = now
 	}
-	g.notify()
+	g.notifyReaders()
 }
 
-// notify wakes every reader; the engine's mutex is held.
-func (g *generation) notify() {
-	close(g.wake)
-	g.wake = make(chan struct{})
+// notifyReaders wakes every reader. The caller holds the engine's mutex.
+func (g *generation) notifyReaders() {
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
-func (e *Engine) noteCache(now time.Time, c batch.CacheChange) {
+func (e *Engine) recordCacheChange(now time.Time, c batch.CacheChange) {
 	e.cacheSeq++
 	if e.random.IntN(100) < e.options.CacheLossPercent {
 		return
 	}
 	const kept = 1024
-	e.cache = append(e.cache, cacheEvent{api.CacheEvent{Seq: e.cacheSeq, Prefix: c.Prefix, Stored: c.Stored}, now})
-	if len(e.cache) > kept {
-		e.cache = slices.Clone(e.cache[len(e.cache)-kept:])
+	e.cacheLog = append(e.cacheLog, cacheEvent{api.CacheEvent{Seq: e.cacheSeq, Prefix: c.Prefix, Stored: c.Stored}, now})
+	if len(e.cacheLog) > kept {
+		e.cacheLog = slices.Clone(e.cacheLog[len(e.cacheLog)-kept:])
 	}
 }
 
-func (e *Engine) takeReport(now time.Time) {
+func (e *Engine) recordLoad(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if now.Before(e.frozen) {
+	if now.Before(e.frozenUntil) {
 		return
 	}
 	l := e.model.Load()
@@ -208,28 +209,29 @@
 		TimeMS:      api.UnixMilliseconds(now),
 		Running:     l.Running,
 		Waiting:     l.Waiting,
-		KVUsed:      l.Used,
-		KVTotal:     l.Total,
-		StepMS:      float64(e.step) / float64(time.Millisecond),
+		KVUsed:      l.KVUsed,
+		KVTotal:     l.KVTotal,
+		StepMS:      float64(e.lastStep) / float64(time.Millisecond),
 		Preemptions: l.Preemptions,
 		Leaving:     e.leaving,
 		Role:        e.role,
 		Loaded:      slices.Clone(e.loaded),
 		Fence:       e.fence,
 	})
-	// Only the newest report that is old enough, and younger ones, matter.
+	// Keep the newest report that is at least ReportLag old and all later ones.
 	cut := api.UnixMilliseconds(now.Add(-e.options.ReportLag))
 	for len(e.reports) > 1 && e.reports[1].TimeMS <= cut {
 		e.reports = e.reports[1:]
 	}
 }
 
-// sweep cancels generations without a reader and forgets old ones.
-func (e *Engine) sweep(now time.Time) {
+// removeOrphans cancels and removes generations, finished or not, that have had no reader
+// for OrphanTimeout.
+func (e *Engine) removeOrphans(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for id, g := range e.generations {
-		if g.readers > 0 || now.Sub(g.idle) < e.options.Orphan {
+		if g.readers > 0 || now.Sub(g.idleSince) < e.options.OrphanTimeout {
 			continue
 		}
 		e.model.Cancel(id)
@@ -237,16 +239,16 @@
 	}
 }
 
-// refusal is a reason to refuse a generation; empty when there is none.
-func (e *Engine) refusal(r api.GenerateRequest) api.EngineRefusalReason {
+// refusalReason returns why a request must be refused, or "" if it is accepted.
+func (e *Engine) refusalReason(r api.GenerateRequest) api.EngineRefusalReason {
 	switch {
 	case e.leaving:
 		return api.EngineRefusalReasonLeaving
 	case e.role != api.EngineRoleServe:
 		return api.EngineRefusalReasonNotServing
-	case !e.has(api.ResourceKindModel, string(r.Model)):
+	case !e.hasLoaded(api.ResourceKindModel, string(r.Model)):
 		return api.EngineRefusalReasonNotLoaded
-	case r.Adapter != "" && !e.has(api.ResourceKindAdapter, string(r.Adapter)):
+	case r.Adapter != "" && !e.hasLoaded(api.ResourceKindAdapter, string(r.Adapter)):
 		return api.EngineRefusalReasonNotLoaded
 	case r.PromptTokens <= 0 || r.PromptTokens >= e.options.Batch.KVTokens:
 		return api.EngineRefusalReasonBadRequest
@@ -257,22 +259,22 @@
 	}
 }
 
-func (e *Engine) has(k api.ResourceKind, n string) bool {
+func (e *Engine) hasLoaded(k api.ResourceKind, n string) bool {
 	want := string(k) + "/" + n
 	return slices.ContainsFunc(e.loaded, func(i string) bool { return api.ItemName(i) == want })
 }
 
-// begin starts a generation and gives its first reader.
-func (e *Engine) begin(r api.GenerateRequest) (*generation, api.EngineRefusalReason) {
+// start starts a generation with one reader, or returns the reason for refusing it.
+func (e *Engine) start(r api.GenerateRequest) (*generation, api.EngineRefusalReason) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if why := e.refusal(r); why != "" {
+	if why := e.refusalReason(r); why != "" {
 		return nil, why
 	}
-	g := &generation{id: r.Generation, readers: 1, wake: make(chan struct{})}
+	g := &generation{id: r.Generation, readers: 1, changed: make(chan struct{})}
 	e.generations[r.Generation] = g
 	e.started++
-	n := e.length(r)
+	n := e.answerLength(r)
 	e.model.Add(batch.Work{
 		ID:           r.Generation,
 		Prompt:       r.PromptTokens,
@@ -282,15 +284,15 @@
 		PrefixTokens: r.PrefixTokens,
 	})
 	select {
-	case e.busy <- struct{}{}:
+	case e.workAdded <- struct{}{}:
 	default:
 	}
 	return g, ""
 }
 
-// length is the answer's true length: as the load tool set it, or drawn from
-// a heavy tail by the prompt.
-func (e *Engine) length(r api.GenerateRequest) api.Tokens {
+// answerLength returns the actual length of the answer: the one set under MetadataTokens,
+// or one drawn from a heavy-tailed distribution seeded with the prompt.
+func (e *Engine) answerLength(r api.GenerateRequest) api.Tokens {
 	if n, err := strconv.Atoi(r.Metadata[MetadataTokens]); err == nil && n > 0 {
 		return api.Tokens(n)
 	}
@@ -299,8 +301,8 @@
 	return api.Tokens(max(1, median*math.Exp(spread*d.NormFloat64())))
 }
 
-// join adds a reader to a generation that is still known.
-func (e *Engine) join(id api.GenerationID) (*generation, bool) {
+// addReader adds a reader to a generation, and reports whether the generation is known.
+func (e *Engine) addReader(id api.GenerationID) (*generation, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	g, ok := e.generations[id]
@@ -310,14 +312,14 @@
 	return g, ok
 }
 
-func (e *Engine) leave(g *generation) {
+func (e *Engine) removeReader(g *generation) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	g.readers--
-	g.idle = time.Now()
+	g.idleSince = time.Now()
 }
 
-// cancel ends a generation and reports whether it was known.
+// cancel cancels a generation and reports whether it was known.
 func (e *Engine) cancel(id api.GenerationID) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -328,14 +330,14 @@
 	e.model.Cancel(id)
 	if g.finish == "" {
 		g.finish = api.FinishReasonCancelled
-		g.idle = time.Now()
+		g.idleSince = time.Now()
 	}
-	g.notify()
+	g.notifyReaders()
 	return true
 }
 
-// apply carries out an order, which an engine that checks fences refuses when
-// its fence is older than one seen before.
+// apply executes an order, or returns the reason for refusing it. With ChecksFence, an
+// order whose fence is older than one seen before is refused.
 func (e *Engine) apply(o api.Order) api.EngineRefusalReason {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -359,35 +361,35 @@
 	return ""
 }
 
-// Leave makes the engine say that it is leaving.
+// Leave makes load reports say that the engine is leaving, and refuses new generations.
 func (e *Engine) Leave() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.leaving = true
 }
 
-// Freeze stops the engine's steps, reports and streams for a while.
+// Freeze stops the engine's steps, reports and streams for a duration.
 func (e *Engine) Freeze(d time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.frozen = time.Now().Add(d)
+	e.frozenUntil = time.Now().Add(d)
 }
 
-// DropStreams breaks the next n streams in the middle.
+// DropStreams aborts n streams after their generations have made more than one token.
 func (e *Engine) DropStreams(n int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.drop = n
+	e.streamsToDrop = n
 }
 
-// Started counts the generations started so far.
+// Started returns the number of generations started so far.
 func (e *Engine) Started() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.started
 }
 
-// Active counts the generations that have not finished.
+// Active returns the number of running and waiting generations.
 func (e *Engine) Active() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -16,50 +16,50 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Options are the limits of the stand-in.
+// Options are the rate limits and delays of the stand-in.
 type Options struct {
 	WritesPerSecond int
 	ReadsPerSecond  int
-	// ListLag is how late the list of VMs is.
-	ListLag time.Duration
+	// VMListLag is the delay until a change shows in the list of VMs.
+	VMListLag time.Duration
 }
 
-// Faults are injected by tests, and through the stand-in's own /dev/faults.
+// Faults are the failures to inject, set by tests or through /dev/faults.
 type Faults struct {
-	// Outage refuses every call.
+	// Outage fails every request.
 	Outage bool `json:"outage"`
-	// SlowMS delays every answer.
+	// SlowMS delays every response.
 	SlowMS api.Milliseconds `json:"slow_ms"`
-	// LoseWrites carries out so many writes and loses their answers.
-	LoseWrites int `json:"lose_writes"`
-	// Copy takes the copy that stale reads answer from.
-	Copy bool `json:"copy"`
-	// StaleReads answers lists from the copy, taken now if there is none, and
-	// watches as if nothing had changed.
+	// LoseWriteAnswers is the number of writes that are executed but not answered.
+	LoseWriteAnswers int `json:"lose_writes"`
+	// Snapshot captures the object list that stale reads return.
+	Snapshot bool `json:"copy"`
+	// StaleReads answers lists from the snapshot, which is captured now if there is
+	// none, and watches as if nothing had changed.
 	StaleReads bool `json:"stale_reads"`
 }
 
-type listing struct {
+type vmList struct {
 	at  time.Time
 	vms []api.VM
 }
 
-// Server serves a store over HTTP.
+// Server serves a Store over HTTP and injects faults.
 type Server struct {
-	store  *Store
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	lag    time.Duration
-	calls  Calls
+	store     *Store
+	writes    *rate.Limiter
+	reads     *rate.Limiter
+	vmListLag time.Duration
+	calls     Calls
 
-	mutex  sync.Mutex
-	faults Faults
-	stale  api.ObjectList
-	saved  Copy
-	vms    []listing
+	mutex      sync.Mutex
+	faults     Faults
+	snapshot   api.ObjectList
+	lastBackup Backup
+	vmLists    []vmList
 }
 
-// Calls counts what the platform was asked.
+// Calls counts the requests received by type, and those refused by a rate limit.
 type Calls struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -67,85 +67,85 @@
 	Refused int `json:"refused"`
 }
 
-// New makes a server on a store.
+// New returns a server for a store.
 func New(s *Store, o Options) *Server {
 	return &Server{
-		store:  s,
-		writes: rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WritesPerSecond),
-		reads:  rate.NewLimiter(rate.Limit(o.ReadsPerSecond), o.ReadsPerSecond),
-		lag:    o.ListLag,
+		store:     s,
+		writes:    rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WritesPerSecond),
+		reads:     rate.NewLimiter(rate.Limit(o.ReadsPerSecond), o.ReadsPerSecond),
+		vmListLag: o.VMListLag,
 	}
 }
 
-// Handler routes the object API and the stand-in's own controls.
+// Handler routes the object API under /v1 and the stand-in's controls under /dev.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Route("/v1", func(r chi.Router) {
-		r.Use(s.inject)
-		r.With(s.limit(s.reads, &s.calls.Reads)).Get("/objects", s.list)
-		r.With(s.limit(s.reads, &s.calls.Reads)).Get("/objects/{kind}/{name}", s.get)
-		r.With(s.limit(s.writes, &s.calls.Writes)).Put("/objects/{kind}/{name}", s.put)
-		r.With(s.limit(s.writes, &s.calls.Writes)).Delete("/objects/{kind}/{name}", s.remove)
-		r.With(s.limit(s.reads, &s.calls.Watches)).Get("/watch", s.watch)
-		r.With(s.limit(s.reads, &s.calls.Reads)).Get("/vms", s.listVMs)
+		r.Use(s.injectFaults)
+		r.With(s.limitRate(s.reads, &s.calls.Reads)).Get("/objects", s.list)
+		r.With(s.limitRate(s.reads, &s.calls.Reads)).Get("/objects/{kind}/{name}", s.get)
+		r.With(s.limitRate(s.writes, &s.calls.Writes)).Put("/objects/{kind}/{name}", s.put)
+		r.With(s.limitRate(s.writes, &s.calls.Writes)).Delete("/objects/{kind}/{name}", s.remove)
+		r.With(s.limitRate(s.reads, &s.calls.Watches)).Get("/watch", s.watch)
+		r.With(s.limitRate(s.reads, &s.calls.Reads)).Get("/vms", s.listVMs)
 	})
 	r.Put("/dev/faults", s.setFaults)
 	r.Get("/dev/calls", s.getCalls)
-	r.Post("/dev/copy", s.copy)
+	r.Post("/dev/copy", s.backup)
 	r.Post("/dev/restore", s.restore)
 	r.Put("/dev/vms/{name}", s.putVM)
 	r.Delete("/dev/vms/{name}", s.removeVM)
 	return r
 }
 
-// Set injects faults from now on.
+// Set replaces the injected faults.
 func (s *Server) Set(f Faults) {
 	l := s.store.List(nil)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if f.Copy || f.StaleReads && s.stale.Items == nil {
-		s.stale = l
+	if f.Snapshot || f.StaleReads && s.snapshot.Items == nil {
+		s.snapshot = l
 	}
-	if !f.Copy && !f.StaleReads {
-		s.stale = api.ObjectList{}
+	if !f.Snapshot && !f.StaleReads {
+		s.snapshot = api.ObjectList{}
 	}
 	s.faults = f
 }
 
-// copy makes a copy of the store, for restore.
-func (s *Server) copy(w http.ResponseWriter, _ *http.Request) {
-	c := s.store.Copy()
+// backup stores a backup for restore, and replaces the previous one.
+func (s *Server) backup(w http.ResponseWriter, _ *http.Request) {
+	c := s.store.Backup()
 	s.mutex.Lock()
-	s.saved = c
+	s.lastBackup = c
 	s.mutex.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// restore has the store come back from the last copy, or from nothing where none was made.
+// restore restores the store from the last backup; without one the store becomes empty.
 func (s *Server) restore(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	c := s.saved
+	c := s.lastBackup
 	s.mutex.Unlock()
 	s.store.Restore(c)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Calls counts the calls so far.
+// Calls returns the request counts so far.
 func (s *Server) Calls() Calls {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls
 }
 
-func (s *Server) current() Faults {
+func (s *Server) currentFaults() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-func (s *Server) inject(next http.Handler) http.Handler {
+func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f := s.current()
+		f := s.currentFaults()
 		if f.SlowMS > 0 {
 			select {
 			case <-time.After(f.SlowMS.Duration()):
@@ -161,7 +161,7 @@
 	})
 }
 
-func (s *Server) limit(l *rate.Limiter, count *int) func(http.Handler) http.Handler {
+func (s *Server) limitRate(l *rate.Limiter, count *int) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			ok := l.Allow()
@@ -172,7 +172,7 @@
 			}
 			s.mutex.Unlock()
 			if !ok {
-				wire.Refuse(w, fault.New(fault.PlatformThrottled, "too many calls").After(time.Second), "")
+				wire.Refuse(w, fault.New(fault.PlatformThrottled, "request rate limit exceeded").After(time.Second), "")
 				return
 			}
 			next.ServeHTTP(w, r)
@@ -180,7 +180,7 @@
 	}
 }
 
-func kinds(r *http.Request) []api.ResourceKind {
+func requestedKinds(r *http.Request) []api.ResourceKind {
 	var l []api.ResourceKind
 	for k := range strings.SplitSeq(r.URL.Query().Get("kinds"), ",") {
 		if k != "" {
@@ -191,14 +191,14 @@
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	k := kinds(r)
-	if !s.current().StaleReads {
+	k := requestedKinds(r)
+	if !s.currentFaults().StaleReads {
 		wire.Write(w, http.StatusOK, s.store.List(k))
 		return
 	}
 	s.mutex.Lock()
-	l := api.ObjectList{Version: s.stale.Version, Items: []api.Object{}}
-	for _, o := range s.stale.Items {
+	l := api.ObjectList{Version: s.snapshot.Version, Items: []api.Object{}}
+	for _, o := range s.snapshot.Items {
 		if len(k) == 0 || slices.Contains(k, o.Kind) {
 			l.Items = append(l.Items, o)
 		}
@@ -207,12 +207,12 @@
 	wire.Write(w, http.StatusOK, l)
 }
 
-func named(r *http.Request) (api.ResourceKind, string) {
+func requestedObject(r *http.Request) (api.ResourceKind, string) {
 	return api.ResourceKind(chi.URLParam(r, "kind")), chi.URLParam(r, "name")
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	k, n := named(r)
+	k, n := requestedObject(r)
 	o, err := s.store.Get(k, n)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
@@ -221,37 +221,37 @@
 	wire.Write(w, http.StatusOK, o)
 }
 
-// valueLimit is the largest value the platform holds.
-const valueLimit = 1 << 20
+// maxValueBytes bounds the size of a stored object.
+const maxValueBytes = 1 << 20
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	var o api.Object
-	if err := wire.Read(w, r, valueLimit, &o); err != nil {
+	if err := wire.Read(w, r, maxValueBytes, &o); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	o.Kind, o.Name = named(r)
+	o.Kind, o.Name = requestedObject(r)
 	o, err := s.store.Put(o)
-	s.confirm(w, o, err)
+	s.answerWrite(w, o, err)
 }
 
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
-	k, n := named(r)
+	k, n := requestedObject(r)
 	v, err := strconv.Atoi(r.URL.Query().Get("version"))
 	if err != nil {
-		wire.Refuse(w, fault.New(fault.InvalidRequest, "version is not a number"), "")
+		wire.Refuse(w, fault.New(fault.InvalidRequest, "version must be an integer"), "")
 		return
 	}
 	err = s.store.Delete(k, n, api.Version(v))
-	s.confirm(w, api.Object{Kind: k, Name: n}, err)
+	s.answerWrite(w, api.Object{Kind: k, Name: n}, err)
 }
 
-// confirm answers a write, or loses the answer by closing the connection.
-func (s *Server) confirm(w http.ResponseWriter, o api.Object, err error) {
+// answerWrite answers a write, or closes the connection without an answer if one is to be lost.
+func (s *Server) answerWrite(w http.ResponseWriter, o api.Object, err error) {
 	s.mutex.Lock()
-	lose := s.faults.LoseWrites > 0
+	lose := s.faults.LoseWriteAnswers > 0
 	if lose {
-		s.faults.LoseWrites--
+		s.faults.LoseWriteAnswers--
 	}
 	s.mutex.Unlock()
 	if lose {
@@ -264,22 +264,22 @@
 	wire.Write(w, http.StatusOK, o)
 }
 
-// watchMost bounds one waiting watch.
-const watchMost = time.Minute
+// maxWatchWait bounds how long a watch waits for a change.
+const maxWatchWait = time.Minute
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, err := strconv.Atoi(q.Get("from"))
 	wait, e := strconv.Atoi(q.Get("wait_ms"))
 	if err != nil || e != nil {
-		wire.Refuse(w, fault.New(fault.InvalidRequest, "from and wait_ms have to be numbers"), "")
+		wire.Refuse(w, fault.New(fault.InvalidRequest, "from and wait_ms must be integers"), "")
 		return
 	}
-	k := kinds(r)
-	end := time.NewTimer(min(api.Milliseconds(wait).Duration(), watchMost))
+	k := requestedKinds(r)
+	end := time.NewTimer(min(api.Milliseconds(wait).Duration(), maxWatchWait))
 	defer end.Stop()
 	for {
-		if s.current().StaleReads {
+		if s.currentFaults().StaleReads {
 			<-end.C
 			wire.Write(w, http.StatusOK, api.ChangeList{Version: api.Version(from), Changes: []api.Change{}})
 			return
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -14,10 +14,10 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bodyLimit bounds the requests that the service reads.
-const bodyLimit = 16 << 20
+// maxBodyBytes bounds the part of a request body that is read.
+const maxBodyBytes = 16 << 20
 
-// Answer is what the service answers.
+// Answer is the body of a response: an echo of the request and how often its call ran.
 type Answer struct {
 	Server  api.ServerName `json:"server"`
 	Request api.RequestID  `json:"request"`
@@ -27,44 +27,44 @@
 	Count   int            `json:"count"`
 }
 
-// Faults are injected through the stand-in's own /dev/faults.
+// Faults are the failures and signals to inject, set by tests or through /dev/faults.
 type Faults struct {
-	// DelayMS delays every answer.
+	// DelayMS delays every response.
 	DelayMS api.Milliseconds `json:"delay_ms"`
-	// LoseAnswers runs so many calls and closes the connection unanswered.
+	// LoseAnswers is the number of calls that are run but not answered: the connection closes.
 	LoseAnswers int `json:"lose_answers"`
-	// CutAnswers runs so many calls and cuts their answers short.
+	// CutAnswers is the number of calls that are run and whose answers are truncated.
 	CutAnswers int `json:"cut_answers"`
-	// CrossAnswers answers so many calls with another request's id.
+	// CrossAnswers is the number of calls that are answered with the id of another request.
 	CrossAnswers int `json:"cross_answers"`
-	// Refuse answers so many calls with 503 and does not run them.
+	// Refuse is the number of calls that get status 503 and are not run.
 	Refuse int `json:"refuse"`
-	// Limit is named in every answer as the calls a second that the service takes; zero names
+	// Limit is the rate limit, in calls a second, that every response announces; zero announces
 	// none.
 	Limit float64 `json:"limit"`
-	// Leaving is said in every answer.
+	// Leaving makes every response announce that the server is leaving.
 	Leaving bool `json:"leaving"`
-	// RestS turns every call away and asks for so many seconds of rest; zero turns none away.
-	RestS float64 `json:"rest_s"`
+	// BackoffS refuses every call with a Retry-After of so many seconds; zero refuses none.
+	BackoffS float64 `json:"rest_s"`
 }
 
-// Service is the state of one stand-in.
+// Service is a stand-in for one backend server of a service.
 type Service struct {
 	name api.ServerName
 
 	mutex  sync.Mutex
 	faults Faults
 	counts map[string]int
-	// refused counts the calls that were turned away for rest.
-	refused int
+	// refusedForBackoff counts the calls that BackoffS refused.
+	refusedForBackoff int
 }
 
-// New makes a service that has run nothing.
+// New returns a service that has run no calls.
 func New(n api.ServerName) *Service {
 	return &Service{name: n, counts: map[string]int{}}
 }
 
-// Handler routes every call to the service, and the stand-in's own controls.
+// Handler routes the stand-in's controls under /dev, and every other path to the service.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/dev/counts", func(w http.ResponseWriter, _ *http.Request) {
@@ -75,8 +75,8 @@
 	return r
 }
 
-// Counts tells how often each call was run, by the caller's idempotency key or
-// else by request id.
+// Counts returns how often each call was run, by idempotency key, or by request id for
+// calls without a key.
 func (s *Service) Counts() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,7 +87,7 @@
 	return m
 }
 
-// Set injects faults from now on.
+// Set replaces the injected faults.
 func (s *Service) Set(f Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -96,7 +96,7 @@
 
 func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if err := wire.Read(w, r, bodyLimit, &f); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &f); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
@@ -104,8 +104,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take uses one of a kind of fault up.
-func (s *Service) take(n *int) bool {
+// consumeFault decrements the count of a fault and reports whether one was left to inject.
+func (s *Service) consumeFault(n *int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if *n == 0 {
@@ -115,15 +115,15 @@
 	return true
 }
 
-func (s *Service) run(key string) int {
+func (s *Service) countRun(key string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counts[key]++
 	return s.counts[key]
 }
 
-// signal writes what the service says of itself.
-func (s *Service) signal(h http.Header) {
+// writeSignals adds the headers that announce a rate limit and that the server is leaving.
+func (s *Service) writeSignals(h http.Header) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if l := s.faults.Limit; l > 0 {
@@ -134,23 +134,23 @@
 	}
 }
 
-// rests reports whether the service turns calls away, and writes for how long.
-func (s *Service) rests(h http.Header) bool {
+// refuseForBackoff reports whether the call is refused for a backoff, and sets Retry-After if so.
+func (s *Service) refuseForBackoff(h http.Header) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.faults.RestS == 0 {
+	if s.faults.BackoffS == 0 {
 		return false
 	}
-	s.refused++
-	h.Set(wire.HeaderRetryAfter, strconv.FormatFloat(s.faults.RestS, 'f', -1, 64))
+	s.refusedForBackoff++
+	h.Set(wire.HeaderRetryAfter, strconv.FormatFloat(s.faults.BackoffS, 'f', -1, 64))
 	return true
 }
 
-// Refused counts the calls that were turned away for rest.
-func (s *Service) Refused() int {
+// RefusedForBackoff returns the number of calls that were refused for a backoff.
+func (s *Service) RefusedForBackoff() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.refused
+	return s.refusedForBackoff
 }
 
 func (s *Service) delay() time.Duration {
@@ -160,12 +160,12 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, bodyLimit))
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
-	s.signal(w.Header())
-	if s.rests(w.Header()) || s.take(&s.faults.Refuse) {
+	s.writeSignals(w.Header())
+	if s.refuseForBackoff(w.Header()) || s.consumeFault(&s.faults.Refuse) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -174,16 +174,16 @@
 	if key == "" {
 		key = id
 	}
-	n := s.run(key)
+	n := s.countRun(key)
 	time.Sleep(s.delay())
-	if s.take(&s.faults.LoseAnswers) {
+	if s.consumeFault(&s.faults.LoseAnswers) {
 		panic(http.ErrAbortHandler)
 	}
-	if s.take(&s.faults.CrossAnswers) {
+	if s.consumeFault(&s.faults.CrossAnswers) {
 		id = "another-" + id
 	}
 	w.Header().Set(wire.HeaderRequestID, id)
-	if s.take(&s.faults.CutAnswers) {
+	if s.consumeFault(&s.faults.CutAnswers) {
 		w.Header().Set("Content-Length", "100")
 		w.WriteHeader(http.StatusOK)
 		_, _ = w.Write([]byte("{"))
