--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -234,14 +234,14 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Add(r)
-	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
+	k.metrics.Set(metric.ClaimAttemptsInMemory, int64(k.attempts.Len()))
 }
 
 func (k *Keeper) remove(r api.RequestID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Remove(r)
-	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
+	k.metrics.Set(metric.ClaimAttemptsInMemory, int64(k.attempts.Len()))
 }
 
 // Send reports whether the request may be sent; it has to be asked at the
@@ -295,5 +295,5 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.MarkRecorded(k.now(), s.Request)
-	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
+	k.metrics.Set(metric.ClaimAttemptsInMemory, int64(k.attempts.Len()))
 }
--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -111,7 +111,7 @@
 	l := g.table.Step(time.Now())
 	g.mutex.Unlock()
 	for _, v := range l {
-		g.metrics.Add(metric.Quarantined, 1)
+		g.metrics.Add(metric.ContentsQuarantined, 1)
 		g.log.Emit(event.ContentQuarantined, zap.String("content", string(v.Content)), zap.Any("servers", v.Servers), zap.Bool("own", v.Local), zap.Time("until", v.Until))
 	}
 	return l
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -313,7 +313,7 @@
 	v := *f.view.Load()
 	v.Version = f.store.Version()
 	f.view.Store(&v)
-	f.metrics.Put(metric.ConfigVersion, int64(v.Version))
+	f.metrics.Set(metric.ConfigVersion, int64(v.Version))
 }
 
 func (f *Follower) enforce(v *config.View, bad []config.Problem) {
@@ -324,6 +324,6 @@
 		t(v)
 	}
 	f.view.Store(v)
-	f.metrics.Put(metric.ConfigVersion, int64(v.Version))
+	f.metrics.Set(metric.ConfigVersion, int64(v.Version))
 	f.log.Emit(event.ConfigApplied, zap.Stringer("version", v.Version))
 }
--- a/internal/gateway/configure.go
+++ b/internal/gateway/configure.go
@@ -56,6 +56,6 @@
 	n := directory.New(c)
 	g.directory.Store(n)
 	g.keep(n)
-	g.Metrics.Put(metric.ConfigVersion, c.Version)
+	g.Metrics.Set(metric.ConfigVersion, c.Version)
 	return true
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -109,7 +109,7 @@
 
 // runSteps executes the steps of the move until no further copy or stop step follows.
 func (m *mover) runSteps(ctx context.Context) {
-	m.gateway.Metrics.Add(metric.MovesBegun, 1)
+	m.gateway.Metrics.Add(metric.MovesStarted, 1)
 	a := m.move.First()
 	for a.Kind == evacuate.Copy || a.Kind == evacuate.Stop {
 		if a.Delay > 0 && !duty.Sleep(ctx, a.Delay) {
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -96,7 +96,7 @@
 	if ctx.Err() != nil {
 		return placed{fault: overdue(ctx)}
 	}
-	g.Metrics.Add(metric.PlacedAlone, 1)
+	g.Metrics.Add(metric.PlacedWithoutAllocator, 1)
 	g.markLate(&d)
 	return g.placeHere(ctx, d)
 }
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -149,7 +149,7 @@
 func (g *Gateway) Tick() {
 	g.mutex.Lock()
 	g.letIn(time.Now())
-	g.Metrics.Put(metric.RequestsWaiting, int64(g.waiting()))
+	g.Metrics.Set(metric.RequestsWaiting, int64(g.waiting()))
 	g.mutex.Unlock()
 	g.tellAllocators()
 }
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -108,7 +108,7 @@
 	if c, ok := k.members.HandleHeartbeat(time.Now(), b); ok {
 		k.log.Emit(event.PeerJoined, zap.String("vm", string(c.VM)))
 	}
-	k.metrics.Put(metric.MembersServing, int64(k.members.ServingCount()))
+	k.metrics.Set(metric.MembersServing, int64(k.members.ServingCount()))
 }
 
 func (k *Keeper) step() {
@@ -117,7 +117,7 @@
 	for _, c := range k.members.DetectLost(time.Now()) {
 		k.log.Emit(event.PeerLost, zap.String("vm", string(c.VM)))
 	}
-	k.metrics.Put(metric.MembersServing, int64(k.members.ServingCount()))
+	k.metrics.Set(metric.MembersServing, int64(k.members.ServingCount()))
 }
 
 // Answer takes a peer's heartbeat and gives the own one.
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -177,7 +177,7 @@
 		}
 	}
 	m.live = live
-	m.Metrics.Put(metric.MembersServing, int64(1+len(live)))
+	m.Metrics.Set(metric.MembersServing, int64(1+len(live)))
 }
 
 // Alone reports whether no peer is heard that has word from the platform.
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -17,7 +17,7 @@
 	RequestsFailed   Name = "requests_failed_total"
 	RequestsInFlight Name = "requests_in_flight"
 	RequestsWaiting  Name = "requests_waiting"
-	PlacedAlone      Name = "placed_alone_total"
+	PlacedWithoutAllocator      Name = "placed_alone_total"
 	ServersBusy      Name = "servers_busy_total"
 	TokensRelayed    Name = "tokens_relayed_total"
 	FirstTokenMS     Name = "first_token_ms_total"
@@ -26,18 +26,18 @@
 	Preemptions      Name = "preemptions_seen_total"
 	Resumes          Name = "stream_resumes_total"
 	SilentStreams    Name = "streams_silent_total"
-	MovesBegun       Name = "moves_begun_total"
+	MovesStarted       Name = "moves_begun_total"
 	MovesDone        Name = "moves_done_total"
 	Retries          Name = "retries_total"
 	CallersGone      Name = "callers_gone_total"
 	ClaimsMade       Name = "claims_made_total"
 	ClaimsRefused    Name = "claims_refused_total"
 	ClaimsReplayed   Name = "claims_replayed_total"
-	ClaimsKept       Name = "claim_attempts_kept"
+	ClaimAttemptsInMemory       Name = "claim_attempts_kept"
 	OrdersSent       Name = "orders_sent_total"
 	OrdersRefused    Name = "orders_refused_total"
 	DomainsClosed    Name = "domains_closed"
-	Quarantined      Name = "contents_quarantined_total"
+	ContentsQuarantined      Name = "contents_quarantined_total"
 	ConfigVersion    Name = "config_version"
 	ConfigChanges    Name = "config_changes_total"
 	ConfigFromPeers  Name = "config_from_peers_total"
@@ -46,8 +46,8 @@
 	PlatformWatches  Name = "platform_watches_total"
 	PlatformFailures Name = "platform_failures_total"
 	PlatformRestores Name = "platform_restores_total"
-	ReportsTaken     Name = "load_reports_total"
-	ReportsFailed    Name = "load_report_failures_total"
+	LoadReports     Name = "load_reports_total"
+	LoadReportsFailed    Name = "load_report_failures_total"
 	HeartbeatsSent   Name = "heartbeats_sent_total"
 	HeartbeatsFailed Name = "heartbeat_failures_total"
 	MembersServing   Name = "members_serving"
@@ -71,7 +71,7 @@
 	{RequestsFailed, "requests", "Requests that failed and ran or may have run."},
 	{RequestsInFlight, "requests", "Requests in flight now."},
 	{RequestsWaiting, "requests", "Requests that wait for an engine now."},
-	{PlacedAlone, "places", "Places at engines chosen without the VM that allocates them, which did not answer."},
+	{PlacedWithoutAllocator, "places", "Places at engines chosen without the VM that allocates them, which did not answer."},
 	{ServersBusy, "requests", "Requests refused since all servers were at the limits that they had named, or had asked for rest."},
 	{TokensRelayed, "tokens", "Tokens delivered to callers."},
 	{FirstTokenMS, "ms", "Sum of the times to the first token."},
@@ -80,18 +80,18 @@
 	{Preemptions, "preemptions", "Preemptions that engines told of finished generations."},
 	{Resumes, "resumes", "Streams resumed on their engine."},
 	{SilentStreams, "streams", "Times that a stream was silent for longer than usual, so that its server was asked."},
-	{MovesBegun, "moves", "Moves of running generations that were begun."},
+	{MovesStarted, "moves", "Moves of running generations that were begun."},
 	{MovesDone, "moves", "Moves of running generations that were done."},
 	{Retries, "attempts", "Attempts started again elsewhere."},
 	{CallersGone, "requests", "Requests whose callers closed their connections."},
 	{ClaimsMade, "claims", "Claims recorded before a send."},
 	{ClaimsRefused, "claims", "Requests refused because of a claim."},
 	{ClaimsReplayed, "claims", "Requests answered with a kept answer."},
-	{ClaimsKept, "attempts", "Claimed attempts in memory now."},
+	{ClaimAttemptsInMemory, "attempts", "Claimed attempts in memory now."},
 	{OrdersSent, "orders", "Orders that engines carried out."},
 	{OrdersRefused, "orders", "Orders that failed or were refused."},
 	{DomainsClosed, "domains", "Failure domains that operators have closed to new work."},
-	{Quarantined, "contents", "Contents found to end the servers that run them, which are refused since."},
+	{ContentsQuarantined, "contents", "Contents found to end the servers that run them, which are refused since."},
 	{ConfigVersion, "version", "Version of the configuration in force."},
 	{ConfigChanges, "changes", "Changes that came into force."},
 	{ConfigFromPeers, "lists", "Configurations taken from a peer."},
@@ -100,8 +100,8 @@
 	{PlatformWatches, "calls", "Watches sent to the platform."},
 	{PlatformFailures, "calls", "Platform calls that failed."},
 	{PlatformRestores, "kinds", "Kinds of objects whose history began again because the platform came back from a copy."},
-	{ReportsTaken, "reports", "Load reports read."},
-	{ReportsFailed, "reports", "Load reports that could not be read."},
+	{LoadReports, "reports", "Load reports read."},
+	{LoadReportsFailed, "reports", "Load reports that could not be read."},
 	{HeartbeatsSent, "heartbeats", "Heartbeats sent to peers."},
 	{HeartbeatsFailed, "heartbeats", "Heartbeats without an answer."},
 	{MembersServing, "entry VMs", "Entry VMs that serve, this one among them."},
@@ -162,8 +162,8 @@
 	s.tallies[l].retain(keep)
 }
 
-// Put sets a variable.
-func (s *Set) Put(n Name, v int64) {
+// Set sets a variable.
+func (s *Set) Set(n Name, v int64) {
 	if i, ok := s.vars.Get(string(n)).(*expvar.Int); ok {
 		i.Set(v)
 	}
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -321,7 +321,7 @@
 	h.awake()
 	h.gateway.Step()
 	h.gateway.Contents.Verify(h.group, connects(h.Machine.Dial, h.gateway.Address))
-	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
+	h.Metrics.Set(metric.RequestsInFlight, int64(h.gateway.InFlight()))
 	if h.dark() {
 		h.gateway.Ask()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,8 +93,8 @@
 // tick ends waits that are over.
 func (c *Context) tick(context.Context) {
 	c.Broker.Tick()
-	c.Metrics.Put(metric.RequestsWaiting, int64(c.Broker.Waiting()))
-	c.Metrics.Put(metric.RequestsInFlight, int64(c.Life.InFlight()))
+	c.Metrics.Set(metric.RequestsWaiting, int64(c.Broker.Waiting()))
+	c.Metrics.Set(metric.RequestsInFlight, int64(c.Life.InFlight()))
 }
 
 // address gives the address of a declared server.
--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -123,7 +123,7 @@
 	if r.Server != x.name {
 		return
 	}
-	p.metrics.Add(metric.ReportsTaken, 1)
+	p.metrics.Add(metric.LoadReports, 1)
 	p.changed(x, r)
 	p.mutex.Lock()
 	p.last[x.name] = r
@@ -137,7 +137,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	p.metrics.Add(metric.ReportsFailed, 1)
+	p.metrics.Add(metric.LoadReportsFailed, 1)
 	if fault.Has(err, fault.NotStarted) {
 		p.lost(x.name, err)
 	}
