--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -59,7 +59,7 @@
 	if !ok {
 		return nil
 	}
-	return fault.New(fault.Quarantined, "servers ended while they ran requests of this content").After(u.Sub(now))
+	return fault.New(fault.Quarantined, "servers ended while they ran requests of this content").WithRetryAfter(u.Sub(now))
 }
 
 // Broke takes the failure of a run in its beginning, at a server that had given no notice
--- a/internal/decide/call/call.go
+++ b/internal/decide/call/call.go
@@ -59,7 +59,7 @@
 	case o == Incomplete && c.notRepeatable:
 		return Fail, c.Fault(fault.OutcomeUnknown, cause, "the call was sent and no complete answer came back")
 	case !takeRetry():
-		return Fail, c.Fault(fault.NoServer, cause, "the attempt failed and the retry budget is spent").After(retryAfter)
+		return Fail, c.Fault(fault.NoServer, cause, "the attempt failed and the retry budget is spent").WithRetryAfter(retryAfter)
 	default:
 		return Retry, nil
 	}
@@ -67,13 +67,13 @@
 
 // NoServer returns the fault of a call that no server of the service accepts.
 func (c *Call) NoServer() *fault.Error {
-	return c.Fault(fault.NoServer, nil, "no server of the service accepts requests").After(retryAfter)
+	return c.Fault(fault.NoServer, nil, "no server of the service accepts requests").WithRetryAfter(retryAfter)
 }
 
 // AllBusy returns the fault of a call that no server accepts for at least the given time,
 // because each is at the limit that it announced or in backoff.
 func (c *Call) AllBusy(wait time.Duration) *fault.Error {
-	return c.Fault(fault.NoServer, nil, "all servers of the service are at their limits or rest").After(max(wait, retryAfter))
+	return c.Fault(fault.NoServer, nil, "all servers of the service are at their limits or rest").WithRetryAfter(max(wait, retryAfter))
 }
 
 // Refusal returns the fault for refusing a further attempt, marked as of unknown outcome if an
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -108,13 +108,13 @@
 // UnsettledError is the error for a request that is refused before its send, while the platform
 // may have lost an earlier claim of the same key.
 func UnsettledError() *fault.Error {
-	return fault.New(fault.ClaimUnavailable, "the platform was restored from a backup and claims are being rewritten; the request was not sent").After(retryAfter)
+	return fault.New(fault.ClaimUnavailable, "the platform was restored from a backup and claims are being rewritten; the request was not sent").WithRetryAfter(retryAfter)
 }
 
 // refuseUnavailable refuses a request that was not sent, as it could not be claimed.
 func (c *Claim) refuseUnavailable() Action {
 	f := fault.New(fault.ClaimUnavailable, "the claim could not be recorded; the request was not sent")
-	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
+	return Action{Kind: Refuse, Fault: f.WithRetryAfter(retryAfter)}
 }
 
 // abandon gives up a claim, as the platform may have lost an earlier one of the same key.
@@ -173,7 +173,7 @@
 // refuseHeld refuses a request of which an earlier attempt may have run or may still run.
 func (c *Claim) refuseHeld() Action {
 	f := fault.New(fault.ClaimHeld, "an earlier attempt with this key has no known outcome")
-	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
+	return Action{Kind: Refuse, Fault: f.WithRetryAfter(retryAfter)}
 }
 
 // HandleRelease takes the owner's answer to a request for release; released is true only if
--- a/internal/decide/dispatch/refuse.go
+++ b/internal/decide/dispatch/refuse.go
@@ -21,7 +21,7 @@
 	}
 	w := min(max(d.expectedWait(), minRetryAfter), maxRetryAfter)
 	w += time.Duration(d.random.Int64N(int64(w)))
-	return Action{Request: r, Refusal: f.After(w)}
+	return Action{Request: r, Refusal: f.WithRetryAfter(w)}
 }
 
 // expectedWait estimates how long a request that arrives now would wait.
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -259,7 +259,7 @@
 func (s *Server) unplaced(ctx context.Context, a *answer.Answer, err error) *fault.Error {
 	f := fault.From(err)
 	if f.Code == fault.CallerGone && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		f = fault.New(fault.DeadlinePassed, "the deadline passed while the request waited").After(time.Second)
+		f = fault.New(fault.DeadlinePassed, "the deadline passed while the request waited").WithRetryAfter(time.Second)
 	}
 	return f.WithRan(a.Ran())
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -207,7 +207,7 @@
 	s.limitMutex.Lock()
 	defer s.limitMutex.Unlock()
 	if d, ok := s.limiter.Acquire(time.Now(), w.Name, b); !ok {
-		return nil, fault.New(fault.LimitReached, "the workspace is at its limit").After(max(d, time.Millisecond))
+		return nil, fault.New(fault.LimitReached, "the workspace is at its limit").WithRetryAfter(max(d, time.Millisecond))
 	}
 	return func() {
 		s.limitMutex.Lock()
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -163,8 +163,8 @@
 	return f
 }
 
-// After returns a copy that tells when to come back.
-func (f *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy that tells when to come back.
+func (f *Error) WithRetryAfter(d time.Duration) *Error {
 	g := *f
 	g.RetryAfter = d
 	return &g
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -227,7 +227,7 @@
 func (g *Gateway) admit(r *port.Request, s port.Sink) (*request, *fault.Error) {
 	d := g.directory.Load()
 	if d == nil {
-		return nil, fault.New(fault.Starting, "this entry VM knows no configuration yet").After(startWait)
+		return nil, fault.New(fault.Starting, "this entry VM knows no configuration yet").WithRetryAfter(startWait)
 	}
 	x, f := d.Route(r.Host, r.Path)
 	if f != nil {
@@ -240,7 +240,7 @@
 	n := x.Choose(rand.Float64())
 	v, ok := d.Service(n)
 	if !ok {
-		return nil, fault.New(fault.NoServer, "the route's service is not configured").After(startWait)
+		return nil, fault.New(fault.NoServer, "the route's service is not configured").WithRetryAfter(startWait)
 	}
 	if f := g.closing(r, x); f != nil {
 		return nil, f
@@ -287,7 +287,7 @@
 	if takes {
 		return nil
 	}
-	return fault.New(fault.Stopping, "this entry VM ends before the request would").After(stopWait)
+	return fault.New(fault.Stopping, "this entry VM ends before the request would").WithRetryAfter(stopWait)
 }
 
 // fail refuses a request for which servers were chosen.
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -215,7 +215,7 @@
 func (g *Gateway) accept(d demand, r api.PlaceAnswer) (placed, bool) {
 	if x := r.Refused; x != nil {
 		return placed{
-			fault:    fault.New(fault.Code(x.Code), x.Detail).After(x.RetryAfterMS.Duration()),
+			fault:    fault.New(fault.Code(x.Code), x.Detail).WithRetryAfter(x.RetryAfterMS.Duration()),
 			forecast: backlog.Forecast{Waiting: x.Waiting, Wait: x.ForecastMS.Duration(), MaxWait: x.PatienceMS.Duration(), LateInOverload: x.Behind},
 		}, true
 	}
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -66,9 +66,9 @@
 // first servers are expected soon, or operators have closed the domains of all.
 func (g *Gateway) noRoom(now time.Time, a *admission, d demand) *fault.Error {
 	if !g.serves(d.service.Name) {
-		return fault.New(fault.NoServer, "no server of the service takes requests").After(serverWait)
+		return fault.New(fault.NoServer, "no server of the service takes requests").WithRetryAfter(serverWait)
 	}
-	return fault.New(fault.QueueFull, "no server is expected to have room in time").After(a.backlog.Refuse(now, d.ask.Late, d.deadline.Sub(now)))
+	return fault.New(fault.QueueFull, "no server is expected to have room in time").WithRetryAfter(a.backlog.Refuse(now, d.ask.Late, d.deadline.Sub(now)))
 }
 
 // serves reports whether a service has a server that takes requests; the mutex
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -84,11 +84,11 @@
 	defer l.mutex.Unlock()
 	switch {
 	case l.state == api.PeerStateStarting:
-		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").After(comeback)
+		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").WithRetryAfter(comeback)
 	case l.closed:
-		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(comeback)
+		return nil, fault.New(fault.Stopping, "this entry VM is stopping").WithRetryAfter(comeback)
 	case !l.view.Usable(l.now()):
-		return nil, fault.New(fault.Starting, "this entry VM was suspended and checks its configuration").After(comeback)
+		return nil, fault.New(fault.Starting, "this entry VM was suspended and checks its configuration").WithRetryAfter(comeback)
 	}
 	l.inFlight++
 	return l.leave, nil
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -154,7 +154,7 @@
 			}
 		}
 		if f.Outage {
-			wire.Refuse(w, fault.New(fault.PlatformDown, "injected outage").After(time.Second), "")
+			wire.Refuse(w, fault.New(fault.PlatformDown, "injected outage").WithRetryAfter(time.Second), "")
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -172,7 +172,7 @@
 			}
 			s.mutex.Unlock()
 			if !ok {
-				wire.Refuse(w, fault.New(fault.PlatformThrottled, "too many calls").After(time.Second), "")
+				wire.Refuse(w, fault.New(fault.PlatformThrottled, "too many calls").WithRetryAfter(time.Second), "")
 				return
 			}
 			next.ServeHTTP(w, r)
