--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -55,7 +55,7 @@
 		kind:      defaultKind,
 		began:     time.Now(),
 	}
-	s.Explain.Open(q.id, w.Name)
+	s.Explain.Begin(q.id, w.Name)
 	for _, f := range []func(*request, http.Header) error{s.readDeadline, readPriority, readKind, readOnce} {
 		if err := f(q, r.Header); err != nil {
 			return q, err
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -76,7 +76,7 @@
 		return
 	}
 	q.id = api.RequestID(chi.URLParam(r, "request"))
-	s.Explain.Open(q.id, q.workspace.Name)
+	s.Explain.Begin(q.id, q.workspace.Name)
 	c := &chat{request: q}
 	c.ask.Stream = true
 	g, next, err := c.find(r.Header.Get(wire.HeaderLastEvent))
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -261,7 +261,7 @@
 }
 
 func (s *Server) note(q *request, step, detail string) {
-	s.Explain.Note(q.id, step, detail)
+	s.Explain.Record(q.id, step, detail)
 }
 
 // detached gives a context that outlives the caller for a short call.
--- a/internal/explain/recorder.go
+++ b/internal/explain/recorder.go
@@ -8,8 +8,8 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// perRequest bounds the decisions kept of one request.
-const perRequest = 64
+// maxDecisions bounds the decisions kept of one request.
+const maxDecisions = 64
 
 // Recorder keeps the decisions of the last requests.
 type Recorder struct {
@@ -25,8 +25,8 @@
 	return &Recorder{vm: vm, ring: make([]api.RequestID, n), byID: make(map[api.RequestID]*api.Explanation)}
 }
 
-// Open begins the record of a request, in place of the oldest.
-func (r *Recorder) Open(id api.RequestID, w api.WorkspaceName) {
+// Begin begins the record of a request, in place of the oldest.
+func (r *Recorder) Begin(id api.RequestID, w api.WorkspaceName) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.byID, r.ring[r.next])
@@ -35,13 +35,13 @@
 	r.byID[id] = &api.Explanation{Request: id, VM: r.vm, Workspace: w, Decisions: []api.Decision{}}
 }
 
-// Note adds a decision to a request's record.
-func (r *Recorder) Note(id api.RequestID, step, detail string) {
+// Record adds a decision to a request's record.
+func (r *Recorder) Record(id api.RequestID, step, detail string) {
 	now := api.UnixMilliseconds(time.Now())
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, ok := r.byID[id]
-	if !ok || len(e.Decisions) >= perRequest {
+	if !ok || len(e.Decisions) >= maxDecisions {
 		return
 	}
 	e.Decisions = append(e.Decisions, api.Decision{TimeMS: now, Step: step, Detail: detail})
--- a/internal/explain/recorder_test.go
+++ b/internal/explain/recorder_test.go
@@ -11,8 +11,8 @@
 func TestRecorderKeepsTheLastRequests(t *testing.T) {
 	r := explain.New("a", 2)
 	for _, id := range []string{"1", "2", "3"} {
-		r.Open(api.RequestID(id), "w")
-		r.Note(api.RequestID(id), "start", "room at once")
+		r.Begin(api.RequestID(id), "w")
+		r.Record(api.RequestID(id), "start", "room at once")
 	}
 	if _, err := r.Find("1"); !fault.Has(err, fault.UnknownRequest) {
 		t.Errorf("oldest: got %v, want unknown_request", err)
@@ -25,9 +25,9 @@
 
 func TestRecordOfOneRequestIsBounded(t *testing.T) {
 	r := explain.New("a", 1)
-	r.Open("1", "w")
+	r.Begin("1", "w")
 	for range 1000 {
-		r.Note("1", "resume", "again")
+		r.Record("1", "resume", "again")
 	}
 	e, _ := r.Find("1")
 	if got, want := len(e.Decisions), 64; got != want {
