--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -102,7 +102,7 @@
 	fleet(t, 6, func(t *testing.T, b *bed) {
 		c, closer := wire.NewClientOver(machine{b.net, "operator"}.dial, false)
 		defer closer()
-		p := objectapi.Over(c, platformHost+":80", time.Second)
+		p := objectapi.NewWithClient(c, platformHost+":80", time.Second)
 		for i := range 20 {
 			there, err := b.store.Get(api.ResourceKindModel, "desk")
 			if err != nil {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -53,11 +53,11 @@
 // closes its connections.
 func New(timeout time.Duration) (*Client, func()) {
 	c, closer := wire.NewClient(timeout, true)
-	return Over(c, timeout), closer
+	return NewWithClient(c, timeout), closer
 }
 
-// Over makes a client of engines over an HTTP client.
-func Over(c *http.Client, timeout time.Duration) *Client {
+// NewWithClient makes a client of engines over an HTTP client.
+func NewWithClient(c *http.Client, timeout time.Duration) *Client {
 	return &Client{http: c, timeout: timeout}
 }
 
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -68,8 +68,8 @@
 	c.cleanup(closer)
 	c.Single, closer = wire.NewClientOver(c.Machine.Dial, false)
 	c.cleanup(closer)
-	c.Platform = objectapi.Over(c.Reused, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
-	c.Engines = engine.Over(c.Reused, dialTime)
+	c.Platform = objectapi.NewWithClient(c.Reused, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
+	c.Engines = engine.NewWithClient(c.Reused, dialTime)
 	c.Peers = peer.Over(c.Reused, peerTime)
 	return nil
 }
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -26,11 +26,11 @@
 // connections.
 func New(address string, timeout time.Duration) (*Client, func()) {
 	c, closer := wire.NewClient(timeout, true)
-	return Over(c, address, timeout), closer
+	return NewWithClient(c, address, timeout), closer
 }
 
-// Over makes a client of the platform at an address over an HTTP client.
-func Over(c *http.Client, address string, timeout time.Duration) *Client {
+// NewWithClient makes a client of the platform at an address over an HTTP client.
+func NewWithClient(c *http.Client, address string, timeout time.Duration) *Client {
 	return &Client{base: "http://" + address + "/v1", http: c, timeout: timeout}
 }
 
