--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -22,9 +22,9 @@
 // bodyLimit bounds the messages between entry VMs.
 const bodyLimit = 64 << 10
 
-// Parts are what the control interface shows.
-type Parts struct {
-	Beat    *heartbeat.Keeper
+// Options are what the control interface shows.
+type Options struct {
+	Heartbeats    *heartbeat.Keeper
 	Peers   *peer.Client
 	Claims  *claims.Keeper
 	Explain *explain.Recorder
@@ -35,12 +35,12 @@
 
 // Server serves peers and operators.
 type Server struct {
-	Parts
+	Options
 }
 
 // New makes the control interface.
-func New(p Parts) *Server {
-	return &Server{Parts: p}
+func New(p Options) *Server {
+	return &Server{Options: p}
 }
 
 // Handler routes the control interface.
@@ -66,7 +66,7 @@
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	own, err := s.Beat.Answer(b)
+	own, err := s.Heartbeats.Answer(b)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
@@ -106,7 +106,7 @@
 }
 
 func (s *Server) ask(ctx context.Context, id api.RequestID, unknown error) (api.Explanation, error) {
-	for _, a := range s.Beat.Addresses() {
+	for _, a := range s.Heartbeats.Addresses() {
 		if e, err := s.Peers.Explain(ctx, a, id, true); err == nil {
 			return e, nil
 		}
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -227,8 +227,8 @@
 func (servers) String() string { return "servers" }
 
 func (servers) Run(c *Context) error {
-	c.Control = control.New(control.Parts{
-		Beat: c.Beat, Peers: c.Peers, Claims: c.Claims, Explain: c.Explain, Metrics: c.Metrics,
+	c.Control = control.New(control.Options{
+		Heartbeats: c.Beat, Peers: c.Peers, Claims: c.Claims, Explain: c.Explain, Metrics: c.Metrics,
 		Config: c.Follow.List, Status: c.Status,
 	})
 	w := c.Settings.Entry.HeaderWaitMS.Duration()
