--- a/cmd/check.go
+++ b/cmd/check.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	if d := resource.Dangling(l); len(d) > 0 {
+	if d := resource.DanglingReferences(l); len(d) > 0 {
 		for _, x := range d {
 			if err := e.print("%s: %s\n", c.File, x); err != nil {
 				return err
--- a/cmd/get.go
+++ b/cmd/get.go
@@ -41,7 +41,7 @@
 				return err
 			}
 		}
-		if err := e.print("%s", resource.Text(o)); err != nil {
+		if err := e.print("%s", resource.FormatYAML(o)); err != nil {
 			return err
 		}
 	}
--- a/internal/resource/apply.go
+++ b/internal/resource/apply.go
@@ -48,7 +48,7 @@
 }
 
 func conflict(o, there api.Object) error {
-	d := fmt.Sprintf("%s %s is at version %d, not at %d; nothing was changed. It is:\n%s", o.Kind, o.Name, there.Version, o.Version, Text(there))
+	d := fmt.Sprintf("%s %s is at version %d, not at %d; nothing was changed. It is:\n%s", o.Kind, o.Name, there.Version, o.Version, FormatYAML(there))
 	return fault.New(fault.VersionConflict, d)
 }
 
--- a/internal/resource/file.go
+++ b/internal/resource/file.go
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// Text writes a resource as YAML, so that it can be edited and applied.
-func Text(o api.Object) string {
+// FormatYAML writes a resource as YAML, so that it can be edited and applied.
+func FormatYAML(o api.Object) string {
 	b, err := jsonyaml.Marshal(o)
 	if err != nil {
 		return ""
--- a/internal/resource/refs.go
+++ b/internal/resource/refs.go
@@ -7,8 +7,8 @@
 	"github.com/wardridge/wardridge/internal/decide/config"
 )
 
-// Dangling lists references to resources that the objects do not hold.
-func Dangling(l []api.Object) []string {
+// DanglingReferences lists references to resources that the objects do not hold.
+func DanglingReferences(l []api.Object) []string {
 	v, _ := config.Build(config.FromList(api.ObjectList{Version: 1, Items: l}), nil, Decode)
 	var out []string
 	miss := func(k api.ResourceKind, n string, to api.ResourceKind, name string) {
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -24,10 +24,10 @@
 	if err != nil || len(l) != 2 {
 		t.Fatalf("got %v, %v, want two resources", l, err)
 	}
-	if got := resource.Dangling(l); len(got) != 0 {
+	if got := resource.DanglingReferences(l); len(got) != 0 {
 		t.Errorf("dangling: got %v, want none", got)
 	}
-	if got := resource.Dangling(l[1:]); len(got) != 1 {
+	if got := resource.DanglingReferences(l[1:]); len(got) != 1 {
 		t.Errorf("dangling without the model: got %v, want one", got)
 	}
 }
