--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -50,8 +50,8 @@
 	return d.at
 }
 
-// Left is the time until then.
-func (d *Deadline) Left() time.Duration {
+// Remaining is the time until then.
+func (d *Deadline) Remaining() time.Duration {
 	return time.Until(d.At())
 }
 
@@ -81,9 +81,9 @@
 	}
 }
 
-// Check looks whether the VM was suspended since the last time, brings the deadlines
+// AdvanceSuspended looks whether the VM was suspended since the last time, brings the deadlines
 // forward by that, and gives it.
-func (l *Deadlines) Check() time.Duration {
+func (l *Deadlines) AdvanceSuspended() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	n, ok := l.read()
--- a/internal/clock/deadline_test.go
+++ b/internal/clock/deadline_test.go
@@ -24,21 +24,21 @@
 		soon, _ := end(2 * time.Second)
 		later, d := end(10 * time.Second)
 		time.Sleep(time.Second)
-		if got := l.Check(); got != 0 {
+		if got := l.AdvanceSuspended(); got != 0 {
 			t.Errorf("without a suspension: got %v, want none", got)
 		}
 		lead = 3 * time.Second
-		if got := l.Check(); got != lead {
+		if got := l.AdvanceSuspended(); got != lead {
 			t.Errorf("got a suspension of %v, want %v", got, lead)
 		}
 		synctest.Wait()
 		if got := context.Cause(soon); got != context.DeadlineExceeded {
 			t.Errorf("a deadline within it: got %v, want it exceeded", got)
 		}
-		if got := d.Left(); got != 6*time.Second {
+		if got := d.Remaining(); got != 6*time.Second {
 			t.Errorf("a later deadline: got %v left, want 6 s", got)
 		}
-		if got := l.Check(); got != 0 {
+		if got := l.AdvanceSuspended(); got != 0 {
 			t.Errorf("the same suspension again: got %v, want none", got)
 		}
 		time.Sleep(6*time.Second - time.Millisecond)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -190,7 +190,7 @@
 
 // attempt sends a request to one server.
 func (g *Gateway) attempt(ctx context.Context, q *request, s roster.Server, b *backup) (port.Answer, error) {
-	left := q.deadline.Left()
+	left := q.deadline.Remaining()
 	if q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers && q.route.LatencyTarget > 0 {
 		left = min(left, time.Duration(hangAims*float64(q.route.LatencyTarget)))
 		c, cancel := context.WithTimeout(ctx, left)
@@ -209,7 +209,7 @@
 // protect, with all the time that is left.
 func (q *request) attempt(s roster.Server, b *backup) port.Attempt {
 	a := port.Attempt{
-		Request: q.Request, Server: s, Workspace: q.workspace.Name, Left: q.deadline.Left(),
+		Request: q.Request, Server: s, Workspace: q.workspace.Name, Left: q.deadline.Remaining(),
 		Stream: q.route.Kind == directory.Stream,
 	}
 	if b != nil {
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -22,7 +22,7 @@
 		f.lead = suspended
 		at := f.sends[0]
 		f.mutex.Unlock()
-		b.Deadlines.Check()
+		b.Deadlines.AdvanceSuspended()
 		b.notice(at)
 		time.Sleep(time.Minute)
 		if !c.whole(f.total) || len(f.lefts) != 2 {
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -345,7 +345,7 @@
 // awake notices that the VM was suspended: what it follows is asked for at once, since
 // nothing that was on its way before says how things stand.
 func (h *Hosted) awake() {
-	d := h.deadlines.Check()
+	d := h.deadlines.AdvanceSuspended()
 	if d == 0 {
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,7 +110,7 @@
 		c.Log.Emit(event.ClockJump)
 		c.confirm(ctx)
 	}
-	c.Deadlines.Check()
+	c.Deadlines.AdvanceSuspended()
 	c.Contents.Step()
 	c.Contents.Verify(c.Group, connects(c.Machine.Dial, c.address))
 	c.Entry.Members(c.Beat.Serving())
