--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -67,7 +67,7 @@
 
 type class struct {
 	requests, whole     int
-	first, gaps, stalls *quantile.Times
+	first, gaps, stalls *quantile.Histogram
 	stall               time.Duration
 }
 
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -43,7 +43,7 @@
 		for k := range seeds {
 			r := measure(s, p, m, steadyLoad+floodLoad, false, uint64(k+1))
 			x, y := r.classes["steady"], r.classes["flooding"]
-			fmt.Fprintf(&b, "| %d | %.1f | %.0f | %.1f | %.0f |\n", k+1, x.percent(), x.firsts.At(95), y.percent(), y.firsts.At(95))
+			fmt.Fprintf(&b, "| %d | %.1f | %.0f | %.1f | %.0f |\n", k+1, x.percent(), x.firsts.Percentile(95), y.percent(), y.firsts.Percentile(95))
 		}
 	}
 	b.WriteString("\n")
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -18,11 +18,11 @@
 	GoodTokens float64
 	// StallTotal is the sum of stalls over all streams.
 	StallTotal time.Duration
-	gaps       *quantile.Times
-	stalls     *quantile.Times
-	firsts     *quantile.Times
+	gaps       *quantile.Histogram
+	stalls     *quantile.Histogram
+	firsts     *quantile.Histogram
 	// onLine are the first tokens of callers on the line.
-	onLine  *quantile.Times
+	onLine  *quantile.Histogram
 	good    int
 	classes map[string]*share
 }
@@ -34,7 +34,7 @@
 // share is what one class of requests got.
 type share struct {
 	asked, whole int
-	firsts       *quantile.Times
+	firsts       *quantile.Histogram
 }
 
 func (r *Result) of(q *request) *share {
@@ -138,10 +138,10 @@
 	n := float64(max(r.Asked, 1))
 	taken := float64(max(r.Asked-r.Refused, 1))
 	return Figures{
-		StallP50: r.stalls.At(50), StallP99: r.stalls.At(99), StallTotal: r.StallTotal.Seconds(),
+		StallP50: r.stalls.Percentile(50), StallP99: r.stalls.Percentile(99), StallTotal: r.StallTotal.Seconds(),
 		Preemptions: 1000 * float64(r.Preempted) / n,
-		GapP95:      r.gaps.At(95), GapP99: r.gaps.At(99), GapP999: r.gaps.At(99.9),
-		FirstP95: r.firsts.At(95), OnLineP95: r.onLine.At(95), Good: r.GoodTokens,
+		GapP95:      r.gaps.Percentile(95), GapP99: r.gaps.Percentile(99), GapP999: r.gaps.Percentile(99.9),
+		FirstP95: r.firsts.Percentile(95), OnLineP95: r.onLine.Percentile(95), Good: r.GoodTokens,
 		Refused: 100 * float64(r.Refused) / n, Lost: 100 * float64(r.Lost) / n,
 		SentPerAsked: float64(r.Sent) / taken,
 	}
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -13,24 +13,24 @@
 	digits = 3
 )
 
-// Times is a distribution of times.
-type Times struct {
+// Histogram is a distribution of times.
+type Histogram struct {
 	histogram *hdrhistogram.Histogram
 }
 
 // New makes an empty distribution.
-func New() *Times {
-	return &Times{histogram: hdrhistogram.New(least, most, digits)}
+func New() *Histogram {
+	return &Histogram{histogram: hdrhistogram.New(least, most, digits)}
 }
 
 // Record adds a time; one beyond an hour counts as an hour.
-func (t *Times) Record(d time.Duration) {
+func (t *Histogram) Record(d time.Duration) {
 	// It fails only beyond the bounds.
 	_ = t.histogram.RecordValue(min(d.Microseconds(), most))
 }
 
-// At gives the time in ms below which so many in 100 are.
-func (t *Times) At(percent float64) float64 {
+// Percentile gives the time in ms below which so many in 100 are.
+func (t *Histogram) Percentile(percent float64) float64 {
 	return milliseconds(t.histogram.ValueAtQuantile(percent))
 }
 
@@ -45,9 +45,9 @@
 }
 
 // Summary gives the usual quantiles.
-func (t *Times) Summary() Summary {
+func (t *Histogram) Summary() Summary {
 	return Summary{
-		Count: t.histogram.TotalCount(), P50: t.At(50), P95: t.At(95), P99: t.At(99), P999: t.At(99.9),
+		Count: t.histogram.TotalCount(), P50: t.Percentile(50), P95: t.Percentile(95), P99: t.Percentile(99), P999: t.Percentile(99.9),
 		Max: milliseconds(t.histogram.Max()),
 	}
 }
--- a/internal/story/summary.go
+++ b/internal/story/summary.go
@@ -71,8 +71,8 @@
 // sums gathers a summary.
 type sums struct {
 	ends, silent counts
-	first, pause *quantile.Times
-	resumes      map[string]*quantile.Times
+	first, pause *quantile.Histogram
+	resumes      map[string]*quantile.Histogram
 	// moves are the last steps by request and source, leaving the servers that an
 	// entry VM knew to leave.
 	moves   map[place]string
@@ -89,7 +89,7 @@
 func Sum(all []Line) Summary {
 	s := &sums{
 		ends: counts{}, silent: counts{}, first: quantile.New(), pause: quantile.New(),
-		resumes: map[string]*quantile.Times{}, moves: map[place]string{}, leaving: map[place]bool{},
+		resumes: map[string]*quantile.Histogram{}, moves: map[place]string{}, leaving: map[place]bool{},
 	}
 	l := slices.Clone(all)
 	sortLines(l)
