--- a/internal/dev/up.go
+++ b/internal/dev/up.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Calls are the rates that the platform's stand-in allows by default.
-var Calls = platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, ListLag: time.Second}
+// DefaultPlatform are the rates that the platform's stand-in allows by default.
+var DefaultPlatform = platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, ListLag: time.Second}
 
 // Up runs a whole small system at an IP address in this process until the
 // context ends, and writes to out how to use it.
@@ -57,7 +57,7 @@
 	// The stand-ins end after the entry VMs, so that a stop cuts nothing off.
 	outer, end := duty.New(context.WithoutCancel(ctx))
 	defer end()
-	p := platform.New(platform.NewStore(), Calls)
+	p := platform.New(platform.NewStore(), DefaultPlatform)
 	outer.Go(func(ctx context.Context) error { return Platform(ctx, y.platform, p, l) })
 	for _, e := range y.engines {
 		o := engine.Defaults()
