--- a/internal/api/version.go
+++ b/internal/api/version.go
@@ -11,8 +11,8 @@
 // earlier one.
 const EraBits = 63 - revisionBits
 
-// RevisionMost is the largest revision that a version holds.
-const RevisionMost Revision = 1<<revisionBits - 1
+// MaxRevision is the largest revision that a version holds.
+const MaxRevision Revision = 1<<revisionBits - 1
 
 // NewVersion places a revision of the platform in the order over all of its histories. A
 // platform that comes back from a copy gives revisions out again, so that they order
@@ -28,7 +28,7 @@
 
 // Revision is the version's place within its era, as the platform numbers it.
 func (v Version) Revision() Revision {
-	return Revision(v) & RevisionMost
+	return Revision(v) & MaxRevision
 }
 
 // String gives the era, where the platform tells one, and the revision.
--- a/internal/api/version_test.go
+++ b/internal/api/version_test.go
@@ -9,7 +9,7 @@
 // Every version of a later era is newer than all of an earlier one.
 func TestVersionsOrderErasFirst(t *testing.T) {
 	l := []api.Version{
-		api.NewVersion(0, 0), api.NewVersion(0, 25), api.NewVersion(0, api.RevisionMost),
+		api.NewVersion(0, 0), api.NewVersion(0, 25), api.NewVersion(0, api.MaxRevision),
 		api.NewVersion(1, 0), api.NewVersion(1, 21), api.NewVersion(1, 25), api.NewVersion(2, 1),
 	}
 	for i := 1; i < len(l); i++ {
@@ -28,7 +28,7 @@
 	}{
 		{api.NewVersion(0, 25), 0, 25, "25"},
 		{api.NewVersion(2, 21), 2, 21, "2.21"},
-		{api.NewVersion(8191, api.RevisionMost), 8191, api.RevisionMost, "8191.1099511627775"},
+		{api.NewVersion(8191, api.MaxRevision), 8191, api.MaxRevision, "8191.1099511627775"},
 	}
 	for _, c := range tests {
 		if c.version.Era() != c.era || c.version.Revision() != c.rev || c.version.String() != c.text {
