--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -110,13 +110,13 @@
 	{SlowReaders, "requests", "Requests ended because the caller read too slowly."},
 }
 
-// latency is the name of the histograms.
-const latency = "latency_ms"
+// latencyName is the name of the histograms.
+const latencyName = "latency_ms"
 
 // Groups lists the variables that hold more than one figure; each is bounded,
 // and what is beyond the bound counts as "other".
 var Groups = []Kind{
-	{latency, "ms", "Times of requests by kind and outcome: count, p50, p95, p99, max."},
+	{latencyName, "ms", "Times of requests by kind and outcome: count, p50, p95, p99, max."},
 	{Name(ByWorkspace), "requests", "Requests by workspace and outcome."},
 	{Name(ByServer), "attempts", "Attempts by backend server and what they met: served, full, failed, lost."},
 }
@@ -124,14 +124,14 @@
 // Set is the variables of one entry VM.
 type Set struct {
 	vars    expvar.Map
-	times   *times
+	latencies   *histograms
 	tallies map[Label]*tally
 }
 
 // New makes a set with every variable at 0.
 func New() *Set {
-	s := &Set{times: newTimes(), tallies: map[Label]*tally{ByWorkspace: newTally(), ByServer: newTally()}}
-	s.vars.Set(latency, s.times)
+	s := &Set{latencies: newHistograms(), tallies: map[Label]*tally{ByWorkspace: newTally(), ByServer: newTally()}}
+	s.vars.Set(latencyName, s.latencies)
 	for l, t := range s.tallies {
 		s.vars.Set(string(l), t)
 	}
@@ -148,7 +148,7 @@
 
 // Observe counts the time that a request of a kind took to its outcome.
 func (s *Set) Observe(kind, outcome string, d time.Duration) {
-	s.times.observe(kind+"/"+outcome, d)
+	s.latencies.observe(kind+"/"+outcome, d)
 }
 
 // Count counts an outcome of a name under a label; names beyond a bound count
--- a/internal/metric/tally.go
+++ b/internal/metric/tally.go
@@ -19,11 +19,11 @@
 // tally counts outcomes by name.
 type tally struct {
 	mutex sync.Mutex
-	names bounded[map[string]int64]
+	names boundedMap[map[string]int64]
 }
 
 func newTally() *tally {
-	return &tally{names: newBounded(func() map[string]int64 { return map[string]int64{} })}
+	return &tally{names: newBoundedMap(func() map[string]int64 { return map[string]int64{} })}
 }
 
 func (t *tally) count(name, outcome string) {
--- a/internal/metric/tally_test.go
+++ b/internal/metric/tally_test.go
@@ -12,7 +12,7 @@
 	s.Count(ByServer, "s-1", "served")
 	s.Count(ByServer, "s-1", "lost")
 	s.Count(ByWorkspace, "w", "done")
-	for i := range 2 * namesMost {
+	for i := range 2 * maxNames {
 		s.Count(ByServer, fmt.Sprint("more-", i), "served")
 	}
 	read := func() map[string]map[string]int64 {
@@ -32,8 +32,8 @@
 	if got["s-1"]["served"] != 2 || got["s-1"]["lost"] != 1 {
 		t.Errorf("server: got %v, want 2 served and 1 lost", got["s-1"])
 	}
-	if len(got) > namesMost+1 || got[otherNames]["served"] == 0 {
-		t.Errorf("got %d names, want at most %d and the rest together", len(got), namesMost+1)
+	if len(got) > maxNames+1 || got[otherNames]["served"] == 0 {
+		t.Errorf("got %d names, want at most %d and the rest together", len(got), maxNames+1)
 	}
 	s.Retain(ByServer, func(n string) bool { return n == "s-1" })
 	if got := read(); len(got) != 2 || got["s-1"] == nil {
--- a/internal/metric/times.go
+++ b/internal/metric/times.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// timesLeast and timesMost bound the times told apart, in ms; digits is how
+	// minTimeMS and timesMost bound the times told apart, in ms; digits is how
 	// exactly.
-	timesLeast = 1
-	timesMost  = 600_000
-	digits     = 2
+	minTimeMS = 1
+	maxTimeMS  = 600_000
+	significantDigits     = 2
 )
 
-// times are latency histograms by name.
-type times struct {
+// histograms are latency histograms by name.
+type histograms struct {
 	mutex sync.Mutex
-	names bounded[*hdrhistogram.Histogram]
+	names boundedMap[*hdrhistogram.Histogram]
 }
 
-func newTimes() *times {
-	return &times{names: newBounded(func() *hdrhistogram.Histogram {
-		return hdrhistogram.New(timesLeast, timesMost, digits)
+func newHistograms() *histograms {
+	return &histograms{names: newBoundedMap(func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(minTimeMS, maxTimeMS, significantDigits)
 	})}
 }
 
-func (t *times) observe(name string, d time.Duration) {
+func (t *histograms) observe(name string, d time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	// What is beyond the bounds counts as the bound.
-	_ = t.names.get(name).RecordValue(min(max(d.Milliseconds(), timesLeast), timesMost))
+	_ = t.names.get(name).RecordValue(min(max(d.Milliseconds(), minTimeMS), maxTimeMS))
 }
 
 // summary is one histogram as it is shown.
@@ -45,7 +45,7 @@
 }
 
 // String gives all histograms as JSON, as expvar wants it.
-func (t *times) String() string {
+func (t *histograms) String() string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	m := make(map[string]summary, len(t.names.all))
