--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -63,20 +63,20 @@
 
 // Start sends a generation and opens its stream; failures are *StreamError.
 func (c *Client) Start(ctx context.Context, address string, g api.GenerateRequest) (*Stream, error) {
-	return c.open(ctx, http.MethodPost, base(address)+"/generations", g)
+	return c.open(ctx, http.MethodPost, baseURL(address)+"/generations", g)
 }
 
 // Resume opens the stream of a generation from an index; failures are *StreamError.
 func (c *Client) Resume(ctx context.Context, address string, g api.GenerationID, from int) (*Stream, error) {
-	return c.open(ctx, http.MethodGet, fmt.Sprintf("%s?from=%d", generation(address, g), from), nil)
+	return c.open(ctx, http.MethodGet, fmt.Sprintf("%s?from=%d", generationURL(address, g), from), nil)
 }
 
-func base(address string) string {
+func baseURL(address string) string {
 	return "http://" + address + "/v1"
 }
 
-func generation(address string, g api.GenerationID) string {
-	return base(address) + "/generations/" + url.PathEscape(string(g))
+func generationURL(address string, g api.GenerationID) string {
+	return baseURL(address) + "/generations/" + url.PathEscape(string(g))
 }
 
 func (c *Client) open(ctx context.Context, method, u string, in any) (*Stream, error) {
@@ -86,16 +86,16 @@
 	}
 	a, err := c.http.Do(r)
 	if err != nil {
-		return nil, dialled(err)
+		return nil, requestError(err)
 	}
 	if a.StatusCode == http.StatusOK {
 		return NewStream(a.Body), nil
 	}
 	defer func() { _ = a.Body.Close() }()
-	return nil, refused(a)
+	return nil, readRefusal(a)
 }
 
-func dialled(err error) *StreamError {
+func requestError(err error) *StreamError {
 	f := wire.Broken(err)
 	if f.Code == fault.NotStarted {
 		return &StreamError{Cause: answer.NotConnected, Err: f}
@@ -103,13 +103,13 @@
 	return &StreamError{Cause: answer.Broken, Err: f}
 }
 
-// refusalLimit bounds the refusals that are read.
-const refusalLimit = 64 << 10
+// maxRefusalBytes bounds the refusals that are read.
+const maxRefusalBytes = 64 << 10
 
-// refused reads a refusal; one that can't be understood proves nothing.
-func refused(a *http.Response) *StreamError {
+// readRefusal reads a refusal; one that can't be understood proves nothing.
+func readRefusal(a *http.Response) *StreamError {
 	var r RefusalError
-	b, err := io.ReadAll(io.LimitReader(a.Body, refusalLimit))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxRefusalBytes))
 	if err == nil {
 		err = json.Unmarshal(b, &r.EngineRefusal)
 	}
@@ -128,7 +128,7 @@
 func (c *Client) Cancel(ctx context.Context, address string, g api.GenerationID) error {
 	ctx, end := context.WithTimeout(ctx, c.timeout)
 	defer end()
-	return c.short(ctx, "cancelling", http.MethodDelete, generation(address, g), nil, nil)
+	return c.call(ctx, "cancelling", http.MethodDelete, generationURL(address, g), nil, nil)
 }
 
 // Load reads an engine's load report.
@@ -136,18 +136,18 @@
 	ctx, end := context.WithTimeout(ctx, c.timeout)
 	defer end()
 	var r api.LoadReport
-	err := c.short(ctx, "reading the load", http.MethodGet, base(address)+"/load", nil, &r)
+	err := c.call(ctx, "reading the load", http.MethodGet, baseURL(address)+"/load", nil, &r)
 	return r, err
 }
 
 // Order sends a fenced order and waits until the engine has carried it out; an
 // old fence is refused with OldFence.
 func (c *Client) Order(ctx context.Context, address string, o api.Order) error {
-	return c.short(ctx, "ordering", http.MethodPost, base(address)+"/orders", o, nil)
+	return c.call(ctx, "ordering", http.MethodPost, baseURL(address)+"/orders", o, nil)
 }
 
-// short makes a call whose answer is one message.
-func (c *Client) short(ctx context.Context, what, method, u string, in, out any) error {
+// call makes a call whose answer is one message.
+func (c *Client) call(ctx context.Context, what, method, u string, in, out any) error {
 	r, err := wire.NewRequest(ctx, method, u, in)
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 	}
 	defer func() { _ = a.Body.Close() }()
 	if a.StatusCode >= http.StatusBadRequest {
-		return oops.In("engine").Wrapf(shortRefusal(a), "%s", what)
+		return oops.In("engine").Wrapf(callError(a), "%s", what)
 	}
 	if out == nil {
 		return nil
@@ -169,8 +169,8 @@
 	return nil
 }
 
-func shortRefusal(a *http.Response) error {
-	b := refused(a)
+func callError(a *http.Response) error {
+	b := readRefusal(a)
 	var r *RefusalError
 	if x, ok := b.Err.(*RefusalError); ok {
 		r = x
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -15,18 +15,18 @@
 	body io.ReadCloser
 }
 
-// beforeRead calls a function before each read, which may block, and keeps
+// idleReader calls a function before each read, which may block, and keeps
 // its failure.
-type beforeRead struct {
+type idleReader struct {
 	reader io.Reader
 	idle   func() error
-	failed error
+	err error
 }
 
 // Read calls the function, then reads.
-func (b *beforeRead) Read(p []byte) (int, error) {
-	if b.failed = b.idle(); b.failed != nil {
-		return 0, b.failed
+func (b *idleReader) Read(p []byte) (int, error) {
+	if b.err = b.idle(); b.err != nil {
+		return 0, b.err
 	}
 	return b.reader.Read(p)
 }
@@ -34,12 +34,12 @@
 // Each calls take for each event until it returns false. It calls idle
 // whenever all events that arrived have been taken, before it waits for more.
 // It returns nil only if take ended it, and the failure of idle or take as it is.
-func (s *Stream) Each(idle func() error, take func(api.TokenEvent) (bool, error)) error {
+func (s *Stream) Each(idle func() error, handle func(api.TokenEvent) (bool, error)) error {
 	var out error = fault.Wrap(fault.BadAnswer, io.ErrUnexpectedEOF, "the stream ended early")
-	r := &beforeRead{reader: s.body, idle: idle}
+	r := &idleReader{reader: s.body, idle: idle}
 	sse.Read(r, nil)(func(e sse.Event, err error) bool {
-		if r.failed != nil {
-			out = r.failed
+		if r.err != nil {
+			out = r.err
 			return false
 		}
 		if err != nil {
@@ -51,7 +51,7 @@
 			out = fault.Wrap(fault.BadAnswer, err, "an event is not the JSON expected")
 			return false
 		}
-		more, err := take(t)
+		more, err := handle(t)
 		if err != nil || !more {
 			out = err
 			return false
