--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -19,8 +19,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bodyLimit bounds the messages between entry VMs.
-const bodyLimit = 64 << 10
+// maxBodyBytes bounds the messages between entry VMs.
+const maxBodyBytes = 64 << 10
 
 // Options are what the control interface shows.
 type Options struct {
@@ -62,16 +62,16 @@
 
 func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
 	var b api.Heartbeat
-	if err := wire.Read(w, r, bodyLimit, &b); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &b); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	own, err := s.Heartbeats.Answer(b)
+	reply, err := s.Heartbeats.Answer(b)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	wire.Write(w, http.StatusOK, own)
+	wire.Write(w, http.StatusOK, reply)
 }
 
 func (s *Server) config(w http.ResponseWriter, _ *http.Request) {
@@ -80,7 +80,7 @@
 
 func (s *Server) attempt(w http.ResponseWriter, r *http.Request) {
 	var q api.AttemptQuery
-	if err := wire.Read(w, r, bodyLimit, &q); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &q); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
@@ -96,7 +96,7 @@
 	id := api.RequestID(chi.URLParam(r, "request"))
 	e, err := s.Explain.Find(id)
 	if err != nil && r.URL.Query().Get("alone") != "true" {
-		e, err = s.ask(r.Context(), id, err)
+		e, err = s.queryPeers(r.Context(), id, err)
 	}
 	if err != nil {
 		wire.Refuse(w, fault.From(err), id)
@@ -105,7 +105,7 @@
 	wire.Write(w, http.StatusOK, e)
 }
 
-func (s *Server) ask(ctx context.Context, id api.RequestID, unknown error) (api.Explanation, error) {
+func (s *Server) queryPeers(ctx context.Context, id api.RequestID, unknown error) (api.Explanation, error) {
 	for _, a := range s.Heartbeats.Addresses() {
 		if e, err := s.Peers.Explain(ctx, a, id, true); err == nil {
 			return e, nil
