--- a/internal/resource/apply.go
+++ b/internal/resource/apply.go
@@ -34,32 +34,32 @@
 	if !fault.Has(err, fault.VersionConflict) {
 		return Outcome{}, oops.In("apply").Wrapf(err, "applying %s %s", o.Kind, o.Name)
 	}
-	there, e := s.Get(ctx, o.Kind, o.Name)
+	current, e := s.Get(ctx, o.Kind, o.Name)
 	if fault.Has(e, fault.NotFound) {
 		return Outcome{}, fault.Wrap(fault.VersionConflict, err, fmt.Sprintf("%s %s was removed since version %d", o.Kind, o.Name, o.Version))
 	}
 	if e != nil {
 		return Outcome{}, oops.In("apply").Wrapf(e, "reading %s %s", o.Kind, o.Name)
 	}
-	if api.SameJSON(there.Spec, o.Spec) {
-		return Outcome{Object: there}, nil
+	if api.SameJSON(current.Spec, o.Spec) {
+		return Outcome{Object: current}, nil
 	}
-	return Outcome{}, conflict(o, there)
+	return Outcome{}, conflict(o, current)
 }
 
-func conflict(o, there api.Object) error {
-	d := fmt.Sprintf("%s %s is at version %d, not at %d; nothing was changed. It is:\n%s", o.Kind, o.Name, there.Version, o.Version, FormatYAML(there))
+func conflict(o, current api.Object) error {
+	d := fmt.Sprintf("%s %s is at version %d, not at %d; nothing was changed. It is:\n%s", o.Kind, o.Name, current.Version, o.Version, FormatYAML(current))
 	return fault.New(fault.VersionConflict, d)
 }
 
-// editTries bounds the times an edit is tried against other operators.
-const editTries = 8
+// maxEditAttempts bounds the times an edit is tried against other operators.
+const maxEditAttempts = 8
 
 // Edit changes one field of a resource and leaves what others change beside
 // it as it is.
 func Edit(ctx context.Context, s Store, k api.ResourceKind, n, field string, value any) (Outcome, error) {
 	var err error
-	for range editTries {
+	for range maxEditAttempts {
 		var o api.Object
 		if o, err = s.Get(ctx, k, n); err != nil {
 			return Outcome{}, oops.In("edit").Wrapf(err, "reading %s %s", k, n)
--- a/internal/resource/file.go
+++ b/internal/resource/file.go
@@ -39,14 +39,14 @@
 // Load reads and checks a YAML file of one or more resources; "-" is standard
 // input.
 func Load(path string) ([]api.Object, error) {
-	b, err := read(path)
+	b, err := readInput(path)
 	if err != nil {
 		return nil, fault.Wrap(fault.UnreadableFile, err, "reading "+path)
 	}
 	return Parse(path, b)
 }
 
-func read(path string) ([]byte, error) {
+func readInput(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(os.Stdin)
 	}
@@ -70,7 +70,7 @@
 		if len(n.Content) == 0 || n.Content[0].Tag == "!!null" {
 			continue
 		}
-		o, err := object(&n)
+		o, err := decodeObject(&n)
 		if err != nil {
 			return nil, fault.New(fault.InvalidResource, fmt.Sprintf("%s:%d: %s", name, n.Content[0].Line, err))
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-func object(n *yaml.Node) (api.Object, error) {
+func decodeObject(n *yaml.Node) (api.Object, error) {
 	var o api.Object
 	b, err := yaml.Marshal(n)
 	if err != nil {
--- a/internal/resource/refs.go
+++ b/internal/resource/refs.go
@@ -11,26 +11,26 @@
 func DanglingReferences(l []api.Object) []string {
 	v, _ := config.Build(config.FromList(api.ObjectList{Version: 1, Items: l}), nil, Decode)
 	var out []string
-	miss := func(k api.ResourceKind, n string, to api.ResourceKind, name string) {
+	addMissing := func(k api.ResourceKind, n string, to api.ResourceKind, name string) {
 		out = append(out, fmt.Sprintf("%s %s names %s %s, which is not declared", k, n, to, name))
 	}
 	for _, o := range l {
 		switch o.Kind {
 		case api.ResourceKindAdapter:
 			if m := v.Adapters[api.AdapterName(o.Name)].Model; !has(v.Models, m) {
-				miss(o.Kind, o.Name, api.ResourceKindModel, string(m))
+				addMissing(o.Kind, o.Name, api.ResourceKindModel, string(m))
 			}
 		case api.ResourceKindWorkspace:
 			w := v.Workspaces[api.WorkspaceName(o.Name)]
-			each(w.Models, v.Models, func(n string) { miss(o.Kind, o.Name, api.ResourceKindModel, n) })
-			each(w.Adapters, v.Adapters, func(n string) { miss(o.Kind, o.Name, api.ResourceKindAdapter, n) })
-			each(w.Services, v.Services, func(n string) { miss(o.Kind, o.Name, api.ResourceKindService, n) })
+			reportMissing(w.Models, v.Models, func(n string) { addMissing(o.Kind, o.Name, api.ResourceKindModel, n) })
+			reportMissing(w.Adapters, v.Adapters, func(n string) { addMissing(o.Kind, o.Name, api.ResourceKindAdapter, n) })
+			reportMissing(w.Services, v.Services, func(n string) { addMissing(o.Kind, o.Name, api.ResourceKindService, n) })
 		case api.ResourceKindBackendServer:
 			b := v.Servers[api.ServerName(o.Name)]
-			each(b.Models, v.Models, func(n string) { miss(o.Kind, o.Name, api.ResourceKindModel, n) })
-			each(b.Adapters, v.Adapters, func(n string) { miss(o.Kind, o.Name, api.ResourceKindAdapter, n) })
+			reportMissing(b.Models, v.Models, func(n string) { addMissing(o.Kind, o.Name, api.ResourceKindModel, n) })
+			reportMissing(b.Adapters, v.Adapters, func(n string) { addMissing(o.Kind, o.Name, api.ResourceKindAdapter, n) })
 		case api.ResourceKindService:
-			each(v.Services[api.ServiceName(o.Name)].Servers, v.Servers, func(n string) { miss(o.Kind, o.Name, api.ResourceKindBackendServer, n) })
+			reportMissing(v.Services[api.ServiceName(o.Name)].Servers, v.Servers, func(n string) { addMissing(o.Kind, o.Name, api.ResourceKindBackendServer, n) })
 		}
 	}
 	return out
@@ -41,10 +41,10 @@
 	return ok
 }
 
-func each[K ~string, V any](names []K, m map[K]V, miss func(string)) {
+func reportMissing[K ~string, V any](names []K, m map[K]V, report func(string)) {
 	for _, n := range names {
 		if !has(m, n) {
-			miss(string(n))
+			report(string(n))
 		}
 	}
 }
