--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -34,7 +34,7 @@
 	return &Client{base: "http://" + address + "/v1", http: c, timeout: timeout}
 }
 
-func (c *Client) object(k api.ResourceKind, n string) string {
+func (c *Client) objectURL(k api.ResourceKind, n string) string {
 	return c.base + "/objects/" + url.PathEscape(string(k)) + "/" + url.PathEscape(n)
 }
 
@@ -50,14 +50,14 @@
 // Get reads one object.
 func (c *Client) Get(ctx context.Context, k api.ResourceKind, n string) (api.Object, error) {
 	var o api.Object
-	err := c.call(ctx, "reading "+string(k)+" "+n, http.MethodGet, c.object(k, n), nil, &o)
+	err := c.call(ctx, "reading "+string(k)+" "+n, http.MethodGet, c.objectURL(k, n), nil, &o)
 	return o, err
 }
 
 // List reads all objects of the kinds, with the version they were read at.
 func (c *Client) List(ctx context.Context, kinds []api.ResourceKind) (api.ObjectList, error) {
 	var l api.ObjectList
-	u := c.base + "/objects?kinds=" + join(kinds)
+	u := c.base + "/objects?kinds=" + joinKinds(kinds)
 	err := c.call(ctx, "listing objects", http.MethodGet, u, nil, &l)
 	return l, err
 }
@@ -67,18 +67,18 @@
 // yet.
 func (c *Client) Put(ctx context.Context, o api.Object) (api.Object, error) {
 	var n api.Object
-	err := c.call(ctx, "writing "+string(o.Kind)+" "+o.Name, http.MethodPut, c.object(o.Kind, o.Name), o, &n)
-	return n, lost(err)
+	err := c.call(ctx, "writing "+string(o.Kind)+" "+o.Name, http.MethodPut, c.objectURL(o.Kind, o.Name), o, &n)
+	return n, asOutcomeUnknown(err)
 }
 
 // Delete removes an object if its present version is the one given.
 func (c *Client) Delete(ctx context.Context, k api.ResourceKind, n string, v api.Version) error {
-	u := fmt.Sprintf("%s?version=%d", c.object(k, n), v)
-	return lost(c.call(ctx, "deleting "+string(k)+" "+n, http.MethodDelete, u, nil, nil))
+	u := fmt.Sprintf("%s?version=%d", c.objectURL(k, n), v)
+	return asOutcomeUnknown(c.call(ctx, "deleting "+string(k)+" "+n, http.MethodDelete, u, nil, nil))
 }
 
-// lost types an answer to a write that can't be understood as a lost one.
-func lost(err error) error {
+// asOutcomeUnknown types an answer to a write that can't be understood as a asOutcomeUnknown one.
+func asOutcomeUnknown(err error) error {
 	if fault.Has(err, fault.BadAnswer) {
 		return fault.Wrap(fault.OutcomeUnknown, err, "the answer to a write was lost")
 	}
@@ -90,7 +90,7 @@
 func (c *Client) Watch(ctx context.Context, from api.Version, wait time.Duration, kinds []api.ResourceKind) (api.ChangeList, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
-	u := fmt.Sprintf("%s/watch?from=%d&wait_ms=%d&kinds=%s", c.base, from, wait.Milliseconds(), join(kinds))
+	u := fmt.Sprintf("%s/watch?from=%d&wait_ms=%d&kinds=%s", c.base, from, wait.Milliseconds(), joinKinds(kinds))
 	var l api.ChangeList
 	if err := wire.Call(ctx, c.http, http.MethodGet, u, nil, &l); err != nil {
 		return l, oops.In("platform").Wrapf(err, "watching")
@@ -105,7 +105,7 @@
 	return l.VMs, err
 }
 
-func join(kinds []api.ResourceKind) string {
+func joinKinds(kinds []api.ResourceKind) string {
 	l := make([]string, 0, len(kinds))
 	for _, k := range kinds {
 		l = append(l, string(k))
@@ -113,18 +113,18 @@
 	return strings.Join(l, ",")
 }
 
-// readBacks bounds the reads that settle one lost answer.
-const readBacks = 5
+// maxReadBacks bounds the reads that settle one lost answer.
+const maxReadBacks = 5
 
 // PutConfirmed writes an object like Put and settles a lost answer by reading
 // the object back; it fails with OutcomeUnconfirmed only if it can't be read.
 func (c *Client) PutConfirmed(ctx context.Context, o api.Object) (api.Object, error) {
 	n, err := c.Put(ctx, o)
-	for range readBacks {
+	for range maxReadBacks {
 		if !fault.Has(err, fault.OutcomeUnknown) {
 			return n, err
 		}
-		n, err = c.settle(ctx, o)
+		n, err = c.resolveWrite(ctx, o)
 	}
 	if fault.Has(err, fault.OutcomeUnknown) {
 		return n, fault.Wrap(fault.OutcomeUnconfirmed, err, "the write was sent and could not be read back")
@@ -132,9 +132,9 @@
 	return n, err
 }
 
-// settle finds out what became of a write whose answer was lost. A write that
+// resolveWrite finds out what became of a write whose answer was lost. A write that
 // is not there yet is sent again: its condition lets it take effect only once.
-func (c *Client) settle(ctx context.Context, o api.Object) (api.Object, error) {
+func (c *Client) resolveWrite(ctx context.Context, o api.Object) (api.Object, error) {
 	n, err := c.Get(ctx, o.Kind, o.Name)
 	if fault.Has(err, fault.NotFound) {
 		n, err = api.Object{}, nil
