--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// leadLeast is the least lead of the boot clock that counts as a suspension: more
+	// minSuspension is the least lead of the boot clock that counts as a suspension: more
 	// than reading two clocks one after the other can differ by.
-	leadLeast = 50 * time.Millisecond
-	// readMost is what reading both clocks may take for their difference to count.
-	readMost = time.Millisecond
-	// readTries bounds the readings of one check.
-	readTries = 3
+	minSuspension = 50 * time.Millisecond
+	// maxReadTime is what reading both clocks may take for their difference to count.
+	maxReadTime = time.Millisecond
+	// maxReadAttempts bounds the readings of one check.
+	maxReadAttempts = 3
 )
 
 // Deadlines ends contexts at times that also pass while the VM is suspended. The steady
@@ -23,16 +23,16 @@
 	boot Now
 
 	mutex sync.Mutex
-	// steady and booted were read at the same time; lead is by how much the boot clock
+	// monotonicStart and bootStart were read at the same time; lead is by how much the boot clock
 	// has come to be ahead since.
-	steady, booted time.Time
+	monotonicStart, bootStart time.Time
 	lead           time.Duration
-	open           map[*Deadline]bool
+	active           map[*Deadline]bool
 }
 
 // NewDeadlines makes deadlines over a clock that goes on while the VM is suspended.
 func NewDeadlines(boot Now) *Deadlines {
-	return &Deadlines{boot: boot, steady: time.Now(), booted: boot(), open: map[*Deadline]bool{}}
+	return &Deadlines{boot: boot, monotonicStart: time.Now(), bootStart: boot(), active: map[*Deadline]bool{}}
 }
 
 // Deadline is the end of one context.
@@ -55,8 +55,8 @@
 	return time.Until(d.At())
 }
 
-// advance makes the context end earlier by a time.
-func (d *Deadline) advance(by time.Duration) {
+// moveForward makes the context end earlier by a time.
+func (d *Deadline) moveForward(by time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.at = d.at.Add(-by)
@@ -70,11 +70,11 @@
 	d := &Deadline{at: at, cancel: cancel}
 	d.timer = time.AfterFunc(time.Until(at), func() { cancel(context.DeadlineExceeded) })
 	l.mutex.Lock()
-	l.open[d] = true
+	l.active[d] = true
 	l.mutex.Unlock()
 	return ctx, d, func() {
 		l.mutex.Lock()
-		delete(l.open, d)
+		delete(l.active, d)
 		l.mutex.Unlock()
 		d.timer.Stop()
 		cancel(context.Canceled)
@@ -86,26 +86,26 @@
 func (l *Deadlines) AdvanceSuspended() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	n, ok := l.read()
+	n, ok := l.readLead()
 	by := n - l.lead
-	if !ok || by < leadLeast {
+	if !ok || by < minSuspension {
 		return 0
 	}
 	l.lead = n
-	for d := range l.open {
-		d.advance(by)
+	for d := range l.active {
+		d.moveForward(by)
 	}
 	return by
 }
 
-// read gives the lead of the boot clock; it reports false where the process was held up
+// readLead gives the lead of the boot clock; it reports false where the process was held up
 // between the clocks. The mutex is held.
-func (l *Deadlines) read() (time.Duration, bool) {
-	for range readTries {
+func (l *Deadlines) readLead() (time.Duration, bool) {
+	for range maxReadAttempts {
 		before := time.Now()
 		b := l.boot()
-		if time.Since(before) <= readMost {
-			return b.Sub(l.booted) - before.Sub(l.steady), true
+		if time.Since(before) <= maxReadTime {
+			return b.Sub(l.bootStart) - before.Sub(l.monotonicStart), true
 		}
 	}
 	return 0, false
