--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -12,17 +12,17 @@
 // Addresses gives free addresses, none of them twice.
 type Addresses struct {
 	mutex sync.Mutex
-	given map[string]bool
+	issued map[string]bool
 }
 
 // New makes a source that has given none yet.
 func New() *Addresses {
-	return &Addresses{given: map[string]bool{}}
+	return &Addresses{issued: map[string]bool{}}
 }
 
-// triesMost bounds the ports that are tried: a port that was given before may
+// maxAttempts bounds the ports that are tried: a port that was given before may
 // come again.
-const triesMost = 100
+const maxAttempts = 100
 
 // Free gives an address that is free now, on a loopback address of this
 // process's own: connections of all processes take ports of 127.0.0.1 as they
@@ -30,13 +30,13 @@
 func (a *Addresses) Free() (string, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for range triesMost {
-		x, err := free()
+	for range maxAttempts {
+		x, err := freeAddress()
 		if err != nil {
 			return "", err
 		}
-		if !a.given[x] {
-			a.given[x] = true
+		if !a.issued[x] {
+			a.issued[x] = true
 			return x, nil
 		}
 	}
@@ -49,7 +49,7 @@
 	return net.IPv4(127, byte(1+n>>16), byte(n>>8), byte(n)).String()
 }
 
-func free() (string, error) {
+func freeAddress() (string, error) {
 	l, err := listen(Host())
 	if err != nil {
 		return "", err
