--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -6,11 +6,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds: an hour, to three digits.
+// Bounds of the histograms, in microseconds: an hour, to three significantDigits.
 const (
-	least  = 1
-	most   = 3_600_000_000
-	digits = 3
+	minMicros  = 1
+	maxMicros   = 3_600_000_000
+	significantDigits = 3
 )
 
 // Histogram is a distribution of times.
@@ -20,13 +20,13 @@
 
 // New makes an empty distribution.
 func New() *Histogram {
-	return &Histogram{histogram: hdrhistogram.New(least, most, digits)}
+	return &Histogram{histogram: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
 // Record adds a time; one beyond an hour counts as an hour.
 func (t *Histogram) Record(d time.Duration) {
 	// It fails only beyond the bounds.
-	_ = t.histogram.RecordValue(min(d.Microseconds(), most))
+	_ = t.histogram.RecordValue(min(d.Microseconds(), maxMicros))
 }
 
 // Percentile gives the time in ms below which so many in 100 are.
