--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -38,14 +38,14 @@
 		}
 	}
 	for _, s := range steps {
-		if err := one(ctx, l, s); err != nil {
+		if err := runOne(ctx, l, s); err != nil {
 			return oops.In(s.String()).Wrap(err)
 		}
 	}
 	return nil
 }
 
-func one[C any](ctx C, l *event.Log, s Step[C]) error {
+func runOne[C any](ctx C, l *event.Log, s Step[C]) error {
 	if k, ok := s.(Skipper[C]); ok && k.Skip(ctx) {
 		l.Emit(event.StepSkipped, zap.String("step", s.String()))
 		return nil
