--- a/internal/dev/ready.go
+++ b/internal/dev/ready.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// askTime bounds one request to an entry VM.
-	askTime = 5 * time.Second
-	// askEvery is the pause between requests.
-	askEvery = 50 * time.Millisecond
+	// requestTimeout bounds one request to an entry VM.
+	requestTimeout = 5 * time.Second
+	// requestInterval is the pause between requests.
+	requestInterval = 50 * time.Millisecond
 )
 
-// question is a request for the shortest of answers.
-type question struct {
+// chatRequest is a request for the shortest of answers.
+type chatRequest struct {
 	Model     string    `json:"model"`
 	MaxTokens int       `json:"max_tokens"`
 	Messages  []message `json:"messages"`
@@ -30,13 +30,13 @@
 	Content string `json:"content"`
 }
 
-// wait returns once every entry VM has served a request.
-func wait(ctx context.Context, entries []small) error {
-	c, closer := wire.NewClient(askTime, false)
+// waitReady returns once every entry VM has served a request.
+func waitReady(ctx context.Context, entries []process) error {
+	c, closer := wire.NewClient(requestTimeout, false)
 	defer closer()
 	for _, e := range entries {
 		for !serves(ctx, c, e) {
-			if !duty.Sleep(ctx, askEvery) {
+			if !duty.Sleep(ctx, requestInterval) {
 				return ctx.Err()
 			}
 		}
@@ -46,10 +46,10 @@
 
 // serves reports whether an entry VM serves a request; until its engines have
 // loaded the model it refuses.
-func serves(ctx context.Context, c *http.Client, e small) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func serves(ctx context.Context, c *http.Client, e process) bool {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	q := question{Model: "desk", MaxTokens: 1, Messages: []message{{Role: "user", Content: "Ready?"}}}
+	q := chatRequest{Model: "desk", MaxTokens: 1, Messages: []message{{Role: "user", Content: "Ready?"}}}
 	r, err := wire.NewRequest(ctx, http.MethodPost, "http://"+e.listen+entry.PathChat, q)
 	if err != nil {
 		return false
--- a/internal/dev/standins.go
+++ b/internal/dev/standins.go
@@ -19,13 +19,13 @@
 // stopLimit bounds the time a stand-in lets its calls run at the end.
 const stopLimit = 30 * time.Second
 
-func started(l *event.Log, what, name, address string) {
+func logStarted(l *event.Log, what, name, address string) {
 	l.Emit(event.StandInStarted, zap.String("stand_in", what), zap.String("name", name), zap.String("address", address))
 }
 
 // Platform serves a stand-in of the platform.
 func Platform(ctx context.Context, address string, s *platform.Server, l *event.Log) error {
-	started(l, "platform", "platform", address)
+	logStarted(l, "platform", "platform", address)
 	// Its watches wait long, so they are not waited for at the end.
 	const limit = 100 * time.Millisecond
 	return wire.Serve(ctx, address, trace.Handler("platform", s.Handler()), limit)
@@ -39,12 +39,12 @@
 	defer end()
 	g.Go(e.Run)
 	defer context.AfterFunc(ctx, e.Leave)()
-	started(l, "engine", string(o.Name), address)
+	logStarted(l, "engine", string(o.Name), address)
 	return wire.Serve(ctx, address, trace.Handler("engine", e.Handler()), stopLimit)
 }
 
 // Service serves a stand-in of a plain service.
 func Service(ctx context.Context, address string, n api.ServerName, l *event.Log) error {
-	started(l, "service", string(n), address)
+	logStarted(l, "service", string(n), address)
 	return wire.Serve(ctx, address, trace.Handler("service", service.New(n).Handler()), stopLimit)
 }
--- a/internal/dev/up.go
+++ b/internal/dev/up.go
@@ -26,8 +26,8 @@
 // serviceName is the plain service of the sample resources.
 const serviceName = "orders-1"
 
-// small is a process of the small system.
-type small struct {
+// process is a process of the process system.
+type process struct {
 	name, listen, control string
 }
 
@@ -36,14 +36,14 @@
 type system struct {
 	host              string
 	platform, service string
-	entries, engines  []small
+	entries, engines  []process
 }
 
-func at(host string) system {
+func newSystem(host string) system {
 	return system{
 		host: host, platform: host + ":7000", service: host + ":7021",
-		entries: []small{{"entry-1", host + ":7001", host + ":7101"}, {"entry-2", host + ":7002", host + ":7102"}},
-		engines: []small{{"engine-1", host + ":7011", ""}, {"engine-2", host + ":7012", ""}},
+		entries: []process{{"entry-1", host + ":7001", host + ":7101"}, {"entry-2", host + ":7002", host + ":7102"}},
+		engines: []process{{"engine-1", host + ":7011", ""}, {"engine-2", host + ":7012", ""}},
 	}
 }
 
@@ -53,7 +53,7 @@
 // Up runs a whole small system at an IP address in this process until the
 // context ends, and writes to out how to use it.
 func Up(ctx context.Context, host string, l *event.Log, out io.Writer) error {
-	y := at(host)
+	y := newSystem(host)
 	// The stand-ins end after the entry VMs, so that a stop cuts nothing off.
 	outer, end := duty.New(context.WithoutCancel(ctx))
 	defer end()
@@ -68,7 +68,7 @@
 	for _, e := range y.entries {
 		p.SetVM(api.VM{Name: e.name, Role: api.VMRoleEntry, State: api.VMStateLive, Address: e.control, Domain: domain})
 	}
-	if err := declare(ctx, y); err != nil {
+	if err := applySample(ctx, y); err != nil {
 		return err
 	}
 	g, stop := duty.New(context.WithoutCancel(ctx))
@@ -76,28 +76,28 @@
 	x, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for _, e := range y.entries {
-		s, err := settings.Parse(e.name, y.ini(e))
+		s, err := settings.Parse(e.name, y.settingsFile(e))
 		if err != nil {
 			return err
 		}
 		g.Go(func(context.Context) error { return node.Run(x, node.Real(), s, l) })
 	}
-	if err := wait(ctx, y.entries); err != nil {
+	if err := waitReady(ctx, y.entries); err != nil {
 		return g.Wait()
 	}
-	y.welcome(out)
+	y.printUsage(out)
 	return g.Wait()
 }
 
 // domain is the failure domain of the small system.
 const domain = "hall-a"
 
-func (y system) ini(e small) []byte {
+func (y system) settingsFile(e process) []byte {
 	return fmt.Appendf(nil, "[node]\nname = %s\ndomain = %s\nlisten = %s\ncontrol = %s\n[platform]\naddress = %s\n", e.name, domain, e.listen, e.control, y.platform)
 }
 
-// declare applies the sample resources once the platform answers.
-func declare(ctx context.Context, y system) error {
+// applySample applies the sample resources once the platform answers.
+func applySample(ctx context.Context, y system) error {
 	l, err := resource.Parse("sample", bytes.ReplaceAll(sample.Resources, []byte(Host), []byte(y.host)))
 	if err != nil {
 		return err
@@ -105,15 +105,15 @@
 	c, closer := client.New(y.platform, time.Second)
 	defer closer()
 	for _, o := range l {
-		if err := patient(ctx, c, o); err != nil {
+		if err := applyWithRetry(ctx, c, o); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// patient applies a resource, also while the platform is still starting.
-func patient(ctx context.Context, c *client.Client, o api.Object) error {
+// applyWithRetry applies a resource, also while the platform is still starting.
+func applyWithRetry(ctx context.Context, c *client.Client, o api.Object) error {
 	const tries, pause = 50, 20 * time.Millisecond
 	var err error
 	for range tries {
@@ -127,7 +127,7 @@
 	return err
 }
 
-func (y system) welcome(out io.Writer) {
+func (y system) printUsage(out io.Writer) {
 	// A reader that is gone needs no welcome.
 	_, _ = fmt.Fprintf(out, `A small system is ready: two entry VMs, two engines, one plain service.
 Ask through either entry VM:
