--- a/internal/catalogue/pages.go
+++ b/internal/catalogue/pages.go
@@ -29,7 +29,7 @@
 	}
 }
 
-const note = "\nThis page is written from the code by `go test ./internal/catalogue -update`; a test holds them together.\n\n"
+const generatedNote = "\nThis page is written from the code by `go test ./internal/catalogue -update`; a test holds them together.\n\n"
 
 func table(b *strings.Builder, head ...string) {
 	row(b, head...)
@@ -42,7 +42,7 @@
 
 func events() string {
 	var b strings.Builder
-	b.WriteString("# Events\n\nEvery line of the log has an event number in `event` and its name in `msg`.\n" + note)
+	b.WriteString("# Events\n\nEvery line of the log has an event number in `event` and its name in `msg`.\n" + generatedNote)
 	table(&b, "event", "name", "level", "meaning")
 	for _, k := range event.Catalogue {
 		row(&b, fmt.Sprint(int(k.ID)), k.Name, k.Level.String(), k.Help)
@@ -52,7 +52,7 @@
 
 func errors() string {
 	var b strings.Builder
-	b.WriteString("# Errors\n\nEvery refusal is JSON with `error.type`, its number in `error.code`, whether the\nrequest was run in `error.ran` (`no`, `yes`, `unknown`), and when to come back in\n`error.retry_after_ms` and the `Retry-After` header. `no` is said only where it is\nprovable; the column gives what is said unless an attempt before may have run.\n" + note)
+	b.WriteString("# Errors\n\nEvery refusal is JSON with `error.type`, its number in `error.code`, whether the\nrequest was run in `error.ran` (`no`, `yes`, `unknown`), and when to come back in\n`error.retry_after_ms` and the `Retry-After` header. `no` is said only where it is\nprovable; the column gives what is said unless an attempt before may have run.\n" + generatedNote)
 	table(&b, "code", "type", "HTTP status", "ran", "meaning")
 	for _, k := range fault.Catalogue {
 		row(&b, fmt.Sprint(int(k.Code)), k.Type, fmt.Sprint(k.Status), string(k.Ran), k.Help)
@@ -62,7 +62,7 @@
 
 func metrics() string {
 	var b strings.Builder
-	b.WriteString("# Metrics\n\nEach entry VM shows its `expvar` variables at `/debug/vars` of its control address.\n" + note)
+	b.WriteString("# Metrics\n\nEach entry VM shows its `expvar` variables at `/debug/vars` of its control address.\n" + generatedNote)
 	table(&b, "variable", "unit", "meaning")
 	for _, k := range slices.Concat(metric.Catalogue, metric.Groups) {
 		row(&b, "`"+string(k.Name)+"`", k.Unit, k.Help)
@@ -72,7 +72,7 @@
 
 func settingsPage() string {
 	var b strings.Builder
-	b.WriteString("# Settings\n\nAn entry VM reads one INI file, checked at its start; a mistake is shown with its\nline and the allowed values. `wardctl check FILE.ini` checks one without starting.\n" + note)
+	b.WriteString("# Settings\n\nAn entry VM reads one INI file, checked at its start; a mistake is shown with its\nline and the allowed values. `wardctl check FILE.ini` checks one without starting.\n" + generatedNote)
 	for _, s := range schema.Properties(schema.SettingsFile, "Settings") {
 		fmt.Fprintf(&b, "## [%s]\n\n%s\n\n", s.Name, s.Help)
 		properties(&b, schema.SettingsFile, s.Ref)
@@ -88,7 +88,7 @@
 
 func fields() string {
 	var b strings.Builder
-	b.WriteString("# Fields of resources\n\nEach resource is `kind`, `name`, `spec` and, to change one that is there, the\n`version` it is changed from.\n" + note)
+	b.WriteString("# Fields of resources\n\nEach resource is `kind`, `name`, `spec` and, to change one that is there, the\n`version` it is changed from.\n" + generatedNote)
 	for _, k := range kinds {
 		fmt.Fprintf(&b, "## %s\n\n", k.kind)
 		properties(&b, schema.ResourceFile, k.definition)
--- a/internal/catalogue/pages_test.go
+++ b/internal/catalogue/pages_test.go
@@ -34,21 +34,21 @@
 
 func TestNumbersAndNamesAreUnique(t *testing.T) {
 	seen := map[any]bool{}
-	once := func(v any) {
+	checkUnique := func(v any) {
 		if seen[v] {
 			t.Errorf("%v: got twice, want once", v)
 		}
 		seen[v] = true
 	}
 	for _, k := range event.Catalogue {
-		once(k.ID)
-		once("event " + k.Name)
+		checkUnique(k.ID)
+		checkUnique("event " + k.Name)
 	}
 	for _, k := range fault.Catalogue {
-		once(k.Code)
-		once("fault " + k.Type)
+		checkUnique(k.Code)
+		checkUnique("fault " + k.Type)
 	}
 	for _, k := range metric.Catalogue {
-		once(k.Name)
+		checkUnique(k.Name)
 	}
 }
