--- a/internal/style/style_test.go
+++ b/internal/style/style_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// forbidden are imports that decisions must not have: they take time and
+// forbiddenImports are imports that decisions must not have: they take time and
 // events as values.
-var forbidden = []string{"net", "net/http", "os", "sync", "context", "crypto/rand", "math/rand"}
+var forbiddenImports = []string{"net", "net/http", "os", "sync", "context", "crypto/rand", "math/rand"}
 
 func TestDecisionsAreFreeOfIO(t *testing.T) {
 	s, m := sources(t)
@@ -71,14 +71,14 @@
 		}
 		n++
 		for _, i := range f.Imports {
-			for _, x := range forbidden {
+			for _, x := range forbiddenImports {
 				if strings.Trim(i.Path.Value, `"`) == x {
 					t.Errorf("%s: got import %s", s.Position(i.Pos()), x)
 				}
 			}
 		}
 		ast.Inspect(f, func(n ast.Node) bool {
-			if e, ok := n.(*ast.SelectorExpr); ok && clock(e) {
+			if e, ok := n.(*ast.SelectorExpr); ok && usesClock(e) {
 				t.Errorf("%s: got a clock, want the time as a value", s.Position(e.Pos()))
 			}
 			return true
@@ -89,8 +89,8 @@
 	}
 }
 
-// clock reports whether an expression reads a clock or waits.
-func clock(e *ast.SelectorExpr) bool {
+// usesClock reports whether an expression reads a usesClock or waits.
+func usesClock(e *ast.SelectorExpr) bool {
 	x, ok := e.X.(*ast.Ident)
 	if !ok || x.Name != "time" {
 		return false
@@ -102,9 +102,9 @@
 	return false
 }
 
-// TestCataloguesAreWhole checks that each numbered constant stands in its
+// TestCataloguesAreComplete checks that each numbered constant stands in its
 // catalogue and is used somewhere.
-func TestCataloguesAreWhole(t *testing.T) {
+func TestCataloguesAreComplete(t *testing.T) {
 	_, m := sources(t)
 	for _, c := range []struct{ file, typ string }{
 		{"../../internal/event/event.go", "ID"},
