--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,7 @@
 	"github.com/wardridge/wardridge/internal/clock"
 )
 
-func TestBootNeverGoesBack(t *testing.T) {
+func TestBootClockIsMonotonic(t *testing.T) {
 	last := clock.Boot()
 	for range 1000 {
 		now := clock.Boot()
--- a/internal/clock/deadline_test.go
+++ b/internal/clock/deadline_test.go
@@ -52,12 +52,12 @@
 	})
 }
 
-func TestCallersLeaveBeforeDeadlines(t *testing.T) {
+func TestContextEndsWhenCallerCancels(t *testing.T) {
 	l := clock.NewDeadlines(clock.Boot)
-	p, leave := context.WithCancel(t.Context())
+	p, cancel := context.WithCancel(t.Context())
 	ctx, _, stop := l.Context(p, time.Now().Add(time.Hour))
 	defer stop()
-	leave()
+	cancel()
 	<-ctx.Done()
 	if got := context.Cause(ctx); got != context.Canceled {
 		t.Errorf("got %v, want the caller's leaving", got)
--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -7,8 +7,8 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Of gives the event and the counter of a request that ended with a fault.
-func Of(f *fault.Error) (event.ID, metric.Name) {
+// Classify gives the event and the counter of a request that ended with a fault.
+func Classify(f *fault.Error) (event.ID, metric.Name) {
 	switch {
 	case f.Code == fault.CallerGone:
 		return event.CallerLeft, metric.CallersGone
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -9,7 +9,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-func TestOf(t *testing.T) {
+func TestClassify(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault *fault.Error
@@ -20,7 +20,7 @@
 		{"caller left", fault.New(fault.CallerGone, ""), event.CallerLeft},
 	}
 	for _, c := range tests {
-		if got, _ := ending.Of(c.fault); got != c.want {
+		if got, _ := ending.Classify(c.fault); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -255,7 +255,7 @@
 }
 
 func (s *Server) count(f *fault.Error, id api.RequestID) {
-	e, m := ending.Of(f)
+	e, m := ending.Classify(f)
 	s.Metrics.Add(m, 1)
 	s.Log.Emit(e, zap.String("request", string(id)), zap.String("type", f.Code.Kind().Type), zap.Int("code", int(f.Code)), zap.String("ran", string(f.Ran)), zap.Error(f))
 }
--- a/internal/explain/recorder_test.go
+++ b/internal/explain/recorder_test.go
@@ -8,7 +8,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-func TestRecorderKeepsTheLastRequests(t *testing.T) {
+func TestRecorderHoldsOnlyTheLastRequests(t *testing.T) {
 	r := explain.New("a", 2)
 	for _, id := range []string{"1", "2", "3"} {
 		r.Begin(api.RequestID(id), "w")
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -8,7 +8,7 @@
 )
 
 // Two processes must not be given one port, however often ports come again.
-func TestNoAddressIsGivenTwice(t *testing.T) {
+func TestFreeNeverReturnsAnAddressTwice(t *testing.T) {
 	a := loopback.New()
 	given := map[string]bool{}
 	for range 3000 {
@@ -25,7 +25,7 @@
 
 // Outgoing connections must not take the port that a process is to listen on
 // again.
-func TestAddressIsNotThatOfConnections(t *testing.T) {
+func TestFreeAvoidsHostOfOutgoingConnections(t *testing.T) {
 	a, err := loopback.New().Free()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/metric/tally_test.go
+++ b/internal/metric/tally_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestTalliesAreBoundedAndForget(t *testing.T) {
+func TestTalliesAreBoundedAndDropNames(t *testing.T) {
 	s := New()
 	s.Count(ByServer, "s-1", "served")
 	s.Count(ByServer, "s-1", "served")
--- a/internal/metric/times_test.go
+++ b/internal/metric/times_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestTimes(t *testing.T) {
+func TestLatenciesAreBounded(t *testing.T) {
 	s := New()
 	for i := range 100 {
 		s.Observe("safe", "done", time.Duration(i+1)*time.Millisecond)
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestMistakesAreNamed(t *testing.T) {
+func TestParseErrorsNameTheMistake(t *testing.T) {
 	tests := []struct{ name, text, want string }{
 		{"unknown field", good + "---\nkind: model\nname: x\nspec: {weights: a, colour: red}\n", "colour"},
 		{"line of the resource", good + "---\nkind: model\nname: x\nspec: {}\n", "f.yaml:10"},
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestRingEndsWithContext(t *testing.T) {
+func TestTakeAndPutStopWithContext(t *testing.T) {
 	r := ring.New[int](1)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/trace"
 )
 
-func TestSpansGoToAFile(t *testing.T) {
+func TestSpansAreWrittenToFile(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "spans.json")
 	end, err := trace.Install(context.Background(), api.TraceSettings{Exporter: api.TraceSettingsExporterFile, Target: f, SamplePermille: 1000}, "entry-1")
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestSpansGoToAnOTLPAddress(t *testing.T) {
+func TestSpansAreExportedToOTLP(t *testing.T) {
 	var got atomic.Int32
 	h := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/traces" {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestUnwritableFileIsTyped(t *testing.T) {
+func TestInstallFailsForUnwritableFile(t *testing.T) {
 	if _, err := trace.Install(context.Background(), api.TraceSettings{Exporter: api.TraceSettingsExporterFile, Target: t.TempDir()}, "x"); err == nil {
 		t.Errorf("got no error, want one")
 	}
