--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -26,8 +26,8 @@
 	// monotonicStart and bootStart were read at the same time; lead is by how much the boot clock
 	// has come to be ahead since.
 	monotonicStart, bootStart time.Time
-	lead           time.Duration
-	active           map[*Deadline]bool
+	lead                      time.Duration
+	active                    map[*Deadline]bool
 }
 
 // NewDeadlines makes deadlines over a clock that goes on while the VM is suspended.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -24,13 +24,13 @@
 
 // Options are what the control interface shows.
 type Options struct {
-	Heartbeats    *heartbeat.Keeper
-	Peers   *peer.Client
-	Claims  *claims.Keeper
-	Explain *explain.Recorder
-	Metrics *metric.Set
-	Config  func() api.ObjectList
-	Status  func() api.NodeStatus
+	Heartbeats *heartbeat.Keeper
+	Peers      *peer.Client
+	Claims     *claims.Keeper
+	Explain    *explain.Recorder
+	Metrics    *metric.Set
+	Config     func() api.ObjectList
+	Status     func() api.NodeStatus
 }
 
 // Server serves peers and operators.
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -20,7 +20,7 @@
 type idleReader struct {
 	reader io.Reader
 	idle   func() error
-	err error
+	err    error
 }
 
 // Read calls the function, then reads.
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -11,7 +11,7 @@
 
 // Addresses gives free addresses, none of them twice.
 type Addresses struct {
-	mutex sync.Mutex
+	mutex  sync.Mutex
 	issued map[string]bool
 }
 
--- a/internal/metric/times.go
+++ b/internal/metric/times.go
@@ -11,9 +11,9 @@
 const (
 	// minTimeMS and timesMost bound the times told apart, in ms; digits is how
 	// exactly.
-	minTimeMS = 1
-	maxTimeMS  = 600_000
-	significantDigits     = 2
+	minTimeMS         = 1
+	maxTimeMS         = 600_000
+	significantDigits = 2
 )
 
 // histograms are latency histograms by name.
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -8,8 +8,8 @@
 
 // Bounds of the histograms, in microseconds: an hour, to three significantDigits.
 const (
-	minMicros  = 1
-	maxMicros   = 3_600_000_000
+	minMicros         = 1
+	maxMicros         = 3_600_000_000
 	significantDigits = 3
 )
 
