--- a/internal/ending/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package ending says how a request that was not answered whole is logged and
-// counted.
-package ending
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -22,10 +22,10 @@
 	"github.com/wardridge/wardridge/internal/decide/limit"
 	"github.com/wardridge/wardridge/internal/decide/retry"
 	"github.com/wardridge/wardridge/internal/duty"
-	"github.com/wardridge/wardridge/internal/ending"
 	"github.com/wardridge/wardridge/internal/engine"
 	"github.com/wardridge/wardridge/internal/event"
 	"github.com/wardridge/wardridge/internal/explain"
+	"github.com/wardridge/wardridge/internal/failure"
 	"github.com/wardridge/wardridge/internal/fault"
 	"github.com/wardridge/wardridge/internal/lifecycle"
 	"github.com/wardridge/wardridge/internal/metric"
@@ -255,7 +255,7 @@
 }
 
 func (s *Server) count(f *fault.Error, id api.RequestID) {
-	e, m := ending.Classify(f)
+	e, m := failure.Classify(f)
 	s.Metrics.Add(m, 1)
 	s.Log.Emit(e, zap.String("request", string(id)), zap.String("type", f.Code.Kind().Type), zap.Int("code", int(f.Code)), zap.String("ran", string(f.Ran)), zap.Error(f))
 }
--- a/internal/ending/ending.go
+++ b/internal/failure/failure.go
@@ -1,4 +1,4 @@
-package ending
+package failure
 
 import (
 	"github.com/wardridge/wardridge/internal/api"
@@ -7,7 +7,7 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// Classify gives the event and the counter of a request that ended with a fault.
+// Classify returns the event and the counter of a request that ended with a fault.
 func Classify(f *fault.Error) (event.ID, metric.Name) {
 	switch {
 	case f.Code == fault.CallerGone:
--- a/internal/ending/ending_test.go
+++ b/internal/failure/failure_test.go
@@ -1,11 +1,11 @@
-package ending_test
+package failure_test
 
 import (
 	"testing"
 
 	"github.com/wardridge/wardridge/internal/api"
-	"github.com/wardridge/wardridge/internal/ending"
 	"github.com/wardridge/wardridge/internal/event"
+	"github.com/wardridge/wardridge/internal/failure"
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
@@ -20,7 +20,7 @@
 		{"caller left", fault.New(fault.CallerGone, ""), event.CallerLeft},
 	}
 	for _, c := range tests {
-		if got, _ := ending.Classify(c.fault); got != c.want {
+		if got, _ := failure.Classify(c.fault); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,8 +24,8 @@
 	"github.com/wardridge/wardridge/internal/decide/silence"
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 	"github.com/wardridge/wardridge/internal/duty"
-	"github.com/wardridge/wardridge/internal/ending"
 	"github.com/wardridge/wardridge/internal/event"
+	"github.com/wardridge/wardridge/internal/failure"
 	"github.com/wardridge/wardridge/internal/fault"
 	"github.com/wardridge/wardridge/internal/metric"
 	"github.com/wardridge/wardridge/internal/port"
@@ -308,7 +308,7 @@
 // refuse answers a request that no server answered, and logs what more is known
 // of it.
 func (g *Gateway) refuse(r *port.Request, s port.Sink, f *fault.Error, known ...zap.Field) {
-	e, m := ending.Classify(f)
+	e, m := failure.Classify(f)
 	g.Metrics.Add(m, 1)
 	l := []zap.Field{zap.String("request", string(r.ID)), zap.String("type", f.Code.Kind().Type), zap.String("ran", string(f.Ran)), zap.Error(f)}
 	g.Log.Emit(e, append(l, known...)...)
--- a/internal/metric/bounded.go
+++ b/internal/metric/bounded.go
@@ -15,8 +15,8 @@
 	newValue func() T
 }
 
-func newBoundedMap[T any](fresh func() T) boundedMap[T] {
-	return boundedMap[T]{all: map[string]T{}, newValue: fresh}
+func newBoundedMap[T any](newValue func() T) boundedMap[T] {
+	return boundedMap[T]{all: map[string]T{}, newValue: newValue}
 }
 
 // get gives the value of a name, or that of the names beyond the bound.
