--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -1,2 +1,3 @@
-// Package explain keeps what was decided for each request, in bounded memory.
+// Package explain records the decisions taken for each request, in bounded
+// memory.
 package explain
--- a/internal/explain/recorder.go
+++ b/internal/explain/recorder.go
@@ -8,10 +8,10 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// maxDecisions bounds the decisions kept of one request.
+// maxDecisions bounds the decisions recorded for one request.
 const maxDecisions = 64
 
-// Recorder keeps the decisions of the last requests.
+// Recorder holds the decisions of the most recent requests.
 type Recorder struct {
 	vm    api.VMName
 	mutex sync.Mutex
@@ -20,12 +20,12 @@
 	byID  map[api.RequestID]*api.Explanation
 }
 
-// New makes a recorder for so many requests.
+// New creates a recorder that holds the last n requests.
 func New(vm api.VMName, n int) *Recorder {
 	return &Recorder{vm: vm, ring: make([]api.RequestID, n), byID: make(map[api.RequestID]*api.Explanation)}
 }
 
-// Begin begins the record of a request, in place of the oldest.
+// Begin starts the record of a request, which replaces the oldest record.
 func (r *Recorder) Begin(id api.RequestID, w api.WorkspaceName) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -35,7 +35,8 @@
 	r.byID[id] = &api.Explanation{Request: id, VM: r.vm, Workspace: w, Decisions: []api.Decision{}}
 }
 
-// Record adds a decision to a request's record.
+// Record adds a decision to a request's record; it does nothing if there is no
+// record or the record is full.
 func (r *Recorder) Record(id api.RequestID, step, detail string) {
 	now := api.UnixMilliseconds(time.Now())
 	r.mutex.Lock()
@@ -47,13 +48,13 @@
 	e.Decisions = append(e.Decisions, api.Decision{TimeMS: now, Step: step, Detail: detail})
 }
 
-// Find gives a copy of a request's record.
+// Find returns a copy of a request's record.
 func (r *Recorder) Find(id api.RequestID) (api.Explanation, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, ok := r.byID[id]
 	if !ok {
-		return api.Explanation{}, fault.New(fault.UnknownRequest, "no record of request "+string(id)+" is kept here")
+		return api.Explanation{}, fault.New(fault.UnknownRequest, "this entry VM has no record of request "+string(id))
 	}
 	c := *e
 	c.Decisions = append([]api.Decision{}, e.Decisions...)
--- a/internal/explain/recorder_test.go
+++ b/internal/explain/recorder_test.go
@@ -12,14 +12,14 @@
 	r := explain.New("a", 2)
 	for _, id := range []string{"1", "2", "3"} {
 		r.Begin(api.RequestID(id), "w")
-		r.Record(api.RequestID(id), "start", "room at once")
+		r.Record(api.RequestID(id), "start", "capacity at once")
 	}
 	if _, err := r.Find("1"); !fault.Has(err, fault.UnknownRequest) {
-		t.Errorf("oldest: got %v, want unknown_request", err)
+		t.Errorf("oldest request: got %v, want unknown_request", err)
 	}
 	e, err := r.Find("3")
 	if err != nil || len(e.Decisions) != 1 {
-		t.Errorf("newest: got %+v, %v, want one decision", e, err)
+		t.Errorf("newest request: got %+v, %v, want one decision", e, err)
 	}
 }
 
