--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,28 +17,28 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// RefusalError is an engine's own word that it did not do what was asked.
+// RefusalError is an engine's statement that it did not carry out a request.
 type RefusalError struct {
 	api.EngineRefusal
 }
 
-// Error gives the reason.
+// Error returns the reason.
 func (r *RefusalError) Error() string {
 	return "the engine refused: " + string(r.Reason)
 }
 
-// StreamError is a failure to open a stream; Cause tells what is known of it.
+// StreamError is a failure to open a stream; Cause says what is known of it.
 type StreamError struct {
 	Cause answer.Cause
 	Err   error
 }
 
-// Error gives the failure.
+// Error returns the underlying failure with its context.
 func (b *StreamError) Error() string {
 	return "opening a stream: " + b.Err.Error()
 }
 
-// Unwrap gives the failure's own error.
+// Unwrap returns the underlying failure.
 func (b *StreamError) Unwrap() error {
 	return b.Err
 }
@@ -49,24 +49,26 @@
 	timeout time.Duration
 }
 
-// New makes a client whose short calls end after the timeout; the clean-up
-// closes its connections.
+// New creates a client whose calls, other than streams and orders, end after the
+// timeout; the returned function closes its connections.
 func New(timeout time.Duration) (*Client, func()) {
 	c, closer := wire.NewClient(timeout, true)
 	return NewWithClient(c, timeout), closer
 }
 
-// NewWithClient makes a client of engines over an HTTP client.
+// NewWithClient creates a client that sends its requests with an HTTP client.
 func NewWithClient(c *http.Client, timeout time.Duration) *Client {
 	return &Client{http: c, timeout: timeout}
 }
 
-// Start sends a generation and opens its stream; failures are *StreamError.
+// Start sends a request to generate and opens its stream; failures are
+// *StreamError.
 func (c *Client) Start(ctx context.Context, address string, g api.GenerateRequest) (*Stream, error) {
 	return c.open(ctx, http.MethodPost, baseURL(address)+"/generations", g)
 }
 
-// Resume opens the stream of a generation from an index; failures are *StreamError.
+// Resume opens the stream of a generation from the event with an index; failures
+// are *StreamError.
 func (c *Client) Resume(ctx context.Context, address string, g api.GenerationID, from int) (*Stream, error) {
 	return c.open(ctx, http.MethodGet, fmt.Sprintf("%s?from=%d", generationURL(address, g), from), nil)
 }
@@ -95,6 +97,7 @@
 	return nil, readRefusal(a)
 }
 
+// requestError classifies a failed request by whether a connection was opened.
 func requestError(err error) *StreamError {
 	f := wire.Broken(err)
 	if f.Code == fault.NotStarted {
@@ -103,10 +106,11 @@
 	return &StreamError{Cause: answer.Broken, Err: f}
 }
 
-// maxRefusalBytes bounds the refusals that are read.
+// maxRefusalBytes bounds how much of a refusal is read.
 const maxRefusalBytes = 64 << 10
 
-// readRefusal reads a refusal; one that can't be understood proves nothing.
+// readRefusal reads a refusal. One that can't be decoded does not prove that the
+// engine did nothing, so its cause is Broken.
 func readRefusal(a *http.Response) *StreamError {
 	var r RefusalError
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxRefusalBytes))
@@ -123,15 +127,15 @@
 	}
 }
 
-// Cancel ends a generation; one that is not known any more is as good as
-// cancelled.
+// Cancel ends a generation. It fails with ServerRefused if the engine no longer
+// knows the generation, which is then as good as cancelled.
 func (c *Client) Cancel(ctx context.Context, address string, g api.GenerationID) error {
 	ctx, end := context.WithTimeout(ctx, c.timeout)
 	defer end()
 	return c.call(ctx, "cancelling", http.MethodDelete, generationURL(address, g), nil, nil)
 }
 
-// Load reads an engine's load report.
+// Load requests an engine's load report.
 func (c *Client) Load(ctx context.Context, address string) (api.LoadReport, error) {
 	ctx, end := context.WithTimeout(ctx, c.timeout)
 	defer end()
@@ -141,12 +145,12 @@
 }
 
 // Order sends a fenced order and waits until the engine has carried it out; an
-// old fence is refused with OldFence.
+// outdated fence is refused with OldFence.
 func (c *Client) Order(ctx context.Context, address string, o api.Order) error {
 	return c.call(ctx, "ordering", http.MethodPost, baseURL(address)+"/orders", o, nil)
 }
 
-// call makes a call whose answer is one message.
+// call makes a call whose response is a single message.
 func (c *Client) call(ctx context.Context, what, method, u string, in, out any) error {
 	r, err := wire.NewRequest(ctx, method, u, in)
 	if err != nil {
@@ -164,11 +168,12 @@
 		return nil
 	}
 	if err := json.NewDecoder(a.Body).Decode(out); err != nil {
-		return oops.In("engine").Wrapf(fault.Wrap(fault.BadAnswer, err, "the answer is not the JSON expected"), "%s", what)
+		return oops.In("engine").Wrapf(fault.Wrap(fault.BadAnswer, err, "the response is not the expected JSON"), "%s", what)
 	}
 	return nil
 }
 
+// callError converts the refusal of a call to a fault.
 func callError(a *http.Response) error {
 	b := readRefusal(a)
 	var r *RefusalError
@@ -179,7 +184,7 @@
 	case r == nil:
 		return b.Err
 	case r.Reason == api.EngineRefusalReasonOldFence:
-		return fault.New(fault.OldFence, "a newer holder has sent orders")
+		return fault.New(fault.OldFence, "a newer holder of the lease has sent orders")
 	default:
 		return fault.Wrap(fault.ServerRefused, r, string(r.Reason))
 	}
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,2 +1,2 @@
-// Package engine is the client of model engines.
+// Package engine is the HTTP client of model engines.
 package engine
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -15,15 +15,14 @@
 	body io.ReadCloser
 }
 
-// idleReader calls a function before each read, which may block, and keeps
-// its failure.
+// idleReader calls idle before each read, which may block, and stores its error.
 type idleReader struct {
 	reader io.Reader
 	idle   func() error
 	err    error
 }
 
-// Read calls the function, then reads.
+// Read calls idle, then reads.
 func (b *idleReader) Read(p []byte) (int, error) {
 	if b.err = b.idle(); b.err != nil {
 		return 0, b.err
@@ -31,9 +30,9 @@
 	return b.reader.Read(p)
 }
 
-// Each calls take for each event until it returns false. It calls idle
-// whenever all events that arrived have been taken, before it waits for more.
-// It returns nil only if take ended it, and the failure of idle or take as it is.
+// Each calls handle for each event until it returns false. It calls idle whenever
+// all received events have been handled, before it waits for more. It returns nil
+// only if handle ended it; errors of idle and handle are returned unchanged.
 func (s *Stream) Each(idle func() error, handle func(api.TokenEvent) (bool, error)) error {
 	var out error = fault.Wrap(fault.BadAnswer, io.ErrUnexpectedEOF, "the stream ended early")
 	r := &idleReader{reader: s.body, idle: idle}
@@ -48,7 +47,7 @@
 		}
 		var t api.TokenEvent
 		if err := json.Unmarshal([]byte(e.Data), &t); err != nil {
-			out = fault.Wrap(fault.BadAnswer, err, "an event is not the JSON expected")
+			out = fault.Wrap(fault.BadAnswer, err, "an event is not the expected JSON")
 			return false
 		}
 		more, err := handle(t)
@@ -66,7 +65,7 @@
 	_ = s.body.Close()
 }
 
-// NewStream makes a stream of an open body.
+// NewStream creates a stream that reads from an open response body.
 func NewStream(b io.ReadCloser) *Stream {
 	return &Stream{body: b}
 }
