--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,2 +1,2 @@
-// Package control is the interface for peers, operators and metrics.
+// Package control serves the HTTP interface for peers, operators and metrics.
 package control
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -19,10 +19,10 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// maxBodyBytes bounds the messages between entry VMs.
+// maxBodyBytes bounds the size of messages between entry VMs.
 const maxBodyBytes = 64 << 10
 
-// Options are what the control interface shows.
+// Options are the components that the control interface exposes.
 type Options struct {
 	Heartbeats *heartbeat.Keeper
 	Peers      *peer.Client
@@ -33,17 +33,17 @@
 	Status     func() api.NodeStatus
 }
 
-// Server serves peers and operators.
+// Server handles the requests of peers and operators.
 type Server struct {
 	Options
 }
 
-// New makes the control interface.
+// New creates the control interface.
 func New(p Options) *Server {
 	return &Server{Options: p}
 }
 
-// Handler routes the control interface.
+// Handler returns the routes of the control interface.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post(peer.PathHeartbeat, s.heartbeat)
@@ -85,13 +85,14 @@
 		return
 	}
 	if q.Protocol != member.Protocol {
-		wire.Refuse(w, fault.New(fault.PeerProtocol, "this entry VM speaks another protocol version"), "")
+		wire.Refuse(w, fault.New(fault.PeerProtocol, "this entry VM uses another protocol version"), "")
 		return
 	}
 	wire.Write(w, http.StatusOK, api.AttemptAnswer{Released: s.Claims.Release(q)})
 }
 
-// explain tells of a request, also of one that a peer handled.
+// explain returns the record of a request. It queries the peers for a request that
+// they handled, unless the query says alone=true.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	id := api.RequestID(chi.URLParam(r, "request"))
 	e, err := s.Explain.Find(id)
@@ -105,6 +106,8 @@
 	wire.Write(w, http.StatusOK, e)
 }
 
+// queryPeers returns the first record of a request that a peer has, or the error
+// unknown.
 func (s *Server) queryPeers(ctx context.Context, id api.RequestID, unknown error) (api.Explanation, error) {
 	for _, a := range s.Heartbeats.Addresses() {
 		if e, err := s.Peers.Explain(ctx, a, id, true); err == nil {
