--- a/internal/resource/apply.go
+++ b/internal/resource/apply.go
@@ -11,21 +11,22 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Store is where resources are applied.
+// Store reads and writes resources on the platform.
 type Store interface {
 	Get(ctx context.Context, k api.ResourceKind, n string) (api.Object, error)
 	PutConfirmed(ctx context.Context, o api.Object) (api.Object, error)
 }
 
-// Outcome tells what became of one resource.
+// Outcome is the result of applying or editing one resource.
 type Outcome struct {
 	Object  api.Object
 	Changed bool
 }
 
-// Apply writes a resource if nobody changed it since the version it names; a
-// resource without a version is created, and must not be there with another
-// spec. It fails with VersionConflict, which shows what is there.
+// Apply writes a resource if it has not been changed since the version that it
+// names. A resource without a version is created; if it exists, it must have the
+// same spec. On a conflict Apply fails with VersionConflict, which shows the current
+// resource.
 func Apply(ctx context.Context, s Store, o api.Object) (Outcome, error) {
 	n, err := s.PutConfirmed(ctx, o)
 	if err == nil {
@@ -52,11 +53,12 @@
 	return fault.New(fault.VersionConflict, d)
 }
 
-// maxEditAttempts bounds the times an edit is tried against other operators.
+// maxEditAttempts bounds the attempts of an edit that conflicts with other
+// operators' changes.
 const maxEditAttempts = 8
 
-// Edit changes one field of a resource and leaves what others change beside
-// it as it is.
+// Edit changes one field of a resource. It retries on a conflict, so that concurrent
+// changes to other fields are preserved.
 func Edit(ctx context.Context, s Store, k api.ResourceKind, n, field string, value any) (Outcome, error) {
 	var err error
 	for range maxEditAttempts {
--- a/internal/resource/doc.go
+++ b/internal/resource/doc.go
@@ -1,2 +1,3 @@
-// Package resource reads resources from operators' files and applies them.
+// Package resource reads resources from operators' files and applies them to the
+// platform.
 package resource
--- a/internal/resource/file.go
+++ b/internal/resource/file.go
@@ -16,7 +16,7 @@
 	"github.com/wardridge/wardridge/schema"
 )
 
-// definitions names the schema of each kind that operators declare.
+// definitions maps each kind that operators declare to its schema definition.
 var definitions = map[api.ResourceKind]string{
 	api.ResourceKindModel:         "ModelSpec",
 	api.ResourceKindAdapter:       "AdapterSpec",
@@ -26,8 +26,8 @@
 	api.ResourceKindFailureDomain: "FailureDomainSpec",
 }
 
-// Decode checks a spec of a declared kind, fills its defaults in and stores
-// the result in out.
+// Decode validates the spec of a kind that operators declare, fills in defaults and
+// stores the result in out.
 func Decode(k api.ResourceKind, raw json.RawMessage, out any) error {
 	d, ok := definitions[k]
 	if !ok {
@@ -36,7 +36,7 @@
 	return schema.Decode(schema.ResourceFile, d, raw, out)
 }
 
-// Load reads and checks a YAML file of one or more resources; "-" is standard
+// Load reads and validates a YAML file of one or more resources; "-" is standard
 // input.
 func Load(path string) ([]api.Object, error) {
 	b, err := readInput(path)
@@ -53,8 +53,8 @@
 	return os.ReadFile(path)
 }
 
-// Parse checks the text of a file; name is for messages. A failure names the
-// line that the resource begins at.
+// Parse reads and validates the resources in the text of a file; name stands for
+// the file in messages. An error names the line at which the resource begins.
 func Parse(name string, b []byte) ([]api.Object, error) {
 	var l []api.Object
 	d := yaml.NewDecoder(bytes.NewReader(b))
@@ -94,7 +94,7 @@
 	return o, Check(o)
 }
 
-// Check checks one resource's spec.
+// Check validates the spec of one resource.
 func Check(o api.Object) error {
 	var v any
 	if err := Decode(o.Kind, o.Spec, &v); err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// FormatYAML writes a resource as YAML, so that it can be edited and applied.
+// FormatYAML returns a resource as YAML that can be edited and applied.
 func FormatYAML(o api.Object) string {
 	b, err := jsonyaml.Marshal(o)
 	if err != nil {
--- a/internal/resource/refs.go
+++ b/internal/resource/refs.go
@@ -7,7 +7,8 @@
 	"github.com/wardridge/wardridge/internal/decide/config"
 )
 
-// DanglingReferences lists references to resources that the objects do not hold.
+// DanglingReferences describes each reference to a resource that is not among the
+// objects.
 func DanglingReferences(l []api.Object) []string {
 	v, _ := config.Build(config.FromList(api.ObjectList{Version: 1, Items: l}), nil, Decode)
 	var out []string
@@ -41,6 +42,7 @@
 	return ok
 }
 
+// reportMissing calls report for each name that is not a key of m.
 func reportMissing[K ~string, V any](names []K, m map[K]V, report func(string)) {
 	for _, n := range names {
 		if !has(m, n) {
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -25,10 +25,10 @@
 		t.Fatalf("got %v, %v, want two resources", l, err)
 	}
 	if got := resource.DanglingReferences(l); len(got) != 0 {
-		t.Errorf("dangling: got %v, want none", got)
+		t.Errorf("dangling references: got %v, want none", got)
 	}
 	if got := resource.DanglingReferences(l[1:]); len(got) != 1 {
-		t.Errorf("dangling without the model: got %v, want one", got)
+		t.Errorf("dangling references without the model: got %v, want one", got)
 	}
 }
 
@@ -37,7 +37,7 @@
 		{"unknown field", good + "---\nkind: model\nname: x\nspec: {weights: a, colour: red}\n", "colour"},
 		{"line of the resource", good + "---\nkind: model\nname: x\nspec: {}\n", "f.yaml:10"},
 		{"unknown kind", "kind: modl\nname: x\nspec: {}\n", "one of 'model'"},
-		{"kind that the system keeps", "kind: lease\nname: x\nspec: {}\n", "lease is not a kind"},
+		{"kind that the system manages", "kind: lease\nname: x\nspec: {}\n", "lease is not a kind"},
 		{"bad name", "kind: model\nname: X Y\nspec: {weights: a}\n", "name"},
 		{"wrong type", "kind: model\nname: x\nspec: {weights: 1}\n", "weights"},
 		{"not YAML", "kind: [", "f.yaml"},
