--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -15,21 +15,22 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// Client calls the platform.
+// Client calls the object API of the platform.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
 }
 
-// New makes a client of the platform at an address; the clean-up closes its
-// connections.
+// New creates a client of the platform at an address; the returned function closes
+// its connections.
 func New(address string, timeout time.Duration) (*Client, func()) {
 	c, closer := wire.NewClient(timeout, true)
 	return NewWithClient(c, address, timeout), closer
 }
 
-// NewWithClient makes a client of the platform at an address over an HTTP client.
+// NewWithClient creates a client of the platform at an address that sends its
+// requests with an HTTP client.
 func NewWithClient(c *http.Client, address string, timeout time.Duration) *Client {
 	return &Client{base: "http://" + address + "/v1", http: c, timeout: timeout}
 }
@@ -54,7 +55,7 @@
 	return o, err
 }
 
-// List reads all objects of the kinds, with the version they were read at.
+// List reads all objects of the kinds and the version at which they were read.
 func (c *Client) List(ctx context.Context, kinds []api.ResourceKind) (api.ObjectList, error) {
 	var l api.ObjectList
 	u := c.base + "/objects?kinds=" + joinKinds(kinds)
@@ -62,31 +63,32 @@
 	return l, err
 }
 
-// Put writes an object if its present version is the one in it, 0 for none.
-// A fault of OutcomeUnknown means that the write may have taken effect or may
-// yet.
+// Put writes an object if its current version is the one given in it; 0 means that
+// it does not exist. A fault of OutcomeUnknown means that the write may have taken
+// effect or may still do so.
 func (c *Client) Put(ctx context.Context, o api.Object) (api.Object, error) {
 	var n api.Object
 	err := c.call(ctx, "writing "+string(o.Kind)+" "+o.Name, http.MethodPut, c.objectURL(o.Kind, o.Name), o, &n)
 	return n, asOutcomeUnknown(err)
 }
 
-// Delete removes an object if its present version is the one given.
+// Delete removes an object if its current version is v.
 func (c *Client) Delete(ctx context.Context, k api.ResourceKind, n string, v api.Version) error {
 	u := fmt.Sprintf("%s?version=%d", c.objectURL(k, n), v)
 	return asOutcomeUnknown(c.call(ctx, "deleting "+string(k)+" "+n, http.MethodDelete, u, nil, nil))
 }
 
-// asOutcomeUnknown types an answer to a write that can't be understood as a asOutcomeUnknown one.
+// asOutcomeUnknown converts a response to a write that can't be decoded to a fault
+// of OutcomeUnknown, as if the response had been lost.
 func asOutcomeUnknown(err error) error {
 	if fault.Has(err, fault.BadAnswer) {
-		return fault.Wrap(fault.OutcomeUnknown, err, "the answer to a write was lost")
+		return fault.Wrap(fault.OutcomeUnknown, err, "the response to a write was lost")
 	}
 	return err
 }
 
-// Watch waits for changes of the kinds after a version. An answer without
-// changes still moves the version on.
+// Watch waits for changes of the kinds after a version, at most for the time wait.
+// A response without changes still advances the version.
 func (c *Client) Watch(ctx context.Context, from api.Version, wait time.Duration, kinds []api.ResourceKind) (api.ChangeList, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
@@ -98,7 +100,7 @@
 	return l, nil
 }
 
-// VMs reads the list of VMs, which lags.
+// VMs reads the list of VMs, which may be stale.
 func (c *Client) VMs(ctx context.Context) ([]api.VM, error) {
 	var l api.VMList
 	err := c.call(ctx, "listing VMs", http.MethodGet, c.base+"/vms", nil, &l)
@@ -113,11 +115,12 @@
 	return strings.Join(l, ",")
 }
 
-// maxReadBacks bounds the reads that settle one lost answer.
+// maxReadBacks bounds the attempts to resolve one lost response.
 const maxReadBacks = 5
 
-// PutConfirmed writes an object like Put and settles a lost answer by reading
-// the object back; it fails with OutcomeUnconfirmed only if it can't be read.
+// PutConfirmed writes an object like Put and resolves a lost response by reading the
+// object back. It fails with OutcomeUnconfirmed only if maxReadBacks attempts do not
+// resolve it.
 func (c *Client) PutConfirmed(ctx context.Context, o api.Object) (api.Object, error) {
 	n, err := c.Put(ctx, o)
 	for range maxReadBacks {
@@ -132,8 +135,9 @@
 	return n, err
 }
 
-// resolveWrite finds out what became of a write whose answer was lost. A write that
-// is not there yet is sent again: its condition lets it take effect only once.
+// resolveWrite determines the outcome of a write whose response was lost. A write that
+// has not taken effect is sent again; its condition on the version lets it take
+// effect only once.
 func (c *Client) resolveWrite(ctx context.Context, o api.Object) (api.Object, error) {
 	n, err := c.Get(ctx, o.Kind, o.Name)
 	if fault.Has(err, fault.NotFound) {
