--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now gives the time as a source that duties ask.
+// Now returns the current time of a clock.
 type Now func() time.Time
 
-// Boot reads the boot clock, which goes on while the VM is suspended and is
-// never set; its zero means nothing, only differences do.
+// Boot reads the boot clock, which keeps running while the VM is suspended and is
+// never set. Its zero has no meaning, only differences have.
 func Boot() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -7,35 +7,38 @@
 )
 
 const (
-	// minSuspension is the least lead of the boot clock that counts as a suspension: more
-	// than reading two clocks one after the other can differ by.
+	// minSuspension is the smallest increase of the boot clock's lead that counts as a
+	// suspension. It exceeds the difference that arises from reading two clocks one
+	// after the other.
 	minSuspension = 50 * time.Millisecond
-	// maxReadTime is what reading both clocks may take for their difference to count.
+	// maxReadTime bounds the time between reading the two clocks; a reading that takes
+	// longer is discarded.
 	maxReadTime = time.Millisecond
-	// maxReadAttempts bounds the readings of one check.
+	// maxReadAttempts bounds the readings of both clocks in one check.
 	maxReadAttempts = 3
 )
 
-// Deadlines ends contexts at times that also pass while the VM is suspended. The steady
-// clock, by which timers run, stands still then: a request that was under way would be
-// given more time at a server than its caller has left.
+// Deadlines ends contexts at times that also pass while the VM is suspended. The
+// monotonic clock, which drives timers, stops during a suspension; a request in flight
+// would be given more time at a server than its caller has left.
 type Deadlines struct {
 	boot Now
 
 	mutex sync.Mutex
-	// monotonicStart and bootStart were read at the same time; lead is by how much the boot clock
-	// has come to be ahead since.
+	// monotonicStart and bootStart were read at the same time; lead is how far the boot
+	// clock has moved ahead of the monotonic clock since then.
 	monotonicStart, bootStart time.Time
 	lead                      time.Duration
 	active                    map[*Deadline]bool
 }
 
-// NewDeadlines makes deadlines over a clock that goes on while the VM is suspended.
+// NewDeadlines creates deadlines that use a clock which keeps running while the VM is
+// suspended.
 func NewDeadlines(boot Now) *Deadlines {
 	return &Deadlines{boot: boot, monotonicStart: time.Now(), bootStart: boot(), active: map[*Deadline]bool{}}
 }
 
-// Deadline is the end of one context.
+// Deadline is the time at which one context ends.
 type Deadline struct {
 	mutex  sync.Mutex
 	at     time.Time
@@ -43,19 +46,19 @@
 	cancel context.CancelCauseFunc
 }
 
-// At is when the context ends, by the steady clock.
+// At returns the time at which the context ends, by the monotonic clock.
 func (d *Deadline) At() time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.at
 }
 
-// Remaining is the time until then.
+// Remaining returns the time until the context ends.
 func (d *Deadline) Remaining() time.Duration {
 	return time.Until(d.At())
 }
 
-// moveForward makes the context end earlier by a time.
+// moveForward makes the context end earlier by a duration.
 func (d *Deadline) moveForward(by time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -63,8 +66,8 @@
 	d.timer.Reset(time.Until(d.at))
 }
 
-// Context gives a context that ends at a time, by the steady clock, with
-// context.DeadlineExceeded as its cause; the clean-up ends it.
+// Context returns a context that ends at a time of the monotonic clock, with
+// context.DeadlineExceeded as its cause; the returned function cancels it.
 func (l *Deadlines) Context(parent context.Context, at time.Time) (context.Context, *Deadline, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	d := &Deadline{at: at, cancel: cancel}
@@ -81,8 +84,8 @@
 	}
 }
 
-// AdvanceSuspended looks whether the VM was suspended since the last time, brings the deadlines
-// forward by that, and gives it.
+// AdvanceSuspended checks whether the VM was suspended since the last call, moves all
+// deadlines forward by the length of the suspension, and returns it.
 func (l *Deadlines) AdvanceSuspended() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -98,8 +101,8 @@
 	return by
 }
 
-// readLead gives the lead of the boot clock; it reports false where the process was held up
-// between the clocks. The mutex is held.
+// readLead returns the lead of the boot clock. It returns false if the process was
+// delayed between the two readings in each attempt. The mutex is held.
 func (l *Deadlines) readLead() (time.Duration, bool) {
 	for range maxReadAttempts {
 		before := time.Now()
--- a/internal/clock/deadline_test.go
+++ b/internal/clock/deadline_test.go
@@ -9,8 +9,8 @@
 	"github.com/wardridge/wardridge/internal/clock"
 )
 
-// A suspension of three seconds is one by which the boot clock is ahead; what was to end
-// within it ends at its end, the rest three seconds earlier.
+// During a suspension of three seconds the boot clock moves ahead by as much. A deadline
+// within the suspension passes when it ends; a later one passes three seconds earlier.
 func TestDeadlinesPassWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lead := time.Duration(0)
@@ -33,7 +33,7 @@
 		}
 		synctest.Wait()
 		if got := context.Cause(soon); got != context.DeadlineExceeded {
-			t.Errorf("a deadline within it: got %v, want it exceeded", got)
+			t.Errorf("a deadline within the suspension: got %v, want it exceeded", got)
 		}
 		if got := d.Remaining(); got != 6*time.Second {
 			t.Errorf("a later deadline: got %v left, want 6 s", got)
@@ -43,11 +43,11 @@
 		}
 		time.Sleep(6*time.Second - time.Millisecond)
 		if later.Err() != nil {
-			t.Errorf("just before: got %v, want it open", context.Cause(later))
+			t.Errorf("just before the deadline: got %v, want the context open", context.Cause(later))
 		}
 		time.Sleep(2 * time.Millisecond)
 		if got := context.Cause(later); got != context.DeadlineExceeded {
-			t.Errorf("after it: got %v, want it exceeded", got)
+			t.Errorf("after the deadline: got %v, want it exceeded", got)
 		}
 	})
 }
@@ -60,6 +60,6 @@
 	cancel()
 	<-ctx.Done()
 	if got := context.Cause(ctx); got != context.Canceled {
-		t.Errorf("got %v, want the caller's leaving", got)
+		t.Errorf("got %v, want the caller's cancellation", got)
 	}
 }
