--- a/internal/loopback/doc.go
+++ b/internal/loopback/doc.go
@@ -1,3 +1,3 @@
-// Package loopback finds addresses for processes that are started on this
-// machine and have to find them free again when they restart.
+// Package loopback finds free addresses for processes that are started on this
+// machine and need the same address to be free again when they restart.
 package loopback
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -9,24 +9,24 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Addresses gives free addresses, none of them twice.
+// Addresses hands out free addresses, each of them once.
 type Addresses struct {
 	mutex  sync.Mutex
 	issued map[string]bool
 }
 
-// New makes a source that has given none yet.
+// New creates a source that has handed out no address yet.
 func New() *Addresses {
 	return &Addresses{issued: map[string]bool{}}
 }
 
-// maxAttempts bounds the ports that are tried: a port that was given before may
-// come again.
+// maxAttempts bounds the ports that are tried: the system may offer a port that was
+// handed out before.
 const maxAttempts = 100
 
-// Free gives an address that is free now, on a loopback address of this
-// process's own: connections of all processes take ports of 127.0.0.1 as they
-// come, also ones that a stopped process is to listen on again.
+// Free returns an address that is free now, on a loopback address that is specific to
+// this process: outgoing connections of all processes take any port of 127.0.0.1,
+// including one on which a stopped process has to listen again.
 func (a *Addresses) Free() (string, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -40,10 +40,10 @@
 			return x, nil
 		}
 	}
-	return "", fault.New(fault.ListenFailed, "every free port was given before")
+	return "", fault.New(fault.ListenFailed, "every free port was handed out before")
 }
 
-// Host is a loopback address of this process's own.
+// Host returns a loopback address that is specific to this process.
 func Host() string {
 	n := os.Getpid()
 	return net.IPv4(127, byte(1+n>>16), byte(n>>8), byte(n)).String()
@@ -57,7 +57,7 @@
 	return l.Addr().String(), l.Close()
 }
 
-// Listen opens a port for this process itself.
+// Listen opens a port of 127.0.0.1 on which this process itself listens.
 func Listen() (net.Listener, error) {
 	return listen("127.0.0.1")
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -7,7 +7,8 @@
 	"github.com/wardridge/wardridge/internal/loopback"
 )
 
-// Two processes must not be given one port, however often ports come again.
+// Two processes must not get the same port, even though the system may offer a released
+// port again.
 func TestFreeNeverReturnsAnAddressTwice(t *testing.T) {
 	a := loopback.New()
 	given := map[string]bool{}
@@ -23,8 +24,8 @@
 	}
 }
 
-// Outgoing connections must not take the port that a process is to listen on
-// again.
+// Outgoing connections must not take the port on which a process has to listen again
+// after a restart.
 func TestFreeAvoidsHostOfOutgoingConnections(t *testing.T) {
 	a, err := loopback.New().Free()
 	if err != nil {
@@ -35,7 +36,7 @@
 		t.Errorf("got %s, %v, want another address than 127.0.0.1", a, err)
 	}
 	if l, err := net.Listen("tcp", "127.0.0.1:"+p); err == nil {
-		// Else others hold it already.
+		// If listening fails, another process holds the port already.
 		defer func() { _ = l.Close() }()
 	}
 	again, err := net.Listen("tcp", a)
