--- a/internal/quantile/doc.go
+++ b/internal/quantile/doc.go
@@ -1,2 +1,2 @@
-// Package quantile keeps distributions of times.
+// Package quantile records distributions of durations.
 package quantile
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -6,35 +6,38 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds: an hour, to three significantDigits.
+// Bounds and precision of the histograms: from a microsecond to an hour, to three
+// significant digits.
 const (
 	minMicros         = 1
 	maxMicros         = 3_600_000_000
 	significantDigits = 3
 )
 
-// Histogram is a distribution of times.
+// Histogram is a distribution of durations.
 type Histogram struct {
 	histogram *hdrhistogram.Histogram
 }
 
-// New makes an empty distribution.
+// New creates an empty histogram.
 func New() *Histogram {
 	return &Histogram{histogram: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
-// Record adds a time; one beyond an hour counts as an hour.
+// Record adds a duration; one beyond an hour counts as an hour.
 func (t *Histogram) Record(d time.Duration) {
-	// It fails only beyond the bounds.
+	// RecordValue fails only for values beyond the bounds.
 	_ = t.histogram.RecordValue(min(d.Microseconds(), maxMicros))
 }
 
-// Percentile gives the time in ms below which so many in 100 are.
+// Percentile returns the duration in ms below which the given percentage of the
+// recorded durations are.
 func (t *Histogram) Percentile(percent float64) float64 {
 	return milliseconds(t.histogram.ValueAtQuantile(percent))
 }
 
-// Summary is a distribution in figures, in ms.
+// Summary holds the count, the usual percentiles and the maximum of a distribution;
+// durations are in ms.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -44,7 +47,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Summary gives the usual quantiles.
+// Summary returns the count, the usual percentiles and the maximum.
 func (t *Histogram) Summary() Summary {
 	return Summary{
 		Count: t.histogram.TotalCount(), P50: t.Percentile(50), P95: t.Percentile(95), P99: t.Percentile(99), P999: t.Percentile(99.9),
