--- a/internal/trace/doc.go
+++ b/internal/trace/doc.go
@@ -1,2 +1,2 @@
-// Package trace sets up spans and where they go.
+// Package trace sets up the recording and export of spans.
 package trace
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -20,10 +20,11 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// scope names the tracer of this system.
+// scope is the instrumentation scope of this system's spans.
 const scope = "github.com/wardridge/wardridge"
 
-// Install sets the process's tracing up; the clean-up sends what is left.
+// Install sets up tracing for the process; the returned function exports the
+// remaining spans.
 func Install(ctx context.Context, s api.TraceSettings, process string) (func(), error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	e, closer, err := exporter(ctx, s)
@@ -44,7 +45,7 @@
 		const wait = 2 * time.Second
 		c, cancel := context.WithTimeout(context.WithoutCancel(ctx), wait)
 		defer cancel()
-		// Spans that can't be sent any more are given up.
+		// Spans that can't be exported within the wait are dropped.
 		_ = p.Shutdown(c)
 		closer()
 	}, nil
@@ -67,13 +68,13 @@
 	}
 }
 
-// Start begins a span of a step within this process.
+// Start begins a span for a step within this process.
 func Start(ctx context.Context, name string) (context.Context, trace.Span) {
 	return otel.Tracer(scope).Start(ctx, name)
 }
 
-// Handler wraps a server's handler in a span of the name given, which goes on
-// with the caller's trace.
+// Handler wraps a server's handler in a span of the given name, which continues the
+// caller's trace.
 func Handler(name string, h http.Handler, o ...otelhttp.Option) http.Handler {
 	named := otelhttp.WithSpanNameFormatter(func(string, *http.Request) string { return name })
 	return otelhttp.NewHandler(h, name, append(o, named)...)
