--- a/internal/ring/doc.go
+++ b/internal/ring/doc.go
@@ -1,2 +1,2 @@
-// Package ring joins duties by bounded queues.
+// Package ring provides bounded queues between goroutines.
 package ring
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -2,17 +2,17 @@
 
 import "context"
 
-// Ring is a bounded queue between duties.
+// Ring is a bounded queue of items between goroutines.
 type Ring[T any] struct {
 	items chan T
 }
 
-// New makes a ring that holds at most n items.
+// New creates a ring that holds at most n items.
 func New[T any](n int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, n)}
 }
 
-// Offer puts an item in and reports false when the ring is full.
+// Offer adds an item without waiting; it returns false if the ring is full.
 func (r *Ring[T]) Offer(v T) bool {
 	select {
 	case r.items <- v:
@@ -22,7 +22,8 @@
 	}
 }
 
-// Put waits for room; it reports false when the context ends first.
+// Put adds an item, waiting while the ring is full; it returns false if the context
+// ends first.
 func (r *Ring[T]) Put(ctx context.Context, v T) bool {
 	select {
 	case r.items <- v:
@@ -32,7 +33,8 @@
 	}
 }
 
-// Take waits for an item; it reports false when the context ends first.
+// Take removes the oldest item, waiting while the ring is empty; it returns false if
+// the context ends first.
 func (r *Ring[T]) Take(ctx context.Context) (T, bool) {
 	select {
 	case v := <-r.items:
@@ -43,7 +45,7 @@
 	}
 }
 
-// Len counts the items that wait.
+// Len returns the number of items in the ring.
 func (r *Ring[T]) Len() int {
 	return len(r.items)
 }
