--- a/internal/duty/doc.go
+++ b/internal/duty/doc.go
@@ -1,2 +1,3 @@
-// Package duty runs a process's goroutines in one group.
+// Package duty runs the goroutines of a process as duties: functions that run in one
+// group until the first failure or the end of its context.
 package duty
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -13,31 +13,34 @@
 	ctx   context.Context
 }
 
-// New makes a group; the clean-up cancels every duty and waits for them.
+// New creates a group; the returned function cancels every duty and waits for them
+// to return.
 func New(ctx context.Context) (*Group, func()) {
 	c, cancel := context.WithCancel(ctx)
 	e, d := errgroup.WithContext(c)
 	g := &Group{group: e, ctx: d}
 	return g, func() {
 		cancel()
-		// Duties end with the context's error, which says nothing new.
+		// Cancelled duties return the context's error, which adds no information.
 		_ = e.Wait()
 	}
 }
 
-// Go starts a duty; a failure ends the group.
+// Go starts a duty; if it fails, the context of the group ends.
 func (g *Group) Go(f func(ctx context.Context) error) {
 	g.group.Go(func() error { return f(g.ctx) })
 }
 
-// Every runs f at once and then after each pause until the context ends.
+// Every starts a duty that runs f at once and then again d after each run, until the
+// context ends.
 func (g *Group) Every(d time.Duration, f func(ctx context.Context)) {
 	g.Go(func(ctx context.Context) error {
 		return Loop(ctx, func() time.Duration { return d }, f)
 	})
 }
 
-// Loop runs f and then waits as long as pause says, until the context ends.
+// Loop runs f repeatedly until the context ends, and waits between runs for the time
+// that pause returns.
 func Loop(ctx context.Context, pause func() time.Duration, f func(ctx context.Context)) error {
 	for {
 		f(ctx)
@@ -47,7 +50,7 @@
 	}
 }
 
-// Sleep waits; it reports false when the context ends first.
+// Sleep waits for the time d; it returns false if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -64,7 +67,7 @@
 	return g.group.Wait()
 }
 
-// Done is closed when the group ends.
+// Done returns a channel that is closed when the group ends.
 func (g *Group) Done() <-chan struct{} {
 	return g.ctx.Done()
 }
