--- a/internal/step/doc.go
+++ b/internal/step/doc.go
@@ -1,2 +1,2 @@
-// Package step runs work as an ordered list of small named steps.
+// Package step runs an ordered list of named steps and logs each of them.
 package step
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -9,9 +9,9 @@
 	"github.com/wardridge/wardridge/internal/event"
 )
 
-// Step is one small piece of work on a typed context.
+// Step is one named piece of work on a context of type C.
 type Step[C any] interface {
-	// String names the step in logs.
+	// String returns the name of the step in logs.
 	String() string
 	// Run does the work.
 	Run(ctx C) error
@@ -25,7 +25,7 @@
 
 // Defaulter is a step that sets defaults before any step runs.
 type Defaulter[C any] interface {
-	// Default sets what the settings left open.
+	// Default fills in what the settings do not specify.
 	Default(ctx C)
 }
 
@@ -45,6 +45,7 @@
 	return nil
 }
 
+// runOne runs or skips one step and logs the result.
 func runOne[C any](ctx C, l *event.Log, s Step[C]) error {
 	if k, ok := s.(Skipper[C]); ok && k.Skip(ctx) {
 		l.Emit(event.StepSkipped, zap.String("step", s.String()))
