--- a/internal/sample/doc.go
+++ b/internal/sample/doc.go
@@ -1,2 +1,2 @@
-// Package sample holds the resources of a small system to start with.
+// Package sample holds the resources of a small example system.
 package sample
--- a/internal/sample/sample.go
+++ b/internal/sample/sample.go
@@ -2,8 +2,8 @@
 
 import _ "embed"
 
-// Resources declares two engines, one plain service, and a workspace of each
-// of two users.
+// Resources declares two engines, one plain service and a workspace for each of two
+// users.
 //
 //go:embed resources.yaml
 var Resources []byte
