--- a/internal/dev/doc.go
+++ b/internal/dev/doc.go
@@ -1,2 +1,3 @@
-// Package dev runs stand-ins and a whole small system for developers.
+// Package dev runs stand-ins of the platform, engines and services, or a complete
+// small system, for developers.
 package dev
--- a/internal/dev/ready.go
+++ b/internal/dev/ready.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// requestTimeout bounds one request to an entry VM.
+	// requestTimeout bounds the time of one request to an entry VM.
 	requestTimeout = 5 * time.Second
-	// requestInterval is the pause between requests.
+	// requestInterval is the pause between two requests.
 	requestInterval = 50 * time.Millisecond
 )
 
-// chatRequest is a request for the shortest of answers.
+// chatRequest is the body of a chat completion request.
 type chatRequest struct {
 	Model     string    `json:"model"`
 	MaxTokens int       `json:"max_tokens"`
@@ -30,7 +30,7 @@
 	Content string `json:"content"`
 }
 
-// waitReady returns once every entry VM has served a request.
+// waitReady returns nil once every entry VM has served a request.
 func waitReady(ctx context.Context, entries []process) error {
 	c, closer := wire.NewClient(requestTimeout, false)
 	defer closer()
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// serves reports whether an entry VM serves a request; until its engines have
-// loaded the model it refuses.
+// serves reports whether an entry VM serves a request; it refuses until its engines
+// have loaded the model.
 func serves(ctx context.Context, c *http.Client, e process) bool {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
--- a/internal/dev/up.go
+++ b/internal/dev/up.go
@@ -19,20 +19,20 @@
 	"github.com/wardridge/wardridge/internal/standin/platform"
 )
 
-// Host is where the small system listens unless it is told another IP address;
-// the sample resources name it.
+// Host is the IP address on which the small system listens by default; the sample
+// resources contain it.
 const Host = "127.0.0.1"
 
-// serviceName is the plain service of the sample resources.
+// serviceName is the name of the backend server that runs the sample's plain service.
 const serviceName = "orders-1"
 
-// process is a process of the process system.
+// process is an entry VM or engine of the small system.
 type process struct {
 	name, listen, control string
 }
 
-// system is the small system at one IP address; the sample resources name the
-// same ports.
+// system holds the addresses of the small system at one IP address; the sample
+// resources use the same ports.
 type system struct {
 	host              string
 	platform, service string
@@ -47,14 +47,15 @@
 	}
 }
 
-// DefaultPlatform are the rates that the platform's stand-in allows by default.
+// DefaultPlatform holds the default options of the platform's stand-in: the rates that
+// it allows and the lag of its list of VMs.
 var DefaultPlatform = platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, ListLag: time.Second}
 
-// Up runs a whole small system at an IP address in this process until the
-// context ends, and writes to out how to use it.
+// Up runs a complete small system at an IP address in this process until the context
+// ends. Once it is ready, Up writes instructions for its use to out.
 func Up(ctx context.Context, host string, l *event.Log, out io.Writer) error {
 	y := newSystem(host)
-	// The stand-ins end after the entry VMs, so that a stop cuts nothing off.
+	// The stand-ins end after the entry VMs, so that a stop interrupts no request.
 	outer, end := duty.New(context.WithoutCancel(ctx))
 	defer end()
 	p := platform.New(platform.NewStore(), DefaultPlatform)
@@ -89,14 +90,15 @@
 	return g.Wait()
 }
 
-// domain is the failure domain of the small system.
+// domain is the failure domain of the entry VMs of the small system.
 const domain = "hall-a"
 
 func (y system) settingsFile(e process) []byte {
 	return fmt.Appendf(nil, "[node]\nname = %s\ndomain = %s\nlisten = %s\ncontrol = %s\n[platform]\naddress = %s\n", e.name, domain, e.listen, e.control, y.platform)
 }
 
-// applySample applies the sample resources once the platform answers.
+// applySample applies the sample resources, with the small system's IP address in
+// place of Host.
 func applySample(ctx context.Context, y system) error {
 	l, err := resource.Parse("sample", bytes.ReplaceAll(sample.Resources, []byte(Host), []byte(y.host)))
 	if err != nil {
@@ -112,7 +114,8 @@
 	return nil
 }
 
-// applyWithRetry applies a resource, also while the platform is still starting.
+// applyWithRetry applies a resource and retries, since the platform may still be
+// starting.
 func applyWithRetry(ctx context.Context, c *client.Client, o api.Object) error {
 	const tries, pause = 50, 20 * time.Millisecond
 	var err error
@@ -128,14 +131,14 @@
 }
 
 func (y system) printUsage(out io.Writer) {
-	// A reader that is gone needs no welcome.
+	// An error means that nobody reads the output any more.
 	_, _ = fmt.Fprintf(out, `A small system is ready: two entry VMs, two engines, one plain service.
-Ask through either entry VM:
+Send a request through either entry VM:
 
   curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' \
     -d '{"model":"desk","stream":true,"messages":[{"role":"user","content":"Can I have a skip on Friday?"}]}'
 
-Look on with: wardctl status, wardctl get backend-server, wardctl dev load
+Inspect it with: wardctl status, wardctl get backend-server, wardctl dev load
 Stop with Ctrl-C.
 `, y.entries[0].listen, sample.KeyDispatch)
 }
--- a/internal/dev/up_test.go
+++ b/internal/dev/up_test.go
@@ -28,7 +28,7 @@
 	return len(b), nil
 }
 
-// The first request after the system says that it is ready is served.
+// The system must not report that it is ready before its entry VMs serve requests.
 func TestUpSaysReadyWhenTheFirstRequestIsServed(t *testing.T) {
 	g, end := duty.New(context.Background())
 	defer end()
@@ -41,7 +41,7 @@
 	select {
 	case <-s.done:
 	case <-time.After(time.Minute):
-		t.Fatal("ready: got no word in a minute")
+		t.Fatal("ready: got no output in a minute, want the instructions")
 	}
 	body := `{"model":"desk","messages":[{"role":"user","content":"Can I have a skip on Friday?"}]}`
 	for _, a := range []string{host + ":7001", host + ":7002"} {
