--- a/internal/style/doc.go
+++ b/internal/style/doc.go
@@ -1,2 +1,2 @@
-// Package style checks rules of the house style that no linter knows.
+// Package style tests rules of the house style that no linter checks.
 package style
--- a/internal/style/style_test.go
+++ b/internal/style/style_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// sources parses every Go file of the repository that was written by hand.
+// sources parses every Go file of the repository that is not generated.
 func sources(t *testing.T) (*token.FileSet, map[string]*ast.File) {
 	t.Helper()
 	s := token.NewFileSet()
@@ -39,7 +39,7 @@
 	for _, f := range m {
 		ast.Inspect(f, func(n ast.Node) bool {
 			if g, ok := n.(*ast.GoStmt); ok {
-				t.Errorf("%s: got a bare go, want a group", s.Position(g.Pos()))
+				t.Errorf("%s: got a bare go statement, want a group", s.Position(g.Pos()))
 			}
 			return true
 		})
@@ -58,8 +58,8 @@
 	}
 }
 
-// forbiddenImports are imports that decisions must not have: they take time and
-// events as values.
+// forbiddenImports lists the packages that decision packages must not import: they
+// receive times and events as values.
 var forbiddenImports = []string{"net", "net/http", "os", "sync", "context", "crypto/rand", "math/rand"}
 
 func TestDecisionsAreFreeOfIO(t *testing.T) {
@@ -79,17 +79,18 @@
 		}
 		ast.Inspect(f, func(n ast.Node) bool {
 			if e, ok := n.(*ast.SelectorExpr); ok && usesClock(e) {
-				t.Errorf("%s: got a clock, want the time as a value", s.Position(e.Pos()))
+				t.Errorf("%s: got a use of the clock, want the time as a value", s.Position(e.Pos()))
 			}
 			return true
 		})
 	}
 	if n == 0 {
-		t.Error("got no file of decisions")
+		t.Error("got no file of a decision package, want some")
 	}
 }
 
-// usesClock reports whether an expression reads a usesClock or waits.
+// usesClock reports whether an expression is a function of package time that reads the
+// clock or waits.
 func usesClock(e *ast.SelectorExpr) bool {
 	x, ok := e.X.(*ast.Ident)
 	if !ok || x.Name != "time" {
@@ -102,8 +103,8 @@
 	return false
 }
 
-// TestCataloguesAreComplete checks that each numbered constant stands in its
-// catalogue and is used somewhere.
+// TestCataloguesAreComplete checks that each constant of a catalogue's type is listed in
+// the catalogue and used by another package.
 func TestCataloguesAreComplete(t *testing.T) {
 	_, m := sources(t)
 	for _, c := range []struct{ file, typ string }{
@@ -127,7 +128,7 @@
 	}
 }
 
-// constants lists the constants of a type.
+// constants returns the names of the constants of a type.
 func constants(f *ast.File, typ string) []string {
 	var l []string
 	for _, d := range f.Decls {
@@ -145,7 +146,7 @@
 	return l
 }
 
-// listed reports whether a constant begins an entry of a composite literal.
+// listed reports whether a constant is the first element of a composite literal.
 func listed(f *ast.File, n string) bool {
 	found := false
 	ast.Inspect(f, func(x ast.Node) bool {
@@ -159,7 +160,7 @@
 	return found
 }
 
-// used reports whether another package names a constant outside tests.
+// used reports whether another package uses a constant outside tests.
 func used(m map[string]*ast.File, pkg, n string) bool {
 	found := false
 	for p, f := range m {
@@ -178,10 +179,11 @@
 	return found
 }
 
-// testName is the name of a test, or of a fuzz test, as pages write it.
+// testName matches the name of a test or fuzz test in a page.
 var testName = regexp.MustCompile(`\b(?:Test|Fuzz)[A-Z]\w*`)
 
-// A proof that names a test is only as good as the test that it names.
+// A proof in docs/PROOFS.md may refer to a test that was renamed or removed, and then
+// nothing backs it.
 func TestProofsNameTestsThatExist(t *testing.T) {
 	_, m := sources(t)
 	have := map[string]bool{}
