--- a/internal/api/doc.go
+++ b/internal/api/doc.go
@@ -1,3 +1,3 @@
-// Package api holds the messages, resources and settings generated from the
-// schema, with a few helpers on their named types.
+// Package api holds the types of messages, resources and settings that are generated
+// from the schema, with helper functions for them.
 package api
--- a/internal/api/unit.go
+++ b/internal/api/unit.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Duration converts to the standard type.
+// Duration converts m to a time.Duration.
 func (m Milliseconds) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
@@ -15,12 +15,12 @@
 	return Milliseconds(d / time.Millisecond)
 }
 
-// UnixMilliseconds gives a time in ms since the Unix epoch.
+// UnixMilliseconds returns a time as milliseconds since the Unix epoch.
 func UnixMilliseconds(t time.Time) Milliseconds {
 	return Milliseconds(t.UnixMilli())
 }
 
-// Rank orders priorities; a lower rank goes first.
+// Rank returns the rank of a priority; a lower rank is served first.
 func (p Priority) Rank() int {
 	switch p {
 	case PriorityInteractive:
@@ -32,12 +32,12 @@
 	}
 }
 
-// Item names a loaded model or adapter as kind/name@weights.
+// Item returns the identifier of a loaded model or adapter, kind/name@weights.
 func Item(k ResourceKind, name, weights string) string {
 	return string(k) + "/" + name + "@" + weights
 }
 
-// ItemName gives the kind/name part of an item.
+// ItemName returns the kind/name part of an item's identifier.
 func ItemName(item string) string {
 	n, _, _ := strings.Cut(item, "@")
 	return n
--- a/internal/api/version_test.go
+++ b/internal/api/version_test.go
@@ -6,7 +6,7 @@
 	"github.com/wardridge/wardridge/internal/api"
 )
 
-// Every version of a later era is newer than all of an earlier one.
+// Every version of a later era must be newer than all versions of an earlier era.
 func TestVersionsOrderErasFirst(t *testing.T) {
 	l := []api.Version{
 		api.NewVersion(0, 0), api.NewVersion(0, 25), api.NewVersion(0, api.MaxRevision),
