--- a/internal/explain/recorder.go
+++ b/internal/explain/recorder.go
@@ -54,7 +54,7 @@
 	defer r.mutex.Unlock()
 	e, ok := r.byID[id]
 	if !ok {
-		return api.Explanation{}, fault.New(fault.UnknownRequest, "this entry VM has no record of request "+string(id))
+		return api.Explanation{}, fault.New(fault.UnknownRequest, "no record of request "+string(id)+" on this entry VM")
 	}
 	c := *e
 	c.Decisions = append([]api.Decision{}, e.Decisions...)
