--- a/internal/dev/up.go
+++ b/internal/dev/up.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// DefaultPlatform holds the default options of the platform's stand-in: the rates that
+// DefaultPlatformOptions holds the default options of the platform's stand-in: the rates that
 // it allows and the lag of its list of VMs.
-var DefaultPlatform = platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, ListLag: time.Second}
+var DefaultPlatformOptions = platform.Options{WritesPerSecond: 100, ReadsPerSecond: 2000, ListLag: time.Second}
 
 // Up runs a complete small system at an IP address in this process until the context
 // ends. Once it is ready, Up writes instructions for its use to out.
@@ -58,7 +58,7 @@
 	// The stand-ins end after the entry VMs, so that a stop interrupts no request.
 	outer, end := duty.New(context.WithoutCancel(ctx))
 	defer end()
-	p := platform.New(platform.NewStore(), DefaultPlatform)
+	p := platform.New(platform.NewStore(), DefaultPlatformOptions)
 	outer.Go(func(ctx context.Context) error { return Platform(ctx, y.platform, p, l) })
 	for _, e := range y.engines {
 		o := engine.Defaults()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -227,7 +227,7 @@
 // life's clock.
 func (f *Follower) Offer(l api.ObjectList, sent time.Time) {
 	if !f.updates.Offer(update{list: &l, sent: sent, peer: true}) {
-		f.metrics.Add(metric.EventsDropped, 1)
+		f.metrics.Add(metric.ItemsDropped, 1)
 	}
 }
 
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -239,7 +239,7 @@
 		m.releaseTarget()
 	}
 	if k == evacuate.Resume || k == evacuate.Return {
-		m.gateway.Metrics.Add(metric.MovesDone, 1)
+		m.gateway.Metrics.Add(metric.MovesCompleted, 1)
 	}
 }
 
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -27,7 +27,7 @@
 	Resumes                Name = "stream_resumes_total"
 	SilentStreams          Name = "streams_silent_total"
 	MovesStarted           Name = "moves_begun_total"
-	MovesDone              Name = "moves_done_total"
+	MovesCompleted         Name = "moves_done_total"
 	Retries                Name = "retries_total"
 	CallersGone            Name = "callers_gone_total"
 	ClaimsMade             Name = "claims_made_total"
@@ -51,7 +51,7 @@
 	HeartbeatsSent         Name = "heartbeats_sent_total"
 	HeartbeatsFailed       Name = "heartbeat_failures_total"
 	MembersServing         Name = "members_serving"
-	EventsDropped          Name = "ring_drops_total"
+	ItemsDropped           Name = "ring_drops_total"
 	ClockJumps             Name = "clock_jumps_total"
 	SlowReaders            Name = "slow_readers_total"
 )
@@ -81,7 +81,7 @@
 	{Resumes, "resumes", "Streams resumed on their engine."},
 	{SilentStreams, "streams", "Times that a stream was silent for longer than usual, so that its server was queried."},
 	{MovesStarted, "moves", "Moves of running generations that were started."},
-	{MovesDone, "moves", "Moves of running generations that were completed."},
+	{MovesCompleted, "moves", "Moves of running generations that were completed."},
 	{Retries, "attempts", "Attempts retried elsewhere."},
 	{CallersGone, "requests", "Requests whose callers closed their connections."},
 	{ClaimsMade, "claims", "Claims recorded before a send."},
@@ -105,7 +105,7 @@
 	{HeartbeatsSent, "heartbeats", "Heartbeats sent to peers."},
 	{HeartbeatsFailed, "heartbeats", "Heartbeats without an answer."},
 	{MembersServing, "entry VMs", "Entry VMs that serve, including this one."},
-	{EventsDropped, "items", "Items dropped because a bounded queue between goroutines was full."},
+	{ItemsDropped, "items", "Items dropped because a bounded queue between goroutines was full."},
 	{ClockJumps, "jumps", "Times that this process did not run for an unusually long time."},
 	{SlowReaders, "requests", "Requests ended because the caller read too slowly."},
 }
--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -129,7 +129,7 @@
 	p.last[x.name] = r
 	p.mutex.Unlock()
 	if !p.reports.Offer(r) {
-		p.metrics.Add(metric.EventsDropped, 1)
+		p.metrics.Add(metric.ItemsDropped, 1)
 	}
 }
 
