--- a/cmd/get.go
+++ b/cmd/get.go
@@ -41,7 +41,7 @@
 				return err
 			}
 		}
-		if err := e.printf("%s", resource.Text(o)); err != nil {
+		if err := e.printf("%s", resource.FormatYAML(o)); err != nil {
 			return err
 		}
 	}
--- a/fleet/duty_test.go
+++ b/fleet/duty_test.go
@@ -103,7 +103,7 @@
 	withFleet(t, 6, func(t *testing.T, b *testbed) {
 		c, closer := wire.NewClientWithDial(machine{b.net, "operator"}.dial, false)
 		defer closer()
-		p := objectapi.Over(c, platformHost+":80", time.Second)
+		p := objectapi.NewWithClient(c, platformHost+":80", time.Second)
 		for i := range 20 {
 			current, err := b.store.Get(api.ResourceKindModel, "desk")
 			if err != nil {
--- a/internal/claims/claimer.go
+++ b/internal/claims/claimer.go
@@ -246,14 +246,14 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Add(r)
-	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
+	k.metrics.Set(metric.ClaimAttemptsInMemory, int64(k.attempts.Len()))
 }
 
 func (k *Claimer) removeAttempt(r api.RequestID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.Remove(r)
-	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
+	k.metrics.Set(metric.ClaimAttemptsInMemory, int64(k.attempts.Len()))
 }
 
 // TrySend reports whether the request may be sent, and if so marks it as sent, so that further
@@ -306,5 +306,5 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.attempts.MarkRecorded(k.now(), s.Request)
-	k.metrics.Put(metric.ClaimsKept, int64(k.attempts.Len()))
+	k.metrics.Set(metric.ClaimAttemptsInMemory, int64(k.attempts.Len()))
 }
--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -60,7 +60,7 @@
 	if !ok {
 		return nil
 	}
-	return fault.New(fault.Quarantined, "servers crashed while they ran requests with this content").After(u.Sub(now))
+	return fault.New(fault.Quarantined, "servers crashed while they ran requests with this content").WithRetryAfter(u.Sub(now))
 }
 
 // RecordFailure records that a run failed within quarantine.SuspectWindow, at a server that had
@@ -113,7 +113,7 @@
 	l := g.table.Step(time.Now())
 	g.mutex.Unlock()
 	for _, v := range l {
-		g.metrics.Add(metric.Quarantined, 1)
+		g.metrics.Add(metric.ContentsQuarantined, 1)
 		g.log.Emit(event.ContentQuarantined, zap.String("content", string(v.Content)), zap.Any("servers", v.Servers), zap.Bool("own", v.Local), zap.Time("until", v.Until))
 	}
 	return l
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -19,31 +19,31 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// bodyLimit bounds the messages between entry VMs.
-const bodyLimit = 64 << 10
+// maxBodyBytes bounds the size of messages between entry VMs.
+const maxBodyBytes = 64 << 10
 
-// Parts are what the control interface shows.
-type Parts struct {
-	Beat    *heartbeat.Tracker
-	Peers   *peer.Client
-	Claims  *claims.Claimer
-	Explain *explain.Recorder
-	Metrics *metric.Set
-	Config  func() api.ObjectList
-	Status  func() api.NodeStatus
+// Options are the components that the control interface exposes.
+type Options struct {
+	Heartbeats *heartbeat.Tracker
+	Peers      *peer.Client
+	Claims     *claims.Claimer
+	Explain    *explain.Recorder
+	Metrics    *metric.Set
+	Config     func() api.ObjectList
+	Status     func() api.NodeStatus
 }
 
-// Server serves peers and operators.
+// Server handles the requests of peers and operators.
 type Server struct {
-	Parts
+	Options
 }
 
-// New makes the control interface.
-func New(p Parts) *Server {
-	return &Server{Parts: p}
+// New creates the control interface.
+func New(p Options) *Server {
+	return &Server{Options: p}
 }
 
-// Handler routes the control interface.
+// Handler returns the routes of the control interface.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post(peer.PathHeartbeat, s.heartbeat)
@@ -62,16 +62,16 @@
 
 func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
 	var b api.Heartbeat
-	if err := wire.Read(w, r, bodyLimit, &b); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &b); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	own, err := s.Beat.HandleHeartbeat(b)
+	reply, err := s.Heartbeats.HandleHeartbeat(b)
 	if err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
-	wire.Write(w, http.StatusOK, own)
+	wire.Write(w, http.StatusOK, reply)
 }
 
 func (s *Server) config(w http.ResponseWriter, _ *http.Request) {
@@ -80,23 +80,24 @@
 
 func (s *Server) attempt(w http.ResponseWriter, r *http.Request) {
 	var q api.AttemptQuery
-	if err := wire.Read(w, r, bodyLimit, &q); err != nil {
+	if err := wire.Read(w, r, maxBodyBytes, &q); err != nil {
 		wire.Refuse(w, fault.From(err), "")
 		return
 	}
 	if q.Protocol != member.Protocol {
-		wire.Refuse(w, fault.New(fault.PeerProtocol, "this entry VM speaks another protocol version"), "")
+		wire.Refuse(w, fault.New(fault.PeerProtocol, "this entry VM uses another protocol version"), "")
 		return
 	}
 	wire.Write(w, http.StatusOK, api.AttemptAnswer{Released: s.Claims.Release(q)})
 }
 
-// explain tells of a request, also of one that a peer handled.
+// explain returns the record of a request. It queries the peers for a request that
+// they handled, unless the query says alone=true.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	id := api.RequestID(chi.URLParam(r, "request"))
 	e, err := s.Explain.Find(id)
 	if err != nil && r.URL.Query().Get("alone") != "true" {
-		e, err = s.ask(r.Context(), id, err)
+		e, err = s.queryPeers(r.Context(), id, err)
 	}
 	if err != nil {
 		wire.Refuse(w, fault.From(err), id)
@@ -105,8 +106,10 @@
 	wire.Write(w, http.StatusOK, e)
 }
 
-func (s *Server) ask(ctx context.Context, id api.RequestID, unknown error) (api.Explanation, error) {
-	for _, a := range s.Beat.Addresses() {
+// queryPeers returns the first record of a request that a peer has, or the error
+// unknown.
+func (s *Server) queryPeers(ctx context.Context, id api.RequestID, unknown error) (api.Explanation, error) {
+	for _, a := range s.Heartbeats.Addresses() {
 		if e, err := s.Peers.Explain(ctx, a, id, true); err == nil {
 			return e, nil
 		}
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -15,31 +15,30 @@
 	body io.ReadCloser
 }
 
-// beforeRead calls a function before each read, which may block, and keeps
-// its failure.
-type beforeRead struct {
+// idleReader calls idle before each read, which may block, and stores its error.
+type idleReader struct {
 	reader io.Reader
 	idle   func() error
-	failed error
+	err    error
 }
 
-// Read calls the function, then reads.
-func (b *beforeRead) Read(p []byte) (int, error) {
-	if b.failed = b.idle(); b.failed != nil {
-		return 0, b.failed
+// Read calls idle, then reads.
+func (b *idleReader) Read(p []byte) (int, error) {
+	if b.err = b.idle(); b.err != nil {
+		return 0, b.err
 	}
 	return b.reader.Read(p)
 }
 
-// Each calls take for each event until it returns false. It calls idle
-// whenever all events that arrived have been taken, before it waits for more.
-// It returns nil only if take ended it, and the failure of idle or take as it is.
-func (s *Stream) Each(idle func() error, take func(api.TokenEvent) (bool, error)) error {
+// Each calls handle for each event until it returns false. It calls idle whenever
+// all received events have been handled, before it waits for more. It returns nil
+// only if handle ended it; errors of idle and handle are returned unchanged.
+func (s *Stream) Each(idle func() error, handle func(api.TokenEvent) (bool, error)) error {
 	var out error = fault.Wrap(fault.BadAnswer, io.ErrUnexpectedEOF, "the stream ended early")
-	r := &beforeRead{reader: s.body, idle: idle}
+	r := &idleReader{reader: s.body, idle: idle}
 	sse.Read(r, nil)(func(e sse.Event, err error) bool {
-		if r.failed != nil {
-			out = r.failed
+		if r.err != nil {
+			out = r.err
 			return false
 		}
 		if err != nil {
@@ -48,10 +47,10 @@
 		}
 		var t api.TokenEvent
 		if err := json.Unmarshal([]byte(e.Data), &t); err != nil {
-			out = fault.Wrap(fault.BadAnswer, err, "an event is not the JSON expected")
+			out = fault.Wrap(fault.BadAnswer, err, "an event is not the expected JSON")
 			return false
 		}
-		more, err := take(t)
+		more, err := handle(t)
 		if err != nil || !more {
 			out = err
 			return false
@@ -66,7 +65,7 @@
 	_ = s.body.Close()
 }
 
-// NewStream makes a stream of an open body.
+// NewStream creates a stream that reads from an open response body.
 func NewStream(b io.ReadCloser) *Stream {
 	return &Stream{body: b}
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -56,7 +56,7 @@
 		kind:      defaultKind,
 		started:   time.Now(),
 	}
-	s.Explain.Open(q.id, w.Name)
+	s.Explain.Begin(q.id, w.Name)
 	for _, f := range []func(*request, http.Header) error{s.readDeadline, readPriority, readKind, readNotRepeatable} {
 		if err := f(q, r.Header); err != nil {
 			return q, err
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -22,10 +22,10 @@
 	"github.com/wardridge/wardridge/internal/decide/limit"
 	"github.com/wardridge/wardridge/internal/decide/retry"
 	"github.com/wardridge/wardridge/internal/duty"
-	"github.com/wardridge/wardridge/internal/ending"
 	"github.com/wardridge/wardridge/internal/engine"
 	"github.com/wardridge/wardridge/internal/event"
 	"github.com/wardridge/wardridge/internal/explain"
+	"github.com/wardridge/wardridge/internal/failure"
 	"github.com/wardridge/wardridge/internal/fault"
 	"github.com/wardridge/wardridge/internal/lifecycle"
 	"github.com/wardridge/wardridge/internal/metric"
@@ -213,7 +213,7 @@
 	s.limitMutex.Lock()
 	defer s.limitMutex.Unlock()
 	if d, ok := s.limiter.Acquire(time.Now(), w.Name, b); !ok {
-		return nil, fault.New(fault.LimitReached, "the workspace has reached its limit").After(max(d, time.Millisecond))
+		return nil, fault.New(fault.LimitReached, "the workspace has reached its limit").WithRetryAfter(max(d, time.Millisecond))
 	}
 	return func() {
 		s.limitMutex.Lock()
@@ -262,14 +262,14 @@
 
 // recordFailure counts and logs a request that failed.
 func (s *Server) recordFailure(f *fault.Error, id api.RequestID) {
-	e, m := ending.Of(f)
+	e, m := failure.Classify(f)
 	s.Metrics.Add(m, 1)
 	s.Log.Emit(e, zap.String("request", string(id)), zap.String("type", f.Code.Kind().Type), zap.Int("code", int(f.Code)), zap.String("ran", string(f.Ran)), zap.Error(f))
 }
 
 // explain adds a step to the explanation of a request.
 func (s *Server) explain(q *request, step, detail string) {
-	s.Explain.Note(q.id, step, detail)
+	s.Explain.Record(q.id, step, detail)
 }
 
 // detached returns a context for a short call that should complete even if the caller has
--- a/internal/explain/recorder.go
+++ b/internal/explain/recorder.go
@@ -8,10 +8,10 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// perRequest bounds the decisions kept of one request.
-const perRequest = 64
+// maxDecisions bounds the decisions recorded for one request.
+const maxDecisions = 64
 
-// Recorder keeps the decisions of the last requests.
+// Recorder holds the decisions of the most recent requests.
 type Recorder struct {
 	vm    api.VMName
 	mutex sync.Mutex
@@ -20,13 +20,13 @@
 	byID  map[api.RequestID]*api.Explanation
 }
 
-// New makes a recorder for so many requests.
+// New creates a recorder that holds the last n requests.
 func New(vm api.VMName, n int) *Recorder {
 	return &Recorder{vm: vm, ring: make([]api.RequestID, n), byID: make(map[api.RequestID]*api.Explanation)}
 }
 
-// Open begins the record of a request, in place of the oldest.
-func (r *Recorder) Open(id api.RequestID, w api.WorkspaceName) {
+// Begin starts the record of a request, which replaces the oldest record.
+func (r *Recorder) Begin(id api.RequestID, w api.WorkspaceName) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.byID, r.ring[r.next])
@@ -35,25 +35,26 @@
 	r.byID[id] = &api.Explanation{Request: id, VM: r.vm, Workspace: w, Decisions: []api.Decision{}}
 }
 
-// Note adds a decision to a request's record.
-func (r *Recorder) Note(id api.RequestID, step, detail string) {
+// Record adds a decision to a request's record; it does nothing if there is no
+// record or the record is full.
+func (r *Recorder) Record(id api.RequestID, step, detail string) {
 	now := api.UnixMilliseconds(time.Now())
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, ok := r.byID[id]
-	if !ok || len(e.Decisions) >= perRequest {
+	if !ok || len(e.Decisions) >= maxDecisions {
 		return
 	}
 	e.Decisions = append(e.Decisions, api.Decision{TimeMS: now, Step: step, Detail: detail})
 }
 
-// Find gives a copy of a request's record.
+// Find returns a copy of a request's record.
 func (r *Recorder) Find(id api.RequestID) (api.Explanation, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, ok := r.byID[id]
 	if !ok {
-		return api.Explanation{}, fault.New(fault.UnknownRequest, "no record of request "+string(id)+" is kept here")
+		return api.Explanation{}, fault.New(fault.UnknownRequest, "no record of request "+string(id)+" on this entry VM")
 	}
 	c := *e
 	c.Decisions = append([]api.Decision{}, e.Decisions...)
--- a/internal/explain/recorder_test.go
+++ b/internal/explain/recorder_test.go
@@ -8,26 +8,26 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-func TestRecorderKeepsTheLastRequests(t *testing.T) {
+func TestRecorderHoldsOnlyTheLastRequests(t *testing.T) {
 	r := explain.New("a", 2)
 	for _, id := range []string{"1", "2", "3"} {
-		r.Open(api.RequestID(id), "w")
-		r.Note(api.RequestID(id), "start", "room at once")
+		r.Begin(api.RequestID(id), "w")
+		r.Record(api.RequestID(id), "start", "capacity at once")
 	}
 	if _, err := r.Find("1"); !fault.Has(err, fault.UnknownRequest) {
-		t.Errorf("oldest: got %v, want unknown_request", err)
+		t.Errorf("oldest request: got %v, want unknown_request", err)
 	}
 	e, err := r.Find("3")
 	if err != nil || len(e.Decisions) != 1 {
-		t.Errorf("newest: got %+v, %v, want one decision", e, err)
+		t.Errorf("newest request: got %+v, %v, want one decision", e, err)
 	}
 }
 
 func TestRecordOfOneRequestIsBounded(t *testing.T) {
 	r := explain.New("a", 1)
-	r.Open("1", "w")
+	r.Begin("1", "w")
 	for range 1000 {
-		r.Note("1", "resume", "again")
+		r.Record("1", "resume", "again")
 	}
 	e, _ := r.Find("1")
 	if got, want := len(e.Decisions), 64; got != want {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -235,7 +235,7 @@
 // lifecycle.Life. It drops the configuration if the queue is full.
 func (f *Follower) OfferFromPeer(l api.ObjectList, sent time.Time) {
 	if !f.updates.Offer(update{list: &l, requestedAt: sent, fromPeer: true}) {
-		f.metrics.Add(metric.EventsDropped, 1)
+		f.metrics.Add(metric.ItemsDropped, 1)
 	}
 }
 
@@ -325,7 +325,7 @@
 	v := *f.view.Load()
 	v.Version = f.store.Version()
 	f.view.Store(&v)
-	f.metrics.Put(metric.ConfigVersion, int64(v.Version))
+	f.metrics.Set(metric.ConfigVersion, int64(v.Version))
 }
 
 // publish passes a view to the view functions and then brings it into force. It logs the objects
@@ -338,6 +338,6 @@
 		t(v)
 	}
 	f.view.Store(v)
-	f.metrics.Put(metric.ConfigVersion, int64(v.Version))
+	f.metrics.Set(metric.ConfigVersion, int64(v.Version))
 	f.log.Emit(event.ConfigApplied, zap.Stringer("version", v.Version))
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -190,7 +190,7 @@
 
 // sendAttempt sends a request to one server.
 func (g *Gateway) sendAttempt(ctx context.Context, q *request, s roster.Server, b *backup) (port.Answer, error) {
-	left := q.deadline.Left()
+	left := q.deadline.Remaining()
 	if q.route.Kind == directory.Safe && len(q.tried) < q.route.MaxServers && q.route.LatencyTarget > 0 {
 		left = min(left, time.Duration(hangFactor*float64(q.route.LatencyTarget)))
 		c, cancel := context.WithTimeout(ctx, left)
@@ -209,7 +209,7 @@
 // backup, if there is one, is to hold a backup copy of the run.
 func (q *request) newAttempt(s roster.Server, b *backup) port.Attempt {
 	a := port.Attempt{
-		Request: q.Request, Server: s, Workspace: q.workspace.Name, Timeout: q.deadline.Left(),
+		Request: q.Request, Server: s, Workspace: q.workspace.Name, Timeout: q.deadline.Remaining(),
 		Stream: q.route.Kind == directory.Stream,
 	}
 	if b != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,8 +24,8 @@
 	"github.com/wardridge/wardridge/internal/decide/silence"
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 	"github.com/wardridge/wardridge/internal/duty"
-	"github.com/wardridge/wardridge/internal/ending"
 	"github.com/wardridge/wardridge/internal/event"
+	"github.com/wardridge/wardridge/internal/failure"
 	"github.com/wardridge/wardridge/internal/fault"
 	"github.com/wardridge/wardridge/internal/metric"
 	"github.com/wardridge/wardridge/internal/port"
@@ -232,7 +232,7 @@
 func (g *Gateway) resolve(r *port.Request, s port.Sink) (*request, *fault.Error) {
 	d := g.directory.Load()
 	if d == nil {
-		return nil, fault.New(fault.Starting, "this entry VM knows no configuration yet").After(startRetryAfter)
+		return nil, fault.New(fault.Starting, "this entry VM knows no configuration yet").WithRetryAfter(startRetryAfter)
 	}
 	x, f := d.Route(r.Host, r.Path)
 	if f != nil {
@@ -245,7 +245,7 @@
 	n := x.Choose(rand.Float64())
 	v, ok := d.Service(n)
 	if !ok {
-		return nil, fault.New(fault.NoServer, "the route's service is not configured").After(startRetryAfter)
+		return nil, fault.New(fault.NoServer, "the route's service is not configured").WithRetryAfter(startRetryAfter)
 	}
 	if f := g.checkStop(r, x); f != nil {
 		return nil, f
@@ -293,7 +293,7 @@
 	if accepts {
 		return nil
 	}
-	return fault.New(fault.Stopping, "this entry VM is stopping and would end before the request").After(stopRetryAfter)
+	return fault.New(fault.Stopping, "this entry VM is stopping and would end before the request").WithRetryAfter(stopRetryAfter)
 }
 
 // fail refuses a request whose route is known, and logs the servers that were chosen for it.
@@ -313,7 +313,7 @@
 
 // refuse answers a request that no server answered, and logs the fault with more fields.
 func (g *Gateway) refuse(r *port.Request, s port.Sink, f *fault.Error, known ...zap.Field) {
-	e, m := ending.Of(f)
+	e, m := failure.Classify(f)
 	g.Metrics.Add(m, 1)
 	l := []zap.Field{zap.String("request", string(r.ID)), zap.String("type", f.Code.Kind().Type), zap.String("ran", string(f.Ran)), zap.Error(f)}
 	g.Log.Emit(e, append(l, known...)...)
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -97,7 +97,7 @@
 	if ctx.Err() != nil {
 		return assignment{fault: waitFault(ctx)}
 	}
-	g.Metrics.Add(metric.PlacedAlone, 1)
+	g.Metrics.Add(metric.PlacedWithoutAllocator, 1)
 	g.markLate(&d)
 	return g.placeLocally(ctx, d)
 }
@@ -220,7 +220,7 @@
 func (g *Gateway) acceptAnswer(d demand, r api.PlaceAnswer) (assignment, bool) {
 	if x := r.Refused; x != nil {
 		return assignment{
-			fault:    fault.New(fault.Code(x.Code), x.Detail).After(x.RetryAfterMS.Duration()),
+			fault:    fault.New(fault.Code(x.Code), x.Detail).WithRetryAfter(x.RetryAfterMS.Duration()),
 			forecast: backlog.Forecast{Waiting: x.Waiting, Wait: x.ForecastMS.Duration(), MaxWait: x.PatienceMS.Duration(), LateInOverload: x.Behind},
 		}, true
 	}
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -66,9 +66,9 @@
 // start, or operators have closed the failure domains of all.
 func (g *Gateway) noCapacity(now time.Time, a *admission, d demand) *fault.Error {
 	if !g.hasAvailableServer(d.service.Name) {
-		return fault.New(fault.NoServer, "no server of the service takes requests").After(noServerRetryAfter)
+		return fault.New(fault.NoServer, "no server of the service takes requests").WithRetryAfter(noServerRetryAfter)
 	}
-	return fault.New(fault.QueueFull, "no server is expected to have capacity in time").After(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
+	return fault.New(fault.QueueFull, "no server is expected to have capacity in time").WithRetryAfter(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
 }
 
 // hasAvailableServer reports whether a server of a service accepts requests; the mutex is held.
@@ -150,7 +150,7 @@
 func (g *Gateway) AdmitWaiting() {
 	g.mutex.Lock()
 	g.admitWaiting(time.Now())
-	g.Metrics.Put(metric.RequestsWaiting, int64(g.countWaiting()))
+	g.Metrics.Set(metric.RequestsWaiting, int64(g.countWaiting()))
 	g.mutex.Unlock()
 	g.reportDue()
 }
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -111,7 +111,7 @@
 	if c, ok := t.members.HandleHeartbeat(time.Now(), b); ok {
 		t.log.Emit(event.PeerJoined, zap.String("vm", string(c.VM)))
 	}
-	t.metrics.Put(metric.MembersServing, int64(t.members.ServingCount()))
+	t.metrics.Set(metric.MembersServing, int64(t.members.ServingCount()))
 }
 
 // detectLost logs the peers whose last heartbeat is too old.
@@ -121,7 +121,7 @@
 	for _, c := range t.members.DetectLost(time.Now()) {
 		t.log.Emit(event.PeerLost, zap.String("vm", string(c.VM)))
 	}
-	t.metrics.Put(metric.MembersServing, int64(t.members.ServingCount()))
+	t.metrics.Set(metric.MembersServing, int64(t.members.ServingCount()))
 }
 
 // HandleHeartbeat answers a peer's heartbeat with that of this entry VM. It refuses a peer that uses
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -84,11 +84,11 @@
 	defer t.mutex.Unlock()
 	switch {
 	case t.state == api.PeerStateStarting:
-		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").After(retryAfter)
+		return nil, fault.New(fault.Starting, "this entry VM has no configuration yet").WithRetryAfter(retryAfter)
 	case t.admissionClosed:
-		return nil, fault.New(fault.Stopping, "this entry VM is stopping").After(retryAfter)
+		return nil, fault.New(fault.Stopping, "this entry VM is stopping").WithRetryAfter(retryAfter)
 	case !t.view.Usable(t.now()):
-		return nil, fault.New(fault.Starting, "this entry VM was suspended and has to confirm its configuration").After(retryAfter)
+		return nil, fault.New(fault.Starting, "this entry VM was suspended and has to confirm its configuration").WithRetryAfter(retryAfter)
 	}
 	t.inFlight++
 	return t.finish, nil
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -67,7 +67,7 @@
 
 type classSummary struct {
 	requests, complete        int
-	firstTokens, gaps, stalls *quantile.Times
+	firstTokens, gaps, stalls *quantile.Histogram
 	stall                     time.Duration
 }
 
--- a/internal/loganalysis/summary.go
+++ b/internal/loganalysis/summary.go
@@ -71,8 +71,8 @@
 // aggregator collects a summary line by line.
 type aggregator struct {
 	ends, silent counts
-	first, pause *quantile.Times
-	resumes      map[string]*quantile.Times
+	first, pause *quantile.Histogram
+	resumes      map[string]*quantile.Histogram
 	// moves holds the last step of each move, by request and source server. leaving holds
 	// the servers that an entry VM knew to be leaving.
 	moves   map[serverKey]string
@@ -89,7 +89,7 @@
 func Summarize(all []Line) Summary {
 	a := &aggregator{
 		ends: counts{}, silent: counts{}, first: quantile.New(), pause: quantile.New(),
-		resumes: map[string]*quantile.Times{}, moves: map[serverKey]string{}, leaving: map[serverKey]bool{},
+		resumes: map[string]*quantile.Histogram{}, moves: map[serverKey]string{}, leaving: map[serverKey]bool{},
 	}
 	l := slices.Clone(all)
 	sortLines(l)
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -18,11 +18,11 @@
 	Goodput float64
 	// StallTotal is the sum of the stalls of all complete streams.
 	StallTotal  time.Duration
-	gaps        *quantile.Times
-	stalls      *quantile.Times
-	firstTokens *quantile.Times
+	gaps        *quantile.Histogram
+	stalls      *quantile.Histogram
+	firstTokens *quantile.Histogram
 	// interactiveFirstTokens are the times to first token of interactive requests.
-	interactiveFirstTokens *quantile.Times
+	interactiveFirstTokens *quantile.Histogram
 	goodTokens             int
 	classes                map[string]*classResult
 }
@@ -34,7 +34,7 @@
 // classResult holds the outcomes of one class of requests.
 type classResult struct {
 	requests, complete int
-	firstTokens        *quantile.Times
+	firstTokens        *quantile.Histogram
 }
 
 func (r *Result) classOf(q *request) *classResult {
@@ -138,10 +138,10 @@
 	n := float64(max(r.Requests, 1))
 	taken := float64(max(r.Requests-r.Refused, 1))
 	return Figures{
-		StallP50: r.stalls.At(50), StallP99: r.stalls.At(99), StallTotal: r.StallTotal.Seconds(),
+		StallP50: r.stalls.Percentile(50), StallP99: r.stalls.Percentile(99), StallTotal: r.StallTotal.Seconds(),
 		Preemptions: 1000 * float64(r.Preempted) / n,
-		GapP95:      r.gaps.At(95), GapP99: r.gaps.At(99), GapP999: r.gaps.At(99.9),
-		FirstP95: r.firstTokens.At(95), InteractiveFirstP95: r.interactiveFirstTokens.At(95), Goodput: r.Goodput,
+		GapP95:      r.gaps.Percentile(95), GapP99: r.gaps.Percentile(99), GapP999: r.gaps.Percentile(99.9),
+		FirstP95: r.firstTokens.Percentile(95), InteractiveFirstP95: r.interactiveFirstTokens.Percentile(95), Goodput: r.Goodput,
 		Refused: 100 * float64(r.Refused) / n, Lost: 100 * float64(r.Lost) / n,
 		AttemptsPerAdmitted: float64(r.Attempts) / taken,
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -185,7 +185,7 @@
 		}
 	}
 	m.live = live
-	m.Metrics.Put(metric.MembersServing, int64(1+len(live)))
+	m.Metrics.Set(metric.MembersServing, int64(1+len(live)))
 }
 
 // NoPeerInformed reports whether no live peer gets the changes on the platform.
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -328,7 +328,7 @@
 	h.detectSuspension()
 	h.gateway.Maintain()
 	h.gateway.Contents.ProbeServers(h.group, connectCheck(h.Machine.Dial, h.gateway.ServerAddress))
-	h.Metrics.Put(metric.RequestsInFlight, int64(h.gateway.InFlight()))
+	h.Metrics.Set(metric.RequestsInFlight, int64(h.gateway.InFlight()))
 	if h.platformSilent() {
 		h.gateway.QueryLeaving()
 	}
@@ -352,7 +352,7 @@
 // detectSuspension checks whether the VM was suspended. If so, it refreshes all mirrors
 // at once, since answers to calls from before the suspension may be outdated.
 func (h *HostedContext) detectSuspension() {
-	d := h.deadlines.Check()
+	d := h.deadlines.AdvanceSuspended()
 	if d == 0 {
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -94,8 +94,8 @@
 // tick ends the waits of requests that have timed out and updates the metrics.
 func (c *Context) tick(context.Context) {
 	c.Broker.Tick()
-	c.Metrics.Put(metric.RequestsWaiting, int64(c.Broker.Waiting()))
-	c.Metrics.Put(metric.RequestsInFlight, int64(c.Lifecycle.InFlight()))
+	c.Metrics.Set(metric.RequestsWaiting, int64(c.Broker.Waiting()))
+	c.Metrics.Set(metric.RequestsInFlight, int64(c.Lifecycle.InFlight()))
 }
 
 // serverAddress returns the address of a declared backend server.
@@ -112,7 +112,7 @@
 		c.Log.Emit(event.ClockJump)
 		c.confirmConfig(ctx)
 	}
-	c.Deadlines.Check()
+	c.Deadlines.AdvanceSuspended()
 	c.Contents.Step()
 	c.Contents.ProbeServers(c.Group, connectCheck(c.Machine.Dial, c.serverAddress))
 	c.Entry.SetMembers(c.Heartbeats.ServingCount())
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -68,8 +68,8 @@
 	c.cleanup(closer)
 	c.SingleUseClient, closer = wire.NewClientWithDial(c.Machine.Dial, false)
 	c.cleanup(closer)
-	c.Platform = objectapi.Over(c.KeepAliveClient, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
-	c.Engines = engine.Over(c.KeepAliveClient, dialTimeout)
+	c.Platform = objectapi.NewWithClient(c.KeepAliveClient, c.Settings.Platform.Address, c.Settings.Platform.TimeoutMS.Duration())
+	c.Engines = engine.NewWithClient(c.KeepAliveClient, dialTimeout)
 	c.Peers = peer.NewWithClient(c.KeepAliveClient, peerTimeout)
 	return nil
 }
@@ -230,8 +230,8 @@
 func (servers) String() string { return "servers" }
 
 func (servers) Run(c *Context) error {
-	c.Control = control.New(control.Parts{
-		Beat: c.Heartbeats, Peers: c.Peers, Claims: c.Claims, Explain: c.Explain, Metrics: c.Metrics,
+	c.Control = control.New(control.Options{
+		Heartbeats: c.Heartbeats, Peers: c.Peers, Claims: c.Claims, Explain: c.Explain, Metrics: c.Metrics,
 		Config: c.Follower.List, Status: c.Status,
 	})
 	w := c.Settings.Entry.HeaderWaitMS.Duration()
--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -125,13 +125,13 @@
 	if r.Server != x.name {
 		return
 	}
-	p.metrics.Add(metric.ReportsTaken, 1)
+	p.metrics.Add(metric.LoadReports, 1)
 	p.recordReport(x, r)
 	p.mutex.Lock()
 	p.last[x.name] = r
 	p.mutex.Unlock()
 	if !p.reports.Offer(r) {
-		p.metrics.Add(metric.EventsDropped, 1)
+		p.metrics.Add(metric.ItemsDropped, 1)
 	}
 }
 
@@ -141,7 +141,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	p.metrics.Add(metric.ReportsFailed, 1)
+	p.metrics.Add(metric.LoadReportsFailed, 1)
 	if fault.Has(err, fault.NotStarted) {
 		p.onUnreachable(x.name, err)
 	}
--- a/internal/resource/file.go
+++ b/internal/resource/file.go
@@ -16,7 +16,7 @@
 	"github.com/wardridge/wardridge/schema"
 )
 
-// definitions names the schema of each kind that operators declare.
+// definitions maps each kind that operators declare to its schema definition.
 var definitions = map[api.ResourceKind]string{
 	api.ResourceKindModel:         "ModelSpec",
 	api.ResourceKindAdapter:       "AdapterSpec",
@@ -26,8 +26,8 @@
 	api.ResourceKindFailureDomain: "FailureDomainSpec",
 }
 
-// Decode checks a spec of a declared kind, fills its defaults in and stores
-// the result in out.
+// Decode validates the spec of a kind that operators declare, fills in defaults and
+// stores the result in out.
 func Decode(k api.ResourceKind, raw json.RawMessage, out any) error {
 	d, ok := definitions[k]
 	if !ok {
@@ -36,25 +36,25 @@
 	return schema.Decode(schema.ResourceFile, d, raw, out)
 }
 
-// Load reads and checks a YAML file of one or more resources; "-" is standard
+// Load reads and validates a YAML file of one or more resources; "-" is standard
 // input.
 func Load(path string) ([]api.Object, error) {
-	b, err := read(path)
+	b, err := readInput(path)
 	if err != nil {
 		return nil, fault.Wrap(fault.UnreadableFile, err, "reading "+path)
 	}
 	return Parse(path, b)
 }
 
-func read(path string) ([]byte, error) {
+func readInput(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(os.Stdin)
 	}
 	return os.ReadFile(path)
 }
 
-// Parse checks the text of a file; name is for messages. A failure names the
-// line that the resource begins at.
+// Parse reads and validates the resources in the text of a file; name stands for
+// the file in messages. An error names the line at which the resource begins.
 func Parse(name string, b []byte) ([]api.Object, error) {
 	var l []api.Object
 	d := yaml.NewDecoder(bytes.NewReader(b))
@@ -70,7 +70,7 @@
 		if len(n.Content) == 0 || n.Content[0].Tag == "!!null" {
 			continue
 		}
-		o, err := object(&n)
+		o, err := decodeObject(&n)
 		if err != nil {
 			return nil, fault.New(fault.InvalidResource, fmt.Sprintf("%s:%d: %s", name, n.Content[0].Line, err))
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-func object(n *yaml.Node) (api.Object, error) {
+func decodeObject(n *yaml.Node) (api.Object, error) {
 	var o api.Object
 	b, err := yaml.Marshal(n)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return o, Check(o)
 }
 
-// Check checks one resource's spec.
+// Check validates the spec of one resource.
 func Check(o api.Object) error {
 	var v any
 	if err := Decode(o.Kind, o.Spec, &v); err != nil {
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// Text writes a resource as YAML, so that it can be edited and applied.
-func Text(o api.Object) string {
+// FormatYAML returns a resource as YAML that can be edited and applied.
+func FormatYAML(o api.Object) string {
 	b, err := jsonyaml.Marshal(o)
 	if err != nil {
 		return ""
