--- a/internal/catalogue/pages.go
+++ b/internal/catalogue/pages.go
@@ -74,7 +74,7 @@
 	var b strings.Builder
 	b.WriteString("# Settings\n\nAn entry VM reads one INI file, checked at its start; a mistake is shown with its\nline and the allowed values. `wardctl check FILE.ini` checks one without starting.\n" + note)
 	for _, s := range schema.Properties(schema.SettingsFile, "Settings") {
-		fmt.Fprintf(&b, "## [%s]\n\n%s\n\n", s.Name, s.Help)
+		fmt.Fprintf(&b, "## [%s]\n\n%s\n\n", s.Name, s.Description)
 		properties(&b, schema.SettingsFile, s.Ref)
 	}
 	return b.String()
@@ -103,7 +103,7 @@
 		if p.Default != nil {
 			d = fmt.Sprintf("`%v`", p.Default)
 		}
-		row(b, "`"+p.Name+"`", d, strings.TrimPrefix(strings.TrimPrefix(settings.DescribeAllowed(p), "allowed are "), "allowed is "), p.Help)
+		row(b, "`"+p.Name+"`", d, strings.TrimPrefix(strings.TrimPrefix(settings.DescribeAllowed(p), "allowed are "), "allowed is "), p.Description)
 	}
 	b.WriteString("\n")
 }
--- a/schema/schema.go
+++ b/schema/schema.go
@@ -58,7 +58,7 @@
 	err      error
 }
 
-var load = sync.OnceValue(func() *catalogue {
+var loadCatalogue = sync.OnceValue(func() *catalogue {
 	c := &catalogue{docs: map[string]map[string]any{}, compiler: jsonschema.NewCompiler()}
 	n, err := fs.Glob(sources, "*.yaml")
 	if err != nil {
@@ -66,7 +66,7 @@
 		return c
 	}
 	for _, f := range n {
-		if err := c.add(f); err != nil {
+		if err := c.addSource(f); err != nil {
 			c.err = err
 			return c
 		}
@@ -74,7 +74,7 @@
 	return c
 })
 
-func (c *catalogue) add(f string) error {
+func (c *catalogue) addSource(f string) error {
 	b, err := sources.ReadFile(f)
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 // Decode checks raw JSON against a definition, fills its defaults in and
 // stores the result in out; it returns *Error for a document that does not fit.
 func Decode(file, def string, raw []byte, out any) error {
-	c := load()
+	c := loadCatalogue()
 	if c.err != nil {
 		return c.err
 	}
@@ -133,9 +133,9 @@
 		return &Error{Problems: []Problem{{Detail: "malformed JSON: " + err.Error()}}}
 	}
 	if err := s.Validate(d); err != nil {
-		return explain(err)
+		return toError(err)
 	}
-	c.fill(file, c.def(file, def), d)
+	c.fillDefaults(file, c.definition(file, def), d)
 	b, err := json.Marshal(d)
 	if err != nil {
 		return err
@@ -143,14 +143,14 @@
 	return json.Unmarshal(b, out)
 }
 
-func (c *catalogue) def(file, name string) map[string]any {
+func (c *catalogue) definition(file, name string) map[string]any {
 	d, _ := c.docs[file]["$defs"].(map[string]any)
 	m, _ := d[name].(map[string]any)
 	return m
 }
 
-// fill sets the defaults of absent properties, also in nested objects.
-func (c *catalogue) fill(file string, s map[string]any, doc any) {
+// fillDefaults sets the defaults of absent properties, also in nested objects.
+func (c *catalogue) fillDefaults(file string, s map[string]any, doc any) {
 	m, ok := doc.(map[string]any)
 	if !ok {
 		return
@@ -163,27 +163,27 @@
 			if !ok {
 				continue
 			}
-			m[k] = clone(v)
+			m[k] = cloneDefault(v)
 		}
-		f, t := c.follow(file, q)
-		c.fill(f, t, m[k])
+		f, t := c.resolveRef(file, q)
+		c.fillDefaults(f, t, m[k])
 	}
 }
 
-// clone copies a default, as nested defaults are filled into it.
-func clone(v any) any {
+// cloneDefault copies a default, as nested defaults are filled into it.
+func cloneDefault(v any) any {
 	m, ok := v.(map[string]any)
 	if !ok {
 		return v
 	}
 	n := make(map[string]any, len(m))
 	for k, x := range m {
-		n[k] = clone(x)
+		n[k] = cloneDefault(x)
 	}
 	return n
 }
 
-func (c *catalogue) follow(file string, s map[string]any) (string, map[string]any) {
+func (c *catalogue) resolveRef(file string, s map[string]any) (string, map[string]any) {
 	r, ok := s["$ref"].(string)
 	if !ok {
 		return file, s
@@ -192,49 +192,49 @@
 	if f == "" {
 		f = file
 	}
-	return f, c.def(f, n)
+	return f, c.definition(f, n)
 }
 
-func explain(err error) error {
+func toError(err error) error {
 	v, ok := err.(*jsonschema.ValidationError)
 	if !ok {
 		return err
 	}
 	e := &Error{}
-	collect(v, e)
+	collectProblems(v, e)
 	sort.SliceStable(e.Problems, func(i, j int) bool {
 		return e.Problems[i].String() < e.Problems[j].String()
 	})
 	return e
 }
 
-func collect(v *jsonschema.ValidationError, e *Error) {
+func collectProblems(v *jsonschema.ValidationError, e *Error) {
 	if len(v.Causes) == 0 {
 		d := v.ErrorKind.LocalizedString(message.NewPrinter(language.English))
 		e.Problems = append(e.Problems, Problem{Path: v.InstanceLocation, Detail: d})
 		return
 	}
 	for _, c := range v.Causes {
-		collect(c, e)
+		collectProblems(c, e)
 	}
 }
 
 // Property is one property of a definition, for messages and pages.
 type Property struct {
-	Name    string
-	Type    string
-	Help    string
-	Default any
-	Allowed []any
-	Minimum any
-	Maximum any
-	Ref     string
+	Name        string
+	Type        string
+	Description string
+	Default     any
+	Allowed     []any
+	Minimum     any
+	Maximum     any
+	Ref         string
 }
 
 // Properties lists the properties of a definition in order of name.
 func Properties(file, def string) []Property {
-	c := load()
-	p, _ := c.def(file, def)["properties"].(map[string]any)
+	c := loadCatalogue()
+	p, _ := c.definition(file, def)["properties"].(map[string]any)
 	l := make([]Property, 0, len(p))
 	for k, v := range p {
 		l = append(l, c.property(file, k, v.(map[string]any)))
@@ -244,20 +244,20 @@
 }
 
 func (c *catalogue) property(file, name string, s map[string]any) Property {
-	_, t := c.follow(file, s)
+	_, t := c.resolveRef(file, s)
 	p := Property{Name: name, Default: s["default"]}
-	p.Help, _ = s["description"].(string)
+	p.Description, _ = s["description"].(string)
 	p.Type, _ = t["type"].(string)
 	p.Allowed, _ = t["enum"].([]any)
-	p.Minimum = first(s["minimum"], t["minimum"])
-	p.Maximum = first(s["maximum"], t["maximum"])
+	p.Minimum = firstNonNil(s["minimum"], t["minimum"])
+	p.Maximum = firstNonNil(s["maximum"], t["maximum"])
 	if r, ok := s["$ref"].(string); ok {
 		_, p.Ref, _ = strings.Cut(r, "#/$defs/")
 	}
 	return p
 }
 
-func first(l ...any) any {
+func firstNonNil(l ...any) any {
 	for _, v := range l {
 		if v != nil {
 			return v
