--- a/internal/api/api_gen.go
+++ b/internal/api/api_gen.go
@@ -4,95 +4,96 @@
 
 import "encoding/json"
 
-// AdapterName names an adapter of a model.
+// AdapterName is the name of an adapter of a model.
 type AdapterName string
 
 // AdapterSpec declares an adapter of a model.
 type AdapterSpec struct {
-	// Model it adapts.
+	// Model that the adapter belongs to.
 	Model ModelName `json:"model"`
 
 	// Size of the weights, MB.
 	SizeMB int `json:"size_mb,omitempty,omitzero"`
 
-	// Weights is the version in the weight store.
+	// Version of the weights in the weight store.
 	Weights string `json:"weights"`
 }
 
-// AttemptAnswer tells whether the attempt was given up unsent.
+// AttemptAnswer states whether the attempt was abandoned before it was sent.
 type AttemptAnswer struct {
-	// Whether it was not sent and never will be.
+	// Whether the attempt was not sent and never will be.
 	Released bool `json:"released"`
 }
 
-// AttemptQuery asks a claim's owner to give up an attempt it has not sent.
+// AttemptQuery requests the owner of a claim to abandon an attempt that it has not
+// sent.
 type AttemptQuery struct {
 	// Name of the claim.
 	Claim string `json:"claim"`
 
-	// Life of the owner that made it.
+	// Incarnation of the owner that made the claim.
 	Incarnation Incarnation `json:"incarnation"`
 
 	// Version of the protocol between entry VMs.
 	Protocol int `json:"protocol"`
 
-	// Request that made the claim.
+	// ID of the request that made the claim.
 	Request RequestID `json:"request"`
 }
 
 // BackendServerSpec declares a backend server.
 type BackendServerSpec struct {
-	// Adapters an engine has to load.
+	// Adapters that an engine must load.
 	Adapters []AdapterName `json:"adapters,omitempty,omitzero"`
 
 	// IP address and port.
 	Address string `json:"address"`
 
-	// Whether it refuses orders with an old fence.
+	// Whether the server refuses orders with an old fence.
 	ChecksFence bool `json:"checks_fence,omitempty,omitzero"`
 
-	// Failure domain it stands in.
+	// Failure domain of the server.
 	Domain DomainName `json:"domain"`
 
-	// Models an engine has to load.
+	// Models that an engine must load.
 	Models []ModelName `json:"models,omitempty,omitzero"`
 
-	// Role of an engine.
+	// Role of the server if it is an engine.
 	Role EngineRole `json:"role,omitempty,omitzero"`
 
-	// Draining takes no new work.
+	// Declared state; a draining server gets no new requests.
 	State ServerState `json:"state,omitempty,omitzero"`
 
 	// Type of the server.
 	Type ServerType `json:"type"`
 }
 
-// Birth is the time at which a life of a backend server began, in Unix ms; zero
-// where it is not told.
+// Birth is the time at which an incarnation of a backend server started, in Unix
+// ms; 0 if the server does not report it.
 type Birth int
 
-// CacheEvent tells that a prefix entered or left an engine's cache.
+// CacheEvent reports that a prefix was added to or removed from an engine's cache.
 type CacheEvent struct {
-	// Prefix key.
+	// Key of the prefix.
 	Prefix string `json:"prefix"`
 
-	// Sequence number; gaps are lost events.
+	// Sequence number; a gap means that events were lost.
 	Seq int `json:"seq"`
 
-	// Whether it was stored or removed.
+	// Whether the prefix was added; false if it was removed.
 	Stored bool `json:"stored"`
 }
 
 // CacheEventList is the answer to a poll for cache events.
 type CacheEventList struct {
-	// Events in order.
+	// Events in order of sequence number.
 	Events []CacheEvent `json:"events"`
 
-	// Sequence number to poll from next.
+	// Sequence number to start the next poll from.
 	Next int `json:"next"`
 }
 
-// CallRule marks calls of a plain service.
+// CallRule selects calls of a plain service by method and path.
 type CallRule struct {
 	// HTTP method.
 	Method CallRuleMethod `json:"method"`
@@ -111,7 +112,7 @@
 
 // Change is one event of a watch.
 type Change struct {
-	// Whether the object is gone.
+	// Whether the object was deleted.
 	Deleted bool `json:"deleted,omitempty,omitzero"`
 
 	// Object after the change.
@@ -121,76 +122,76 @@
 	Version Version `json:"version"`
 }
 
-// ChangeList is the answer to a watch.
+// ChangeList is the answer to a watch request.
 type ChangeList struct {
 	// Changes in order of version.
 	Changes []Change `json:"changes"`
 
-	// Version to watch from next.
+	// Version to start the next watch from.
 	Version Version `json:"version"`
 }
 
-// ChatChoice is the one choice of a completion.
+// ChatChoice is the only choice of a completion.
 type ChatChoice struct {
-	// Finish reason.
+	// Why the answer ended.
 	FinishReason string `json:"finish_reason"`
 
-	// Always 0.
+	// Index of the choice, always 0.
 	Index int `json:"index"`
 
-	// Whole answer.
+	// Complete answer.
 	Message ChatMessage `json:"message"`
 }
 
 // ChatChunk is one event of a streamed completion.
 type ChatChunk struct {
-	// The one choice.
+	// The only choice.
 	Choices []ChatChunkChoice `json:"choices"`
 
-	// Request.
+	// ID of the request.
 	ID RequestID `json:"id"`
 
-	// Model.
+	// Model that answers.
 	Model ModelName `json:"model"`
 
-	// Always chat.completion.chunk.
+	// Type of the message, always chat.completion.chunk.
 	Object string `json:"object"`
 }
 
-// ChatChunkChoice is the one choice of a chunk.
+// ChatChunkChoice is the only choice of a chunk.
 type ChatChunkChoice struct {
-	// New part.
+	// Text that the chunk adds.
 	Delta ChatDelta `json:"delta"`
 
-	// Finish reason on the last chunk.
+	// Why the answer ended, on the last chunk only.
 	FinishReason ChatChunkChoiceFinishReason `json:"finish_reason"`
 
-	// Always 0.
+	// Index of the choice, always 0.
 	Index int `json:"index"`
 }
 
-// Finish reason on the last chunk.
+// Why the answer ended, on the last chunk only.
 type ChatChunkChoiceFinishReason *string
 
-// ChatCompletion is a whole answer.
+// ChatCompletion is the answer to a request that is not streamed.
 type ChatCompletion struct {
-	// The one choice.
+	// The only choice.
 	Choices []ChatChoice `json:"choices"`
 
-	// Request.
+	// ID of the request.
 	ID RequestID `json:"id"`
 
-	// Model.
+	// Model that answered.
 	Model ModelName `json:"model"`
 
-	// Always chat.completion.
+	// Type of the message, always chat.completion.
 	Object string `json:"object"`
 
 	// Token counts.
 	Usage Usage `json:"usage"`
 }
 
-// ChatDelta is the new part of a message.
+// ChatDelta is the text that a chunk adds to the answer.
 type ChatDelta struct {
 	// New text.
 	Content string `json:"content,omitempty,omitzero"`
@@ -198,67 +199,68 @@
 
 // ChatMessage is one message of a chat.
 type ChatMessage struct {
-	// Text.
+	// Text of the message.
 	Content string `json:"content"`
 
-	// Role of the speaker.
+	// Role of the author, such as user or assistant.
 	Role string `json:"role"`
 }
 
-// ChatRequest asks for a chat completion.
+// ChatRequest requests a chat completion.
 type ChatRequest struct {
-	// Longest answer; 0 for the model's limit.
+	// Maximum length of the answer in tokens; 0 for the model's limit.
 	MaxTokens Tokens `json:"max_tokens,omitempty,omitzero"`
 
-	// Messages so far.
+	// Messages of the chat so far, oldest first.
 	Messages []ChatMessage `json:"messages"`
 
-	// Passed to the engine as given.
+	// Metadata that is passed to the engine unchanged.
 	Metadata map[string]string `json:"metadata,omitempty,omitzero"`
 
-	// Model, or model:adapter.
+	// Name of the model, or model:adapter.
 	Model ModelName `json:"model"`
 
-	// Whether to stream the answer.
+	// Whether to stream the answer token by token.
 	Stream bool `json:"stream,omitempty,omitzero"`
 }
 
 // ClaimSettings bounds the records of requests that are not repeatable.
 type ClaimSettings struct {
-	// Largest answer kept with a claim, KB.
+	// Maximum size of an answer that is stored with its claim, KB.
 	AnswerLimitKB int `json:"answer_limit_kb,omitempty,omitzero"`
 
-	// Time a claim is kept, ms.
+	// Time for which a claim is retained, ms.
 	KeepMS Milliseconds `json:"keep_ms,omitempty,omitzero"`
 }
 
-// ClaimSpec records the one attempt of a request that is not repeatable.
+// ClaimSpec records the only attempt of a request that is not repeatable.
 type ClaimSpec struct {
-	// Answer body in base64 when small enough to keep.
+	// Body of the answer in base64, if it is small enough to be stored.
 	Answer string `json:"answer,omitempty,omitzero"`
 
-	// Hash of method, path and body; a key with another body is refused.
+	// Hash of method, path and body. A request that reuses the key with another hash
+	// is refused.
 	BodyHash string `json:"body_hash,omitempty,omitzero"`
 
 	// Content type of the answer.
 	ContentType string `json:"content_type,omitempty,omitzero"`
 
-	// Unix time of the claim by the owner's clock.
+	// Unix time at which the claim was made by the owner's clock, ms.
 	CreatedMS Milliseconds `json:"created_ms"`
 
-	// Life of the owner.
+	// Incarnation of the owner.
 	Incarnation Incarnation `json:"incarnation"`
 
-	// Entry VM that may send it.
+	// Entry VM that may send the request.
 	Owner VMName `json:"owner"`
 
-	// Request that made the claim.
+	// ID of the request that made the claim.
 	Request RequestID `json:"request"`
 
 	// State of the attempt.
 	State ClaimState `json:"state"`
 
-	// HTTP status of the answer once done.
+	// HTTP status of the answer, once done.
 	Status int `json:"status,omitempty,omitzero"`
 
 	// Workspace of the request.
@@ -271,43 +273,43 @@
 const ClaimStateClaimed ClaimState = "claimed"
 const ClaimStateDone ClaimState = "done"
 
-// ConfigNumber is the operators' own number of a configuration, which rises with
-// each.
+// ConfigNumber is the number that operators give to a configuration. It rises with
+// each new one.
 type ConfigNumber int
 
-// ContentHash is the same for requests of one workspace with the same method,
-// host, target and body, in hex.
+// ContentHash is the hash of the content of a request, in hex. It is equal for
+// requests of one workspace with the same method, host, target and body.
 type ContentHash string
 
-// ContentReport tells of a run of a content that broke off at a server or, without
-// one, of an answer that was whole.
+// ContentReport reports that a run of a content broke off at a server or, if no
+// server is set, that the content got a complete answer.
 type ContentReport struct {
-	// Time since then.
+	// Time since the run broke off or was answered, ms.
 	AgeMS Milliseconds `json:"age_ms"`
 
 	// Content that ran.
 	Content ContentHash `json:"content"`
 
-	// Whether that server is known to have ended.
+	// Whether the server is known to have ended.
 	Ended bool `json:"ended,omitempty,omitzero"`
 
-	// Backend server that ran it, empty for a whole answer.
+	// Backend server that ran the content; empty for a complete answer.
 	Server ServerName `json:"server,omitempty,omitzero"`
 }
 
 // Decision is one step taken for a request.
 type Decision struct {
-	// Why it was taken.
+	// Reason for the step.
 	Detail string `json:"detail"`
 
-	// Step taken.
+	// Step that was taken.
 	Step string `json:"step"`
 
-	// Unix time.
+	// Unix time of the step, ms.
 	TimeMS Milliseconds `json:"time_ms"`
 }
 
-// DomainName names a failure domain.
+// DomainName is the name of a failure domain.
 type DomainName string
 
 type DomainState string
@@ -315,12 +317,12 @@
 const DomainStateClosed DomainState = "closed"
 const DomainStateOpen DomainState = "open"
 
-// EngineRefusal is an engine's reason for refusing a call.
+// EngineRefusal states why an engine refused a call.
 type EngineRefusal struct {
-	// Reason.
+	// Reason of the refusal.
 	Reason EngineRefusalReason `json:"reason"`
 
-	// When to come back.
+	// Time after which the call may be retried, ms.
 	RetryAfterMS Milliseconds `json:"retry_after_ms,omitempty,omitzero"`
 }
 
@@ -340,37 +342,44 @@
 const EngineRoleServe EngineRole = "serve"
 const EngineRoleStandby EngineRole = "standby"
 
-// EngineSettings tunes the engines' side.
+// EngineSettings tunes admission and routing at engines, and the timing of their
+// streams and reports.
 type EngineSettings struct {
-	// How memory is reserved.
+	// Policy that decides how many generations an engine admits. "slots" allows a
+	// fixed number, "mean" reserves memory for expected answer lengths, "maximum" for
+	// the longest answers allowed, and "survival" bounds the chance that memory
+	// overflows.
 	Admission EngineSettingsAdmission `json:"admission,omitempty,omitzero"`
 
-	// Wait for the first token after which an attempt counts as broken, ms.
+	// Longest wait for the first token, ms; after that the attempt counts as broken.
 	FirstTokenMS Milliseconds `json:"first_token_ms,omitempty,omitzero"`
 
-	// Chance of overflow that survival admits in 1/1000.
+	// Chance of a memory overflow that the policy "survival" accepts, in 1/1000.
 	OverflowPermille int `json:"overflow_permille,omitempty,omitzero"`
 
-	// Time between reads of the load of an engine that works, ms; twice that while it
-	// is idle.
+	// Interval between reads of the load report of a busy engine, ms; an idle one is
+	// read half as often.
 	ReportPollMS Milliseconds `json:"report_poll_ms,omitempty,omitzero"`
 
-	// Time a broken stream is tried to be resumed, ms.
+	// Longest time for attempts to resume a broken stream, ms.
 	ResumeMS Milliseconds `json:"resume_ms,omitempty,omitzero"`
 
-	// Retries per 1000 fresh requests.
+	// Retries allowed per 1000 first attempts.
 	RetryPermille int `json:"retry_permille,omitempty,omitzero"`
 
-	// How an engine is chosen.
+	// Policy that chooses an engine. "round-robin" picks them in turn, "least-loaded"
+	// by the lowest share of used memory, "two-choices" by the lower fill of two
+	// random ones, and "prefix" keeps requests with the same prompt prefix on one
+	// engine.
 	Routing EngineSettingsRouting `json:"routing,omitempty,omitzero"`
 
-	// Generations per engine under slots.
+	// Maximum number of generations per engine under the policy "slots".
 	Slots int `json:"slots,omitempty,omitzero"`
 
-	// Silence in a stream after which it is resumed, ms.
+	// Time without an event after which a stream is resumed on another engine, ms.
 	StallMS Milliseconds `json:"stall_ms,omitempty,omitzero"`
 
-	// Age of a report after which an engine gets no new work, ms.
+	// Age of the last load report above which an engine gets no new requests, ms.
 	SuspectMS Milliseconds `json:"suspect_ms,omitempty,omitzero"`
 }
 
@@ -388,122 +397,130 @@
 const EngineSettingsRoutingRoundRobin EngineSettingsRouting = "round-robin"
 const EngineSettingsRoutingTwoChoices EngineSettingsRouting = "two-choices"
 
-// EntrySettings bounds the callers' side.
+// EntrySettings limits the requests of callers.
 type EntrySettings struct {
-	// Largest request body, KB.
+	// Maximum size of a request body, KB.
 	BodyLimitKB int `json:"body_limit_kb,omitempty,omitzero"`
 
-	// Deadline of a request that names none, ms.
+	// Deadline of a request that does not set one, ms.
 	DeadlineMS Milliseconds `json:"deadline_ms,omitempty,omitzero"`
 
-	// Requests whose decisions are kept.
+	// Number of requests whose decisions are retained for explanations.
 	ExplainRecords int `json:"explain_records,omitempty,omitzero"`
 
-	// Longest wait for a request head or body, ms.
+	// Longest wait for the header or the body of a request, ms.
 	HeaderWaitMS Milliseconds `json:"header_wait_ms,omitempty,omitzero"`
 
-	// Requests that may wait for an engine.
+	// Maximum number of requests in the queue of one pool of engines.
 	QueueLimit int `json:"queue_limit,omitempty,omitzero"`
 
 	// Longest wait for an engine, ms.
 	QueueWaitMS Milliseconds `json:"queue_wait_ms,omitempty,omitzero"`
 
-	// Longest time one write to a caller may block, ms.
+	// Longest time that one write to a caller may block, ms.
 	SlowReaderMS Milliseconds `json:"slow_reader_ms,omitempty,omitzero"`
 }
 
-// Era counts how often the platform came back from a copy of its objects, which
-// loses the changes since the copy.
+// Era counts how often the platform was restored from a backup, which loses the
+// changes since that backup.
 type Era int
 
-// ErrorBody is the body of every refusal.
+// ErrorBody is the body of every error response.
 type ErrorBody struct {
-	// What went wrong.
+	// Description of the error.
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail tells what went wrong.
+// ErrorDetail describes why a request was refused or failed.
 type ErrorDetail struct {
 	// Number of the error type.
 	Code int `json:"code"`
 
-	// What happened.
+	// Description of the error.
 	Message string `json:"message"`
 
-	// Whether the request was run.
+	// Whether the request was executed.
 	Ran Ran `json:"ran"`
 
-	// Request.
+	// ID of the request.
 	Request RequestID `json:"request,omitempty,omitzero"`
 
-	// When to come back; 0 for not at all.
+	// Time after which the caller may retry, ms; 0 for no retry.
 	RetryAfterMS Milliseconds `json:"retry_after_ms,omitempty,omitzero"`
 
-	// Error type.
+	// Name of the error type.
 	Type string `json:"type"`
 }
 
-// Exchange is what two entry VMs tell each other several times a second.
+// Exchange is the message that two entry VMs send each other several times a
+// second.
 type Exchange struct {
-	// Version at which the closed failure domains last changed; zero where they are
-	// not known.
+	// Version at which the closed failure domains last changed; 0 if the sender does
+	// not know them. A receiver with an older version may fetch them from the sender.
 	ClosuresAt Version `json:"closures_at,omitempty,omitzero"`
 
-	// Version at which the configuration last changed.
+	// Version at which the configuration last changed. A receiver with an older
+	// version may fetch the configuration from the sender.
 	ConfigAt Version `json:"config_at"`
 
-	// Configuration that the sender has in force, which may be newer than what the
-	// platform holds; zero for none.
+	// Number of the configuration in force at the sender, which may be newer than the
+	// one on the platform; 0 for none.
 	ConfigNumber ConfigNumber `json:"config_number,omitempty,omitzero"`
 
-	// What was lately learned of contents that may end servers.
+	// Recent reports on contents that may crash servers.
 	Contents []ContentReport `json:"contents,omitempty,omitzero"`
 
-	// Whether the platform itself answers the sender.
+	// Whether the platform itself answers the sender, rather than a peer that relays
+	// its changes.
 	Direct bool `json:"direct,omitempty,omitzero"`
 
-	// Whether the sender has word from the platform or from a hub that has.
+	// Whether the sender gets changes from the platform itself or from a hub that the
+	// platform answers.
 	Informed bool `json:"informed,omitempty,omitzero"`
 
-	// Failure domains that the sender keeps closed though the platform, which came
-	// back from a copy, has lost it.
+	// Failure domains that the sender keeps closed although the platform lost their
+	// closures when it was restored from a backup.
 	KeptClosures []KeptClosure `json:"kept_closures,omitempty,omitzero"`
 
-	// Backend servers that told the sender or its peers themselves that they are
+	// Backend servers that announced to the sender or its peers that they are
 	// leaving.
 	Leaving []ServerName `json:"leaving,omitempty,omitzero"`
 
-	// Limits that backend servers have named to the sender or its peers, or lately
-	// taken back.
+	// Rate limits that backend servers announced to the sender or its peers, or
+	// recently removed.
 	Limits []ServerLimit `json:"limits,omitempty,omitzero"`
 
-	// Loads by backend server that the sender reports to the receiver.
+	// Loads that the sender reports to the receiver, by backend server.
 	Loads map[string]ServerLoad `json:"loads,omitempty,omitzero"`
 
-	// Entry VMs that these loads are of.
+	// Number of entry VMs whose loads are summed up in loads.
 	Members int `json:"members,omitempty,omitzero"`
 
-	// Members that answer the sender, now and then.
+	// Live members that the sender knows; not sent with every message.
 	Peers []MeshMember `json:"peers,omitempty,omitzero"`
 
-	// What is promised of the engines of each service that the sender allocates, to
+	// Reserved load of the engines that the sender allocates, by service; sent to
 	// other hubs.
 	Pools map[string]PoolLoad `json:"pools,omitempty,omitzero"`
 
 	// Version of the protocol between entry VMs.
 	Protocol int `json:"protocol"`
 
-	// Version at which the contents that are refused last changed; zero where they
-	// are not known.
+	// Version at which the quarantined contents last changed; 0 if the sender does
+	// not know them. A receiver with an older version may fetch them from the sender.
 	QuarantinesAt Version `json:"quarantines_at,omitempty,omitzero"`
 
-	// What the receiver is to the sender in the exchange of loads.
+	// Role of the receiver in the exchange of loads with the sender: "hub" if both
+	// are hubs, "primary" if the receiver is the hub that reports the sender's loads
+	// to the other hubs, "carried" if the sender does that for the receiver, and
+	// "stranger" if they exchange no loads.
 	Relation ExchangeRelation `json:"relation,omitempty,omitzero"`
 
-	// The sender as peers pass it on.
+	// Description of the sender, which peers pass on.
 	Self MeshMember `json:"self"`
 
-	// Version at which the backend servers last changed.
+	// Version at which the backend servers last changed. A receiver with an older
+	// version may fetch them from the sender.
 	ServersAt Version `json:"servers_at"`
 
 	// Sender.
@@ -517,24 +534,25 @@
 const ExchangeRelationPrimary ExchangeRelation = "primary"
 const ExchangeRelationStranger ExchangeRelation = "stranger"
 
-// Explanation tells what was decided for a request and why.
+// Explanation lists the decisions on a request with their reasons.
 type Explanation struct {
-	// Decisions in order.
+	// Decisions in the order in which they were made.
 	Decisions []Decision `json:"decisions"`
 
-	// Request.
+	// ID of the request.
 	Request RequestID `json:"request"`
 
-	// Entry VM that handled it.
+	// Entry VM that handled the request.
 	VM VMName `json:"vm"`
 
-	// Workspace.
+	// Workspace of the request.
 	Workspace WorkspaceName `json:"workspace"`
 }
 
-// FailureDomainSpec declares whether a failure domain takes new work.
+// FailureDomainSpec declares whether a failure domain accepts new requests.
 type FailureDomainSpec struct {
-	// Closed sends nothing new to the servers of the domain; what runs there goes on.
+	// Declared state; the servers of a closed domain get no new requests, and
+	// requests that already run there continue.
 	State DomainState `json:"state,omitempty,omitzero"`
 }
 
@@ -549,65 +567,67 @@
 
 // GatewaySettings tunes the gateway of a hosted system.
 type GatewaySettings struct {
-	// Time in which an accepted change has to be in force, ms.
+	// Time within which an accepted change must be in force, ms.
 	ApplyMS Milliseconds `json:"apply_ms,omitempty,omitzero"`
 
-	// Time in which a failure domain that operators close gets no new requests any
-	// more, ms; 0 where none can be closed.
+	// Time within which a failure domain that operators close must get no new
+	// requests, ms; 0 where domains can't be closed.
 	CloseMS Milliseconds `json:"close_ms,omitempty,omitzero"`
 
-	// Cores that the VM has for this process.
+	// Number of cores that this process may use.
 	CpuShare float64 `json:"cpu_share,omitempty,omitzero"`
 
-	// Whether the whole system starts for the first time, so that nobody waits for it
-	// yet.
+	// Whether the whole system starts for the first time, so that no caller is
+	// waiting yet and the VM may wait for its peers.
 	FirstStart bool `json:"first_start,omitempty,omitzero"`
 
-	// Time from the signal to stop to the end of the process, s.
+	// Time from the stop signal to the end of the process, s.
 	GraceS float64 `json:"grace_s,omitempty,omitzero"`
 
-	// Entry VMs of a failure domain that follow the platform for the others, and
-	// exchange with all others like them.
+	// Number of hubs in a failure domain. Hubs follow the platform for the other
+	// entry VMs of the domain and exchange messages with all other hubs.
 	Hubs int `json:"hubs,omitempty,omitzero"`
 
-	// Bandwidth of the VM, Mbit/s: the strongest VMs of a failure domain are its
-	// hubs.
+	// Bandwidth of the VM, Mbit/s. The VMs of a failure domain with the most capacity
+	// are its hubs.
 	LinkMbps float64 `json:"link_mbps,omitempty,omitzero"`
 
 	// Address of the readiness check.
 	Ready string `json:"ready,omitempty,omitzero"`
 
-	// Repeated sends that the fleet allows for each request of a span.
+	// Repeated sends allowed per first send of a service within retry_window_s, over
+	// all entry VMs.
 	RetryRatio float64 `json:"retry_ratio,omitempty,omitzero"`
 
-	// Repeated sends that the fleet allows in a span beyond that share.
+	// Repeated sends of a service allowed within retry_window_s beyond retry_ratio,
+	// over all entry VMs.
 	RetrySlack float64 `json:"retry_slack,omitempty,omitzero"`
 
-	// Span over which repeated sends are counted, s.
+	// Length of the time window in which repeated sends are counted, s.
 	RetryWindowS float64 `json:"retry_window_s,omitempty,omitzero"`
 
-	// Control addresses of other entry VMs, with commas.
+	// Control addresses of other entry VMs, separated by commas.
 	Seeds string `json:"seeds,omitempty,omitzero"`
 }
 
-// GenerateRequest asks an engine to generate.
+// GenerateRequest requests a generation from an engine.
 type GenerateRequest struct {
-	// Adapter to apply or empty.
+	// Adapter to apply; empty for none.
 	Adapter AdapterName `json:"adapter,omitempty,omitzero"`
 
-	// Id of the attempt.
+	// ID of the attempt.
 	Generation GenerationID `json:"generation"`
 
-	// Longest answer.
+	// Maximum length of the answer.
 	MaxTokens Tokens `json:"max_tokens"`
 
-	// Caller's metadata as given.
+	// Metadata of the caller, unchanged.
 	Metadata map[string]string `json:"metadata,omitempty,omitzero"`
 
 	// Model to run.
 	Model ModelName `json:"model"`
 
-	// Key of the shared prompt prefix or empty.
+	// Key of the prompt prefix that the request shares with others; empty for none.
 	Prefix string `json:"prefix,omitempty,omitzero"`
 
 	// Length of the shared prefix.
@@ -616,45 +636,47 @@
 	// Priority in the engine's batch.
 	Priority Priority `json:"priority"`
 
-	// Prompt text.
+	// Text of the prompt.
 	Prompt string `json:"prompt"`
 
-	// Estimated prompt length.
+	// Estimated length of the prompt.
 	PromptTokens Tokens `json:"prompt_tokens"`
 }
 
 // GenerationID identifies one attempt to generate an answer.
 type GenerationID string
 
-// Heartbeat is sent between entry VMs and answered by one.
+// Heartbeat is the state that two entry VMs exchange, one in the request and the
+// other in its answer.
 type Heartbeat struct {
-	// Era of the platform in which the sender has written its claims again.
+	// Era of the platform in which the sender has rewritten its claims.
 	ClaimsEra Era `json:"claims_era,omitempty,omitzero"`
 
-	// Objects that the sender keeps in force in spite of the platform, which came
-	// back from a copy.
+	// Number of objects that the sender retains after the platform was restored from
+	// a backup.
 	ConfigKept int `json:"config_kept,omitempty,omitzero"`
 
-	// Configuration in force at the sender.
+	// Version of the configuration in force at the sender.
 	ConfigVersion Version `json:"config_version"`
 
-	// What the sender knows of contents that may end servers.
+	// Reports that the sender has on contents that may crash servers.
 	Contents []ContentReport `json:"contents,omitempty,omitzero"`
 
 	// Failure domain of the sender.
 	Domain DomainName `json:"domain"`
 
-	// Requests in flight at the sender.
+	// Number of requests in flight at the sender.
 	InFlight int `json:"in_flight,omitempty,omitzero"`
 
-	// Life of the sender.
+	// Incarnation of the sender.
 	Incarnation Incarnation `json:"incarnation"`
 
-	// Servers of plain services that told the sender itself that they are leaving.
+	// Servers of plain services that announced to the sender itself that they are
+	// leaving.
 	Leaving []ServerName `json:"leaving,omitempty,omitzero"`
 
-	// Limits that backend servers have named to the sender or its peers, or lately
-	// taken back.
+	// Rate limits that backend servers announced to the sender or its peers, or
+	// recently removed.
 	Limits []ServerLimit `json:"limits,omitempty,omitzero"`
 
 	// Version of the protocol between entry VMs.
@@ -667,135 +689,136 @@
 	VM VMName `json:"vm"`
 }
 
-// Holding is what an entry VM holds at the engines of one failure domain, for the
-// entry VM that allocates them.
+// Holding is the load that an entry VM holds at the engines of one failure domain,
+// reported to the entry VM that allocates them.
 type Holding struct {
-	// Last ask that the holder has begun.
+	// Number of the latest placement request that the holder has begun.
 	Asked int `json:"asked"`
 
-	// Life of the holder.
+	// Incarnation of the holder.
 	Incarnation Incarnation `json:"incarnation"`
 
-	// Loads by engine, without what open asks are granted.
+	// Loads by engine, without grants to the placement requests in open.
 	Loads map[string]ServerLoad `json:"loads,omitempty,omitzero"`
 
-	// What requests met since the report before, by engine.
+	// Outcomes of requests since the previous report, by engine.
 	Met map[string]Outcomes `json:"met,omitempty,omitzero"`
 
-	// Asks that it still waits for.
+	// Numbers of the placement requests that the holder is still waiting for.
 	Open []int `json:"open,omitempty,omitzero"`
 
 	// Version of the protocol between entry VMs.
 	Protocol int `json:"protocol"`
 
-	// How long engines took to read prompts since the report before, by service.
+	// Time that engines took to read prompts since the previous report, by service.
 	Read map[string]ReadTime `json:"read,omitempty,omitzero"`
 
-	// Order among the holder's reports.
+	// Sequence number of the report within the incarnation.
 	Sequence int `json:"sequence"`
 
 	// Holder.
 	VM VMName `json:"vm"`
 }
 
-// Incarnation tells two lives of one VM apart, in Unix nanoseconds at start.
+// Incarnation is the start time of a VM in Unix ns, which distinguishes its
+// restarts.
 type Incarnation int
 
-// KeptClosure is a failure domain that stays closed until operators had the time
-// to write it again.
+// KeptClosure is a failure domain that stays closed after the platform lost its
+// closure, until operators had time to write it again.
 type KeptClosure struct {
 	// Failure domain.
 	Domain DomainName `json:"domain"`
 
-	// Time for which it stays closed.
+	// Time until the closure is no longer retained, ms.
 	LeftMS Milliseconds `json:"left_ms"`
 }
 
-// KeptObject is an object that stays in force until operators had the time to
-// write it again.
+// KeptObject is an object that stays in force after the platform was restored from
+// a backup without it, until operators had time to write it again.
 type KeptObject struct {
-	// Time for which it stays so.
+	// Time until the object is no longer retained, ms.
 	LeftMS Milliseconds `json:"left_ms"`
 
-	// Object as it is in force; without contents where it stays removed.
+	// Object that is in force; one that stays removed has no spec.
 	Object Object `json:"object"`
 
-	// Whether it stays removed.
+	// Whether the object stays removed although the platform has it again.
 	Removed bool `json:"removed,omitempty,omitzero"`
 }
 
-// LeaseSettings times the leases on duties.
+// LeaseSettings sets the timing of the leases on duties.
 type LeaseSettings struct {
-	// Length of a lease, ms.
+	// Time from a renewal until the lease expires, ms.
 	DurationMS Milliseconds `json:"duration_ms,omitempty,omitzero"`
 
-	// Extra wait before a lapsed lease is taken, ms.
+	// Extra time that other entry VMs wait before they take an expired lease, ms.
 	SkewMS Milliseconds `json:"skew_ms,omitempty,omitzero"`
 }
 
 // LeaseSpec is a lease on one duty.
 type LeaseSpec struct {
-	// Grows with every renewal.
+	// Counter that rises with every renewal.
 	Beat int `json:"beat"`
 
-	// Length of the lease from a renewal.
+	// Time from a renewal until the lease expires, ms.
 	DurationMS Milliseconds `json:"duration_ms"`
 
-	// Grows with every new holder.
+	// Fence of the lease, which rises with every new holder.
 	Fence Fence `json:"fence"`
 
-	// Holder of the lease; empty once released.
+	// Entry VM that holds the lease; empty once it is released.
 	Holder VMName `json:"holder"`
 
-	// Life of the holder.
+	// Incarnation of the holder.
 	Incarnation Incarnation `json:"incarnation"`
 }
 
-// LoadReport is an engine's state at its own time.
+// LoadReport is the state of an engine at the time of the report.
 type LoadReport struct {
-	// Highest fence seen in an order.
+	// Highest fence that the engine has seen in an order.
 	Fence Fence `json:"fence,omitempty,omitzero"`
 
-	// Cache memory in all.
+	// Size of the KV cache, in tokens.
 	KVTotal Tokens `json:"kv_total"`
 
-	// Cache memory held by running generations.
+	// KV cache that running generations use, in tokens.
 	KVUsed Tokens `json:"kv_used"`
 
-	// Whether the engine is about to leave.
+	// Whether the engine is about to leave; a leaving engine gets no new requests.
 	Leaving bool `json:"leaving"`
 
 	// Loaded models and adapters as kind/name@weights.
 	Loaded []string `json:"loaded"`
 
-	// Preemptions since start.
+	// Number of preemptions since the engine started.
 	Preemptions int `json:"preemptions"`
 
 	// Present role.
 	Role EngineRole `json:"role"`
 
-	// Generations in the batch.
+	// Number of generations in the batch.
 	Running int `json:"running"`
 
 	// Engine that reports.
 	Server ServerName `json:"server"`
 
-	// Last step time, ms.
+	// Duration of the last step, ms.
 	StepMS float64 `json:"step_ms"`
 
-	// Unix time the report was taken.
+	// Unix time at which the report was taken, ms.
 	TimeMS Milliseconds `json:"time_ms"`
 
-	// Generations that wait for memory.
+	// Number of generations that wait for cache memory.
 	Waiting int `json:"waiting"`
 }
 
-// LogSettings chooses what is logged.
+// LogSettings selects what is logged and in which format.
 type LogSettings struct {
-	// Form of a line.
+	// Format of log lines.
 	Format LogSettingsFormat `json:"format,omitempty,omitzero"`
 
-	// Lowest level logged.
+	// Lowest level that is logged.
 	Level LogSettingsLevel `json:"level,omitempty,omitzero"`
 }
 
@@ -811,18 +834,18 @@
 const LogSettingsLevelInfo LogSettingsLevel = "info"
 const LogSettingsLevelWarn LogSettingsLevel = "warn"
 
-// MemberStatus is one entry VM as another sees it.
+// MemberStatus is the state of one entry VM as another observes it.
 type MemberStatus struct {
-	// Time since it was last heard.
+	// Time since the last heartbeat of the entry VM, ms.
 	AgeMS Milliseconds `json:"age_ms"`
 
-	// Configuration it has in force.
+	// Version of the configuration in force at the entry VM.
 	ConfigVersion Version `json:"config_version"`
 
-	// Requests in flight.
+	// Number of requests in flight.
 	InFlight int `json:"in_flight,omitempty,omitzero"`
 
-	// State as seen.
+	// Observed state.
 	State MemberStatusState `json:"state"`
 
 	// Entry VM.
@@ -836,40 +859,41 @@
 const MemberStatusStateStopping MemberStatusState = "stopping"
 const MemberStatusStateSuspect MemberStatusState = "suspect"
 
-// MeshMember is one entry VM as peers pass it on.
+// MeshMember describes one entry VM in messages between peers.
 type MeshMember struct {
 	// Control address.
 	Address string `json:"address"`
 
-	// Exchanges a second that it could carry as a hub.
+	// Exchanges per second that the entry VM could handle as a hub.
 	Capacity int `json:"capacity,omitempty,omitzero"`
 
 	// Failure domain.
 	Domain DomainName `json:"domain"`
 
-	// Whether it exchanges with every other hub.
+	// Whether the entry VM is a hub, which exchanges messages with every other hub.
 	Hub bool `json:"hub,omitempty,omitzero"`
 }
 
 // Milliseconds is a duration or a Unix time in ms.
 type Milliseconds int
 
-// ModelName names a model as callers ask for it.
+// ModelName is the name of a model in requests of callers.
 type ModelName string
 
 // ModelSpec declares a model.
 type ModelSpec struct {
-	// Largest prompt and answer together.
+	// Maximum length of prompt and answer together, in tokens.
 	ContextTokens Tokens `json:"context_tokens,omitempty,omitzero"`
 
 	// Size of the weights, MB.
 	SizeMB int `json:"size_mb,omitempty,omitzero"`
 
-	// Weights is the version in the weight store.
+	// Version of the weights in the weight store.
 	Weights string `json:"weights"`
 }
 
-// NodeSettings names the VM and its addresses.
+// NodeSettings holds the name and addresses of the VM, and the timing of its
+// planned stop.
 type NodeSettings struct {
 	// Address for peers, operators and metrics.
 	Control string `json:"control"`
@@ -883,77 +907,79 @@
 	// Name of this entry VM.
 	Name VMName `json:"name"`
 
-	// Longest wait for streams at a planned stop, ms.
+	// Longest wait for requests in flight, such as streams, at a planned stop, ms.
 	StopLimitMS Milliseconds `json:"stop_limit_ms,omitempty,omitzero"`
 
-	// Time the health check says no before the listener closes, ms.
+	// Time at a planned stop during which the health check fails and new requests are
+	// still served, ms.
 	StopWaitMS Milliseconds `json:"stop_wait_ms,omitempty,omitzero"`
 }
 
-// NodeStatus is an entry VM's view of the system.
+// NodeStatus is the state of the system as one entry VM observes it.
 type NodeStatus struct {
-	// Configuration it has in force.
+	// Version of the configuration that it has in force.
 	ConfigVersion Version `json:"config_version"`
 
-	// Duties it holds the lease on.
+	// Duties whose lease it holds.
 	Leases []string `json:"leases,omitempty,omitzero"`
 
-	// Entry VMs.
+	// States of the entry VMs.
 	Members []MemberStatus `json:"members"`
 
-	// Time since the platform last answered.
+	// Time since the platform last answered, ms.
 	PlatformAgeMS Milliseconds `json:"platform_age_ms"`
 
-	// Backend servers.
+	// States of the backend servers.
 	Servers []ServerStatus `json:"servers"`
 
-	// Its state.
+	// State of that entry VM.
 	State PeerState `json:"state"`
 
 	// Entry VM that answers.
 	VM VMName `json:"vm"`
 }
 
-// Object is one record of the platform.
+// Object is one object on the platform.
 type Object struct {
 	// Kind of the object.
 	Kind ResourceKind `json:"kind"`
 
-	// Name within the kind.
+	// Name of the object, unique within its kind.
 	Name string `json:"name"`
 
 	// Spec holds the fields of the kind.
 	Spec json.RawMessage `json:"spec"`
 
-	// Version of the last change; 0 before the first.
+	// Version of the last change; 0 for an object that is not stored yet.
 	Version Version `json:"version,omitempty,omitzero"`
 }
 
-// ObjectList is the answer to a list.
+// ObjectList is the answer to a list request.
 type ObjectList struct {
 	// Objects in order of kind and name.
 	Items []Object `json:"items"`
 
-	// What an entry VM keeps in force in spite of the platform, which came back from
-	// a copy; the platform itself keeps nothing.
+	// Objects that an entry VM retains after the platform was restored from a backup.
+	// Lists of the platform itself have none.
 	Kept []KeptObject `json:"kept,omitempty,omitzero"`
 
-	// Version the list was read at.
+	// Version at which the list was read.
 	Version Version `json:"version"`
 }
 
-// Order is a fenced order to an engine.
+// Order is an order to an engine, protected by a fence.
 type Order struct {
-	// What to do.
+	// Change to make.
 	Action OrderAction `json:"action"`
 
-	// Fence of the lease it was sent under.
+	// Fence of the lease under which the order is sent; engines that check it refuse
+	// older ones.
 	Fence Fence `json:"fence"`
 
-	// Model or adapter as kind/name@weights.
+	// Model or adapter to load or unload, as kind/name@weights.
 	Item string `json:"item,omitempty,omitzero"`
 
-	// Role to take.
+	// Role to switch to.
 	Role string `json:"role,omitempty,omitzero"`
 }
 
@@ -963,24 +989,26 @@
 const OrderActionRole OrderAction = "role"
 const OrderActionUnload OrderAction = "unload"
 
-// OrderSettings paces orders to engines.
+// OrderSettings limits the rate of orders to engines.
 type OrderSettings struct {
-	// Rate that the weight store allows, MB/s.
+	// Rate at which the weight store serves weights, MB/s; orders to load stay within
+	// it.
 	WeightsMBPerSecond int `json:"weights_mb_per_second,omitempty,omitzero"`
 }
 
-// Outcomes counts what requests met at a server.
+// Outcomes counts the outcomes of requests at a server.
 type Outcomes struct {
-	// Requests whose answer says that the server failed.
+	// Number of requests whose answer reports a failure of the server.
 	Failed int `json:"failed,omitempty,omitzero"`
 
-	// Requests that the server said it did not run.
+	// Number of requests that the server reported as not executed.
 	Full int `json:"full,omitempty,omitzero"`
 
-	// Requests that got no answer, a broken one, or no connection.
+	// Number of requests without a connection, without an answer or with an answer
+	// that broke off.
 	Lost int `json:"lost,omitempty,omitzero"`
 
-	// Requests that got an answer of the server.
+	// Number of requests that the server answered.
 	Served int `json:"served,omitempty,omitzero"`
 }
 
@@ -990,96 +1018,99 @@
 const PeerStateStarting PeerState = "starting"
 const PeerStateStopping PeerState = "stopping"
 
-// PermitAnswer tells when a request may be sent to a backend server with a limit.
+// PermitAnswer states when a request may be sent to a rate-limited backend server.
 type PermitAnswer struct {
 	// Whether the request may be sent.
 	Granted bool `json:"granted,omitempty,omitzero"`
 
-	// Time until it may be sent, or until it is worth asking again.
+	// Time until the request may be sent, ms; if it was not granted, the time after
+	// which to ask again.
 	WaitMS Milliseconds `json:"wait_ms,omitempty,omitzero"`
 }
 
-// PermitAsk asks the entry VM that paces a backend server for the time of one
-// request.
+// PermitAsk requests a send slot for one request from the entry VM that paces a
+// rate-limited backend server.
 type PermitAsk struct {
-	// Time that the request may wait.
+	// Longest time that the request may wait for its send slot, ms.
 	PatienceMS Milliseconds `json:"patience_ms,omitempty,omitzero"`
 
-	// That limit, in requests a second.
+	// Rate limit that the sender knows, in requests per second.
 	PerSecond float64 `json:"per_second"`
 
 	// Version of the protocol between entry VMs.
 	Protocol int `json:"protocol"`
 
-	// Backend server that has named a limit.
+	// Backend server with the rate limit.
 	Server ServerName `json:"server"`
 
-	// Whether the receiver is asked since the first choice does not answer.
+	// Whether the receiver is asked as the standby because the first choice did not
+	// answer.
 	Standby bool `json:"standby,omitempty,omitzero"`
 
 	// Sender.
 	VM VMName `json:"vm"`
 }
 
-// PlaceAnswer gives a place, or says why there is none.
+// PlaceAnswer grants a place at an engine, or states why there is none.
 type PlaceAnswer struct {
-	// Engine that is to keep a copy of the run as it grows; empty for none.
+	// Engine that will hold the backup copy of the run; empty for none.
 	Copy ServerName `json:"copy,omitempty,omitzero"`
 
-	// What was promised of it before.
+	// Load that was reserved at the engine before.
 	Load *ServerLoad `json:"load,omitempty,omitzero"`
 
-	// Engines that it was chosen from.
+	// Number of engines that were compared.
 	Of int `json:"of,omitempty,omitzero"`
 
-	// Set where the request is to be refused.
+	// Refusal, set if the request must be refused.
 	Refused *PlaceRefusal `json:"refused,omitempty,omitzero"`
 
-	// Rating that decided, lower is better.
+	// Score of the engine; the lowest is chosen.
 	Score float64 `json:"score,omitempty,omitzero"`
 
-	// Engine that was chosen; empty for none.
+	// Chosen engine; empty for none.
 	Server ServerName `json:"server,omitempty,omitzero"`
 }
 
-// PlaceAsk asks the entry VM that allocates the engines of a failure domain for a
-// place.
+// PlaceAsk requests a place at an engine from the entry VM that allocates the
+// engines of a failure domain.
 type PlaceAsk struct {
-	// Time in which the first event is good.
+	// Latency target for the first event, ms.
 	AimMS Milliseconds `json:"aim_ms,omitempty,omitzero"`
 
-	// Number of the ask among those of the holder.
+	// Number of the placement request among those of the holder.
 	Ask int `json:"ask"`
 
-	// Whether the run is expected to end so soon that it may use memory kept for runs
-	// of engines that leave.
+	// Whether the answer is expected to be so short that the run may use memory
+	// reserved for runs of leaving engines.
 	Brief bool `json:"brief,omitempty,omitzero"`
 
 	// Failure domain of the engines.
 	Domain DomainName `json:"domain"`
 
-	// Expected length of an answer whose run may be given a place for a copy as well;
-	// zero asks for none.
+	// Expected length of the answer of a run that may also get a place for a backup
+	// copy, in tokens; 0 requests none.
 	Expected Tokens `json:"expected,omitempty,omitzero"`
 
-	// Whether another allocator has passed the ask on; it goes no further.
+	// Whether another allocator forwarded the request, which is then not forwarded
+	// again.
 	Forwarded bool `json:"forwarded,omitempty,omitzero"`
 
-	// What the asking entry VM holds there.
+	// Load that the requesting entry VM holds in the failure domain.
 	Holding Holding `json:"holding"`
 
-	// Whether the request was found to be too late for its aim, where the ask is
-	// forwarded.
+	// Whether an allocator that forwards the request found it too late for its
+	// latency target.
 	Late bool `json:"late,omitempty,omitzero"`
 
-	// Time that the caller has left.
+	// Time until the deadline of the caller, ms.
 	LeftMS Milliseconds `json:"left_ms,omitempty,omitzero"`
 
-	// Whether the place is for a new run, one that has to leave its engine, or a copy
-	// that grows with a run.
+	// Purpose of the place: "run" for a new run, "move" for a run that has to leave
+	// its engine, and "copy" for a backup copy that grows with a run.
 	Purpose PlaceAskPurpose `json:"purpose"`
 
-	// Rank among those that wait; 0 goes first.
+	// Rank in the queue; 0 is admitted first.
 	Rank int `json:"rank,omitempty,omitzero"`
 
 	// Route of the request.
@@ -1088,25 +1119,26 @@
 	// Service of the engines.
 	Service ServiceName `json:"service"`
 
-	// Whether the receiver is asked since the first choice does not answer.
+	// Whether the receiver is asked as the standby because the first choice did not
+	// answer.
 	Standby bool `json:"standby,omitempty,omitzero"`
 
-	// Engine memory that is needed.
+	// Engine memory that is needed, in tokens.
 	Tokens Tokens `json:"tokens,omitempty,omitzero"`
 
-	// Engines that are not to be chosen.
+	// Engines that must not be chosen.
 	Tried []ServerName `json:"tried,omitempty,omitzero"`
 
 	// Prompt tokens that the engine has to read first.
 	Unread Tokens `json:"unread,omitempty,omitzero"`
 
-	// Time that the caller of a new run allowed.
+	// Timeout that the caller of a new run set, ms.
 	WaitMS Milliseconds `json:"wait_ms,omitempty,omitzero"`
 
-	// Whether the ask may wait for room.
+	// Whether the request may wait in the queue for free memory.
 	Waits bool `json:"waits,omitempty,omitzero"`
 
-	// Workspace that asks.
+	// Workspace of the request.
 	Workspace WorkspaceName `json:"workspace,omitempty,omitzero"`
 }
 
@@ -1116,46 +1148,47 @@
 const PlaceAskPurposeMove PlaceAskPurpose = "move"
 const PlaceAskPurposeRun PlaceAskPurpose = "run"
 
-// PlaceRefusal says that no engine is expected to have room in time.
+// PlaceRefusal states that no engine is expected to have free memory in time.
 type PlaceRefusal struct {
-	// Whether it was late while others that could be in time were refused.
+	// Whether the request was late while requests that could still be in time were
+	// refused.
 	Behind bool `json:"behind,omitempty,omitzero"`
 
 	// Code of the fault.
 	Code int `json:"code"`
 
-	// What happened.
+	// Description of the fault.
 	Detail string `json:"detail"`
 
-	// Time after which the request would have been let in.
+	// Expected time until the request would have been admitted, ms.
 	ForecastMS Milliseconds `json:"forecast_ms,omitempty,omitzero"`
 
-	// Longest that it might have waited.
+	// Longest time that the request may have waited, ms.
 	PatienceMS Milliseconds `json:"patience_ms,omitempty,omitzero"`
 
-	// Time after which the caller may come back.
+	// Time after which the caller may retry, ms.
 	RetryAfterMS Milliseconds `json:"retry_after_ms,omitempty,omitzero"`
 
-	// Requests that waited already.
+	// Number of requests that were waiting already.
 	Waiting int `json:"waiting,omitempty,omitzero"`
 }
 
-// PlatformSettings tells how to reach the platform.
+// PlatformSettings describes the connection to the platform.
 type PlatformSettings struct {
 	// Address of the object API.
 	Address string `json:"address"`
 
-	// Longest wait for another call, ms.
+	// Timeout of all other calls, ms.
 	TimeoutMS Milliseconds `json:"timeout_ms,omitempty,omitzero"`
 
-	// Time between reads of the VM list, ms.
+	// Interval between reads of the VM list, ms.
 	VMPollMS Milliseconds `json:"vm_poll_ms,omitempty,omitzero"`
 
-	// Longest wait of one watch call, ms.
+	// Longest time that one watch call waits for changes, ms.
 	WatchWaitMS Milliseconds `json:"watch_wait_ms,omitempty,omitzero"`
 
-	// What callers, backend servers and the object API speak: the own interface, or
-	// that of a hosting platform.
+	// Protocol of callers, backend servers and the object API: "own" is that of this
+	// system, "hosted" that of a hosting platform.
 	Wire PlatformSettingsWire `json:"wire,omitempty,omitzero"`
 }
 
@@ -1164,18 +1197,18 @@
 const PlatformSettingsWireHosted PlatformSettingsWire = "hosted"
 const PlatformSettingsWireOwn PlatformSettingsWire = "own"
 
-// PoolLoad is what is promised of a service's engines in one failure domain.
+// PoolLoad is the reserved load of a service's engines in one failure domain.
 type PoolLoad struct {
-	// Engines that take new requests.
+	// Number of engines that accept new requests.
 	Engines int `json:"engines"`
 
-	// Engine memory that is promised.
+	// Engine memory that is reserved, in tokens.
 	Tokens Tokens `json:"tokens,omitempty,omitzero"`
 
-	// Prompt tokens of requests without a first event.
+	// Prompt tokens of the requests that have not had a first event yet.
 	Unread Tokens `json:"unread,omitempty,omitzero"`
 
-	// Requests that wait for an engine.
+	// Number of requests that wait for an engine.
 	Waiting int `json:"waiting,omitempty,omitzero"`
 }
 
@@ -1191,12 +1224,12 @@
 const RanUnknown Ran = "unknown"
 const RanYes Ran = "yes"
 
-// ReadTime is how long engines took to read prompts.
+// ReadTime is the time that engines took to read (prefill) prompts.
 type ReadTime struct {
-	// Time until the first events
+	// Sum of the times until the first event, ms.
 	MS int `json:"ms"`
 
-	// Prompt tokens that were to be read, with those that were ahead.
+	// Prompt tokens that were read, including those of requests that were ahead.
 	Tokens Tokens `json:"tokens"`
 }
 
@@ -1218,47 +1251,48 @@
 const ResourceKindStatus ResourceKind = "status"
 const ResourceKindWorkspace ResourceKind = "workspace"
 
-// Revision is the platform's own number of a change, which orders changes within
-// one era.
+// Revision is the number that the platform gives to a change. It orders the
+// changes within one era.
 type Revision int
 
-// ServerID is what all lives of a backend server have in common on a hosting
+// ServerID is the ID that all incarnations of a backend server share on a hosting
 // platform.
 type ServerID string
 
-// ServerLimit is what a backend server last said of the rate that it takes from
-// all entry VMs together.
+// ServerLimit is the last announcement of a backend server about the request rate
+// that it accepts from all entry VMs together.
 type ServerLimit struct {
-	// Time since it said so, at least.
+	// Minimum time since the announcement, ms.
 	AgeMS Milliseconds `json:"age_ms"`
 
-	// Whether it names a limit at all.
+	// Whether the server has a limit; false reports that the limit was removed.
 	Named bool `json:"named,omitempty,omitzero"`
 
-	// Time since it said so, at most.
+	// Maximum time since the announcement, ms.
 	OldestMS Milliseconds `json:"oldest_ms,omitempty,omitzero"`
 
-	// Requests a second.
+	// Maximum rate in requests per second.
 	PerSecond float64 `json:"per_second,omitempty,omitzero"`
 
 	// Backend server.
 	Server ServerName `json:"server"`
 }
 
-// ServerLoad is what one entry VM has in flight at a backend server.
+// ServerLoad is the load of the requests that one or several entry VMs have in
+// flight at a backend server.
 type ServerLoad struct {
-	// Requests in flight.
+	// Number of requests in flight.
 	Requests int `json:"requests"`
 
-	// Engine memory that they hold or will soon hold.
+	// Engine memory that the requests use or are about to use, in tokens.
 	Tokens Tokens `json:"tokens,omitempty,omitzero"`
 
-	// Prompt tokens of requests without a first event.
+	// Prompt tokens of the requests that have not had a first event yet.
 	Unread Tokens `json:"unread,omitempty,omitzero"`
 }
 
-// ServerName names one backend server; of a server that may start again under its
-// id, one life.
+// ServerName is the name of a backend server. If the server can restart under the
+// same ID, it is the name of one incarnation.
 type ServerName string
 
 type ServerState string
@@ -1266,24 +1300,24 @@
 const ServerStateActive ServerState = "active"
 const ServerStateDraining ServerState = "draining"
 
-// ServerStatus is one backend server as an entry VM sees it.
+// ServerStatus is the state of one backend server as an entry VM observes it.
 type ServerStatus struct {
-	// Age of the last report.
+	// Age of the last load report, ms.
 	AgeMS Milliseconds `json:"age_ms"`
 
-	// Memory in all.
+	// Size of the KV cache, in tokens.
 	KVTotal Tokens `json:"kv_total,omitempty,omitzero"`
 
-	// Memory this entry VM counts as taken.
+	// Memory that this entry VM counts as reserved, in tokens.
 	Reserved Tokens `json:"reserved"`
 
-	// Generations of this entry VM that run there.
+	// Number of generations of this entry VM that run on the server.
 	Running int `json:"running,omitempty,omitzero"`
 
 	// Backend server.
 	Server ServerName `json:"server"`
 
-	// State as seen.
+	// Observed state.
 	State ServerStatusState `json:"state"`
 }
 
@@ -1299,63 +1333,63 @@
 const ServerTypeEngine ServerType = "engine"
 const ServerTypeService ServerType = "service"
 
-// ServiceName names one plain service.
+// ServiceName is the name of a service.
 type ServiceName string
 
 // ServiceSpec declares a plain service.
 type ServiceSpec struct {
-	// Calls that run at most once.
+	// Calls that must be executed at most once.
 	NotRepeatable []CallRule `json:"not_repeatable,omitempty,omitzero"`
 
-	// Backend servers that run it.
+	// Backend servers of the service.
 	Servers []ServerName `json:"servers"`
 
-	// Longest wait for an answer.
+	// Longest wait for an answer, ms.
 	TimeoutMS Milliseconds `json:"timeout_ms,omitempty,omitzero"`
 }
 
-// Settings is the whole INI file of an entry VM.
+// Settings is the INI file of an entry VM.
 type Settings struct {
 	// Claims of requests that are not repeatable.
 	Claim ClaimSettings `json:"claim,omitempty,omitzero"`
 
-	// The engines' side.
+	// Admission and routing at engines, and the timing of their streams and reports.
 	Engine EngineSettings `json:"engine,omitempty,omitzero"`
 
-	// The callers' side.
+	// Limits for requests of callers.
 	Entry EntrySettings `json:"entry,omitempty,omitzero"`
 
-	// The gateway of a hosted system.
+	// Gateway of a hosted system.
 	Gateway GatewaySettings `json:"gateway,omitempty,omitzero"`
 
-	// Leases on duties.
+	// Timing of the leases on duties.
 	Lease LeaseSettings `json:"lease,omitempty,omitzero"`
 
-	// Logs.
+	// Logging.
 	Log LogSettings `json:"log,omitempty,omitzero"`
 
-	// The VM itself.
+	// Name and addresses of the VM, and the timing of its planned stop.
 	Node NodeSettings `json:"node"`
 
-	// Orders to engines.
+	// Rate of orders to engines.
 	Order OrderSettings `json:"order,omitempty,omitzero"`
 
-	// The platform.
+	// Connection to the platform.
 	Platform PlatformSettings `json:"platform"`
 
-	// Traces.
+	// Tracing.
 	Trace TraceSettings `json:"trace,omitempty,omitzero"`
 }
 
-// StatusSpec reports what the system sees of one resource.
+// StatusSpec reports the observed state of one resource.
 type StatusSpec struct {
-	// Reason in words.
+	// Reason for the state, as text.
 	Detail string `json:"detail,omitempty,omitzero"`
 
 	// Loaded models and adapters with their weights.
 	Loaded []string `json:"loaded,omitempty,omitzero"`
 
-	// Version of the resource this status answers.
+	// Version of the resource that the status refers to.
 	ObservedVersion Version `json:"observed_version,omitempty,omitzero"`
 
 	// Kind of the resource.
@@ -1364,7 +1398,7 @@
 	// Name of the resource.
 	OfName string `json:"of_name"`
 
-	// State that the system observes.
+	// Observed state.
 	State StatusSpecState `json:"state"`
 }
 
@@ -1376,36 +1410,36 @@
 const StatusSpecStateReady StatusSpecState = "ready"
 const StatusSpecStateUnreachable StatusSpecState = "unreachable"
 
-// TokenEvent is one token or the end of a generation's stream.
+// TokenEvent is one token of a generation's stream, or the end of the stream.
 type TokenEvent struct {
-	// Finish reason on the last event.
+	// Finish reason, on the last event only.
 	Finish string `json:"finish,omitempty,omitzero"`
 
-	// Generation the token belongs to.
+	// Generation that the token belongs to.
 	Generation GenerationID `json:"generation"`
 
-	// Index of the token from 0; at the end the count of tokens.
+	// Index of the token, from 0; on the last event the number of tokens.
 	Index int `json:"index"`
 
-	// Times the generation was preempted; on the last event.
+	// Number of times that the generation was preempted, on the last event only.
 	Preempted int `json:"preempted,omitempty,omitzero"`
 
 	// Text of the token.
 	Text string `json:"text,omitempty,omitzero"`
 }
 
-// Tokens counts tokens of a model.
+// Tokens is a number of tokens of a model.
 type Tokens int
 
-// TraceSettings chooses where spans go.
+// TraceSettings selects which traces are recorded and where spans are exported.
 type TraceSettings struct {
-	// Where spans go.
+	// Exporter of spans.
 	Exporter TraceSettingsExporter `json:"exporter,omitempty,omitzero"`
 
-	// Share of traces kept in 1/1000.
+	// Share of traces that are recorded, in 1/1000.
 	SamplePermille int `json:"sample_permille,omitempty,omitzero"`
 
-	// File name or OTLP address.
+	// File name or OTLP address that spans are exported to.
 	Target string `json:"target,omitempty,omitzero"`
 }
 
@@ -1415,24 +1449,24 @@
 const TraceSettingsExporterNone TraceSettingsExporter = "none"
 const TraceSettingsExporterOtlp TraceSettingsExporter = "otlp"
 
-// Usage counts the tokens of a request.
+// Usage holds the token counts of a request.
 type Usage struct {
-	// Answer length.
+	// Length of the answer.
 	CompletionTokens Tokens `json:"completion_tokens"`
 
-	// Estimated prompt length.
+	// Estimated length of the prompt.
 	PromptTokens Tokens `json:"prompt_tokens"`
 
-	// Both together.
+	// Sum of prompt and answer.
 	TotalTokens Tokens `json:"total_tokens"`
 }
 
-// VM is one line of the platform's list of VMs.
+// VM is one entry of the platform's list of VMs.
 type VM struct {
-	// IP address and port of its control interface.
+	// IP address and port of the control interface.
 	Address string `json:"address"`
 
-	// Failure domain.
+	// Failure domain of the VM.
 	Domain DomainName `json:"domain"`
 
 	// Name of the VM or the backend server.
@@ -1445,13 +1479,13 @@
 	State VMState `json:"state"`
 }
 
-// VMList is the platform's list of VMs, which lags.
+// VMList is the platform's list of VMs, which may be out of date.
 type VMList struct {
 	// VMs in order of name.
 	VMs []VM `json:"vms"`
 }
 
-// VMName names one entry VM.
+// VMName is the name of an entry VM.
 type VMName string
 
 type VMRole string
@@ -1464,35 +1498,35 @@
 const VMStateLeaving VMState = "leaving"
 const VMStateLive VMState = "live"
 
-// Version is the order of the platform's changes over all of its eras.
+// Version orders the changes on the platform across all of its eras.
 type Version int
 
-// WorkspaceName names one customer's workspace.
+// WorkspaceName is the name of a workspace, which belongs to one customer.
 type WorkspaceName string
 
 // WorkspaceSpec declares a workspace and what it may use.
 type WorkspaceSpec struct {
-	// Adapters it may use.
+	// Adapters that the workspace may use.
 	Adapters []AdapterName `json:"adapters,omitempty,omitzero"`
 
-	// Requests at once over all entry VMs.
+	// Maximum number of concurrent requests at all entry VMs together.
 	Concurrent int `json:"concurrent,omitempty,omitzero"`
 
 	// SHA-256 of the workspace key in hex.
 	KeySha256 string `json:"key_sha256"`
 
-	// Models it may use.
+	// Models that the workspace may use.
 	Models []ModelName `json:"models,omitempty,omitzero"`
 
-	// Highest priority that its requests may ask for.
+	// Highest priority that requests of the workspace may have.
 	Priority Priority `json:"priority,omitempty,omitzero"`
 
-	// Limit over all entry VMs.
+	// Maximum rate of requests at all entry VMs together, per second.
 	RequestsPerSecond int `json:"requests_per_second,omitempty,omitzero"`
 
-	// Plain services it may call.
+	// Plain services that the workspace may call.
 	Services []ServiceName `json:"services,omitempty,omitzero"`
 
-	// Share of an engine beside other workspaces.
+	// Weight of the workspace when it shares an engine with other workspaces.
 	Weight int `json:"weight,omitempty,omitzero"`
 }
--- a/schema/doc.go
+++ b/schema/doc.go
@@ -1,3 +1,3 @@
-// Package schema holds the JSON Schema sources of all messages, resources and
-// settings, and checks documents against them.
+// Package schema holds the JSON Schema files of all messages, resources and settings, and
+// validates documents against them.
 package schema
--- a/schema/schema.go
+++ b/schema/schema.go
@@ -18,24 +18,24 @@
 //go:embed *.yaml
 var sources embed.FS
 
-// ResourceFile is the source that defines resources.
+// ResourceFile is the schema file that defines resources.
 const ResourceFile = "resource.yaml"
 
-// SettingsFile is the source that defines settings.
+// SettingsFile is the schema file that defines settings.
 const SettingsFile = "settings.yaml"
 
-// Problem is one place where a document breaks its schema.
+// Problem is one violation of the schema: the path in the document and what is wrong there.
 type Problem struct {
 	Path   []string
 	Detail string
 }
 
-// Error is returned for a document that breaks its schema.
+// Error is returned for a document that violates its schema.
 type Error struct {
 	Problems []Problem
 }
 
-// Error lists every problem with its path.
+// Error returns all problems, each with its path.
 func (e *Error) Error() string {
 	l := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
@@ -44,7 +44,7 @@
 	return strings.Join(l, "; ")
 }
 
-// String gives the path and the detail of the problem.
+// String returns the path and the detail of the problem.
 func (p Problem) String() string {
 	if len(p.Path) == 0 {
 		return p.Detail
@@ -52,6 +52,8 @@
 	return strings.Join(p.Path, ".") + ": " + p.Detail
 }
 
+// catalogue holds the parsed schema files by name, and the compiler that resolves
+// references between them. err is set if the files could not be loaded.
 type catalogue struct {
 	docs     map[string]map[string]any
 	compiler *jsonschema.Compiler
@@ -91,12 +93,14 @@
 	if !ok {
 		return &Error{Problems: []Problem{{Path: []string{f}, Detail: "not an object"}}}
 	}
-	// The generator wants an $id; references here go by file name.
+	// Only the code generator needs the $id. Without it the compiler resolves references by
+	// file name.
 	delete(m, "$id")
 	c.docs[f] = m
 	return c.compiler.AddResource(f, m)
 }
 
+// compiled caches the compiled schemas of definitions by URL.
 var compiled sync.Map
 
 func (c *catalogue) compile(file, def string) (*jsonschema.Schema, error) {
@@ -114,11 +118,11 @@
 	return s, nil
 }
 
-// The compiler is not safe for concurrent use.
+// compileMutex guards the compiler, which is not safe for concurrent use.
 var compileMutex sync.Mutex
 
-// Decode checks raw JSON against a definition, fills its defaults in and
-// stores the result in out; it returns *Error for a document that does not fit.
+// Decode validates raw JSON against a definition, sets the defaults of absent properties and
+// stores the result in out. It returns an *Error for a document that violates the schema.
 func Decode(file, def string, raw []byte, out any) error {
 	c := loadCatalogue()
 	if c.err != nil {
@@ -170,7 +174,8 @@
 	}
 }
 
-// cloneDefault copies a default, as nested defaults are filled into it.
+// cloneDefault copies a default value, since the defaults of nested properties are set in
+// the copy.
 func cloneDefault(v any) any {
 	m, ok := v.(map[string]any)
 	if !ok {
@@ -183,6 +188,8 @@
 	return n
 }
 
+// resolveRef returns the definition that s refers to and its file, or s itself if it is not
+// a reference.
 func (c *catalogue) resolveRef(file string, s map[string]any) (string, map[string]any) {
 	r, ok := s["$ref"].(string)
 	if !ok {
@@ -195,6 +202,7 @@
 	return f, c.definition(f, n)
 }
 
+// toError converts a validation error into an *Error with sorted problems.
 func toError(err error) error {
 	v, ok := err.(*jsonschema.ValidationError)
 	if !ok {
@@ -208,6 +216,7 @@
 	return e
 }
 
+// collectProblems adds the innermost causes of a validation error to e.
 func collectProblems(v *jsonschema.ValidationError, e *Error) {
 	if len(v.Causes) == 0 {
 		d := v.ErrorKind.LocalizedString(message.NewPrinter(language.English))
@@ -219,7 +228,7 @@
 	}
 }
 
-// Property is one property of a definition, for messages and pages.
+// Property describes one property of a definition, for error messages and generated pages.
 type Property struct {
 	Name        string
 	Type        string
@@ -231,7 +240,7 @@
 	Ref         string
 }
 
-// Properties lists the properties of a definition in order of name.
+// Properties returns the properties of a definition, sorted by name.
 func Properties(file, def string) []Property {
 	c := loadCatalogue()
 	p, _ := c.definition(file, def)["properties"].(map[string]any)
