--- a/schema/schema.go
+++ b/schema/schema.go
@@ -18,24 +18,24 @@
 //go:embed *.yaml
 var sources embed.FS
 
-// ResourceFile is the source that defines resources.
+// ResourceFile is the schema file that defines resources.
 const ResourceFile = "resource.yaml"
 
-// SettingsFile is the source that defines settings.
+// SettingsFile is the schema file that defines settings.
 const SettingsFile = "settings.yaml"
 
-// Problem is one place where a document breaks its schema.
+// Problem is one violation of the schema: the path in the document and what is wrong there.
 type Problem struct {
 	Path   []string
 	Detail string
 }
 
-// Error is returned for a document that breaks its schema.
+// Error is returned for a document that violates its schema.
 type Error struct {
 	Problems []Problem
 }
 
-// Error lists every problem with its path.
+// Error returns all problems, each with its path.
 func (e *Error) Error() string {
 	l := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
@@ -44,7 +44,7 @@
 	return strings.Join(l, "; ")
 }
 
-// String gives the path and the detail of the problem.
+// String returns the path and the detail of the problem.
 func (p Problem) String() string {
 	if len(p.Path) == 0 {
 		return p.Detail
@@ -52,13 +52,15 @@
 	return strings.Join(p.Path, ".") + ": " + p.Detail
 }
 
+// catalogue holds the parsed schema files by name, and the compiler that resolves
+// references between them. err is set if the files could not be loaded.
 type catalogue struct {
 	docs     map[string]map[string]any
 	compiler *jsonschema.Compiler
 	err      error
 }
 
-var load = sync.OnceValue(func() *catalogue {
+var loadCatalogue = sync.OnceValue(func() *catalogue {
 	c := &catalogue{docs: map[string]map[string]any{}, compiler: jsonschema.NewCompiler()}
 	n, err := fs.Glob(sources, "*.yaml")
 	if err != nil {
@@ -66,7 +68,7 @@
 		return c
 	}
 	for _, f := range n {
-		if err := c.add(f); err != nil {
+		if err := c.addSource(f); err != nil {
 			c.err = err
 			return c
 		}
@@ -74,7 +76,7 @@
 	return c
 })
 
-func (c *catalogue) add(f string) error {
+func (c *catalogue) addSource(f string) error {
 	b, err := sources.ReadFile(f)
 	if err != nil {
 		return err
@@ -91,12 +93,14 @@
 	if !ok {
 		return &Error{Problems: []Problem{{Path: []string{f}, Detail: "not an object"}}}
 	}
-	// The generator wants an $id; references here go by file name.
+	// Only the code generator needs the $id. Without it the compiler resolves references by
+	// file name.
 	delete(m, "$id")
 	c.docs[f] = m
 	return c.compiler.AddResource(f, m)
 }
 
+// compiled caches the compiled schemas of definitions by URL.
 var compiled sync.Map
 
 func (c *catalogue) compile(file, def string) (*jsonschema.Schema, error) {
@@ -114,13 +118,13 @@
 	return s, nil
 }
 
-// The compiler is not safe for concurrent use.
+// compileMutex guards the compiler, which is not safe for concurrent use.
 var compileMutex sync.Mutex
 
-// Decode checks raw JSON against a definition, fills its defaults in and
-// stores the result in out; it returns *Error for a document that does not fit.
+// Decode validates raw JSON against a definition, sets the defaults of absent properties and
+// stores the result in out. It returns an *Error for a document that violates the schema.
 func Decode(file, def string, raw []byte, out any) error {
-	c := load()
+	c := loadCatalogue()
 	if c.err != nil {
 		return c.err
 	}
@@ -133,9 +137,9 @@
 		return &Error{Problems: []Problem{{Detail: "malformed JSON: " + err.Error()}}}
 	}
 	if err := s.Validate(d); err != nil {
-		return explain(err)
+		return toError(err)
 	}
-	c.fill(file, c.def(file, def), d)
+	c.fillDefaults(file, c.definition(file, def), d)
 	b, err := json.Marshal(d)
 	if err != nil {
 		return err
@@ -143,14 +147,14 @@
 	return json.Unmarshal(b, out)
 }
 
-func (c *catalogue) def(file, name string) map[string]any {
+func (c *catalogue) definition(file, name string) map[string]any {
 	d, _ := c.docs[file]["$defs"].(map[string]any)
 	m, _ := d[name].(map[string]any)
 	return m
 }
 
-// fill sets the defaults of absent properties, also in nested objects.
-func (c *catalogue) fill(file string, s map[string]any, doc any) {
+// fillDefaults sets the defaults of absent properties, also in nested objects.
+func (c *catalogue) fillDefaults(file string, s map[string]any, doc any) {
 	m, ok := doc.(map[string]any)
 	if !ok {
 		return
@@ -163,27 +167,30 @@
 			if !ok {
 				continue
 			}
-			m[k] = clone(v)
+			m[k] = cloneDefault(v)
 		}
-		f, t := c.follow(file, q)
-		c.fill(f, t, m[k])
+		f, t := c.resolveRef(file, q)
+		c.fillDefaults(f, t, m[k])
 	}
 }
 
-// clone copies a default, as nested defaults are filled into it.
-func clone(v any) any {
+// cloneDefault copies a default value, since the defaults of nested properties are set in
+// the copy.
+func cloneDefault(v any) any {
 	m, ok := v.(map[string]any)
 	if !ok {
 		return v
 	}
 	n := make(map[string]any, len(m))
 	for k, x := range m {
-		n[k] = clone(x)
+		n[k] = cloneDefault(x)
 	}
 	return n
 }
 
-func (c *catalogue) follow(file string, s map[string]any) (string, map[string]any) {
+// resolveRef returns the definition that s refers to and its file, or s itself if it is not
+// a reference.
+func (c *catalogue) resolveRef(file string, s map[string]any) (string, map[string]any) {
 	r, ok := s["$ref"].(string)
 	if !ok {
 		return file, s
@@ -192,49 +199,51 @@
 	if f == "" {
 		f = file
 	}
-	return f, c.def(f, n)
+	return f, c.definition(f, n)
 }
 
-func explain(err error) error {
+// toError converts a validation error into an *Error with sorted problems.
+func toError(err error) error {
 	v, ok := err.(*jsonschema.ValidationError)
 	if !ok {
 		return err
 	}
 	e := &Error{}
-	collect(v, e)
+	collectProblems(v, e)
 	sort.SliceStable(e.Problems, func(i, j int) bool {
 		return e.Problems[i].String() < e.Problems[j].String()
 	})
 	return e
 }
 
-func collect(v *jsonschema.ValidationError, e *Error) {
+// collectProblems adds the innermost causes of a validation error to e.
+func collectProblems(v *jsonschema.ValidationError, e *Error) {
 	if len(v.Causes) == 0 {
 		d := v.ErrorKind.LocalizedString(message.NewPrinter(language.English))
 		e.Problems = append(e.Problems, Problem{Path: v.InstanceLocation, Detail: d})
 		return
 	}
 	for _, c := range v.Causes {
-		collect(c, e)
+		collectProblems(c, e)
 	}
 }
 
-// Property is one property of a definition, for messages and pages.
+// Property describes one property of a definition, for error messages and generated pages.
 type Property struct {
-	Name    string
-	Type    string
-	Help    string
-	Default any
-	Allowed []any
-	Minimum any
-	Maximum any
-	Ref     string
+	Name        string
+	Type        string
+	Description string
+	Default     any
+	Allowed     []any
+	Minimum     any
+	Maximum     any
+	Ref         string
 }
 
-// Properties lists the properties of a definition in order of name.
+// Properties returns the properties of a definition, sorted by name.
 func Properties(file, def string) []Property {
-	c := load()
-	p, _ := c.def(file, def)["properties"].(map[string]any)
+	c := loadCatalogue()
+	p, _ := c.definition(file, def)["properties"].(map[string]any)
 	l := make([]Property, 0, len(p))
 	for k, v := range p {
 		l = append(l, c.property(file, k, v.(map[string]any)))
@@ -244,20 +253,20 @@
 }
 
 func (c *catalogue) property(file, name string, s map[string]any) Property {
-	_, t := c.follow(file, s)
+	_, t := c.resolveRef(file, s)
 	p := Property{Name: name, Default: s["default"]}
-	p.Help, _ = s["description"].(string)
+	p.Description, _ = s["description"].(string)
 	p.Type, _ = t["type"].(string)
 	p.Allowed, _ = t["enum"].([]any)
-	p.Minimum = first(s["minimum"], t["minimum"])
-	p.Maximum = first(s["maximum"], t["maximum"])
+	p.Minimum = firstNonNil(s["minimum"], t["minimum"])
+	p.Maximum = firstNonNil(s["maximum"], t["maximum"])
 	if r, ok := s["$ref"].(string); ok {
 		_, p.Ref, _ = strings.Cut(r, "#/$defs/")
 	}
 	return p
 }
 
-func first(l ...any) any {
+func firstNonNil(l ...any) any {
 	for _, v := range l {
 		if v != nil {
 			return v
