--- a/spec/allocate.go
+++ b/spec/allocate.go
@@ -67,13 +67,13 @@
 	heard    [allocatorCount]int8
 }
 
-// allocateWorld is a holder whose messages are late, lost and out of order, and
+// allocateModel is a holder whose messages are late, lost and out of order, and
 // that turns from one allocator to the other.
-func allocateWorld(mutation string) world[allocateState] {
-	return world[allocateState]{
-		name:   "allocate",
-		next:   func(s allocateState) []step[allocateState] { return allocateNext(s, mutation) },
-		broken: allocateBroken,
+func allocateModel(mutation string) model[allocateState] {
+	return model[allocateState]{
+		name:      "allocate",
+		next:      func(s allocateState) []step[allocateState] { return allocateNext(s, mutation) },
+		violation: allocateViolation,
 	}
 }
 
@@ -114,11 +114,11 @@
 		if r.sequence == 0 {
 			continue
 		}
-		add(named("report %d arrives", r.sequence), func(n *allocateState) {
+		add(format("report %d arrives", r.sequence), func(n *allocateState) {
 			n.reports[i] = allocateReport{}
 			n.take(r.to, allocateEvent{report: r}, mutation)
 		})
-		add(named("report %d is lost", r.sequence), func(n *allocateState) { n.reports[i] = allocateReport{} })
+		add(format("report %d is lost", r.sequence), func(n *allocateState) { n.reports[i] = allocateReport{} })
 	}
 	for i, r := range s.reports {
 		if r.sequence == 0 && s.sequence < sequenceMost {
@@ -136,20 +136,20 @@
 func askNext(s allocateState, i int, mutation string, add func(string, func(n *allocateState))) {
 	switch {
 	case s.phases[i] == askIdle && s.sequence < sequenceMost && (i == 0 || s.phases[i-1] != askIdle):
-		add(named("ask %d", i+1), func(n *allocateState) {
+		add(format("ask %d", i+1), func(n *allocateState) {
 			n.phases[i] = askOpen
 			n.asks[i] = n.report(mutation)
 		})
 	case s.phases[i] == askOpen:
-		add(named("give up %d", i+1), func(n *allocateState) { n.phases[i] = askOver })
+		add(format("give up %d", i+1), func(n *allocateState) { n.phases[i] = askOver })
 		if s.granted[i] {
-			add(named("answer %d arrives", i+1), func(n *allocateState) { n.phases[i] = askTaken })
+			add(format("answer %d arrives", i+1), func(n *allocateState) { n.phases[i] = askTaken })
 		}
 	case s.phases[i] == askTaken:
-		add(named("end %d", i+1), func(n *allocateState) { n.phases[i] = askOver })
+		add(format("end %d", i+1), func(n *allocateState) { n.phases[i] = askOver })
 	}
 	if r := s.asks[i]; r.sequence > 0 {
-		add(named("ask %d arrives", i+1), func(n *allocateState) {
+		add(format("ask %d arrives", i+1), func(n *allocateState) {
 			n.asks[i] = allocateReport{}
 			n.granted[i] = true
 			n.take(r.to, allocateEvent{report: r, grant: int8(i) + 1}, mutation)
@@ -189,10 +189,10 @@
 	return l
 }
 
-// allocateBroken checks that no place counts twice at an allocator, that one that
+// allocateViolation checks that no place counts twice at an allocator, that one that
 // is held counts where it was granted, and that the current allocator knows what
 // is held once it has heard the newest report.
-func allocateBroken(s allocateState) string {
+func allocateViolation(s allocateState) string {
 	for to := range int8(allocatorCount) {
 		n := s.ledger(to).Total(engineName).Tokens
 		for i := range askCount {
--- a/spec/answer.go
+++ b/spec/answer.go
@@ -31,19 +31,19 @@
 	now       int
 }
 
-func generationID(g int) api.GenerationID { return api.GenerationID(named("g%d", g)) }
+func generationID(g int) api.GenerationID { return api.GenerationID(format("g%d", g)) }
 
-func answerWorld(repeatable bool, mutation string) world[answerState] {
+func answerModel(repeatable bool, mutation string) model[answerState] {
 	p := answer.Policy{Repeatable: repeatable, MaxResumeTime: 2 * time.Second, Deadline: at(100)}
-	return world[answerState]{
-		name:   named("one generation: 2 generations of 2 tokens, repeatable %v", repeatable),
-		start:  answerState{answer: *answer.New(p), begun: 0},
-		next:   func(s answerState) []step[answerState] { return answerNext(s, mutation) },
-		broken: func(s answerState) string { return answerBroken(s, repeatable) },
+	return model[answerState]{
+		name:      format("one generation: 2 generations of 2 tokens, repeatable %v", repeatable),
+		initial:   answerState{answer: *answer.New(p), begun: 0},
+		next:      func(s answerState) []step[answerState] { return answerNext(s, mutation) },
+		violation: func(s answerState) string { return answerViolation(s, repeatable) },
 	}
 }
 
-func answerBroken(s answerState, repeatable bool) string {
+func answerViolation(s answerState, repeatable bool) string {
 	for i := range s.count {
 		if s.delivered[i][1] != i || s.delivered[i][0] != s.delivered[0][0] {
 			return "the caller saw a token doubled, missing, out of order or of another generation"
@@ -87,7 +87,7 @@
 	for g := range s.begun {
 		for i := range tokens + 1 {
 			if n, ok := receive(s, g, i, mutation); ok {
-				add(named("token %d of g%d arrives", i, g), n)
+				add(format("token %d of g%d arrives", i, g), n)
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 	for _, c := range []answer.Cause{answer.NotConnected, answer.Refused} {
 		n = s
 		n.broke(c, mutation)
-		add(named("cause %d", c), n)
+		add(format("cause %d", c), n)
 	}
 	n = s
 	n.broke(answer.GenerationUnknown, mutation)
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -77,20 +77,20 @@
 	lied bool
 }
 
-func vmName(i int) api.VMName { return api.VMName(named("vm-%d", i)) }
+func vmName(i int) api.VMName { return api.VMName(format("vm-%d", i)) }
 
-func requestID(i int) api.RequestID { return api.RequestID(named("r%d", i)) }
+func requestID(i int) api.RequestID { return api.RequestID(format("r%d", i)) }
 
-func claimWorld(z claimSize, mutation string) world[claimState] {
+func claimModel(z claimSize, mutation string) model[claimState] {
 	s := claimState{copies: z.restore}
 	for i := range vms {
 		s.life[i] = 1
 	}
-	return world[claimState]{
-		name:  z.name,
-		start: s,
-		next:  func(s claimState) []step[claimState] { return claimNext(s, z, mutation) },
-		broken: func(s claimState) string {
+	return model[claimState]{
+		name:    z.name,
+		initial: s,
+		next:    func(s claimState) []step[claimState] { return claimNext(s, z, mutation) },
+		violation: func(s claimState) string {
 			switch {
 			case s.sends > 1:
 				return "the request was sent twice"
@@ -113,7 +113,7 @@
 		case !a.begun:
 			n := s
 			n.begin(i)
-			add(named("the caller asks by attempt %d", i), n)
+			add(format("the caller asks by attempt %d", i), n)
 		case !a.over:
 			l = append(l, s.move(i, z, mutation)...)
 		}
@@ -121,14 +121,14 @@
 			n := s
 			n.attempt[i].hasLate, n.attempt[i].late = false, claim.Action{}
 			n.write(a.late)
-			add(named("attempt %d's late write is carried out", i), n)
+			add(format("attempt %d's late write is carried out", i), n)
 		}
 	}
 	if z.restore && s.era == 0 {
 		for _, r := range []record{s.before, {}} {
 			n := s
 			n.era, n.record, n.before = 1, r, record{}
-			add(named("the platform comes back from a copy of %d writes", r.written), n)
+			add(format("the platform comes back from a copy of %d writes", r.written), n)
 		}
 	}
 	if s.era > 0 && !s.settled {
@@ -177,7 +177,7 @@
 		if mutation != mutateNoRewrite {
 			n.rewrite(i)
 		}
-		l = append(l, step[claimState]{named("attempt %d's claim is looked through by its owner", i), n})
+		l = append(l, step[claimState]{format("attempt %d's claim is looked through by its owner", i), n})
 	}
 	if all {
 		n := s
@@ -289,7 +289,7 @@
 		case claim.Refuse, claim.Replay:
 			n.end(i, x)
 		}
-		l = append(l, step[claimState]{named("attempt %d %s", i, what), n})
+		l = append(l, step[claimState]{format("attempt %d %s", i, what), n})
 	}
 	switch m.Kind {
 	case claim.Create, claim.TakeOver:
--- a/spec/lease.go
+++ b/spec/lease.go
@@ -107,20 +107,20 @@
 func at(n int) time.Time { return epoch.Add(time.Duration(n) * time.Second) }
 
 func owner(i int, life api.Incarnation) lease.Owner {
-	return lease.Owner{VM: api.VMName(named("vm-%d", i)), Incarnation: life}
+	return lease.Owner{VM: api.VMName(format("vm-%d", i)), Incarnation: life}
 }
 
-func leaseWorld(z leaseSize, mutation string) world[leaseState] {
+func leaseModel(z leaseSize, mutation string) model[leaseState] {
 	var s leaseState
 	for i := range candidates {
 		s.life[i] = 1
 		s.lease[i] = *lease.New(owner(i, 1), leaseTiming)
 	}
-	return world[leaseState]{
-		name:  z.name,
-		start: s,
-		next:  func(s leaseState) []step[leaseState] { return leaseNext(s, z, mutation) },
-		broken: func(s leaseState) string {
+	return model[leaseState]{
+		name:    z.name,
+		initial: s,
+		next:    func(s leaseState) []step[leaseState] { return leaseNext(s, z, mutation) },
+		violation: func(s leaseState) string {
 			switch {
 			case s.both:
 				return "two candidates hold the lease at once"
@@ -152,13 +152,13 @@
 		if n.now > restoreBy {
 			n.before = object{}
 		}
-		add(named("the clock reaches %d s", n.now), n)
+		add(format("the clock reaches %d s", n.now), n)
 	}
 	if z.restore && s.era == 0 && s.now <= restoreBy {
 		for _, o := range []object{s.before, {}} {
 			n := s
 			n.era, n.object, n.before = 1, o, object{}
-			add(named("%d s: the platform comes back from a copy of %d writes", s.now, o.written), n)
+			add(format("%d s: the platform comes back from a copy of %d writes", s.now, o.written), n)
 		}
 	}
 	for i := range candidates {
@@ -174,7 +174,7 @@
 func candidateNext(s leaseState, i int, z leaseSize, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(what string, n leaseState) {
-		l = append(l, step[leaseState]{named("%d s: vm-%d %s", s.now, i, what), n})
+		l = append(l, step[leaseState]{format("%d s: vm-%d %s", s.now, i, what), n})
 	}
 	c := s.call[i]
 	switch {
@@ -300,7 +300,7 @@
 		}
 		n := s
 		n.order[i] = order{open: true, fence: f}
-		l = append(l, step[leaseState]{named("%d s: vm-%d sends an order", s.now, i), n})
+		l = append(l, step[leaseState]{format("%d s: vm-%d sends an order", s.now, i), n})
 	}
 	if o := s.order[i]; o.open {
 		for _, again := range []bool{false, true} {
@@ -316,7 +316,7 @@
 				n.by = i + 1
 				n.applied = max(s.applied, o.fence)
 			}
-			l = append(l, step[leaseState]{named("%d s: an order with fence %d arrives", s.now, o.fence), n})
+			l = append(l, step[leaseState]{format("%d s: an order with fence %d arrives", s.now, o.fence), n})
 		}
 	}
 	return l
--- a/spec/life.go
+++ b/spec/life.go
@@ -55,12 +55,12 @@
 	used int8
 }
 
-func lifeWorld(mutation string) world[lifeState] {
-	return world[lifeState]{
-		name:   "life",
-		start:  lifeState{now: lifeEntry{life: 1}, entry: lifeEntry{life: 1}},
-		next:   lifeNext,
-		broken: func(s lifeState) string { return lifeBroken(s, mutation) },
+func incarnationModel(mutation string) model[lifeState] {
+	return model[lifeState]{
+		name:      "life",
+		initial:   lifeState{now: lifeEntry{life: 1}, entry: lifeEntry{life: 1}},
+		next:      lifeNext,
+		violation: func(s lifeState) string { return incarnationViolation(s, mutation) },
 	}
 }
 
@@ -149,8 +149,8 @@
 	return r
 }
 
-// lifeBroken tells which property the words heard have broken.
-func lifeBroken(s lifeState, mutation string) string {
+// incarnationViolation tells which property the words heard have broken.
+func incarnationViolation(s lifeState, mutation string) string {
 	r := lifeRoster(s, mutation)
 	first, known := r.Find(lifeServer(lifeEntry{life: 1}, mutation).Name)
 	second, later := r.Find(lifeServer(lifeEntry{life: 2}, mutation).Name)
--- a/spec/limit.go
+++ b/spec/limit.go
@@ -69,11 +69,11 @@
 	older bool
 }
 
-func limitWorld(mutation string) world[limitState] {
-	return world[limitState]{
-		name:   "limit",
-		next:   func(s limitState) []step[limitState] { return limitNext(s, mutation) },
-		broken: limitBroken,
+func limitModel(mutation string) model[limitState] {
+	return model[limitState]{
+		name:      "limit",
+		next:      func(s limitState) []step[limitState] { return limitNext(s, mutation) },
+		violation: limitViolation,
 	}
 }
 
@@ -180,7 +180,7 @@
 	if !w.open {
 		for vm := range int8(limitVMs) {
 			if s.records[vm].known {
-				add(named("VM %d tells its peer", vm), func(n *limitState) {
+				add(format("VM %d tells its peer", vm), func(n *limitState) {
 					n.words[i] = limitWord{open: true, to: 1 - vm, record: s.records[vm], sent: s.now}
 				})
 			}
@@ -188,7 +188,7 @@
 		return
 	}
 	add("a word is lost", func(n *limitState) { n.words[i] = limitWord{} })
-	add(named("a word reaches VM %d", w.to), func(n *limitState) {
+	add(format("a word reaches VM %d", w.to), func(n *limitState) {
 		n.words[i] = limitWord{}
 		youngest, oldest := limitAt(w.sent).Sub(limitAt(w.record.at)), limitAt(w.sent).Sub(limitAt(w.record.since))
 		if mutation == mutateWay {
@@ -206,9 +206,9 @@
 	})
 }
 
-// limitBroken checks that an entry VM that has heard of a limit knows it as long as the server
+// limitViolation checks that an entry VM that has heard of a limit knows it as long as the server
 // names it, and that no older word changes what is known.
-func limitBroken(s limitState) string {
+func limitViolation(s limitState) string {
 	if s.older {
 		return "an older word of a peer changed what was known"
 	}
--- a/spec/move.go
+++ b/spec/move.go
@@ -48,7 +48,7 @@
 	double  bool
 }
 
-func moveWorld(mutation string) world[moveState] {
+func moveModel(mutation string) model[moveState] {
 	m := evacuate.New(at(0))
 	s := moveState{move: *m, action: m.First(), moving: true, target: none, held: none, made: 1, stream: 0, next: 1}
 	for i := range moveServers {
@@ -56,15 +56,15 @@
 		s.copies[i] = none
 	}
 	s.runs[0] = true
-	return world[moveState]{
-		name:   named("move: a run of %d events, %d servers, crashes, breaks, lost answers", moveEvents, moveServers),
-		start:  s,
-		next:   func(s moveState) []step[moveState] { return moveNext(s, mutation) },
-		broken: moveBroken,
+	return model[moveState]{
+		name:      format("move: a run of %d events, %d servers, crashes, breaks, lost answers", moveEvents, moveServers),
+		initial:   s,
+		next:      func(s moveState) []step[moveState] { return moveNext(s, mutation) },
+		violation: moveViolation,
 	}
 }
 
-func moveBroken(s moveState) string {
+func moveViolation(s moveState) string {
 	for i := range s.count {
 		if s.got[i] != i+1 {
 			return "the caller saw an event doubled, missing or out of order"
@@ -94,7 +94,7 @@
 		if i < 2 && s.alive[i] {
 			n := s
 			n.alive[i], n.runs[i] = false, false
-			add(named("server %d dies", i), n)
+			add(format("server %d dies", i), n)
 		}
 	}
 	l = append(l, moveRead(s, mutation)...)
@@ -114,7 +114,7 @@
 		return l
 	}
 	if s.next <= s.made {
-		add(named("event %d arrives", s.next), s.read(mutation))
+		add(format("event %d arrives", s.next), s.read(mutation))
 	}
 	if s.next > moveEvents && s.alive[s.stream] {
 		n := s
