--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -81,7 +81,7 @@
 }
 
 func TestAllocate(t *testing.T) {
-	check(t, allocateModel, mutateOpen, mutateOrder, mutateTaken)
+	check(t, allocateModel, mutateOmitOpen, mutateNoOrder, mutateOmitHeld)
 }
 
 func TestLimit(t *testing.T) {
