--- a/spec/answer.go
+++ b/spec/answer.go
@@ -16,8 +16,8 @@
 
 type answerState struct {
 	answer answer.Answer
-	// begun counts the generations that were started.
-	begun int
+	// started counts the generations that were started.
+	started int
 	// sent tells which generations may have run.
 	sent [generations]bool
 	// open is whether a stream of the present generation is read.
@@ -37,7 +37,7 @@
 	p := answer.Policy{Repeatable: repeatable, MaxResumeTime: 2 * time.Second, Deadline: at(100)}
 	return model[answerState]{
 		name:      format("one generation: 2 generations of 2 tokens, repeatable %v", repeatable),
-		initial:   answerState{answer: *answer.New(p), begun: 0},
+		initial:   answerState{answer: *answer.New(p), started: 0},
 		next:      func(s answerState) []step[answerState] { return answerNext(s, mutation) },
 		violation: func(s answerState) string { return answerViolation(s, repeatable) },
 	}
@@ -72,19 +72,19 @@
 	}
 	var l []step[answerState]
 	add := func(name string, n answerState) { l = append(l, step[answerState]{name, n}) }
-	if s.begun == 0 {
+	if s.started == 0 {
 		n := s
 		n.answer.Begin(generationID(0))
 		n.answer.MarkSent()
-		n.begun = 1
+		n.started = 1
 		add("g0 is sent", n)
 		return l
 	}
 	if !s.open {
-		l = append(l, opening(s, mutation)...)
+		l = append(l, openNext(s, mutation)...)
 		return l
 	}
-	for g := range s.begun {
+	for g := range s.started {
 		for i := range tokens + 1 {
 			if n, ok := receive(s, g, i, mutation); ok {
 				add(format("token %d of g%d arrives", i, g), n)
@@ -92,31 +92,31 @@
 		}
 	}
 	n := s
-	n.broke(answer.Broken, mutation)
+	n.handleBreak(answer.Broken, mutation)
 	add("the stream breaks", n)
 	return l
 }
 
-// opening is what can come of a start or a resume.
-func opening(s answerState, mutation string) []step[answerState] {
+// openNext is what can come of a start or a resume.
+func openNext(s answerState, mutation string) []step[answerState] {
 	var l []step[answerState]
 	add := func(name string, n answerState) { l = append(l, step[answerState]{name, n}) }
 	n := s
-	n.sent[s.begun-1] = true
+	n.sent[s.started-1] = true
 	n.open = true
 	n.answer.MarkOpened()
 	add("the engine streams", n)
 	n = s
-	n.sent[s.begun-1] = true
-	n.broke(answer.Broken, mutation)
+	n.sent[s.started-1] = true
+	n.handleBreak(answer.Broken, mutation)
 	add("the connection breaks, the engine has it", n)
 	for _, c := range []answer.Cause{answer.NotConnected, answer.Refused} {
 		n = s
-		n.broke(c, mutation)
+		n.handleBreak(c, mutation)
 		add(format("cause %d", c), n)
 	}
 	n = s
-	n.broke(answer.GenerationUnknown, mutation)
+	n.handleBreak(answer.GenerationUnknown, mutation)
 	add("the engine has forgotten it", n)
 	return l
 }
@@ -144,13 +144,13 @@
 	case answer.Finish:
 		n.finished = true
 	case answer.Gap:
-		n.broke(answer.Broken, mutation)
+		n.handleBreak(answer.Broken, mutation)
 	}
 	return n, true
 }
 
-// broke asks what follows a break and does it.
-func (s *answerState) broke(c answer.Cause, mutation string) {
+// handleBreak asks what follows a break and does it.
+func (s *answerState) handleBreak(c answer.Cause, mutation string) {
 	s.open = false
 	s.now = min(s.now+1, 5)
 	n := s.answer.Break(at(s.now), c)
@@ -159,18 +159,18 @@
 	}
 	switch n.Action {
 	case answer.Retry:
-		s.again(mutation)
+		s.retry(mutation)
 	case answer.Fail:
 		s.failed, s.ran = true, n.Fault.Ran
 	}
 }
 
-func (s *answerState) again(mutation string) {
-	if s.begun == generations {
+func (s *answerState) retry(mutation string) {
+	if s.started == generations {
 		s.failed, s.ran = true, s.answer.Ran()
 		return
 	}
-	ok := s.answer.Begin(generationID(s.begun))
+	ok := s.answer.Begin(generationID(s.started))
 	if !ok && mutation == "" {
 		s.failed, s.ran = true, s.answer.Ran()
 		return
@@ -178,8 +178,8 @@
 	if !ok {
 		// The mutated code starts a generation all the same.
 		s.answer = *answer.New(answer.Policy{MaxResumeTime: 2 * time.Second, Deadline: at(100)})
-		s.answer.Begin(generationID(s.begun))
+		s.answer.Begin(generationID(s.started))
 	}
 	s.answer.MarkSent()
-	s.begun++
+	s.started++
 }
