--- a/spec/claim.go
+++ b/spec/claim.go
@@ -12,26 +12,26 @@
 	attempts = 3
 )
 
-// home is the entry VM of each attempt.
-var home = [attempts]int{0, 1, 0}
+// attemptVM is the entry VM of each attempt.
+var attemptVM = [attempts]int{0, 1, 0}
 
-// claimSize bounds a world, so that every run of it can be visited.
-type claimSize struct {
+// claimBounds bounds a world, so that every run of it can be visited.
+type claimBounds struct {
 	name     string
 	attempts int
-	// late lets writes be carried out after their callers gave up.
-	late bool
+	// lateWrites lets writes be carried out after their callers gave up.
+	lateWrites bool
 	// restore lets the platform come back once from a copy of before the last write or of
 	// before all of them; no entry VM crashes then.
 	restore bool
 }
 
-// record is the claim as the platform has it, after so many writes.
-type record struct {
+// storedClaim is the claim as the platform has it, after so many writes.
+type storedClaim struct {
 	exists  bool
 	spec    api.ClaimSpec
 	version api.Version
-	written api.Revision
+	writes  api.Revision
 }
 
 // progress is how far an attempt's own record on its VM has come.
@@ -45,46 +45,46 @@
 )
 
 type attemptState struct {
-	course   claim.Claim
+	claim    claim.Claim
 	next     claim.Action
 	begun    bool
-	over     bool
+	done     bool
 	progress progress
-	// life is its VM's life when it began.
-	life api.Incarnation
-	// late is a write that its VM gave up waiting for.
-	late    claim.Action
-	hasLate bool
-	// claimed is the era in which its claim was written, one up, zero for none; rewritten is
+	// incarnation is its VM's incarnation when it began.
+	incarnation api.Incarnation
+	// lateWrite is a write that its VM gave up waiting for.
+	lateWrite    claim.Action
+	hasLateWrite bool
+	// claimedEra is the era in which its claim was written, one up, zero for none; rewritten is
 	// set once its VM has looked whether the platform lost that.
-	claimed   api.Era
-	rewritten bool
+	claimedEra api.Era
+	rewritten  bool
 }
 
 type claimState struct {
-	record
-	// copies is set where the platform may come back from one; era counts that, and before is
+	storedClaim
+	// canRestore is set where the platform may come back from one; era counts that, and before is
 	// the claim before the last write.
-	copies bool
-	era    api.Era
-	before record
+	canRestore bool
+	era        api.Era
+	previous   storedClaim
 	// settled is set once owners had the time to write their claims again.
-	settled bool
-	attempt [attempts]attemptState
-	life    [vms]api.Incarnation
-	sends   int
-	// lied tells that a caller was told "not run" by an attempt that sent.
-	lied bool
+	settled      bool
+	attempt      [attempts]attemptState
+	incarnations [vms]api.Incarnation
+	sends        int
+	// falseNotRun tells that a caller was told "not run" by an attempt that sent.
+	falseNotRun bool
 }
 
 func vmName(i int) api.VMName { return api.VMName(format("vm-%d", i)) }
 
 func requestID(i int) api.RequestID { return api.RequestID(format("r%d", i)) }
 
-func claimModel(z claimSize, mutation string) model[claimState] {
-	s := claimState{copies: z.restore}
+func claimModel(z claimBounds, mutation string) model[claimState] {
+	s := claimState{canRestore: z.restore}
 	for i := range vms {
-		s.life[i] = 1
+		s.incarnations[i] = 1
 	}
 	return model[claimState]{
 		name:    z.name,
@@ -94,7 +94,7 @@
 			switch {
 			case s.sends > 1:
 				return "the request was sent twice"
-			case s.lied:
+			case s.falseNotRun:
 				return "a caller was told that a request that was sent did not run"
 			}
 			return ""
@@ -102,44 +102,44 @@
 	}
 }
 
-func claimNext(s claimState, z claimSize, mutation string) []step[claimState] {
+func claimNext(s claimState, z claimBounds, mutation string) []step[claimState] {
 	var l []step[claimState]
 	add := func(name string, n claimState) { l = append(l, step[claimState]{name, n}) }
 	for i := range z.attempts {
 		a := s.attempt[i]
 		switch {
-		case !a.begun && s.early(mutation):
+		case !a.begun && s.unsettled(mutation):
 			// It is refused, and the caller comes back later.
 		case !a.begun:
 			n := s
 			n.begin(i)
 			add(format("the caller asks by attempt %d", i), n)
-		case !a.over:
-			l = append(l, s.move(i, z, mutation)...)
+		case !a.done:
+			l = append(l, s.actionNext(i, z, mutation)...)
 		}
-		if a.hasLate {
+		if a.hasLateWrite {
 			n := s
-			n.attempt[i].hasLate, n.attempt[i].late = false, claim.Action{}
-			n.write(a.late)
+			n.attempt[i].hasLateWrite, n.attempt[i].lateWrite = false, claim.Action{}
+			n.write(a.lateWrite)
 			add(format("attempt %d's late write is carried out", i), n)
 		}
 	}
 	if z.restore && s.era == 0 {
-		for _, r := range []record{s.before, {}} {
+		for _, r := range []storedClaim{s.previous, {}} {
 			n := s
-			n.era, n.record, n.before = 1, r, record{}
-			add(format("the platform comes back from a copy of %d writes", r.written), n)
+			n.era, n.storedClaim, n.previous = 1, r, storedClaim{}
+			add(format("the platform comes back from a copy of %d writes", r.writes), n)
 		}
 	}
 	if s.era > 0 && !s.settled {
 		l = append(l, s.settleNext(mutation)...)
 	}
-	if s.life[0] == 1 && !z.restore {
+	if s.incarnations[0] == 1 && !z.restore {
 		n := s
-		n.life[0] = 2
+		n.incarnations[0] = 2
 		for i := range attempts {
-			if home[i] == 0 {
-				n.attempt[i].over = n.attempt[i].begun
+			if attemptVM[i] == 0 {
+				n.attempt[i].done = n.attempt[i].begun
 				n.attempt[i].progress = unknown
 			}
 		}
@@ -148,8 +148,8 @@
 	return l
 }
 
-// early reports whether claims may be lost that were not written again yet.
-func (s *claimState) early(mutation string) bool {
+// unsettled reports whether claims may be lost that were not written again yet.
+func (s *claimState) unsettled(mutation string) bool {
 	return s.era > 0 && !s.settled && mutation != mutateNoSettling
 }
 
@@ -166,7 +166,7 @@
 	var l []step[claimState]
 	all := true
 	for i := range attempts {
-		if s.attempt[i].claimed == 0 || s.attempt[i].rewritten {
+		if s.attempt[i].claimedEra == 0 || s.attempt[i].rewritten {
 			continue
 		}
 		if s.attempt[i].progress == sent {
@@ -189,7 +189,7 @@
 
 // rewrite has an attempt's owner write its claim again, if the real code says so.
 func (s *claimState) rewrite(i int) {
-	for _, r := range s.register(home[i]).Records() {
+	for _, r := range s.attemptsOf(attemptVM[i]).Records() {
 		if r.Spec.Request != requestID(i) {
 			continue
 		}
@@ -205,42 +205,42 @@
 
 // claimSpec is the claim of an attempt.
 func (s *claimState) claimSpec(i int) api.ClaimSpec {
-	v := home[i]
-	return api.ClaimSpec{Workspace: "w", Owner: vmName(v), Incarnation: s.attempt[i].life, Request: requestID(i), BodyHash: "h"}
+	v := attemptVM[i]
+	return api.ClaimSpec{Workspace: "w", Owner: vmName(v), Incarnation: s.attempt[i].incarnation, Request: requestID(i), BodyHash: "h"}
 }
 
 func (s *claimState) begin(i int) {
-	v := home[i]
-	s.attempt[i].life = s.life[v]
+	v := attemptVM[i]
+	s.attempt[i].incarnation = s.incarnations[v]
 	c := claim.New(s.claimSpec(i))
-	s.attempt[i] = attemptState{course: *c, next: c.Begin(), begun: true, progress: waiting, life: s.life[v]}
+	s.attempt[i] = attemptState{claim: *c, next: c.Begin(), begun: true, progress: waiting, incarnation: s.incarnations[v]}
 }
 
 func (s *claimState) write(m claim.Action) bool {
 	if m.Version != s.version {
 		return false
 	}
-	if s.copies && s.era == 0 {
-		s.before = s.record
+	if s.canRestore && s.era == 0 {
+		s.previous = s.storedClaim
 	}
-	s.written++
-	s.exists, s.spec, s.version = true, m.Spec, api.NewVersion(s.era, s.written)
+	s.writes++
+	s.exists, s.spec, s.version = true, m.Spec, api.NewVersion(s.era, s.writes)
 	return true
 }
 
-// register rebuilds a VM's own record of its attempts, so that its answer is
+// attemptsOf rebuilds a VM's own record of its attempts, so that its answer is
 // the real code's.
-func (s *claimState) register(v int) *claim.Attempts {
-	r := claim.NewAttempts(s.life[v])
+func (s *claimState) attemptsOf(v int) *claim.Attempts {
+	r := claim.NewAttempts(s.incarnations[v])
 	for i := range attempts {
-		if home[i] != v || s.attempt[i].life != s.life[v] {
+		if attemptVM[i] != v || s.attempt[i].incarnation != s.incarnations[v] {
 			continue
 		}
 		if p := s.attempt[i].progress; p != waiting && p != sent {
 			continue
 		}
 		r.Add(requestID(i))
-		if s.attempt[i].claimed > 0 {
+		if s.attempt[i].claimedEra > 0 {
 			c := s.claimSpec(i)
 			c.State = api.ClaimStateClaimed
 			r.SetClaim(requestID(i), claim.Record{Name: "c", Spec: c})
@@ -258,11 +258,11 @@
 		if requestID(i) != spec.Request {
 			continue
 		}
-		ok := s.register(home[i]).Release(spec.Request, spec.Incarnation)
-		if mutation == "a silent owner counts as given up" && spec.Incarnation != s.life[home[i]] {
+		ok := s.attemptsOf(attemptVM[i]).Release(spec.Request, spec.Incarnation)
+		if mutation == "a silent owner counts as given up" && spec.Incarnation != s.incarnations[attemptVM[i]] {
 			ok = true
 		}
-		if ok && s.attempt[i].life == s.life[home[i]] {
+		if ok && s.attempt[i].incarnation == s.incarnations[attemptVM[i]] {
 			s.attempt[i].progress = released
 		}
 		return ok
@@ -270,19 +270,19 @@
 	return false
 }
 
-// move carries an attempt's next move out, in every way it can go.
-func (s claimState) move(i int, z claimSize, mutation string) []step[claimState] {
+// actionNext carries an attempt's next actionNext out, in every way it can go.
+func (s claimState) actionNext(i int, z claimBounds, mutation string) []step[claimState] {
 	var l []step[claimState]
 	m := s.attempt[i].next
-	add := func(what string, f change) {
+	add := func(what string, f transition) {
 		n := s
-		c := n.attempt[i].course
+		c := n.attempt[i].claim
 		x := f(&n, &c)
-		n.attempt[i].course, n.attempt[i].next = c, x
+		n.attempt[i].claim, n.attempt[i].next = c, x
 		switch x.Kind {
 		case claim.Send:
 			if m.Kind != claim.Send {
-				n.attempt[i].claimed = n.era + 1
+				n.attempt[i].claimedEra = n.era + 1
 			}
 		case claim.Abandon:
 			n.abandon(i, x)
@@ -293,10 +293,10 @@
 	}
 	switch m.Kind {
 	case claim.Create, claim.TakeOver:
-		writeMoves(i, m, z, mutation, add)
+		writeNext(i, m, z, mutation, add)
 	case claim.Read:
 		add("reads the claim", func(n *claimState, c *claim.Claim) claim.Action {
-			return c.HandleRead(n.exists, n.spec, n.version, !n.early(mutation))
+			return c.HandleRead(n.exists, n.spec, n.version, !n.unsettled(mutation))
 		})
 		add("can't read the claim", func(_ *claimState, c *claim.Claim) claim.Action { return c.HandleReadError() })
 	case claim.RequestRelease:
@@ -309,29 +309,29 @@
 		})
 	case claim.Send:
 		add("sends", func(n *claimState, _ *claim.Claim) claim.Action {
-			ok := n.register(home[i]).TrySend(requestID(i)) && n.permits(i, mutation)
+			ok := n.attemptsOf(attemptVM[i]).TrySend(requestID(i)) && n.permitsSend(i, mutation)
 			if !ok && mutation != "no check before the send" {
 				return claim.Action{Kind: claim.Refuse}
 			}
 			n.sends++
 			n.attempt[i].progress = sent
-			n.attempt[i].over = true
+			n.attempt[i].done = true
 			return claim.Action{Kind: claim.Send}
 		})
 	}
 	return l
 }
 
-// change is how the claim and an attempt's course change by one step.
-type change func(n *claimState, c *claim.Claim) claim.Action
+// transition is how the claim and an attempt's course transition by one step.
+type transition func(n *claimState, c *claim.Claim) claim.Action
 
-// writeMoves carries the write of a claim out, in every way it can go.
-func writeMoves(i int, m claim.Action, z claimSize, mutation string, add func(what string, c change)) {
+// writeNext carries the write of a claim out, in every way it can go.
+func writeNext(i int, m claim.Action, z claimBounds, mutation string, add func(what string, c transition)) {
 	add("writes its claim", func(n *claimState, c *claim.Claim) claim.Action {
 		switch {
 		case !n.write(m):
 			return c.HandleWrite(claim.WriteConflict)
-		case n.early(mutation):
+		case n.unsettled(mutation):
 			return c.HandleWrite(claim.WriteUnsettled)
 		default:
 			return c.HandleWrite(claim.WriteDone)
@@ -344,19 +344,19 @@
 		}
 		return c.HandleWrite(claim.WriteUnknown)
 	})
-	if z.late {
+	if z.lateWrites {
 		add("gives up waiting for its write", func(n *claimState, c *claim.Claim) claim.Action {
-			n.attempt[i].late, n.attempt[i].hasLate = m, true
+			n.attempt[i].lateWrite, n.attempt[i].hasLateWrite = m, true
 			return c.HandleWrite(claim.WriteUnknown)
 		})
 	}
 	add("has its write refused", func(_ *claimState, c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteRefused) })
 }
 
-// permits reports whether an attempt's claim still allows to send: its time is over before
+// permitsSend reports whether an attempt's claim still allows to send: its time is over before
 // others may claim in a later era.
-func (s *claimState) permits(i int, mutation string) bool {
-	return !s.settled || s.attempt[i].claimed > s.era || mutation == mutateOldPermit
+func (s *claimState) permitsSend(i int, mutation string) bool {
+	return !s.settled || s.attempt[i].claimedEra > s.era || mutation == mutateOldPermit
 }
 
 // abandon records that an attempt was not sent, if its claim is there still.
@@ -372,8 +372,8 @@
 // its VM.
 func (s *claimState) end(i int, m claim.Action) {
 	a := &s.attempt[i]
-	s.lied = s.lied || a.progress == sent && m.Fault != nil && m.Fault.Ran == api.RanNo
-	a.over = true
+	s.falseNotRun = s.falseNotRun || a.progress == sent && m.Fault != nil && m.Fault.Ran == api.RanNo
+	a.done = true
 	if a.progress == waiting {
 		a.progress = released
 	}
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestClaim(t *testing.T) {
-	for _, z := range []claimSize{
+	for _, z := range []claimBounds{
 		{"claim: 2 attempts on 2 entry VMs, a crash, lost and late writes", 2, true, false},
 		{"claim: 3 attempts on 2 entry VMs, a crash, lost writes", 3, false, false},
 	} {
@@ -63,7 +63,7 @@
 
 // A request that may not be repeated must not be sent twice when the store loses its claim.
 func TestClaimThroughARestore(t *testing.T) {
-	z := claimSize{"claim: 2 attempts on 2 entry VMs, a restore, lost and late writes", 2, true, true}
+	z := claimBounds{"claim: 2 attempts on 2 entry VMs, a restore, lost and late writes", 2, true, true}
 	check(t, func(m string) model[claimState] { return claimModel(z, m) }, mutateNoSettling, mutateNoRewrite, mutateOldPermit)
 }
 
