--- a/spec/lease.go
+++ b/spec/lease.go
@@ -15,16 +15,16 @@
 
 var leaseTiming = lease.Timing{Duration: 2 * time.Second, Skew: time.Second}
 
-// leaseSize bounds a world, so that every run of it can be visited.
-type leaseSize struct {
+// leaseBounds bounds a world, so that every run of it can be visited.
+type leaseBounds struct {
 	name    string
 	seconds int
-	// late lets writes be carried out after their callers gave up.
-	late bool
+	// lateWrites lets writes be carried out after their callers gave up.
+	lateWrites bool
 	// orders lets holders send orders to an engine.
 	orders bool
-	// crashes is how often vm-0 may crash.
-	crashes api.Incarnation
+	// maxCrashes is how often vm-0 may crash.
+	maxCrashes api.Incarnation
 	// restore lets the platform come back once, within the first second, from a copy of before
 	// the last write or of before all of them.
 	restore bool
@@ -32,8 +32,8 @@
 	lossless bool
 }
 
-// restoreBy is the last second in which the platform comes back.
-const restoreBy = 1
+// lastRestoreSecond is the last second in which the platform comes back.
+const lastRestoreSecond = 1
 
 // Mutations of a restore.
 const (
@@ -42,40 +42,40 @@
 	mutateSameFence = "fences begin again in a later era"
 )
 
-// object is the lease as the platform has it, after so many writes.
-type object struct {
+// storedLease is the lease as the platform has it, after so many writes.
+type storedLease struct {
 	exists  bool
 	spec    api.LeaseSpec
 	version api.Version
-	written api.Revision
+	writes  api.Revision
 }
 
-// seen is the object as it is read.
-func (s leaseState) seen() lease.Object {
+// readLease is the object as it is read.
+func (s leaseState) readLease() lease.Object {
 	return lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version, Era: s.era}
 }
 
 // write carries a write out in an era, if its condition holds.
-func (o *object) write(e api.Era, s api.LeaseSpec, expect api.Version) bool {
+func (o *storedLease) write(e api.Era, s api.LeaseSpec, expect api.Version) bool {
 	if expect != o.version {
 		return false
 	}
-	o.written++
-	o.exists, o.spec, o.version = true, s, api.NewVersion(e, o.written)
+	o.writes++
+	o.exists, o.spec, o.version = true, s, api.NewVersion(e, o.writes)
 	return true
 }
 
 // call is a write of a candidate that the platform has not carried out yet, or
 // whose answer is on its way.
 type call struct {
-	open    bool
-	applied bool
-	ok      bool
-	version api.Version
-	spec    api.LeaseSpec
-	expect  api.Version
-	// late is a write whose caller has given up waiting.
-	late bool
+	open     bool
+	applied  bool
+	accepted bool
+	version  api.Version
+	spec     api.LeaseSpec
+	expect   api.Version
+	// abandoned is a write whose caller has given up waiting.
+	abandoned bool
 }
 
 // order is an order on its way to an engine.
@@ -86,34 +86,34 @@
 
 type leaseState struct {
 	now int
-	object
+	storedLease
 	// era counts the restores; before is the object before the last write.
-	era      api.Era
-	before   object
-	lease    [candidates]lease.Lease
-	call     [candidates]call
-	life     [candidates]api.Incarnation
-	order    [candidates]order
-	applied  api.Fence
-	oldOrder bool
-	// by is the candidate whose order was carried out last, one up; sameFence tells that two
+	era          api.Era
+	previous     storedLease
+	lease        [candidates]lease.Lease
+	call         [candidates]call
+	incarnations [candidates]api.Incarnation
+	order        [candidates]order
+	appliedFence api.Fence
+	staleOrder   bool
+	// lastSender is the candidate whose order was carried out last, one up; sameFence tells that two
 	// ordered with one fence.
-	by        int
-	sameFence bool
-	// both tells that both candidates held at once.
-	both bool
+	lastSender int
+	sameFence  bool
+	// bothHeld tells that bothHeld candidates held at once.
+	bothHeld bool
 }
 
 func at(n int) time.Time { return epoch.Add(time.Duration(n) * time.Second) }
 
-func owner(i int, life api.Incarnation) lease.Owner {
-	return lease.Owner{VM: api.VMName(format("vm-%d", i)), Incarnation: life}
+func owner(i int, incarnation api.Incarnation) lease.Owner {
+	return lease.Owner{VM: api.VMName(format("vm-%d", i)), Incarnation: incarnation}
 }
 
-func leaseModel(z leaseSize, mutation string) model[leaseState] {
+func leaseModel(z leaseBounds, mutation string) model[leaseState] {
 	var s leaseState
 	for i := range candidates {
-		s.life[i] = 1
+		s.incarnations[i] = 1
 		s.lease[i] = *lease.New(owner(i, 1), leaseTiming)
 	}
 	return model[leaseState]{
@@ -122,11 +122,11 @@
 		next:    func(s leaseState) []step[leaseState] { return leaseNext(s, z, mutation) },
 		violation: func(s leaseState) string {
 			switch {
-			case s.both:
+			case s.bothHeld:
 				return "two candidates hold the lease at once"
 			case s.sameFence:
 				return "two holders order with one fence"
-			case s.oldOrder:
+			case s.staleOrder:
 				return "an order of an older holder was carried out after one of a newer"
 			}
 			return ""
@@ -134,7 +134,7 @@
 	}
 }
 
-func leaseNext(s leaseState, z leaseSize, mutation string) []step[leaseState] {
+func leaseNext(s leaseState, z leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(name string, n leaseState) {
 		held := 0
@@ -143,22 +143,22 @@
 				held++
 			}
 		}
-		n.both = held > 1
+		n.bothHeld = held > 1
 		l = append(l, step[leaseState]{name, n})
 	}
 	if s.now < z.seconds {
 		n := s
 		n.now++
-		if n.now > restoreBy {
-			n.before = object{}
+		if n.now > lastRestoreSecond {
+			n.previous = storedLease{}
 		}
 		add(format("the clock reaches %d s", n.now), n)
 	}
-	if z.restore && s.era == 0 && s.now <= restoreBy {
-		for _, o := range []object{s.before, {}} {
+	if z.restore && s.era == 0 && s.now <= lastRestoreSecond {
+		for _, o := range []storedLease{s.previous, {}} {
 			n := s
-			n.era, n.object, n.before = 1, o, object{}
-			add(format("%d s: the platform comes back from a copy of %d writes", s.now, o.written), n)
+			n.era, n.storedLease, n.previous = 1, o, storedLease{}
+			add(format("%d s: the platform comes back from a copy of %d writes", s.now, o.writes), n)
 		}
 	}
 	for i := range candidates {
@@ -171,7 +171,7 @@
 
 // candidateNext is what can happen around one candidate; a pause is its not
 // being chosen while the clock goes on.
-func candidateNext(s leaseState, i int, z leaseSize, mutation string) []step[leaseState] {
+func candidateNext(s leaseState, i int, z leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(what string, n leaseState) {
 		l = append(l, step[leaseState]{format("%d s: vm-%d %s", s.now, i, what), n})
@@ -179,13 +179,13 @@
 	c := s.call[i]
 	switch {
 	case !c.open:
-		stepNext(s, i, mutation, add)
+		callNext(s, i, mutation, add)
 	case !c.applied:
 		applyNext(s, i, z, add)
 	default:
 		answerArrives(s, i, z, mutation, add)
 	}
-	if i == 0 && s.life[i] <= z.crashes {
+	if i == 0 && s.incarnations[i] <= z.maxCrashes {
 		crashNext(s, i, add)
 	}
 	if !z.orders {
@@ -194,17 +194,17 @@
 	return append(l, orderNext(s, i, mutation)...)
 }
 
-type adder func(what string, n leaseState)
+type addStep func(what string, n leaseState)
 
-// stepNext makes the call that the candidate's own code asks for.
-func stepNext(s leaseState, i int, mutation string, add adder) {
+// callNext makes the call that the candidate's own code asks for.
+func callNext(s leaseState, i int, mutation string, add addStep) {
 	n := s
 	switch a := n.lease[i].Step(at(s.now)); a.Kind {
 	case lease.Read:
-		n.lease[i].HandleRead(at(s.now), s.seen())
+		n.lease[i].HandleRead(at(s.now), s.readLease())
 		if mutation == "no wait after a cold start" || mutation == mutateNoWait && s.era > 0 {
-			m := *lease.New(owner(i, s.life[i]), leaseTiming)
-			m.HandleRead(at(-100), s.seen())
+			m := *lease.New(owner(i, s.incarnations[i]), leaseTiming)
+			m.HandleRead(at(-100), s.readLease())
 			n.lease[i] = m
 		}
 		add("reads the lease", n)
@@ -215,48 +215,48 @@
 }
 
 // applyNext carries a write out, or lets its caller give up waiting first.
-func applyNext(s leaseState, i int, z leaseSize, add adder) {
+func applyNext(s leaseState, i int, z leaseBounds, add addStep) {
 	c := s.call[i]
 	n := s
 	n.call[i].applied = true
 	if n.write(s.era, c.spec, c.expect) {
-		if z.restore && s.era == 0 && s.now <= restoreBy {
-			n.before = s.object
+		if z.restore && s.era == 0 && s.now <= lastRestoreSecond {
+			n.previous = s.storedLease
 		}
-		n.call[i].ok, n.call[i].version = true, n.version
+		n.call[i].accepted, n.call[i].version = true, n.version
 	}
-	if c.late {
+	if c.abandoned {
 		n.call[i] = call{}
 	}
 	add("has its write carried out", n)
-	if c.late || !z.late {
+	if c.abandoned || !z.lateWrites {
 		return
 	}
 	n = s
-	n.call[i].late = true
+	n.call[i].abandoned = true
 	n.lease[i].Invalidate()
 	add("gives up waiting, the write is late", n)
 }
 
 // answerArrives gives the candidate the answer to its write, or loses it.
-func answerArrives(s leaseState, i int, z leaseSize, mutation string, add adder) {
+func answerArrives(s leaseState, i int, z leaseBounds, mutation string, add addStep) {
 	c := s.call[i]
 	n := s
 	n.call[i] = call{}
-	if mutation == "deadline counted from receipt" && c.ok {
+	if mutation == "deadline counted from receipt" && c.accepted {
 		// The hold begins anew when the answer comes.
 		m := n.lease[i]
 		m.Invalidate()
-		x := s.seen()
+		x := s.readLease()
 		x.Version = c.expect
 		m.HandleRead(at(s.now), x)
 		m.Step(at(s.now))
 		n.lease[i] = m
 	}
 	switch {
-	case c.ok && mutation == mutateAnyEra:
+	case c.accepted && mutation == mutateAnyEra:
 		n.lease[i].HandleWritten(api.NewVersion(0, c.version.Revision()))
-	case c.ok:
+	case c.accepted:
 		n.lease[i].HandleWritten(c.version)
 	default:
 		n.lease[i].Invalidate()
@@ -277,12 +277,12 @@
 
 // crashNext starts the candidate again without a memory; a write on its way
 // may still be carried out.
-func crashNext(s leaseState, i int, add adder) {
+func crashNext(s leaseState, i int, add addStep) {
 	n := s
-	n.life[i]++
-	n.lease[i] = *lease.New(owner(i, n.life[i]), leaseTiming)
+	n.incarnations[i]++
+	n.lease[i] = *lease.New(owner(i, n.incarnations[i]), leaseTiming)
 	if n.call[i].open {
-		n.call[i].late = true
+		n.call[i].abandoned = true
 		if n.call[i].applied {
 			n.call[i] = call{}
 		}
@@ -306,15 +306,15 @@
 		for _, again := range []bool{false, true} {
 			n := s
 			n.order[i].open = again
-			if o.fence < s.applied && mutation != "engine checks no fence" {
+			if o.fence < s.appliedFence && mutation != "engine checks no fence" {
 				if again {
 					continue
 				}
 			} else {
-				n.oldOrder = o.fence < s.applied
-				n.sameFence = o.fence == s.applied && s.by != 0 && s.by != i+1
-				n.by = i + 1
-				n.applied = max(s.applied, o.fence)
+				n.staleOrder = o.fence < s.appliedFence
+				n.sameFence = o.fence == s.appliedFence && s.lastSender != 0 && s.lastSender != i+1
+				n.lastSender = i + 1
+				n.appliedFence = max(s.appliedFence, o.fence)
 			}
 			l = append(l, step[leaseState]{format("%d s: an order with fence %d arrives", s.now, o.fence), n})
 		}
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -27,13 +27,13 @@
 }
 
 func TestLease(t *testing.T) {
-	z := leaseSize{name: "lease: 2 candidates, 5 s, a crash, late writes", seconds: 5, late: true, crashes: 1}
+	z := leaseBounds{name: "lease: 2 candidates, 5 s, a crash, late writes", seconds: 5, lateWrites: true, maxCrashes: 1}
 	check(t, func(m string) model[leaseState] { return leaseModel(z, m) },
 		"deadline counted from receipt", "no read-back", "no wait after a cold start")
 }
 
 func TestLeaseThroughARestore(t *testing.T) {
-	for _, z := range []leaseSize{
+	for _, z := range []leaseBounds{
 		{name: "lease: 2 candidates, 5 s, a restore", seconds: 5, restore: true, lossless: true},
 		{name: "lease: 2 candidates, 3 s, a restore, lost answers", seconds: 3, restore: true},
 	} {
@@ -42,12 +42,12 @@
 }
 
 func TestFenceThroughARestore(t *testing.T) {
-	z := leaseSize{name: "fence: 2 candidates, 4 s, a restore, orders late and doubled", seconds: 4, orders: true, restore: true, lossless: true}
+	z := leaseBounds{name: "fence: 2 candidates, 4 s, a restore, orders late and doubled", seconds: 4, orders: true, restore: true, lossless: true}
 	check(t, func(m string) model[leaseState] { return leaseModel(z, m) }, mutateSameFence)
 }
 
 func TestFence(t *testing.T) {
-	z := leaseSize{name: "fence: 2 candidates, 5 s, orders late and doubled", seconds: 5, orders: true}
+	z := leaseBounds{name: "fence: 2 candidates, 5 s, orders late and doubled", seconds: 5, orders: true}
 	check(t, func(m string) model[leaseState] { return leaseModel(z, m) }, "engine checks no fence")
 }
 
