--- a/spec/life.go
+++ b/spec/life.go
@@ -9,139 +9,139 @@
 
 // Mutations of what tells two lives of a server apart.
 const (
-	// mutateBirth leaves births out, so that both lives have one name.
-	mutateBirth = "servers don't tell their births"
-	// mutateStale takes an entry of the earlier life for one of another server.
-	mutateStale = "late entries are not recognised"
-	// mutateReport leaves the birth out of what the server itself tells.
-	mutateReport = "the server's own word counts for any life"
+	// mutateNoBirth leaves births out, so that both lives have one name.
+	mutateNoBirth = "servers don't tell their births"
+	// mutateStaleEntry takes an entry of the earlier life for one of another server.
+	mutateStaleEntry = "late entries are not recognised"
+	// mutateNoReportBirth leaves the birth out of what the server itself tells.
+	mutateNoReportBirth = "the server's own word counts for any life"
 )
 
 // Words about a server that an entry VM hears.
 const (
-	// wordEntry is the entry in the store.
-	wordEntry = iota
-	// wordNotice is a peer's word that a life said it was leaving.
-	wordNotice
-	// wordEnded is the server's own word that a life is over.
-	wordEnded
+	// messageEntry is the entry in the store.
+	messageEntry = iota
+	// messageNotice is a peer's word that a life said it was leaving.
+	messageNotice
+	// messageEnded is the server's own word that a life is over.
+	messageEnded
 )
 
-// lifeLog bounds the words heard.
-const lifeLog = 5
+// maxMessages bounds the words heard.
+const maxMessages = 5
 
-// lifeEntry is an entry in the store, of a life counted from one; zero for none.
-type lifeEntry struct {
-	life     int8
-	draining bool
+// incarnationEntry is an entry in the store, of a life counted from one; zero for none.
+type incarnationEntry struct {
+	incarnation int8
+	draining    bool
 }
 
-// lifeWord is one word heard: of an entry, or of a life.
-type lifeWord struct {
+// incarnationMessage is one word heard: of an entry, or of a life.
+type incarnationMessage struct {
 	kind  int8
-	entry lifeEntry
+	entry incarnationEntry
 }
 
-// lifeState is a server with two lives under one id. Its writes, and words of others
+// incarnationState is a server with two lives under one id. Its writes, and words of others
 // about it, may come late, and again; the roster is made anew from what was heard.
-type lifeState struct {
-	// now is what the server is, and entry what the store has of it.
-	now, entry lifeEntry
-	// held is a write of the first life that has not taken effect yet.
-	held lifeEntry
-	// said are the lives that told somebody that they are leaving.
-	said [2]bool
-	log  [lifeLog]lifeWord
-	used int8
+type incarnationState struct {
+	// server is what the server is, and entry what the store has of it.
+	server, entry incarnationEntry
+	// delayed is a write of the first life that has not taken effect yet.
+	delayed incarnationEntry
+	// announced are the lives that told somebody that they are leaving.
+	announced [2]bool
+	messages  [maxMessages]incarnationMessage
+	received  int8
 }
 
-func incarnationModel(mutation string) model[lifeState] {
-	return model[lifeState]{
+func incarnationModel(mutation string) model[incarnationState] {
+	return model[incarnationState]{
 		name:      "life",
-		initial:   lifeState{now: lifeEntry{life: 1}, entry: lifeEntry{life: 1}},
-		next:      lifeNext,
-		violation: func(s lifeState) string { return incarnationViolation(s, mutation) },
+		initial:   incarnationState{server: incarnationEntry{incarnation: 1}, entry: incarnationEntry{incarnation: 1}},
+		next:      incarnationNext,
+		violation: func(s incarnationState) string { return incarnationViolation(s, mutation) },
 	}
 }
 
-// lifeNext lists what can happen.
-func lifeNext(s lifeState) []step[lifeState] {
-	var l []step[lifeState]
-	add := func(name string, change func(s *lifeState)) {
+// incarnationNext lists what can happen.
+func incarnationNext(s incarnationState) []step[incarnationState] {
+	var l []step[incarnationState]
+	add := func(name string, change func(s *incarnationState)) {
 		n := s
 		change(&n)
-		l = append(l, step[lifeState]{name: name, next: n})
+		l = append(l, step[incarnationState]{name: name, next: n})
 	}
-	if !s.now.draining {
-		add("the server drains", func(s *lifeState) {
-			s.now.draining, s.said[s.now.life-1] = true, true
-			s.entry = s.now
+	if !s.server.draining {
+		add("the server drains", func(s *incarnationState) {
+			s.server.draining, s.announced[s.server.incarnation-1] = true, true
+			s.entry = s.server
 		})
 	}
-	if s.now.life == 1 {
-		add("a write is held back", func(s *lifeState) { s.held = s.now })
-		add("the server starts again", func(s *lifeState) {
-			s.now = lifeEntry{life: 2}
-			s.entry = s.now
+	if s.server.incarnation == 1 {
+		add("a write is held back", func(s *incarnationState) { s.delayed = s.server })
+		add("the server starts again", func(s *incarnationState) {
+			s.server = incarnationEntry{incarnation: 2}
+			s.entry = s.server
 		})
 	}
-	if s.held.life > 0 {
-		add("a write that was held back takes effect", func(s *lifeState) { s.entry, s.held = s.held, lifeEntry{} })
+	if s.delayed.incarnation > 0 {
+		add("a write that was held back takes effect", func(s *incarnationState) { s.entry, s.delayed = s.delayed, incarnationEntry{} })
 	}
-	if s.entry != s.now {
-		add("the server writes its entry again", func(s *lifeState) { s.entry = s.now })
+	if s.entry != s.server {
+		add("the server writes its entry again", func(s *incarnationState) { s.entry = s.server })
 	}
-	if s.used == lifeLog {
+	if s.received == maxMessages {
 		return l
 	}
-	hear := func(name string, w lifeWord) {
-		add(name, func(s *lifeState) {
-			s.log[s.used] = w
-			s.used++
+	receive := func(name string, w incarnationMessage) {
+		add(name, func(s *incarnationState) {
+			s.messages[s.received] = w
+			s.received++
 		})
 	}
-	hear("the entry is heard", lifeWord{kind: wordEntry, entry: s.entry})
-	for i, said := range s.said {
-		if said {
-			hear("a notice is heard", lifeWord{kind: wordNotice, entry: lifeEntry{life: int8(i + 1)}})
+	receive("the entry is heard", incarnationMessage{kind: messageEntry, entry: s.entry})
+	for i, announced := range s.announced {
+		if announced {
+			receive("a notice is heard", incarnationMessage{kind: messageNotice, entry: incarnationEntry{incarnation: int8(i + 1)}})
 		}
 	}
-	if s.now.life == 2 {
-		hear("the server tells of its later life", lifeWord{kind: wordEnded, entry: lifeEntry{life: 1}})
+	if s.server.incarnation == 2 {
+		receive("the server tells of its later life", incarnationMessage{kind: messageEnded, entry: incarnationEntry{incarnation: 1}})
 	}
 	return l
 }
 
-// lifeServer is a life as an entry tells of it.
-func lifeServer(e lifeEntry, mutation string) roster.Server {
-	s := roster.Server{ID: "a", Born: api.Birth(e.life), Draining: e.draining}
-	if mutation == mutateBirth {
+// rosterServer is a life as an entry tells of it.
+func rosterServer(e incarnationEntry, mutation string) roster.Server {
+	s := roster.Server{ID: "a", Born: api.Birth(e.incarnation), Draining: e.draining}
+	if mutation == mutateNoBirth {
 		s.Born = 0
 	}
 	s.Name = roster.IncarnationName(s.ID, s.Born)
 	return s
 }
 
-// lifeRoster hears all words in turn.
-func lifeRoster(s lifeState, mutation string) *roster.Roster {
+// buildRoster hears all words in turn.
+func buildRoster(s incarnationState, mutation string) *roster.Roster {
 	r := roster.New()
 	now := time.Unix(100, 0)
 	r.SetStoreDown(now.Add(-time.Minute), false)
 	later := false
-	for _, w := range s.log[:s.used] {
-		n := lifeServer(w.entry, mutation)
+	for _, w := range s.messages[:s.received] {
+		n := rosterServer(w.entry, mutation)
 		switch w.kind {
-		case wordEntry:
-			later = later || w.entry.life == 2
-			if mutation == mutateStale && later && w.entry.life == 1 {
+		case messageEntry:
+			later = later || w.entry.incarnation == 2
+			if mutation == mutateStaleEntry && later && w.entry.incarnation == 1 {
 				n.ID = "another"
 			}
 			r.Update(now, []roster.Server{n}, false)
-		case wordNotice:
+		case messageNotice:
 			r.MarkLeaving(now, n.Name)
-		case wordEnded:
-			if mutation == mutateReport {
-				n = lifeServer(lifeEntry{life: 2}, mutation)
+		case messageEnded:
+			if mutation == mutateNoReportBirth {
+				n = rosterServer(incarnationEntry{incarnation: 2}, mutation)
 			}
 			r.End(now, n.Name)
 		}
@@ -150,34 +150,34 @@
 }
 
 // incarnationViolation tells which property the words heard have broken.
-func incarnationViolation(s lifeState, mutation string) string {
-	r := lifeRoster(s, mutation)
-	first, known := r.Find(lifeServer(lifeEntry{life: 1}, mutation).Name)
-	second, later := r.Find(lifeServer(lifeEntry{life: 2}, mutation).Name)
-	newest, heard, said := lifeHeard(s)
+func incarnationViolation(s incarnationState, mutation string) string {
+	r := buildRoster(s, mutation)
+	first, known := r.Find(rosterServer(incarnationEntry{incarnation: 1}, mutation).Name)
+	second, later := r.Find(rosterServer(incarnationEntry{incarnation: 2}, mutation).Name)
+	newest, received, noticed := newestReceived(s)
 	switch {
-	case heard && !later:
+	case received && !later:
 		return "the later life is not known"
-	case heard && known && first.Name != second.Name && first.State != roster.Ended:
+	case received && known && first.Name != second.Name && first.State != roster.Ended:
 		return "the earlier life goes on beside the later one"
-	case heard && !said && !newest.draining && second.State != roster.Ready:
+	case received && !noticed && !newest.draining && second.State != roster.Ready:
 		return "words on the earlier life hide the later one"
-	case heard && newest.draining && second.State != roster.Leaving:
+	case received && newest.draining && second.State != roster.Leaving:
 		return "the later life's notice is lost"
 	}
 	return ""
 }
 
-// lifeHeard gives the newest entry of the second life that was heard, whether there was
+// newestReceived gives the newest entry of the second life that was heard, whether there was
 // one, and whether a notice of that life was heard after the first.
-func lifeHeard(s lifeState) (newest lifeEntry, heard, said bool) {
-	for _, w := range s.log[:s.used] {
+func newestReceived(s incarnationState) (newest incarnationEntry, known, noticed bool) {
+	for _, w := range s.messages[:s.received] {
 		switch {
-		case w.entry.life == 2 && w.kind == wordEntry:
-			newest, heard = w.entry, true
-		case w.entry.life == 2 && w.kind == wordNotice && heard:
-			said = true
+		case w.entry.incarnation == 2 && w.kind == messageEntry:
+			newest, known = w.entry, true
+		case w.entry.incarnation == 2 && w.kind == messageNotice && known:
+			noticed = true
 		}
 	}
-	return newest, heard, said
+	return newest, known, noticed
 }
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -77,7 +77,7 @@
 }
 
 func TestLife(t *testing.T) {
-	check(t, incarnationModel, mutateBirth, mutateStale, mutateReport)
+	check(t, incarnationModel, mutateNoBirth, mutateStaleEntry, mutateNoReportBirth)
 }
 
 func TestAllocate(t *testing.T) {
