--- a/spec/limit.go
+++ b/spec/limit.go
@@ -9,27 +9,27 @@
 
 // Mutations of what entry VMs know of a server's limit.
 const (
-	// mutateSent lets any answer without a limit take one back.
-	mutateSent = "answers that were on their way count"
-	// mutateWay takes a peer's word for as new as it looks.
-	mutateWay = "the way of a word is not counted"
+	// mutateInFlight lets any answer without a limit take one back.
+	mutateInFlight = "answers that were on their way count"
+	// mutateNoTransit takes a peer's word for as new as it looks.
+	mutateNoTransit = "the way of a word is not counted"
 )
 
 const (
 	// limitTick is the length of a step of time, and wordTicks how many a peer's word is on
 	// its way at most.
-	limitTick = 300 * time.Millisecond
-	wordTicks = 2
-	// limitTicks bounds the time, switchMost how often the server names a limit or takes it
+	limitTick      = 300 * time.Millisecond
+	maxReportTicks = 2
+	// maxTicks bounds the time, switchMost how often the server names a limit or takes it
 	// back.
-	limitTicks = 5
-	switchMost = 3
+	maxTicks    = 5
+	maxSwitches = 3
 	// limitVMs is the number of entry VMs, of which the hearer has answers of the server and the
 	// other one words of its peer; exchangesMost and wordsMost bound what is on its way.
-	limitVMs      = 2
-	hearer        = 0
-	exchangesMost = 2
-	wordsMost     = 1
+	limitVMs     = 2
+	requester    = 0
+	maxExchanges = 2
+	maxReports   = 1
 )
 
 // limitRecord is what an entry VM knows: since when, and whether a limit is named.
@@ -46,8 +46,8 @@
 	switches int8
 }
 
-// limitWord is a peer's word on its way.
-type limitWord struct {
+// limitReport is a peer's word on its way.
+type limitReport struct {
 	open   bool
 	to     int8
 	record limitRecord
@@ -61,12 +61,12 @@
 	named     bool
 	switches  int8
 	records   [limitVMs]limitRecord
-	exchanges [exchangesMost]limitExchange
-	words     [wordsMost]limitWord
-	// told is the switches of the server when it last named its limit to each entry VM.
-	told [limitVMs]int8
-	// older is set once a word that is older than what was known changed it.
-	older bool
+	exchanges [maxExchanges]limitExchange
+	reports   [maxReports]limitReport
+	// announced is the switches of the server when it last named its limit to each entry VM.
+	announced [limitVMs]int8
+	// staleApplied is set once a word that is staleApplied than what was known changed it.
+	staleApplied bool
 }
 
 func limitModel(mutation string) model[limitState] {
@@ -83,8 +83,8 @@
 	return time.Unix(1000, 0).Add(time.Duration(tick) * limitTick)
 }
 
-// limits makes the real record of what an entry VM knows.
-func (r limitRecord) limits() *throttle.Limits {
+// toLimits makes the real record of what an entry VM knows.
+func (r limitRecord) toLimits() *throttle.Limits {
 	l := throttle.NewLimits()
 	if !r.known {
 		return l
@@ -102,11 +102,11 @@
 
 // oldest is what a peer has to tell as the oldest time of a record that is as young as it may be.
 func (r limitRecord) oldest() api.Milliseconds {
-	return api.ToMilliseconds(time.Duration(r.at-r.since-wordTicks) * limitTick)
+	return api.ToMilliseconds(time.Duration(r.at-r.since-maxReportTicks) * limitTick)
 }
 
-// readLimits reads the real record back.
-func readLimits(l *throttle.Limits, now int8) limitRecord {
+// fromLimits reads the real record back.
+func fromLimits(l *throttle.Limits, now int8) limitRecord {
 	for _, r := range l.Reports(limitAt(now)) {
 		return limitRecord{
 			known: true, named: r.Named,
@@ -123,25 +123,25 @@
 		change(&n)
 		l = append(l, step[limitState]{name, n})
 	}
-	if s.now < limitTicks && !s.overdue() {
+	if s.now < maxTicks && !s.reportDue() {
 		add("time passes", func(n *limitState) { n.now++ })
 	}
-	if s.switches < switchMost {
+	if s.switches < maxSwitches {
 		add("the server names its limit or takes it back", func(n *limitState) { n.named, n.switches = !n.named, n.switches+1 })
 	}
 	for i, x := range s.exchanges {
 		exchangeNext(s, i, x, mutation, add)
 	}
-	for i, w := range s.words {
-		wordNext(s, i, w, mutation, add)
+	for i, w := range s.reports {
+		reportNext(s, i, w, mutation, add)
 	}
 	return l
 }
 
-// overdue reports whether a word has been on its way for as long as it may.
-func (s limitState) overdue() bool {
-	for _, w := range s.words {
-		if w.open && s.now-w.sent >= wordTicks {
+// reportDue reports whether a word has been on its way for as long as it may.
+func (s limitState) reportDue() bool {
+	for _, w := range s.reports {
+		if w.open && s.now-w.sent >= maxReportTicks {
 			return true
 		}
 	}
@@ -162,46 +162,46 @@
 		add("an answer arrives", func(n *limitState) {
 			n.exchanges[i] = limitExchange{}
 			sent := x.sent
-			if mutation == mutateSent {
+			if mutation == mutateInFlight {
 				sent = s.now + 1
 			}
-			l := s.records[hearer].limits()
+			l := s.records[requester].toLimits()
 			l.Record(limitAt(s.now), limitAt(sent), limitServer, throttle.Limit{Named: x.named, Rate: throttle.Rate(1)})
-			n.records[hearer] = readLimits(l, s.now)
+			n.records[requester] = fromLimits(l, s.now)
 			if x.named {
-				n.told[hearer] = x.switches
+				n.announced[requester] = x.switches
 			}
 		})
 	}
 }
 
-// wordNext is what can happen to one word of a peer.
-func wordNext(s limitState, i int, w limitWord, mutation string, add func(string, func(n *limitState))) {
+// reportNext is what can happen to one word of a peer.
+func reportNext(s limitState, i int, w limitReport, mutation string, add func(string, func(n *limitState))) {
 	if !w.open {
 		for vm := range int8(limitVMs) {
 			if s.records[vm].known {
 				add(format("VM %d tells its peer", vm), func(n *limitState) {
-					n.words[i] = limitWord{open: true, to: 1 - vm, record: s.records[vm], sent: s.now}
+					n.reports[i] = limitReport{open: true, to: 1 - vm, record: s.records[vm], sent: s.now}
 				})
 			}
 		}
 		return
 	}
-	add("a word is lost", func(n *limitState) { n.words[i] = limitWord{} })
+	add("a word is lost", func(n *limitState) { n.reports[i] = limitReport{} })
 	add(format("a word reaches VM %d", w.to), func(n *limitState) {
-		n.words[i] = limitWord{}
+		n.reports[i] = limitReport{}
 		youngest, oldest := limitAt(w.sent).Sub(limitAt(w.record.at)), limitAt(w.sent).Sub(limitAt(w.record.since))
-		if mutation == mutateWay {
-			oldest = max(youngest, oldest-wordTicks*limitTick)
+		if mutation == mutateNoTransit {
+			oldest = max(youngest, oldest-maxReportTicks*limitTick)
 		}
 		before := s.records[w.to]
-		l := before.limits()
+		l := before.toLimits()
 		l.Merge(limitAt(s.now), api.ServerLimit{
 			Server: limitServer, Named: w.record.named, PerSecond: 1, AgeMS: api.ToMilliseconds(youngest), OldestMS: api.ToMilliseconds(oldest),
 		})
-		n.records[w.to] = readLimits(l, s.now)
+		n.records[w.to] = fromLimits(l, s.now)
 		if before.known && w.record.at <= before.at && n.records[w.to].named != before.named {
-			n.older = true
+			n.staleApplied = true
 		}
 	})
 }
@@ -209,11 +209,11 @@
 // limitViolation checks that an entry VM that has heard of a limit knows it as long as the server
 // names it, and that no older word changes what is known.
 func limitViolation(s limitState) string {
-	if s.older {
+	if s.staleApplied {
 		return "an older word of a peer changed what was known"
 	}
 	for vm, r := range s.records {
-		if s.named && s.told[vm] == s.switches && !r.named {
+		if s.named && s.announced[vm] == s.switches && !r.named {
 			return "a limit that was heard, and is named still, is not known"
 		}
 	}
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -85,5 +85,5 @@
 }
 
 func TestLimit(t *testing.T) {
-	check(t, limitModel, mutateSent, mutateWay)
+	check(t, limitModel, mutateInFlight, mutateNoTransit)
 }
