--- a/spec/move.go
+++ b/spec/move.go
@@ -14,10 +14,10 @@
 const (
 	moveEvents  = 3
 	moveServers = 3
-	// moveStepsMost bounds the mover's steps; further ones meet silence.
-	moveStepsMost = 5
-	// none stands for no server.
-	none = -1
+	// maxMoveSteps bounds the mover's steps; further ones meet silence.
+	maxMoveSteps = 5
+	// noServer stands for no server.
+	noServer = -1
 )
 
 type moveState struct {
@@ -26,36 +26,36 @@
 	// moving is set while the mover has steps to take.
 	moving bool
 	steps  int
-	// halted is set once the entry VM has told the source to stop.
-	halted bool
-	target int
-	// held is the server with the newest copy that the entry VM knows of.
-	held   int
-	copies [moveServers]int
+	// stopSent is set once the entry VM has told the source to stop.
+	stopSent bool
+	target   int
+	// backup is the server with the newest copy that the entry VM knows of.
+	backup int
+	copied [moveServers]int
 	alive  [moveServers]bool
-	// runs tells which servers work on the run, made how many events it has.
-	runs [moveServers]bool
-	made int
+	// running tells which servers work on the run, made how many events it has.
+	running  [moveServers]bool
+	produced int
 	// stream is the server that is read, next the event that comes next there.
-	stream  int
-	next    int
-	events  sequence.Sequence
-	got     [moveEvents + 1]int
-	count   int
-	resumed bool
-	ended   bool
-	aborted bool
-	double  bool
+	stream    int
+	nextEvent int
+	events    sequence.Sequence
+	received  [moveEvents + 1]int
+	count     int
+	resumed   bool
+	ended     bool
+	aborted   bool
+	runsTwice bool
 }
 
 func moveModel(mutation string) model[moveState] {
 	m := evacuate.New(at(0))
-	s := moveState{move: *m, action: m.First(), moving: true, target: none, held: none, made: 1, stream: 0, next: 1}
+	s := moveState{move: *m, action: m.First(), moving: true, target: noServer, backup: noServer, produced: 1, stream: 0, nextEvent: 1}
 	for i := range moveServers {
 		s.alive[i] = true
-		s.copies[i] = none
+		s.copied[i] = noServer
 	}
-	s.runs[0] = true
+	s.running[0] = true
 	return model[moveState]{
 		name:      format("move: a run of %d events, %d servers, crashes, breaks, lost answers", moveEvents, moveServers),
 		initial:   s,
@@ -66,12 +66,12 @@
 
 func moveViolation(s moveState) string {
 	for i := range s.count {
-		if s.got[i] != i+1 {
+		if s.received[i] != i+1 {
 			return "the caller saw an event doubled, missing or out of order"
 		}
 	}
 	switch {
-	case s.double:
+	case s.runsTwice:
 		return "the run goes on at a server while another one works on it"
 	case s.ended && s.count != moveEvents:
 		return "the stream ended as whole before its last event"
@@ -86,37 +86,37 @@
 	var l []step[moveState]
 	add := func(name string, n moveState) { l = append(l, step[moveState]{name, n}) }
 	for i := range moveServers {
-		if s.runs[i] && s.made < moveEvents {
+		if s.running[i] && s.produced < moveEvents {
 			n := s
-			n.made++
+			n.produced++
 			add("an event is made", n)
 		}
 		if i < 2 && s.alive[i] {
 			n := s
-			n.alive[i], n.runs[i] = false, false
+			n.alive[i], n.running[i] = false, false
 			add(format("server %d dies", i), n)
 		}
 	}
-	l = append(l, moveRead(s, mutation)...)
-	l = append(l, moveSteps(s)...)
+	l = append(l, readNext(s, mutation)...)
+	l = append(l, moverNext(s)...)
 	return l
 }
 
-// moveRead is what can come of the stream that is read.
-func moveRead(s moveState, mutation string) []step[moveState] {
+// readNext is what can come of the stream that is read.
+func readNext(s moveState, mutation string) []step[moveState] {
 	var l []step[moveState]
 	add := func(name string, n moveState) { l = append(l, step[moveState]{name, n}) }
-	if s.stream == none {
-		if !s.halted || !s.moving {
-			add("the run goes on", s.goOn(false))
-			add("the run goes on from its copy's end", s.goOn(true))
+	if s.stream == noServer {
+		if !s.stopSent || !s.moving {
+			add("the run goes on", s.resume(false))
+			add("the run goes on from its copy's end", s.resume(true))
 		}
 		return l
 	}
-	if s.next <= s.made {
-		add(format("event %d arrives", s.next), s.read(mutation))
+	if s.nextEvent <= s.produced {
+		add(format("event %d arrives", s.nextEvent), s.read(mutation))
 	}
-	if s.next > moveEvents && s.alive[s.stream] {
+	if s.nextEvent > moveEvents && s.alive[s.stream] {
 		n := s
 		n.ended = true
 		add("the stream ends", n)
@@ -124,9 +124,9 @@
 	n := s
 	if mutation != "the connection is left open" {
 		// The server drops a request whose connection is closed.
-		n.runs[s.stream] = false
+		n.running[s.stream] = false
 	}
-	n.stream = none
+	n.stream = noServer
 	add("the stream breaks", n)
 	n.aborted = true
 	add("the caller leaves", n)
@@ -135,49 +135,49 @@
 
 // read takes the next event of the stream.
 func (s moveState) read(mutation string) moveState {
-	v := s.events.Accept(strconv.Itoa(s.next))
+	v := s.events.Accept(strconv.Itoa(s.nextEvent))
 	if mutation == "events are not judged" {
 		v = sequence.Deliver
 	}
 	switch v {
 	case sequence.Deliver:
-		s.got[min(s.count, moveEvents)] = s.next
+		s.received[min(s.count, moveEvents)] = s.nextEvent
 		s.count = min(s.count+1, moveEvents+1)
 	case sequence.Gap:
-		s.runs[s.stream] = false
-		s.stream = none
-		s.held = none
+		s.running[s.stream] = false
+		s.stream = noServer
+		s.backup = noServer
 	}
-	s.next++
+	s.nextEvent++
 	return s
 }
 
-// goOn resumes the run from the copy in hand, once; some servers repeat events
+// resume resumes the run from the copy in hand, once; some servers repeat events
 // that the caller has.
-func (s moveState) goOn(repeats bool) moveState {
-	h := s.held
-	if h == none || s.resumed || !s.alive[h] || s.copies[h] == none {
+func (s moveState) resume(repeats bool) moveState {
+	h := s.backup
+	if h == noServer || s.resumed || !s.alive[h] || s.copied[h] == noServer {
 		s.aborted = true
 		return s
 	}
 	s.resumed = true
 	s.moving = false
 	for i := range moveServers {
-		s.double = s.double || s.runs[i] && i != h
+		s.runsTwice = s.runsTwice || s.running[i] && i != h
 	}
-	s.runs[h] = true
+	s.running[h] = true
 	s.stream = h
-	s.next = s.count + 1
+	s.nextEvent = s.count + 1
 	if repeats {
-		s.next = min(s.next, s.copies[h]+1)
+		s.nextEvent = min(s.nextEvent, s.copied[h]+1)
 	}
-	s.made = max(s.copies[h], s.count)
+	s.produced = max(s.copied[h], s.count)
 	s.events.Resume()
 	return s
 }
 
-// moveSteps is what can come of the mover's present step.
-func moveSteps(s moveState) []step[moveState] {
+// moverNext is what can come of the mover's present step.
+func moverNext(s moveState) []step[moveState] {
 	if !s.moving {
 		return nil
 	}
@@ -190,25 +190,25 @@
 		s.target = 1 + (s.target+moveServers)%(moveServers-1)
 		s.action.NewTarget = false
 	}
-	s.halted = s.halted || s.action.Kind == evacuate.Stop
+	s.stopSent = s.stopSent || s.action.Kind == evacuate.Stop
 	s.steps++
-	if !s.alive[0] || s.steps > moveStepsMost {
+	if !s.alive[0] || s.steps > maxMoveSteps {
 		return []step[moveState]{{"the source is silent", s.result(evacuate.NoAnswer, 0)}}
 	}
 	var l []step[moveState]
 	add := func(name string, n moveState) { l = append(l, step[moveState]{name, n}) }
 	add("the source is silent", s.result(evacuate.NoAnswer, 0))
-	if !s.runs[0] && !s.halted {
+	if !s.running[0] && !s.stopSent {
 		add("no such run", s.result(evacuate.Missing, 0))
 		return l
 	}
 	add("a copy is under way", s.result(evacuate.Busy, 0))
 	n := s
 	if s.action.Kind == evacuate.Stop {
-		n.runs[0] = false
+		n.running[0] = false
 		add("the run stops, the answer is lost", n.result(evacuate.NoAnswer, 0))
 		f := n
-		f.copies[0], f.held = n.made, 0
+		f.copied[0], f.backup = n.produced, 0
 		add("the run stops, no room for the rest", f.result(evacuate.Full, 0))
 	} else {
 		add("no room", s.result(evacuate.Full, 0))
@@ -216,7 +216,7 @@
 	if !s.alive[s.target] {
 		return l
 	}
-	n.copies[n.target], n.held = n.made, n.target
+	n.copied[n.target], n.backup = n.produced, n.target
 	add("copied on free links", n.result(evacuate.Copied, 10*time.Millisecond))
 	add("copied behind others", n.result(evacuate.Copied, time.Second))
 	return l
