--- a/spec/allocate.go
+++ b/spec/allocate.go
@@ -114,11 +114,11 @@
 		if r.sequence == 0 {
 			continue
 		}
-		add(format("report %d arrives", r.sequence), func(n *allocateState) {
+		add(sprintf("report %d arrives", r.sequence), func(n *allocateState) {
 			n.reports[i] = allocateReport{}
 			n.receive(r.to, allocateEvent{report: r}, mutation)
 		})
-		add(format("report %d is lost", r.sequence), func(n *allocateState) { n.reports[i] = allocateReport{} })
+		add(sprintf("report %d is lost", r.sequence), func(n *allocateState) { n.reports[i] = allocateReport{} })
 	}
 	for i, r := range s.reports {
 		if r.sequence == 0 && s.sequence < maxSequence {
@@ -136,20 +136,20 @@
 func requestNext(s allocateState, i int, mutation string, add func(string, func(n *allocateState))) {
 	switch {
 	case s.phases[i] == requestIdle && s.sequence < maxSequence && (i == 0 || s.phases[i-1] != requestIdle):
-		add(format("ask %d", i+1), func(n *allocateState) {
+		add(sprintf("ask %d", i+1), func(n *allocateState) {
 			n.phases[i] = requestOpen
 			n.requests[i] = n.report(mutation)
 		})
 	case s.phases[i] == requestOpen:
-		add(format("give up %d", i+1), func(n *allocateState) { n.phases[i] = requestEnded })
+		add(sprintf("give up %d", i+1), func(n *allocateState) { n.phases[i] = requestEnded })
 		if s.granted[i] {
-			add(format("answer %d arrives", i+1), func(n *allocateState) { n.phases[i] = requestHeld })
+			add(sprintf("answer %d arrives", i+1), func(n *allocateState) { n.phases[i] = requestHeld })
 		}
 	case s.phases[i] == requestHeld:
-		add(format("end %d", i+1), func(n *allocateState) { n.phases[i] = requestEnded })
+		add(sprintf("end %d", i+1), func(n *allocateState) { n.phases[i] = requestEnded })
 	}
 	if r := s.requests[i]; r.sequence > 0 {
-		add(format("ask %d arrives", i+1), func(n *allocateState) {
+		add(sprintf("ask %d arrives", i+1), func(n *allocateState) {
 			n.requests[i] = allocateReport{}
 			n.granted[i] = true
 			n.receive(r.to, allocateEvent{report: r, grant: int8(i) + 1}, mutation)
@@ -205,7 +205,7 @@
 			}
 		}
 	}
-	if s.settled() && s.ledger(s.allocator).Total(engineName).Tokens != s.heldTokens() {
+	if s.inSync() && s.ledger(s.allocator).Total(engineName).Tokens != s.heldTokens() {
 		return "the current allocator counts something else than what is held"
 	}
 	return ""
@@ -232,9 +232,9 @@
 	return n
 }
 
-// settled reports whether the current allocator heard the newest report last, made
+// inSync reports whether the current allocator heard the newest report last, made
 // as things are now, and neither message nor ask is under way.
-func (s allocateState) settled() bool {
+func (s allocateState) inSync() bool {
 	n := s.logged[s.allocator]
 	if n == 0 || slices.Contains(s.phases[:], requestOpen) || s.reports != [maxInFlight]allocateReport{} || s.requests != [requestCount]allocateReport{} {
 		return false
--- a/spec/answer.go
+++ b/spec/answer.go
@@ -31,12 +31,12 @@
 	now       int
 }
 
-func generationID(g int) api.GenerationID { return api.GenerationID(format("g%d", g)) }
+func generationID(g int) api.GenerationID { return api.GenerationID(sprintf("g%d", g)) }
 
 func answerModel(repeatable bool, mutation string) model[answerState] {
 	p := answer.Policy{Repeatable: repeatable, MaxResumeTime: 2 * time.Second, Deadline: at(100)}
 	return model[answerState]{
-		name:      format("one generation: 2 generations of 2 tokens, repeatable %v", repeatable),
+		name:      sprintf("one generation: 2 generations of 2 tokens, repeatable %v", repeatable),
 		initial:   answerState{answer: *answer.New(p), started: 0},
 		next:      func(s answerState) []step[answerState] { return answerNext(s, mutation) },
 		violation: func(s answerState) string { return answerViolation(s, repeatable) },
@@ -87,7 +87,7 @@
 	for g := range s.started {
 		for i := range tokens + 1 {
 			if n, ok := receive(s, g, i, mutation); ok {
-				add(format("token %d of g%d arrives", i, g), n)
+				add(sprintf("token %d of g%d arrives", i, g), n)
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 	for _, c := range []answer.Cause{answer.NotConnected, answer.Refused} {
 		n = s
 		n.handleBreak(c, mutation)
-		add(format("cause %d", c), n)
+		add(sprintf("cause %d", c), n)
 	}
 	n = s
 	n.handleBreak(answer.GenerationUnknown, mutation)
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -39,7 +39,7 @@
 
 const (
 	unknown progress = iota
-	waiting
+	unsent
 	sent
 	released
 )
@@ -77,9 +77,9 @@
 	falseNotRun bool
 }
 
-func vmName(i int) api.VMName { return api.VMName(format("vm-%d", i)) }
+func vmName(i int) api.VMName { return api.VMName(sprintf("vm-%d", i)) }
 
-func requestID(i int) api.RequestID { return api.RequestID(format("r%d", i)) }
+func requestID(i int) api.RequestID { return api.RequestID(sprintf("r%d", i)) }
 
 func claimModel(z claimBounds, mutation string) model[claimState] {
 	s := claimState{canRestore: z.restore}
@@ -113,7 +113,7 @@
 		case !a.begun:
 			n := s
 			n.begin(i)
-			add(format("the caller asks by attempt %d", i), n)
+			add(sprintf("the caller asks by attempt %d", i), n)
 		case !a.done:
 			l = append(l, s.actionNext(i, z, mutation)...)
 		}
@@ -121,14 +121,14 @@
 			n := s
 			n.attempt[i].hasLateWrite, n.attempt[i].lateWrite = false, claim.Action{}
 			n.write(a.lateWrite)
-			add(format("attempt %d's late write is carried out", i), n)
+			add(sprintf("attempt %d's late write is carried out", i), n)
 		}
 	}
 	if z.restore && s.era == 0 {
 		for _, r := range []storedClaim{s.previous, {}} {
 			n := s
 			n.era, n.storedClaim, n.previous = 1, r, storedClaim{}
-			add(format("the platform comes back from a copy of %d writes", r.writes), n)
+			add(sprintf("the platform comes back from a copy of %d writes", r.writes), n)
 		}
 	}
 	if s.era > 0 && !s.settled {
@@ -177,7 +177,7 @@
 		if mutation != mutateNoRewrite {
 			n.rewrite(i)
 		}
-		l = append(l, step[claimState]{format("attempt %d's claim is looked through by its owner", i), n})
+		l = append(l, step[claimState]{sprintf("attempt %d's claim is looked through by its owner", i), n})
 	}
 	if all {
 		n := s
@@ -213,7 +213,7 @@
 	v := attemptVM[i]
 	s.attempt[i].incarnation = s.incarnations[v]
 	c := claim.New(s.claimSpec(i))
-	s.attempt[i] = attemptState{claim: *c, next: c.Begin(), begun: true, progress: waiting, incarnation: s.incarnations[v]}
+	s.attempt[i] = attemptState{claim: *c, next: c.Begin(), begun: true, progress: unsent, incarnation: s.incarnations[v]}
 }
 
 func (s *claimState) write(m claim.Action) bool {
@@ -236,7 +236,7 @@
 		if attemptVM[i] != v || s.attempt[i].incarnation != s.incarnations[v] {
 			continue
 		}
-		if p := s.attempt[i].progress; p != waiting && p != sent {
+		if p := s.attempt[i].progress; p != unsent && p != sent {
 			continue
 		}
 		r.Add(requestID(i))
@@ -289,7 +289,7 @@
 		case claim.Refuse, claim.Replay:
 			n.end(i, x)
 		}
-		l = append(l, step[claimState]{format("attempt %d %s", i, what), n})
+		l = append(l, step[claimState]{sprintf("attempt %d %s", i, what), n})
 	}
 	switch m.Kind {
 	case claim.Create, claim.TakeOver:
@@ -374,7 +374,7 @@
 	a := &s.attempt[i]
 	s.falseNotRun = s.falseNotRun || a.progress == sent && m.Fault != nil && m.Fault.Ran == api.RanNo
 	a.done = true
-	if a.progress == waiting {
+	if a.progress == unsent {
 		a.progress = released
 	}
 	// The answer's text plays no part any more.
--- a/spec/explore.go
+++ b/spec/explore.go
@@ -73,7 +73,7 @@
 	return result[S]{states: len(seen)}
 }
 
-// format formats the name of a step.
-func format(format string, a ...any) string {
+// sprintf formats the name of a step.
+func sprintf(format string, a ...any) string {
 	return fmt.Sprintf(format, a...)
 }
--- a/spec/lease.go
+++ b/spec/lease.go
@@ -68,7 +68,7 @@
 // call is a write of a candidate that the platform has not carried out yet, or
 // whose answer is on its way.
 type call struct {
-	open     bool
+	pending  bool
 	applied  bool
 	accepted bool
 	version  api.Version
@@ -80,8 +80,8 @@
 
 // order is an order on its way to an engine.
 type order struct {
-	open  bool
-	fence api.Fence
+	inFlight bool
+	fence    api.Fence
 }
 
 type leaseState struct {
@@ -107,7 +107,7 @@
 func at(n int) time.Time { return epoch.Add(time.Duration(n) * time.Second) }
 
 func owner(i int, incarnation api.Incarnation) lease.Owner {
-	return lease.Owner{VM: api.VMName(format("vm-%d", i)), Incarnation: incarnation}
+	return lease.Owner{VM: api.VMName(sprintf("vm-%d", i)), Incarnation: incarnation}
 }
 
 func leaseModel(z leaseBounds, mutation string) model[leaseState] {
@@ -152,13 +152,13 @@
 		if n.now > lastRestoreSecond {
 			n.previous = storedLease{}
 		}
-		add(format("the clock reaches %d s", n.now), n)
+		add(sprintf("the clock reaches %d s", n.now), n)
 	}
 	if z.restore && s.era == 0 && s.now <= lastRestoreSecond {
 		for _, o := range []storedLease{s.previous, {}} {
 			n := s
 			n.era, n.storedLease, n.previous = 1, o, storedLease{}
-			add(format("%d s: the platform comes back from a copy of %d writes", s.now, o.writes), n)
+			add(sprintf("%d s: the platform comes back from a copy of %d writes", s.now, o.writes), n)
 		}
 	}
 	for i := range candidates {
@@ -174,11 +174,11 @@
 func candidateNext(s leaseState, i int, z leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(what string, n leaseState) {
-		l = append(l, step[leaseState]{format("%d s: vm-%d %s", s.now, i, what), n})
+		l = append(l, step[leaseState]{sprintf("%d s: vm-%d %s", s.now, i, what), n})
 	}
 	c := s.call[i]
 	switch {
-	case !c.open:
+	case !c.pending:
 		callNext(s, i, mutation, add)
 	case !c.applied:
 		applyNext(s, i, z, add)
@@ -209,7 +209,7 @@
 		}
 		add("reads the lease", n)
 	case lease.Write:
-		n.call[i] = call{open: true, spec: a.Spec, expect: a.Version}
+		n.call[i] = call{pending: true, spec: a.Spec, expect: a.Version}
 		add("sends a write", n)
 	}
 }
@@ -281,7 +281,7 @@
 	n := s
 	n.incarnations[i]++
 	n.lease[i] = *lease.New(owner(i, n.incarnations[i]), leaseTiming)
-	if n.call[i].open {
+	if n.call[i].pending {
 		n.call[i].abandoned = true
 		if n.call[i].applied {
 			n.call[i] = call{}
@@ -294,18 +294,18 @@
 // ever and arrive twice. The engine checks fences.
 func orderNext(s leaseState, i int, mutation string) []step[leaseState] {
 	var l []step[leaseState]
-	if f, ok := s.lease[i].Held(at(s.now)); ok && !s.order[i].open {
+	if f, ok := s.lease[i].Held(at(s.now)); ok && !s.order[i].inFlight {
 		if mutation == mutateSameFence {
 			f %= 1 << 20
 		}
 		n := s
-		n.order[i] = order{open: true, fence: f}
-		l = append(l, step[leaseState]{format("%d s: vm-%d sends an order", s.now, i), n})
+		n.order[i] = order{inFlight: true, fence: f}
+		l = append(l, step[leaseState]{sprintf("%d s: vm-%d sends an order", s.now, i), n})
 	}
-	if o := s.order[i]; o.open {
+	if o := s.order[i]; o.inFlight {
 		for _, again := range []bool{false, true} {
 			n := s
-			n.order[i].open = again
+			n.order[i].inFlight = again
 			if o.fence < s.appliedFence && mutation != "engine checks no fence" {
 				if again {
 					continue
@@ -316,7 +316,7 @@
 				n.lastSender = i + 1
 				n.appliedFence = max(s.appliedFence, o.fence)
 			}
-			l = append(l, step[leaseState]{format("%d s: an order with fence %d arrives", s.now, o.fence), n})
+			l = append(l, step[leaseState]{sprintf("%d s: an order with fence %d arrives", s.now, o.fence), n})
 		}
 	}
 	return l
--- a/spec/limit.go
+++ b/spec/limit.go
@@ -18,12 +18,12 @@
 const (
 	// limitTick is the length of a step of time, and wordTicks how many a peer's word is on
 	// its way at most.
-	limitTick      = 300 * time.Millisecond
-	maxReportTicks = 2
+	limitTick       = 300 * time.Millisecond
+	maxTransitTicks = 2
 	// maxTicks bounds the time, switchMost how often the server names a limit or takes it
 	// back.
-	maxTicks    = 5
-	maxSwitches = 3
+	maxTicks   = 5
+	maxChanges = 3
 	// limitVMs is the number of entry VMs, of which the hearer has answers of the server and the
 	// other one words of its peer; exchangesMost and wordsMost bound what is on its way.
 	limitVMs     = 2
@@ -34,24 +34,24 @@
 
 // limitRecord is what an entry VM knows: since when, and whether a limit is named.
 type limitRecord struct {
-	known, named bool
-	since, at    int8
+	known, named     bool
+	earliest, latest int8
 }
 
 // limitExchange is a request to the server, or its answer.
 type limitExchange struct {
 	open, answered, named bool
 	sent                  int8
-	// switches are those of the server when it answered.
-	switches int8
+	// changes are those of the server when it answered.
+	changes int8
 }
 
 // limitReport is a peer's word on its way.
 type limitReport struct {
-	open   bool
-	to     int8
-	record limitRecord
-	sent   int8
+	inFlight bool
+	to       int8
+	record   limitRecord
+	sent     int8
 }
 
 // limitState is a server that names a limit now and then, and entry VMs that hear of it from its
@@ -59,7 +59,7 @@
 type limitState struct {
 	now       int8
 	named     bool
-	switches  int8
+	changes   int8
 	records   [limitVMs]limitRecord
 	exchanges [maxExchanges]limitExchange
 	reports   [maxReports]limitReport
@@ -91,18 +91,18 @@
 	}
 	// An earlier word makes one that takes the limit back count.
 	l.Record(limitAt(-100), limitAt(-100), limitServer, throttle.Limit{Named: true, Rate: 1})
-	if r.since == r.at {
-		l.Record(limitAt(r.at), limitAt(r.at), limitServer, throttle.Limit{Named: r.named, Rate: 1})
+	if r.earliest == r.latest {
+		l.Record(limitAt(r.latest), limitAt(r.latest), limitServer, throttle.Limit{Named: r.named, Rate: 1})
 		return l
 	}
 	// A peer's word is as old as its way allows.
-	l.Merge(limitAt(r.at), api.ServerLimit{Server: limitServer, Named: r.named, PerSecond: 1, OldestMS: r.oldest()})
+	l.Merge(limitAt(r.latest), api.ServerLimit{Server: limitServer, Named: r.named, PerSecond: 1, OldestMS: r.oldestMS()})
 	return l
 }
 
-// oldest is what a peer has to tell as the oldest time of a record that is as young as it may be.
-func (r limitRecord) oldest() api.Milliseconds {
-	return api.ToMilliseconds(time.Duration(r.at-r.since-maxReportTicks) * limitTick)
+// oldestMS is what a peer has to tell as the oldestMS time of a record that is as young as it may be.
+func (r limitRecord) oldestMS() api.Milliseconds {
+	return api.ToMilliseconds(time.Duration(r.latest-r.earliest-maxTransitTicks) * limitTick)
 }
 
 // fromLimits reads the real record back.
@@ -110,7 +110,7 @@
 	for _, r := range l.Reports(limitAt(now)) {
 		return limitRecord{
 			known: true, named: r.Named,
-			since: now - int8(r.OldestMS.Duration()/limitTick), at: now - int8(r.AgeMS.Duration()/limitTick),
+			earliest: now - int8(r.OldestMS.Duration()/limitTick), latest: now - int8(r.AgeMS.Duration()/limitTick),
 		}
 	}
 	return limitRecord{}
@@ -126,8 +126,8 @@
 	if s.now < maxTicks && !s.reportDue() {
 		add("time passes", func(n *limitState) { n.now++ })
 	}
-	if s.switches < maxSwitches {
-		add("the server names its limit or takes it back", func(n *limitState) { n.named, n.switches = !n.named, n.switches+1 })
+	if s.changes < maxChanges {
+		add("the server names its limit or takes it back", func(n *limitState) { n.named, n.changes = !n.named, n.changes+1 })
 	}
 	for i, x := range s.exchanges {
 		exchangeNext(s, i, x, mutation, add)
@@ -141,7 +141,7 @@
 // reportDue reports whether a word has been on its way for as long as it may.
 func (s limitState) reportDue() bool {
 	for _, w := range s.reports {
-		if w.open && s.now-w.sent >= maxReportTicks {
+		if w.inFlight && s.now-w.sent >= maxTransitTicks {
 			return true
 		}
 	}
@@ -156,7 +156,7 @@
 	case !x.open:
 	case !x.answered:
 		add("the server answers", func(n *limitState) {
-			n.exchanges[i].answered, n.exchanges[i].named, n.exchanges[i].switches = true, s.named, s.switches
+			n.exchanges[i].answered, n.exchanges[i].named, n.exchanges[i].changes = true, s.named, s.changes
 		})
 	default:
 		add("an answer arrives", func(n *limitState) {
@@ -169,7 +169,7 @@
 			l.Record(limitAt(s.now), limitAt(sent), limitServer, throttle.Limit{Named: x.named, Rate: throttle.Rate(1)})
 			n.records[requester] = fromLimits(l, s.now)
 			if x.named {
-				n.announced[requester] = x.switches
+				n.announced[requester] = x.changes
 			}
 		})
 	}
@@ -177,22 +177,22 @@
 
 // reportNext is what can happen to one word of a peer.
 func reportNext(s limitState, i int, w limitReport, mutation string, add func(string, func(n *limitState))) {
-	if !w.open {
+	if !w.inFlight {
 		for vm := range int8(limitVMs) {
 			if s.records[vm].known {
-				add(format("VM %d tells its peer", vm), func(n *limitState) {
-					n.reports[i] = limitReport{open: true, to: 1 - vm, record: s.records[vm], sent: s.now}
+				add(sprintf("VM %d tells its peer", vm), func(n *limitState) {
+					n.reports[i] = limitReport{inFlight: true, to: 1 - vm, record: s.records[vm], sent: s.now}
 				})
 			}
 		}
 		return
 	}
 	add("a word is lost", func(n *limitState) { n.reports[i] = limitReport{} })
-	add(format("a word reaches VM %d", w.to), func(n *limitState) {
+	add(sprintf("a word reaches VM %d", w.to), func(n *limitState) {
 		n.reports[i] = limitReport{}
-		youngest, oldest := limitAt(w.sent).Sub(limitAt(w.record.at)), limitAt(w.sent).Sub(limitAt(w.record.since))
+		youngest, oldest := limitAt(w.sent).Sub(limitAt(w.record.latest)), limitAt(w.sent).Sub(limitAt(w.record.earliest))
 		if mutation == mutateNoTransit {
-			oldest = max(youngest, oldest-maxReportTicks*limitTick)
+			oldest = max(youngest, oldest-maxTransitTicks*limitTick)
 		}
 		before := s.records[w.to]
 		l := before.toLimits()
@@ -200,7 +200,7 @@
 			Server: limitServer, Named: w.record.named, PerSecond: 1, AgeMS: api.ToMilliseconds(youngest), OldestMS: api.ToMilliseconds(oldest),
 		})
 		n.records[w.to] = fromLimits(l, s.now)
-		if before.known && w.record.at <= before.at && n.records[w.to].named != before.named {
+		if before.known && w.record.latest <= before.latest && n.records[w.to].named != before.named {
 			n.staleApplied = true
 		}
 	})
@@ -213,7 +213,7 @@
 		return "an older word of a peer changed what was known"
 	}
 	for vm, r := range s.records {
-		if s.named && s.announced[vm] == s.switches && !r.named {
+		if s.named && s.announced[vm] == s.changes && !r.named {
 			return "a limit that was heard, and is named still, is not known"
 		}
 	}
--- a/spec/move.go
+++ b/spec/move.go
@@ -57,7 +57,7 @@
 	}
 	s.running[0] = true
 	return model[moveState]{
-		name:      format("move: a run of %d events, %d servers, crashes, breaks, lost answers", moveEvents, moveServers),
+		name:      sprintf("move: a run of %d events, %d servers, crashes, breaks, lost answers", moveEvents, moveServers),
 		initial:   s,
 		next:      func(s moveState) []step[moveState] { return moveNext(s, mutation) },
 		violation: moveViolation,
@@ -94,7 +94,7 @@
 		if i < 2 && s.alive[i] {
 			n := s
 			n.alive[i], n.running[i] = false, false
-			add(format("server %d dies", i), n)
+			add(sprintf("server %d dies", i), n)
 		}
 	}
 	l = append(l, readNext(s, mutation)...)
@@ -114,7 +114,7 @@
 		return l
 	}
 	if s.nextEvent <= s.produced {
-		add(format("event %d arrives", s.nextEvent), s.read(mutation))
+		add(sprintf("event %d arrives", s.nextEvent), s.read(mutation))
 	}
 	if s.nextEvent > moveEvents && s.alive[s.stream] {
 		n := s
