--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -76,7 +76,7 @@
 	check(t, moveModel, "the connection is left open", "events are not judged")
 }
 
-func TestLife(t *testing.T) {
+func TestServerIncarnations(t *testing.T) {
 	check(t, incarnationModel, mutateNoBirth, mutateStaleEntry, mutateNoReportBirth)
 }
 
