--- a/spec/allocate.go
+++ b/spec/allocate.go
@@ -8,56 +8,56 @@
 	"github.com/wardridge/wardridge/internal/decide/placement"
 )
 
-// Phases of an ask, as its holder sees them.
+// Phases of a placement request, as its holder sees them.
 const (
 	requestIdle = iota
-	// requestOpen asks are waited for.
+	// requestOpen requests wait for an answer.
 	requestOpen
-	// requestHeld asks were granted, and what they were granted is held.
+	// requestHeld requests were granted a place, which the holder still holds.
 	requestHeld
-	// requestEnded asks were given up, or what they were granted was given back.
+	// requestEnded requests were abandoned, or their place was released.
 	requestEnded
 )
 
 // Mutations of the exchange between a holder and an allocator.
 const (
-	// mutateOmitOpen leaves open asks out of reports.
-	mutateOmitOpen = "open asks are not reported"
-	// mutateNoOrder takes each report for the newest.
+	// mutateOmitOpen leaves open requests out of reports.
+	mutateOmitOpen = "open requests are not reported"
+	// mutateNoOrder treats each report as the newest.
 	mutateNoOrder = "reports have no order"
-	// mutateOmitHeld leaves out of reports what was taken.
-	mutateOmitHeld = "what was taken is not reported"
+	// mutateOmitHeld leaves held places out of reports.
+	mutateOmitHeld = "held places are not reported"
 )
 
 const (
 	requestCount   = 2
 	allocatorCount = 2
-	// maxSequence bounds the reports of a run, with those in asks.
+	// maxSequence bounds the reports of a run, including those that requests carry.
 	maxSequence = 4
-	// maxInFlight bounds the reports on their way.
+	// maxInFlight bounds the reports in flight.
 	maxInFlight = 2
-	// maxLogged bounds what an allocator hears: each report, and each grant.
+	// maxLogged bounds the events of an allocator: one for each report and each grant.
 	maxLogged = maxSequence + requestCount
 )
 
-// allocateReport is a report on its way; its sequence is zero for none.
+// allocateReport is a report in flight; its sequence is zero for none.
 type allocateReport struct {
 	sequence, lastRequest, to int8
 	open, held                [requestCount]bool
 }
 
-// allocateEvent is what an allocator took: a report, or a grant to an ask.
+// allocateEvent is an event at an allocator: a report, or a request that it granted.
 type allocateEvent struct {
 	report allocateReport
-	// grant is the ask granted, counted from one; zero for a report.
+	// grant is the granted request, counted from one; zero for a report.
 	grant int8
 }
 
-// allocateState is one holder that asks two allocators for places at an engine.
-// The allocators hold the real ledger, made anew from what each has heard.
+// allocateState is one holder that requests places at an engine from two allocators. Each
+// allocator's real ledger is rebuilt from the events that it received.
 type allocateState struct {
 	phases [requestCount]int8
-	// requests are those on their way, and granted those that were granted.
+	// requests holds the requests in flight, and granted marks those that were granted.
 	requests  [requestCount]allocateReport
 	granted   [requestCount]bool
 	allocator int8
@@ -67,8 +67,8 @@
 	logged    [allocatorCount]int8
 }
 
-// allocateModel is a holder whose messages are late, lost and out of order, and
-// that turns from one allocator to the other.
+// allocateModel is a holder that switches from one allocator to the other and whose messages
+// arrive late, out of order or not at all.
 func allocateModel(mutation string) model[allocateState] {
 	return model[allocateState]{
 		name:      "allocate",
@@ -77,7 +77,7 @@
 	}
 }
 
-// report is what the holder tells now.
+// report returns the holder's next report.
 func (s *allocateState) report(mutation string) allocateReport {
 	s.sequence++
 	r := allocateReport{sequence: s.sequence, to: s.allocator}
@@ -91,7 +91,7 @@
 	return r
 }
 
-// receive adds what an allocator hears to its log.
+// receive adds an event to an allocator's log.
 func (s *allocateState) receive(to int8, e allocateEvent, mutation string) {
 	if mutation == mutateNoOrder {
 		e.report.sequence = s.logged[to] + 1
@@ -122,34 +122,34 @@
 	}
 	for i, r := range s.reports {
 		if r.sequence == 0 && s.sequence < maxSequence {
-			add("report", func(n *allocateState) { n.reports[i] = n.report(mutation) })
+			add("the holder sends a report", func(n *allocateState) { n.reports[i] = n.report(mutation) })
 			break
 		}
 	}
 	if s.allocator == 0 {
-		add("turn to the other allocator", func(n *allocateState) { n.allocator = 1 })
+		add("the holder switches to the other allocator", func(n *allocateState) { n.allocator = 1 })
 	}
 	return l
 }
 
-// requestNext is what can happen to one ask.
+// requestNext adds the steps of one request.
 func requestNext(s allocateState, i int, mutation string, add func(string, func(n *allocateState))) {
 	switch {
 	case s.phases[i] == requestIdle && s.sequence < maxSequence && (i == 0 || s.phases[i-1] != requestIdle):
-		add(sprintf("ask %d", i+1), func(n *allocateState) {
+		add(sprintf("request %d is sent", i+1), func(n *allocateState) {
 			n.phases[i] = requestOpen
 			n.requests[i] = n.report(mutation)
 		})
 	case s.phases[i] == requestOpen:
-		add(sprintf("give up %d", i+1), func(n *allocateState) { n.phases[i] = requestEnded })
+		add(sprintf("request %d is abandoned", i+1), func(n *allocateState) { n.phases[i] = requestEnded })
 		if s.granted[i] {
 			add(sprintf("answer %d arrives", i+1), func(n *allocateState) { n.phases[i] = requestHeld })
 		}
 	case s.phases[i] == requestHeld:
-		add(sprintf("end %d", i+1), func(n *allocateState) { n.phases[i] = requestEnded })
+		add(sprintf("the place of request %d is released", i+1), func(n *allocateState) { n.phases[i] = requestEnded })
 	}
 	if r := s.requests[i]; r.sequence > 0 {
-		add(sprintf("ask %d arrives", i+1), func(n *allocateState) {
+		add(sprintf("request %d arrives", i+1), func(n *allocateState) {
 			n.requests[i] = allocateReport{}
 			n.granted[i] = true
 			n.receive(r.to, allocateEvent{report: r, grant: int8(i) + 1}, mutation)
@@ -157,14 +157,14 @@
 	}
 }
 
-// engineName is the one engine.
+// engineName is the only engine of the allocation model.
 const engineName api.ServerName = "engine"
 
-// requestTokens are the tokens of each ask: a digit each, so that a sum tells how often
-// each counts.
+// requestTokens are the tokens of each request. Each has a decimal digit of its own, so a sum
+// shows how often each request counts.
 var requestTokens = [requestCount]api.Tokens{1, 10}
 
-// ledger is what an allocator counts after what it has heard.
+// ledger returns an allocator's ledger after the events that it received.
 func (s allocateState) ledger(to int8) *placement.Ledger {
 	l := placement.NewLedger()
 	for _, e := range s.logs[to][:s.logged[to]] {
@@ -189,9 +189,9 @@
 	return l
 }
 
-// allocateViolation checks that no place counts twice at an allocator, that one that
-// is held counts where it was granted, and that the current allocator knows what
-// is held once it has heard the newest report.
+// allocateViolation checks that no place counts twice at an allocator, that a held place counts
+// at the allocator that granted it, and that the current allocator counts exactly the held
+// places once it has the newest report.
 func allocateViolation(s allocateState) string {
 	for to := range int8(allocatorCount) {
 		n := s.ledger(to).Total(engineName).Tokens
@@ -201,17 +201,17 @@
 			case count > 1 || n < 0:
 				return "a place counts twice"
 			case count == 0 && s.phases[i] == requestHeld && s.isGrantedBy(to, i):
-				return "a place that is held does not count"
+				return "a held place does not count"
 			}
 		}
 	}
 	if s.inSync() && s.ledger(s.allocator).Total(engineName).Tokens != s.heldTokens() {
-		return "the current allocator counts something else than what is held"
+		return "the current allocator does not count exactly the held places"
 	}
 	return ""
 }
 
-// isGrantedBy reports whether an allocator granted an ask.
+// isGrantedBy reports whether an allocator granted a request.
 func (s allocateState) isGrantedBy(to int8, request int) bool {
 	for _, e := range s.logs[to][:s.logged[to]] {
 		if int(e.grant) == request+1 {
@@ -221,7 +221,7 @@
 	return false
 }
 
-// heldTokens is the tokens that the holder holds.
+// heldTokens returns the tokens of all held places.
 func (s allocateState) heldTokens() api.Tokens {
 	var n api.Tokens
 	for i, p := range s.phases {
@@ -232,8 +232,8 @@
 	return n
 }
 
-// inSync reports whether the current allocator heard the newest report last, made
-// as things are now, and neither message nor ask is under way.
+// inSync reports whether the last event at the current allocator is a report that describes the
+// holder's present state, with no request open and no message in flight.
 func (s allocateState) inSync() bool {
 	n := s.logged[s.allocator]
 	if n == 0 || slices.Contains(s.phases[:], requestOpen) || s.reports != [maxInFlight]allocateReport{} || s.requests != [requestCount]allocateReport{} {
--- a/spec/answer.go
+++ b/spec/answer.go
@@ -7,8 +7,8 @@
 	"github.com/wardridge/wardridge/internal/decide/answer"
 )
 
-// The answer's world: two generations of two tokens each on engines that may
-// break or forget, with every event lost, late, doubled or out of order.
+// Sizes of the answer model: two generations of two tokens each, on engines that may fail or
+// forget a generation. Any event may be lost, late, duplicated or out of order.
 const (
 	generations = 2
 	tokens      = 2
@@ -18,11 +18,11 @@
 	answer answer.Answer
 	// started counts the generations that were started.
 	started int
-	// sent tells which generations may have run.
+	// sent marks the generations that may have run.
 	sent [generations]bool
-	// open is whether a stream of the present generation is read.
+	// open is set while a stream of the current generation is read.
 	open bool
-	// delivered are the tokens that the caller saw, as generation and index.
+	// delivered holds the generation and index of each token that the caller received.
 	delivered [2*tokens + 1][2]int
 	count     int
 	finished  bool
@@ -46,7 +46,7 @@
 func answerViolation(s answerState, repeatable bool) string {
 	for i := range s.count {
 		if s.delivered[i][1] != i || s.delivered[i][0] != s.delivered[0][0] {
-			return "the caller saw a token doubled, missing, out of order or of another generation"
+			return "the caller received a duplicate, missing, reordered or foreign token"
 		}
 	}
 	ran := 0
@@ -57,7 +57,7 @@
 	}
 	switch {
 	case s.finished && s.count != tokens:
-		return "the answer ended before all its tokens came"
+		return "the answer ended before its last token"
 	case !repeatable && ran > 1:
 		return "a request that is not repeatable ran twice"
 	case s.failed && s.ran == api.RanNo && ran > 0:
@@ -97,7 +97,7 @@
 	return l
 }
 
-// openNext is what can come of a start or a resume.
+// openNext lists the outcomes of a start or a resume.
 func openNext(s answerState, mutation string) []step[answerState] {
 	var l []step[answerState]
 	add := func(name string, n answerState) { l = append(l, step[answerState]{name, n}) }
@@ -109,18 +109,20 @@
 	n = s
 	n.sent[s.started-1] = true
 	n.handleBreak(answer.Broken, mutation)
-	add("the connection breaks, the engine has it", n)
+	add("the connection breaks, the engine has the generation", n)
 	for _, c := range []answer.Cause{answer.NotConnected, answer.Refused} {
 		n = s
 		n.handleBreak(c, mutation)
-		add(sprintf("cause %d", c), n)
+		add(sprintf("the engine is not reached or refuses (cause %d)", c), n)
 	}
 	n = s
 	n.handleBreak(answer.GenerationUnknown, mutation)
-	add("the engine has forgotten it", n)
+	add("the engine has forgotten the generation", n)
 	return l
 }
 
+// receive handles an event of a generation: token i, or the end after the last token. It returns
+// false if the event can't occur.
 func receive(s answerState, g, i int, mutation string) (answerState, bool) {
 	if !s.sent[g] {
 		return s, false
@@ -131,7 +133,7 @@
 	}
 	n := s
 	v := n.answer.HandleEvent(e)
-	if mutation == "late tokens are taken" && v == answer.Drop && e.Finish == "" {
+	if mutation == "late tokens are accepted" && v == answer.Drop && e.Finish == "" {
 		v = answer.Deliver
 	}
 	switch v {
@@ -149,7 +151,7 @@
 	return n, true
 }
 
-// handleBreak asks what follows a break and does it.
+// handleBreak carries out the action that the real code decides on after a break.
 func (s *answerState) handleBreak(c answer.Cause, mutation string) {
 	s.open = false
 	s.now = min(s.now+1, 5)
@@ -165,6 +167,8 @@
 	}
 }
 
+// retry starts the next generation, or fails the answer if there is none or the real code
+// forbids another.
 func (s *answerState) retry(mutation string) {
 	if s.started == generations {
 		s.failed, s.ran = true, s.answer.Ran()
@@ -176,7 +180,7 @@
 		return
 	}
 	if !ok {
-		// The mutated code starts a generation all the same.
+		// The mutation starts a generation although the real code forbids it.
 		s.answer = *answer.New(answer.Policy{MaxResumeTime: 2 * time.Second, Deadline: at(100)})
 		s.answer.Begin(generationID(s.started))
 	}
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -5,8 +5,8 @@
 	"github.com/wardridge/wardridge/internal/decide/claim"
 )
 
-// The claim's world: a caller asks with one key by up to three attempts on two
-// entry VMs, one of which may crash.
+// Sizes of the claim model: a caller sends a request with one idempotency key in up to three
+// attempts through two entry VMs, one of which may crash.
 const (
 	vms      = 2
 	attempts = 3
@@ -15,18 +15,18 @@
 // attemptVM is the entry VM of each attempt.
 var attemptVM = [attempts]int{0, 1, 0}
 
-// claimBounds bounds a world, so that every run of it can be visited.
+// claimBounds bounds a claim model so that all its runs can be explored.
 type claimBounds struct {
 	name     string
 	attempts int
-	// lateWrites lets writes be carried out after their callers gave up.
+	// lateWrites allows writes to take effect after their callers gave up waiting.
 	lateWrites bool
-	// restore lets the platform come back once from a copy of before the last write or of
-	// before all of them; no entry VM crashes then.
+	// restore allows the platform to be restored once from a backup taken before the last write
+	// or before all writes; no entry VM crashes in such a model.
 	restore bool
 }
 
-// storedClaim is the claim as the platform has it, after so many writes.
+// storedClaim is the claim as the platform stores it, and the number of writes so far.
 type storedClaim struct {
 	exists  bool
 	spec    api.ClaimSpec
@@ -34,13 +34,16 @@
 	writes  api.Revision
 }
 
-// progress is how far an attempt's own record on its VM has come.
+// progress is the state of an attempt in the record of its entry VM.
 type progress int
 
 const (
+	// unknown attempts are not in the record: they have not begun, or their VM crashed.
 	unknown progress = iota
+	// unsent attempts were recorded but not sent yet.
 	unsent
 	sent
+	// released attempts were given up unsent.
 	released
 )
 
@@ -50,30 +53,30 @@
 	begun    bool
 	done     bool
 	progress progress
-	// incarnation is its VM's incarnation when it began.
+	// incarnation is the incarnation of the attempt's VM when the attempt began.
 	incarnation api.Incarnation
-	// lateWrite is a write that its VM gave up waiting for.
+	// lateWrite is a write that the VM gave up waiting for and that may still take effect.
 	lateWrite    claim.Action
 	hasLateWrite bool
-	// claimedEra is the era in which its claim was written, one up, zero for none; rewritten is
-	// set once its VM has looked whether the platform lost that.
+	// claimedEra is the era in which the claim was written plus one, or zero if it was not;
+	// rewritten is set once the VM has checked whether the platform lost the claim.
 	claimedEra api.Era
 	rewritten  bool
 }
 
 type claimState struct {
 	storedClaim
-	// canRestore is set where the platform may come back from one; era counts that, and before is
-	// the claim before the last write.
+	// canRestore is set if the platform may be restored from a backup; era counts the restores,
+	// and previous is the claim before the last write.
 	canRestore bool
 	era        api.Era
 	previous   storedClaim
-	// settled is set once owners had the time to write their claims again.
+	// settled is set once owners had the time to rewrite their claims.
 	settled      bool
 	attempt      [attempts]attemptState
 	incarnations [vms]api.Incarnation
 	sends        int
-	// falseNotRun tells that a caller was told "not run" by an attempt that sent.
+	// falseNotRun is set once an attempt that sent the request answered "not run".
 	falseNotRun bool
 }
 
@@ -95,7 +98,7 @@
 			case s.sends > 1:
 				return "the request was sent twice"
 			case s.falseNotRun:
-				return "a caller was told that a request that was sent did not run"
+				return "a caller got \"not run\" for a request that was sent"
 			}
 			return ""
 		},
@@ -109,11 +112,11 @@
 		a := s.attempt[i]
 		switch {
 		case !a.begun && s.unsettled(mutation):
-			// It is refused, and the caller comes back later.
+			// The request is refused until the claims are settled; the caller retries later.
 		case !a.begun:
 			n := s
 			n.begin(i)
-			add(sprintf("the caller asks by attempt %d", i), n)
+			add(sprintf("the caller begins attempt %d", i), n)
 		case !a.done:
 			l = append(l, s.actionNext(i, z, mutation)...)
 		}
@@ -121,14 +124,14 @@
 			n := s
 			n.attempt[i].hasLateWrite, n.attempt[i].lateWrite = false, claim.Action{}
 			n.write(a.lateWrite)
-			add(sprintf("attempt %d's late write is carried out", i), n)
+			add(sprintf("the late write of attempt %d takes effect", i), n)
 		}
 	}
 	if z.restore && s.era == 0 {
 		for _, r := range []storedClaim{s.previous, {}} {
 			n := s
 			n.era, n.storedClaim, n.previous = 1, r, storedClaim{}
-			add(sprintf("the platform comes back from a copy of %d writes", r.writes), n)
+			add(sprintf("the platform is restored from a backup with %d writes", r.writes), n)
 		}
 	}
 	if s.era > 0 && !s.settled {
@@ -143,25 +146,26 @@
 				n.attempt[i].progress = unknown
 			}
 		}
-		add("vm-0 crashes and starts again", n)
+		add("vm-0 crashes and restarts", n)
 	}
 	return l
 }
 
-// unsettled reports whether claims may be lost that were not written again yet.
+// unsettled reports whether the platform may lack claims that their owners have yet to rewrite.
 func (s *claimState) unsettled(mutation string) bool {
 	return s.era > 0 && !s.settled && mutation != mutateNoSettling
 }
 
-// Mutations of a restore.
+// Mutations of the protocol after a restore.
 const (
-	mutateNoSettling = "claims are made at once in a later era"
-	mutateNoRewrite  = "owners don't write again"
-	mutateOldPermit  = "a claim allows to send for ever"
+	mutateNoSettling = "claims are made without a wait in a later era"
+	mutateNoRewrite  = "owners don't rewrite their claims"
+	mutateOldPermit  = "a claim permits the send forever"
 )
 
-// settleNext is what happens while claims are written again: owners look through theirs, and
-// once all have whose request was sent, the wait may end; another one may be suspended.
+// settleNext lists the steps while claims are rewritten after a restore: each owner checks its
+// claims. The wait may end once the claims of all sent requests were checked; the owner of an
+// unsent one may be suspended and check late.
 func (s claimState) settleNext(mutation string) []step[claimState] {
 	var l []step[claimState]
 	all := true
@@ -177,7 +181,7 @@
 		if mutation != mutateNoRewrite {
 			n.rewrite(i)
 		}
-		l = append(l, step[claimState]{sprintf("attempt %d's claim is looked through by its owner", i), n})
+		l = append(l, step[claimState]{sprintf("the owner checks the claim of attempt %d", i), n})
 	}
 	if all {
 		n := s
@@ -187,7 +191,7 @@
 	return l
 }
 
-// rewrite has an attempt's owner write its claim again, if the real code says so.
+// rewrite rewrites the claim of an attempt if the real code decides so.
 func (s *claimState) rewrite(i int) {
 	for _, r := range s.attemptsOf(attemptVM[i]).Records() {
 		if r.Spec.Request != requestID(i) {
@@ -203,12 +207,13 @@
 	}
 }
 
-// claimSpec is the claim of an attempt.
+// claimSpec returns the claim of an attempt.
 func (s *claimState) claimSpec(i int) api.ClaimSpec {
 	v := attemptVM[i]
 	return api.ClaimSpec{Workspace: "w", Owner: vmName(v), Incarnation: s.attempt[i].incarnation, Request: requestID(i), BodyHash: "h"}
 }
 
+// begin starts an attempt in the present incarnation of its VM.
 func (s *claimState) begin(i int) {
 	v := attemptVM[i]
 	s.attempt[i].incarnation = s.incarnations[v]
@@ -216,6 +221,7 @@
 	s.attempt[i] = attemptState{claim: *c, next: c.Begin(), begun: true, progress: unsent, incarnation: s.incarnations[v]}
 }
 
+// write stores a claim if its expected version is current, and reports whether it was.
 func (s *claimState) write(m claim.Action) bool {
 	if m.Version != s.version {
 		return false
@@ -228,8 +234,7 @@
 	return true
 }
 
-// attemptsOf rebuilds a VM's own record of its attempts, so that its answer is
-// the real code's.
+// attemptsOf rebuilds a VM's record of its attempts, so that the real code decides about them.
 func (s *claimState) attemptsOf(v int) *claim.Attempts {
 	r := claim.NewAttempts(s.incarnations[v])
 	for i := range attempts {
@@ -252,7 +257,8 @@
 	return r
 }
 
-// release asks the owner of a claim, which may be out of reach.
+// release requests the release of a claim from its owner, and reports whether it was granted.
+// An owner of an earlier incarnation is out of reach and grants nothing.
 func (s *claimState) release(spec api.ClaimSpec, mutation string) bool {
 	for i := range attempts {
 		if requestID(i) != spec.Request {
@@ -270,7 +276,7 @@
 	return false
 }
 
-// actionNext carries an attempt's next actionNext out, in every way it can go.
+// actionNext lists all outcomes of an attempt's next action.
 func (s claimState) actionNext(i int, z claimBounds, mutation string) []step[claimState] {
 	var l []step[claimState]
 	m := s.attempt[i].next
@@ -300,10 +306,10 @@
 		})
 		add("can't read the claim", func(_ *claimState, c *claim.Claim) claim.Action { return c.HandleReadError() })
 	case claim.RequestRelease:
-		add("asks the owner", func(n *claimState, c *claim.Claim) claim.Action {
+		add("requests the release", func(n *claimState, c *claim.Claim) claim.Action {
 			return c.HandleRelease(n.release(m.Spec, mutation), m.Version)
 		})
-		add("asks the owner, the answer is lost", func(n *claimState, c *claim.Claim) claim.Action {
+		add("requests the release, the answer is lost", func(n *claimState, c *claim.Claim) claim.Action {
 			n.release(m.Spec, mutation)
 			return c.HandleRelease(false, m.Version)
 		})
@@ -322,10 +328,11 @@
 	return l
 }
 
-// transition is how the claim and an attempt's course transition by one step.
+// transition applies one outcome to the state and to an attempt's claim, and returns the
+// attempt's next action.
 type transition func(n *claimState, c *claim.Claim) claim.Action
 
-// writeNext carries the write of a claim out, in every way it can go.
+// writeNext adds all outcomes of the write of a claim.
 func writeNext(i int, m claim.Action, z claimBounds, mutation string, add func(what string, c transition)) {
 	add("writes its claim", func(n *claimState, c *claim.Claim) claim.Action {
 		switch {
@@ -353,13 +360,13 @@
 	add("has its write refused", func(_ *claimState, c *claim.Claim) claim.Action { return c.HandleWrite(claim.WriteRefused) })
 }
 
-// permitsSend reports whether an attempt's claim still allows to send: its time is over before
-// others may claim in a later era.
+// permitsSend reports whether an attempt's claim still permits the send. A claim of an earlier
+// era loses its permission before others may claim in a later one.
 func (s *claimState) permitsSend(i int, mutation string) bool {
 	return !s.settled || s.attempt[i].claimedEra > s.era || mutation == mutateOldPermit
 }
 
-// abandon records that an attempt was not sent, if its claim is there still.
+// abandon records that an attempt was not sent, if the stored claim is its own.
 func (s *claimState) abandon(i int, m claim.Action) {
 	if s.exists && s.spec.Request == requestID(i) {
 		s.write(claim.Action{Spec: m.Spec, Version: s.version})
@@ -368,8 +375,8 @@
 	s.end(i, m)
 }
 
-// end ends an attempt whose caller is answered; an unsent one is forgotten by
-// its VM.
+// end ends an attempt whose caller gets its answer. The VM drops an unsent attempt from its
+// record.
 func (s *claimState) end(i int, m claim.Action) {
 	a := &s.attempt[i]
 	s.falseNotRun = s.falseNotRun || a.progress == sent && m.Fault != nil && m.Fault.Ran == api.RanNo
@@ -377,6 +384,6 @@
 	if a.progress == unsent {
 		a.progress = released
 	}
-	// The answer's text plays no part any more.
+	// Only the kind is kept, since the text of the answer has no effect anymore.
 	a.next = claim.Action{Kind: m.Kind}
 }
--- a/spec/explore.go
+++ b/spec/explore.go
@@ -6,23 +6,24 @@
 	"slices"
 )
 
-// step is one thing that can happen in a world.
+// step is a transition of a model to its next state.
 type step[S comparable] struct {
 	name string
 	next S
 }
 
-// model is a specification: where it starts, what can happen, and what must
-// always hold.
+// model is a specification: an initial state, the steps that a state allows, and the
+// properties that hold in every state.
 type model[S comparable] struct {
 	name    string
 	initial S
 	next    func(S) []step[S]
-	// violation tells which property a state breaks; empty for none.
+	// violation names the property that a state violates, or is empty.
 	violation func(S) string
 }
 
-// result is the outcome of an exploration.
+// result is the outcome of an exploration. If a property was violated, trace lists the steps
+// from the initial state to the violation.
 type result[S comparable] struct {
 	states    int
 	violation string
@@ -32,10 +33,9 @@
 // maxStates bounds an exploration; reaching it fails the test.
 const maxStates = 1_500_000
 
-// explore visits every state that the world can reach, nearest first, and
-// stops at the first that breaks a property. It remembers states by a hash of
-// 64 bits, so the chance that it passes one over is below one in a million at
-// the sizes here.
+// explore visits every reachable state of a model in breadth-first order and stops at the first
+// that violates a property. It remembers states by a 64-bit hash; at the sizes here, the chance
+// that a collision hides a state is below one in a million.
 func explore[S comparable](w model[S]) result[S] {
 	type edge struct {
 		parent uint64
@@ -73,7 +73,7 @@
 	return result[S]{states: len(seen)}
 }
 
-// sprintf formats the name of a step.
+// sprintf formats the name of a step or the id of something in a model.
 func sprintf(format string, a ...any) string {
 	return fmt.Sprintf(format, a...)
 }
--- a/spec/incarnation.go
+++ b/spec/incarnation.go
@@ -7,49 +7,51 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// Mutations of what tells two lives of a server apart.
+// Mutations of how two incarnations of a server are told apart.
 const (
-	// mutateNoBirth leaves births out, so that both lives have one name.
-	mutateNoBirth = "servers don't tell their births"
-	// mutateStaleEntry takes an entry of the earlier life for one of another server.
+	// mutateNoBirth leaves the times of birth out, so that both incarnations have the same name.
+	mutateNoBirth = "servers don't report their births"
+	// mutateStaleEntry treats a late entry of the earlier incarnation as that of another server.
 	mutateStaleEntry = "late entries are not recognised"
-	// mutateNoReportBirth leaves the birth out of what the server itself tells.
-	mutateNoReportBirth = "the server's own word counts for any life"
+	// mutateNoReportBirth leaves the time of birth out of the server's report that an incarnation
+	// ended, which then ends the present one.
+	mutateNoReportBirth = "the server's report counts for any incarnation"
 )
 
-// Words about a server that an entry VM hears.
+// Kinds of messages about a server that an entry VM receives.
 const (
-	// messageEntry is the entry in the store.
+	// messageEntry is the server's entry in the store.
 	messageEntry = iota
-	// messageNotice is a peer's word that a life said it was leaving.
+	// messageNotice is a peer's notice that an incarnation announced its leave.
 	messageNotice
-	// messageEnded is the server's own word that a life is over.
+	// messageEnded is the server's report that an incarnation ended.
 	messageEnded
 )
 
-// maxMessages bounds the words heard.
+// maxMessages bounds the messages that the entry VM receives.
 const maxMessages = 5
 
-// incarnationEntry is an entry in the store, of a life counted from one; zero for none.
+// incarnationEntry is the store's entry of an incarnation, counted from one; zero for none.
 type incarnationEntry struct {
 	incarnation int8
 	draining    bool
 }
 
-// incarnationMessage is one word heard: of an entry, or of a life.
+// incarnationMessage is a message about an incarnation; only messageEntry uses the whole entry.
 type incarnationMessage struct {
 	kind  int8
 	entry incarnationEntry
 }
 
-// incarnationState is a server with two lives under one id. Its writes, and words of others
-// about it, may come late, and again; the roster is made anew from what was heard.
+// incarnationState is a server with two incarnations under one id. Its writes and others'
+// messages about it may arrive late and more than once. The real roster is rebuilt from the
+// messages received.
 type incarnationState struct {
-	// server is what the server is, and entry what the store has of it.
+	// server is the server's actual state, and entry its state in the store.
 	server, entry incarnationEntry
-	// delayed is a write of the first life that has not taken effect yet.
+	// delayed is a write of the first incarnation that has not taken effect yet.
 	delayed incarnationEntry
-	// announced are the lives that told somebody that they are leaving.
+	// announced marks the incarnations that announced their leave.
 	announced [2]bool
 	messages  [maxMessages]incarnationMessage
 	received  int8
@@ -57,14 +59,14 @@
 
 func incarnationModel(mutation string) model[incarnationState] {
 	return model[incarnationState]{
-		name:      "life",
+		name:      "incarnations",
 		initial:   incarnationState{server: incarnationEntry{incarnation: 1}, entry: incarnationEntry{incarnation: 1}},
 		next:      incarnationNext,
 		violation: func(s incarnationState) string { return incarnationViolation(s, mutation) },
 	}
 }
 
-// incarnationNext lists what can happen.
+// incarnationNext lists the steps of a state.
 func incarnationNext(s incarnationState) []step[incarnationState] {
 	var l []step[incarnationState]
 	add := func(name string, change func(s *incarnationState)) {
@@ -79,17 +81,17 @@
 		})
 	}
 	if s.server.incarnation == 1 {
-		add("a write is held back", func(s *incarnationState) { s.delayed = s.server })
-		add("the server starts again", func(s *incarnationState) {
+		add("a write is delayed", func(s *incarnationState) { s.delayed = s.server })
+		add("the server restarts", func(s *incarnationState) {
 			s.server = incarnationEntry{incarnation: 2}
 			s.entry = s.server
 		})
 	}
 	if s.delayed.incarnation > 0 {
-		add("a write that was held back takes effect", func(s *incarnationState) { s.entry, s.delayed = s.delayed, incarnationEntry{} })
+		add("the delayed write takes effect", func(s *incarnationState) { s.entry, s.delayed = s.delayed, incarnationEntry{} })
 	}
 	if s.entry != s.server {
-		add("the server writes its entry again", func(s *incarnationState) { s.entry = s.server })
+		add("the server rewrites its entry", func(s *incarnationState) { s.entry = s.server })
 	}
 	if s.received == maxMessages {
 		return l
@@ -100,19 +102,19 @@
 			s.received++
 		})
 	}
-	receive("the entry is heard", incarnationMessage{kind: messageEntry, entry: s.entry})
+	receive("the entry is received", incarnationMessage{kind: messageEntry, entry: s.entry})
 	for i, announced := range s.announced {
 		if announced {
-			receive("a notice is heard", incarnationMessage{kind: messageNotice, entry: incarnationEntry{incarnation: int8(i + 1)}})
+			receive("a notice is received", incarnationMessage{kind: messageNotice, entry: incarnationEntry{incarnation: int8(i + 1)}})
 		}
 	}
 	if s.server.incarnation == 2 {
-		receive("the server tells of its later life", incarnationMessage{kind: messageEnded, entry: incarnationEntry{incarnation: 1}})
+		receive("the server reports that its first incarnation ended", incarnationMessage{kind: messageEnded, entry: incarnationEntry{incarnation: 1}})
 	}
 	return l
 }
 
-// rosterServer is a life as an entry tells of it.
+// rosterServer returns the roster's server that an entry describes.
 func rosterServer(e incarnationEntry, mutation string) roster.Server {
 	s := roster.Server{ID: "a", Born: api.Birth(e.incarnation), Draining: e.draining}
 	if mutation == mutateNoBirth {
@@ -122,7 +124,7 @@
 	return s
 }
 
-// buildRoster hears all words in turn.
+// buildRoster applies all messages received to a new roster, in order.
 func buildRoster(s incarnationState, mutation string) *roster.Roster {
 	r := roster.New()
 	now := time.Unix(100, 0)
@@ -149,7 +151,7 @@
 	return r
 }
 
-// incarnationViolation tells which property the words heard have broken.
+// incarnationViolation names the property that the roster violates after the messages received.
 func incarnationViolation(s incarnationState, mutation string) string {
 	r := buildRoster(s, mutation)
 	first, known := r.Find(rosterServer(incarnationEntry{incarnation: 1}, mutation).Name)
@@ -157,19 +159,19 @@
 	newest, received, noticed := newestReceived(s)
 	switch {
 	case received && !later:
-		return "the later life is not known"
+		return "the later incarnation is not known"
 	case received && known && first.Name != second.Name && first.State != roster.Ended:
-		return "the earlier life goes on beside the later one"
+		return "the earlier incarnation stays usable beside the later one"
 	case received && !noticed && !newest.draining && second.State != roster.Ready:
-		return "words on the earlier life hide the later one"
+		return "messages about the earlier incarnation hide the later one"
 	case received && newest.draining && second.State != roster.Leaving:
-		return "the later life's notice is lost"
+		return "the later incarnation's notice is lost"
 	}
 	return ""
 }
 
-// newestReceived gives the newest entry of the second life that was heard, whether there was
-// one, and whether a notice of that life was heard after the first.
+// newestReceived returns the newest entry of the second incarnation that was received, whether
+// there was one, and whether a notice of that incarnation followed its first entry.
 func newestReceived(s incarnationState) (newest incarnationEntry, known, noticed bool) {
 	for _, w := range s.messages[:s.received] {
 		switch {
--- a/spec/lease.go
+++ b/spec/lease.go
@@ -7,42 +7,43 @@
 	"github.com/wardridge/wardridge/internal/decide/lease"
 )
 
+// epoch is the start of time in the models; at counts seconds from it.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The lease's world: two candidates, one object, whole seconds, a duration of
-// 2 s and a skew of 1 s.
+// candidates is the number of VMs that compete for the lease.
 const candidates = 2
 
+// leaseTiming has a duration and a skew of whole seconds, since the model's clock counts seconds.
 var leaseTiming = lease.Timing{Duration: 2 * time.Second, Skew: time.Second}
 
-// leaseBounds bounds a world, so that every run of it can be visited.
+// leaseBounds bounds a lease model so that all its runs can be explored.
 type leaseBounds struct {
 	name    string
 	seconds int
-	// lateWrites lets writes be carried out after their callers gave up.
+	// lateWrites allows writes to take effect after their callers gave up waiting.
 	lateWrites bool
-	// orders lets holders send orders to an engine.
+	// orders allows holders to send orders to an engine.
 	orders bool
 	// maxCrashes is how often vm-0 may crash.
 	maxCrashes api.Incarnation
-	// restore lets the platform come back once, within the first second, from a copy of before
-	// the last write or of before all of them.
+	// restore allows the platform to be restored once, by lastRestoreSecond, from a backup taken
+	// before the last write or before all writes.
 	restore bool
-	// lossless has every answer arrive.
+	// lossless makes every answer arrive.
 	lossless bool
 }
 
-// lastRestoreSecond is the last second in which the platform comes back.
+// lastRestoreSecond is the last second in which the platform may be restored.
 const lastRestoreSecond = 1
 
-// Mutations of a restore.
+// Mutations of the protocol after a restore.
 const (
 	mutateNoWait    = "no wait in a later era"
 	mutateAnyEra    = "a write of another era counts as a hold"
-	mutateSameFence = "fences begin again in a later era"
+	mutateSameFence = "fences restart in a later era"
 )
 
-// storedLease is the lease as the platform has it, after so many writes.
+// storedLease is the lease as the platform stores it, and the number of writes so far.
 type storedLease struct {
 	exists  bool
 	spec    api.LeaseSpec
@@ -50,12 +51,12 @@
 	writes  api.Revision
 }
 
-// readLease is the object as it is read.
+// readLease returns the stored lease as a read returns it.
 func (s leaseState) readLease() lease.Object {
 	return lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version, Era: s.era}
 }
 
-// write carries a write out in an era, if its condition holds.
+// write stores a lease in an era if the expected version is current, and reports whether it was.
 func (o *storedLease) write(e api.Era, s api.LeaseSpec, expect api.Version) bool {
 	if expect != o.version {
 		return false
@@ -65,8 +66,8 @@
 	return true
 }
 
-// call is a write of a candidate that the platform has not carried out yet, or
-// whose answer is on its way.
+// call is a candidate's write that the platform has not applied yet, or whose answer is in
+// flight.
 type call struct {
 	pending  bool
 	applied  bool
@@ -74,11 +75,11 @@
 	version  api.Version
 	spec     api.LeaseSpec
 	expect   api.Version
-	// abandoned is a write whose caller has given up waiting.
+	// abandoned is set once the caller has given up waiting.
 	abandoned bool
 }
 
-// order is an order on its way to an engine.
+// order is an order to an engine.
 type order struct {
 	inFlight bool
 	fence    api.Fence
@@ -87,7 +88,7 @@
 type leaseState struct {
 	now int
 	storedLease
-	// era counts the restores; before is the object before the last write.
+	// era counts the restores; previous is the lease before the last write.
 	era          api.Era
 	previous     storedLease
 	lease        [candidates]lease.Lease
@@ -96,11 +97,11 @@
 	order        [candidates]order
 	appliedFence api.Fence
 	staleOrder   bool
-	// lastSender is the candidate whose order was carried out last, one up; sameFence tells that two
-	// ordered with one fence.
+	// lastSender is the candidate whose order the engine applied last, counted from one;
+	// sameFence is set if two candidates sent orders with the same fence.
 	lastSender int
 	sameFence  bool
-	// bothHeld tells that bothHeld candidates held at once.
+	// bothHeld is set if both candidates hold the lease.
 	bothHeld bool
 }
 
@@ -125,9 +126,9 @@
 			case s.bothHeld:
 				return "two candidates hold the lease at once"
 			case s.sameFence:
-				return "two holders order with one fence"
+				return "two holders sent orders with the same fence"
 			case s.staleOrder:
-				return "an order of an older holder was carried out after one of a newer"
+				return "an order of an earlier holder was applied after one of a later holder"
 			}
 			return ""
 		},
@@ -158,7 +159,7 @@
 		for _, o := range []storedLease{s.previous, {}} {
 			n := s
 			n.era, n.storedLease, n.previous = 1, o, storedLease{}
-			add(sprintf("%d s: the platform comes back from a copy of %d writes", s.now, o.writes), n)
+			add(sprintf("%d s: the platform is restored from a backup with %d writes", s.now, o.writes), n)
 		}
 	}
 	for i := range candidates {
@@ -169,8 +170,8 @@
 	return l
 }
 
-// candidateNext is what can happen around one candidate; a pause is its not
-// being chosen while the clock goes on.
+// candidateNext lists the steps of one candidate. A candidate is paused in runs in which the
+// clock advances and none of its steps is taken.
 func candidateNext(s leaseState, i int, z leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(what string, n leaseState) {
@@ -194,9 +195,10 @@
 	return append(l, orderNext(s, i, mutation)...)
 }
 
+// addStep adds a step of a candidate.
 type addStep func(what string, n leaseState)
 
-// callNext makes the call that the candidate's own code asks for.
+// callNext adds the call that the candidate's real code makes next.
 func callNext(s leaseState, i int, mutation string, add addStep) {
 	n := s
 	switch a := n.lease[i].Step(at(s.now)); a.Kind {
@@ -214,7 +216,8 @@
 	}
 }
 
-// applyNext carries a write out, or lets its caller give up waiting first.
+// applyNext adds the steps of a pending write: the platform applies it, or its caller first gives
+// up waiting.
 func applyNext(s leaseState, i int, z leaseBounds, add addStep) {
 	c := s.call[i]
 	n := s
@@ -228,7 +231,7 @@
 	if c.abandoned {
 		n.call[i] = call{}
 	}
-	add("has its write carried out", n)
+	add("has its write applied", n)
 	if c.abandoned || !z.lateWrites {
 		return
 	}
@@ -238,13 +241,13 @@
 	add("gives up waiting, the write is late", n)
 }
 
-// answerArrives gives the candidate the answer to its write, or loses it.
+// answerArrives adds the steps of an answer to a write: it arrives, or is lost.
 func answerArrives(s leaseState, i int, z leaseBounds, mutation string, add addStep) {
 	c := s.call[i]
 	n := s
 	n.call[i] = call{}
 	if mutation == "deadline counted from receipt" && c.accepted {
-		// The hold begins anew when the answer comes.
+		// The mutation counts the duration from the answer's arrival.
 		m := n.lease[i]
 		m.Invalidate()
 		x := s.readLease()
@@ -275,8 +278,7 @@
 	add("loses the answer", n)
 }
 
-// crashNext starts the candidate again without a memory; a write on its way
-// may still be carried out.
+// crashNext restarts the candidate without its memory. A write in flight may still be applied.
 func crashNext(s leaseState, i int, add addStep) {
 	n := s
 	n.incarnations[i]++
@@ -287,11 +289,11 @@
 			n.call[i] = call{}
 		}
 	}
-	add("crashes and starts again", n)
+	add("crashes and restarts", n)
 }
 
-// orderNext sends an order while the lease is held; it may stay on its way for
-// ever and arrive twice. The engine checks fences.
+// orderNext lists the steps of a candidate's order. The holder of the lease may send one, which
+// may stay in flight forever or arrive twice. The engine checks its fence.
 func orderNext(s leaseState, i int, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	if f, ok := s.lease[i].Held(at(s.now)); ok && !s.order[i].inFlight {
--- a/spec/limit.go
+++ b/spec/limit.go
@@ -7,46 +7,49 @@
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 )
 
-// Mutations of what entry VMs know of a server's limit.
+// Mutations of how entry VMs track a server's limit.
 const (
-	// mutateInFlight lets any answer without a limit take one back.
-	mutateInFlight = "answers that were on their way count"
-	// mutateNoTransit takes a peer's word for as new as it looks.
-	mutateNoTransit = "the way of a word is not counted"
+	// mutateInFlight lets any answer without a limit remove one, even if its request was sent before
+	// the limit was announced.
+	mutateInFlight = "answers to earlier requests remove limits"
+	// mutateNoTransit leaves the time in transit out of the age of a peer's report.
+	mutateNoTransit = "the transit time of reports is not counted"
 )
 
 const (
-	// limitTick is the length of a step of time, and wordTicks how many a peer's word is on
-	// its way at most.
+	// limitTick is the length of a step of time, and maxTransitTicks the maximum number of steps
+	// that a peer's report is in transit.
 	limitTick       = 300 * time.Millisecond
 	maxTransitTicks = 2
-	// maxTicks bounds the time, switchMost how often the server names a limit or takes it
-	// back.
+	// maxTicks bounds the time, and maxChanges how often the server announces or removes its
+	// limit.
 	maxTicks   = 5
 	maxChanges = 3
-	// limitVMs is the number of entry VMs, of which the hearer has answers of the server and the
-	// other one words of its peer; exchangesMost and wordsMost bound what is on its way.
+	// limitVMs is the number of entry VMs. The requester gets answers from the server, the other
+	// one learns of the limit from its peer's reports only. maxExchanges and maxReports bound the
+	// messages in flight.
 	limitVMs     = 2
 	requester    = 0
 	maxExchanges = 2
 	maxReports   = 1
 )
 
-// limitRecord is what an entry VM knows: since when, and whether a limit is named.
+// limitRecord is an entry VM's knowledge: whether a limit is in force, and the earliest and the
+// latest time at which the server may have announced that.
 type limitRecord struct {
 	known, named     bool
 	earliest, latest int8
 }
 
-// limitExchange is a request to the server, or its answer.
+// limitExchange is a request to the server, or the answer to it.
 type limitExchange struct {
 	open, answered, named bool
 	sent                  int8
-	// changes are those of the server when it answered.
+	// changes is the server's number of changes when it answered.
 	changes int8
 }
 
-// limitReport is a peer's word on its way.
+// limitReport is a peer's report in flight.
 type limitReport struct {
 	inFlight bool
 	to       int8
@@ -54,8 +57,8 @@
 	sent     int8
 }
 
-// limitState is a server that names a limit now and then, and entry VMs that hear of it from its
-// answers or from each other, late and out of order.
+// limitState is a server that announces and removes a limit, and entry VMs that learn of it from
+// answers or from each other's reports, late and out of order.
 type limitState struct {
 	now       int8
 	named     bool
@@ -63,9 +66,10 @@
 	records   [limitVMs]limitRecord
 	exchanges [maxExchanges]limitExchange
 	reports   [maxReports]limitReport
-	// announced is the switches of the server when it last named its limit to each entry VM.
+	// announced is the server's number of changes when it last announced its limit to each entry
+	// VM.
 	announced [limitVMs]int8
-	// staleApplied is set once a word that is staleApplied than what was known changed it.
+	// staleApplied is set once a report changed a record that was newer.
 	staleApplied bool
 }
 
@@ -83,29 +87,30 @@
 	return time.Unix(1000, 0).Add(time.Duration(tick) * limitTick)
 }
 
-// toLimits makes the real record of what an entry VM knows.
+// toLimits builds the real record that represents r.
 func (r limitRecord) toLimits() *throttle.Limits {
 	l := throttle.NewLimits()
 	if !r.known {
 		return l
 	}
-	// An earlier word makes one that takes the limit back count.
+	// A removal is stored only if a limit was announced before it.
 	l.Record(limitAt(-100), limitAt(-100), limitServer, throttle.Limit{Named: true, Rate: 1})
 	if r.earliest == r.latest {
 		l.Record(limitAt(r.latest), limitAt(r.latest), limitServer, throttle.Limit{Named: r.named, Rate: 1})
 		return l
 	}
-	// A peer's word is as old as its way allows.
+	// Merge adds the maximum time in transit to the age of a peer's report.
 	l.Merge(limitAt(r.latest), api.ServerLimit{Server: limitServer, Named: r.named, PerSecond: 1, OldestMS: r.oldestMS()})
 	return l
 }
 
-// oldestMS is what a peer has to tell as the oldestMS time of a record that is as young as it may be.
+// oldestMS returns the age that a report must give as its oldest for Merge to record r.earliest
+// at r.latest.
 func (r limitRecord) oldestMS() api.Milliseconds {
 	return api.ToMilliseconds(time.Duration(r.latest-r.earliest-maxTransitTicks) * limitTick)
 }
 
-// fromLimits reads the real record back.
+// fromLimits converts the real record back.
 func fromLimits(l *throttle.Limits, now int8) limitRecord {
 	for _, r := range l.Reports(limitAt(now)) {
 		return limitRecord{
@@ -127,7 +132,7 @@
 		add("time passes", func(n *limitState) { n.now++ })
 	}
 	if s.changes < maxChanges {
-		add("the server names its limit or takes it back", func(n *limitState) { n.named, n.changes = !n.named, n.changes+1 })
+		add("the server announces or removes its limit", func(n *limitState) { n.named, n.changes = !n.named, n.changes+1 })
 	}
 	for i, x := range s.exchanges {
 		exchangeNext(s, i, x, mutation, add)
@@ -138,7 +143,7 @@
 	return l
 }
 
-// reportDue reports whether a word has been on its way for as long as it may.
+// reportDue reports whether a report has been in flight for the maximum time.
 func (s limitState) reportDue() bool {
 	for _, w := range s.reports {
 		if w.inFlight && s.now-w.sent >= maxTransitTicks {
@@ -148,7 +153,7 @@
 	return false
 }
 
-// exchangeNext is what can happen to one request.
+// exchangeNext adds the steps of one request.
 func exchangeNext(s limitState, i int, x limitExchange, mutation string, add func(string, func(n *limitState))) {
 	switch {
 	case !x.open && (i == 0 || s.exchanges[i-1].open):
@@ -175,20 +180,20 @@
 	}
 }
 
-// reportNext is what can happen to one word of a peer.
+// reportNext adds the steps of one report of a peer.
 func reportNext(s limitState, i int, w limitReport, mutation string, add func(string, func(n *limitState))) {
 	if !w.inFlight {
 		for vm := range int8(limitVMs) {
 			if s.records[vm].known {
-				add(sprintf("VM %d tells its peer", vm), func(n *limitState) {
+				add(sprintf("VM %d reports to its peer", vm), func(n *limitState) {
 					n.reports[i] = limitReport{inFlight: true, to: 1 - vm, record: s.records[vm], sent: s.now}
 				})
 			}
 		}
 		return
 	}
-	add("a word is lost", func(n *limitState) { n.reports[i] = limitReport{} })
-	add(sprintf("a word reaches VM %d", w.to), func(n *limitState) {
+	add("a report is lost", func(n *limitState) { n.reports[i] = limitReport{} })
+	add(sprintf("a report reaches VM %d", w.to), func(n *limitState) {
 		n.reports[i] = limitReport{}
 		youngest, oldest := limitAt(w.sent).Sub(limitAt(w.record.latest)), limitAt(w.sent).Sub(limitAt(w.record.earliest))
 		if mutation == mutateNoTransit {
@@ -206,15 +211,15 @@
 	})
 }
 
-// limitViolation checks that an entry VM that has heard of a limit knows it as long as the server
-// names it, and that no older word changes what is known.
+// limitViolation checks that an entry VM to which a limit was announced knows it while it is in
+// force, and that no older report changes a record.
 func limitViolation(s limitState) string {
 	if s.staleApplied {
-		return "an older word of a peer changed what was known"
+		return "an older report of a peer changed a record"
 	}
 	for vm, r := range s.records {
 		if s.named && s.announced[vm] == s.changes && !r.named {
-			return "a limit that was heard, and is named still, is not known"
+			return "an announced limit that is in force is not known"
 		}
 	}
 	return ""
--- a/spec/move.go
+++ b/spec/move.go
@@ -8,35 +8,36 @@
 	"github.com/wardridge/wardridge/internal/decide/sequence"
 )
 
-// The move's world: a run of three events on a source that is about to end, and
-// two servers that it may go to. Copies meet refusals and silence, a stop's
-// answer may be lost, servers die, connections break, the caller leaves.
+// Sizes of the move model: a run of three events on a source that is leaving, and two servers
+// that it may move to. Copies may be refused or get no answer, the answer to a stop may be lost,
+// servers die, connections break and the caller disconnects.
 const (
 	moveEvents  = 3
 	moveServers = 3
-	// maxMoveSteps bounds the mover's steps; further ones meet silence.
+	// maxMoveSteps bounds the mover's steps; later ones get no answer.
 	maxMoveSteps = 5
-	// noServer stands for no server.
+	// noServer means no server, or no copy at a server.
 	noServer = -1
 )
 
 type moveState struct {
 	move   evacuate.Move
 	action evacuate.Action
-	// moving is set while the mover has steps to take.
+	// moving is set while the mover has steps left.
 	moving bool
 	steps  int
-	// stopSent is set once the entry VM has told the source to stop.
+	// stopSent is set once the entry VM has ordered the source to stop the run.
 	stopSent bool
 	target   int
-	// backup is the server with the newest copy that the entry VM knows of.
+	// backup is the server with the newest copy of the run that the entry VM knows of; copied is
+	// the number of events in each server's copy.
 	backup int
 	copied [moveServers]int
 	alive  [moveServers]bool
-	// running tells which servers work on the run, made how many events it has.
+	// running marks the servers that execute the run, and produced counts its events.
 	running  [moveServers]bool
 	produced int
-	// stream is the server that is read, next the event that comes next there.
+	// stream is the server whose stream is read, and nextEvent the number of its next event.
 	stream    int
 	nextEvent int
 	events    sequence.Sequence
@@ -67,14 +68,14 @@
 func moveViolation(s moveState) string {
 	for i := range s.count {
 		if s.received[i] != i+1 {
-			return "the caller saw an event doubled, missing or out of order"
+			return "the caller received a duplicate, missing or reordered event"
 		}
 	}
 	switch {
 	case s.runsTwice:
-		return "the run goes on at a server while another one works on it"
+		return "the run resumed at a server while another one executes it"
 	case s.ended && s.count != moveEvents:
-		return "the stream ended as whole before its last event"
+		return "the stream ended as complete before its last event"
 	}
 	return ""
 }
@@ -89,7 +90,7 @@
 		if s.running[i] && s.produced < moveEvents {
 			n := s
 			n.produced++
-			add("an event is made", n)
+			add("an event is produced", n)
 		}
 		if i < 2 && s.alive[i] {
 			n := s
@@ -102,14 +103,14 @@
 	return l
 }
 
-// readNext is what can come of the stream that is read.
+// readNext lists the steps of the stream that is read, or those that resume it.
 func readNext(s moveState, mutation string) []step[moveState] {
 	var l []step[moveState]
 	add := func(name string, n moveState) { l = append(l, step[moveState]{name, n}) }
 	if s.stream == noServer {
 		if !s.stopSent || !s.moving {
-			add("the run goes on", s.resume(false))
-			add("the run goes on from its copy's end", s.resume(true))
+			add("the run resumes after the last event delivered", s.resume(false))
+			add("the run resumes at the end of its copy", s.resume(true))
 		}
 		return l
 	}
@@ -133,10 +134,10 @@
 	return l
 }
 
-// read takes the next event of the stream.
+// read handles the next event of the stream.
 func (s moveState) read(mutation string) moveState {
 	v := s.events.Accept(strconv.Itoa(s.nextEvent))
-	if mutation == "events are not judged" {
+	if mutation == "event ids are not checked" {
 		v = sequence.Deliver
 	}
 	switch v {
@@ -152,8 +153,8 @@
 	return s
 }
 
-// resume resumes the run from the copy in hand, once; some servers repeat events
-// that the caller has.
+// resume resumes the run from its newest copy, once. Servers that repeat events start at the end
+// of the copy, although the caller may have received later events.
 func (s moveState) resume(repeats bool) moveState {
 	h := s.backup
 	if h == noServer || s.resumed || !s.alive[h] || s.copied[h] == noServer {
@@ -176,7 +177,7 @@
 	return s
 }
 
-// moverNext is what can come of the mover's present step.
+// moverNext lists the outcomes of the mover's current step.
 func moverNext(s moveState) []step[moveState] {
 	if !s.moving {
 		return nil
@@ -184,7 +185,7 @@
 	if s.action.Kind != evacuate.Copy && s.action.Kind != evacuate.Stop {
 		n := s
 		n.moving = false
-		return []step[moveState]{{"the mover ends", n}}
+		return []step[moveState]{{"the move ends", n}}
 	}
 	if s.action.NewTarget {
 		s.target = 1 + (s.target+moveServers)%(moveServers-1)
@@ -193,36 +194,36 @@
 	s.stopSent = s.stopSent || s.action.Kind == evacuate.Stop
 	s.steps++
 	if !s.alive[0] || s.steps > maxMoveSteps {
-		return []step[moveState]{{"the source is silent", s.result(evacuate.NoAnswer, 0)}}
+		return []step[moveState]{{"the source does not answer", s.result(evacuate.NoAnswer, 0)}}
 	}
 	var l []step[moveState]
 	add := func(name string, n moveState) { l = append(l, step[moveState]{name, n}) }
-	add("the source is silent", s.result(evacuate.NoAnswer, 0))
+	add("the source does not answer", s.result(evacuate.NoAnswer, 0))
 	if !s.running[0] && !s.stopSent {
-		add("no such run", s.result(evacuate.Missing, 0))
+		add("the source has no such run", s.result(evacuate.Missing, 0))
 		return l
 	}
-	add("a copy is under way", s.result(evacuate.Busy, 0))
+	add("another copy is in progress", s.result(evacuate.Busy, 0))
 	n := s
 	if s.action.Kind == evacuate.Stop {
 		n.running[0] = false
 		add("the run stops, the answer is lost", n.result(evacuate.NoAnswer, 0))
 		f := n
 		f.copied[0], f.backup = n.produced, 0
-		add("the run stops, no room for the rest", f.result(evacuate.Full, 0))
+		add("the run stops, the target has no free memory", f.result(evacuate.Full, 0))
 	} else {
-		add("no room", s.result(evacuate.Full, 0))
+		add("the target has no free memory", s.result(evacuate.Full, 0))
 	}
 	if !s.alive[s.target] {
 		return l
 	}
 	n.copied[n.target], n.backup = n.produced, n.target
-	add("copied on free links", n.result(evacuate.Copied, 10*time.Millisecond))
-	add("copied behind others", n.result(evacuate.Copied, time.Second))
+	add("the copy is made over idle links", n.result(evacuate.Copied, 10*time.Millisecond))
+	add("the copy is made slowly behind others", n.result(evacuate.Copied, time.Second))
 	return l
 }
 
-// result asks the real decision for the next step.
+// result applies the outcome of a step and takes the next action from the real code.
 func (s moveState) result(o evacuate.Outcome, took time.Duration) moveState {
 	s.action = s.move.Next(at(0), evacuate.Result{Outcome: o, Took: took})
 	s.action.Delay = 0
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// check checks a world, and that each mutation of it is caught.
+// check checks that a model violates no property and that each of its mutations violates one.
 func check[S comparable](t *testing.T, build func(mutation string) model[S], mutations ...string) {
 	t.Helper()
 	f := explore(build(""))
 	if f.violation != "" {
-		t.Fatalf("%s: got broken %q after %d states by\n%s", build("").name, f.violation, f.states, strings.Join(f.trace, "\n"))
+		t.Fatalf("%s: got violation %q after %d states by\n%s", build("").name, f.violation, f.states, strings.Join(f.trace, "\n"))
 	}
 	if f.states >= maxStates {
 		t.Fatalf("%s: got more than %d states", build("").name, maxStates)
@@ -19,7 +19,7 @@
 	for _, m := range mutations {
 		f := explore(build(m))
 		if f.violation == "" {
-			t.Errorf("%s with %q: got nothing broken in %d states, want the mutation caught", build("").name, m, f.states)
+			t.Errorf("%s with %q: got no violation in %d states, want the mutation caught", build("").name, m, f.states)
 			continue
 		}
 		t.Logf("%s with %q: caught after %d states: %s, by %d steps", build("").name, m, f.states, f.violation, len(f.trace))
@@ -42,12 +42,12 @@
 }
 
 func TestFenceThroughARestore(t *testing.T) {
-	z := leaseBounds{name: "fence: 2 candidates, 4 s, a restore, orders late and doubled", seconds: 4, orders: true, restore: true, lossless: true}
+	z := leaseBounds{name: "fence: 2 candidates, 4 s, a restore, late and duplicated orders", seconds: 4, orders: true, restore: true, lossless: true}
 	check(t, func(m string) model[leaseState] { return leaseModel(z, m) }, mutateSameFence)
 }
 
 func TestFence(t *testing.T) {
-	z := leaseBounds{name: "fence: 2 candidates, 5 s, orders late and doubled", seconds: 5, orders: true}
+	z := leaseBounds{name: "fence: 2 candidates, 5 s, late and duplicated orders", seconds: 5, orders: true}
 	check(t, func(m string) model[leaseState] { return leaseModel(z, m) }, "engine checks no fence")
 }
 
@@ -61,19 +61,20 @@
 	}
 }
 
-// A request that may not be repeated must not be sent twice when the store loses its claim.
+// A request that is not repeatable must not be sent twice when a restore of the platform loses its
+// claim.
 func TestClaimThroughARestore(t *testing.T) {
 	z := claimBounds{"claim: 2 attempts on 2 entry VMs, a restore, lost and late writes", 2, true, true}
 	check(t, func(m string) model[claimState] { return claimModel(z, m) }, mutateNoSettling, mutateNoRewrite, mutateOldPermit)
 }
 
 func TestOneGeneration(t *testing.T) {
-	check(t, func(m string) model[answerState] { return answerModel(true, m) }, "late tokens are taken")
+	check(t, func(m string) model[answerState] { return answerModel(true, m) }, "late tokens are accepted")
 	check(t, func(m string) model[answerState] { return answerModel(false, m) }, "a failed resume counts as unsent")
 }
 
 func TestMove(t *testing.T) {
-	check(t, moveModel, "the connection is left open", "events are not judged")
+	check(t, moveModel, "the connection is left open", "event ids are not checked")
 }
 
 func TestServerIncarnations(t *testing.T) {
