--- a/contract/caller_test.go
+++ b/contract/caller_test.go
@@ -11,26 +11,26 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-func body(s string) ask {
-	return ask{key: sample.KeyDispatch, body: s}
+func body(s string) call {
+	return call{key: sample.KeyDispatch, body: s}
 }
 
 const fine = `{"model":"desk","messages":[{"role":"user","content":"x"}]}`
 
 func TestCallerContract(t *testing.T) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
-	b.service("orders-1")
-	v := b.entry("entry-1", "[entry]\nbody_limit_kb = 128\n")
-	with := func(h ...string) ask { return ask{key: sample.KeyDispatch, body: fine, headers: h} }
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
+	b.startService("orders-1")
+	v := b.startEntry("entry-1", "[entry]\nbody_limit_kb = 128\n")
+	with := func(h ...string) call { return call{key: sample.KeyDispatch, body: fine, headers: h} }
 	tests := []struct {
 		name string
-		ask  ask
+		ask  call
 		want fault.Code
 	}{
 		{"whole answer", body(fine), 0},
-		{"no key", ask{body: fine}, fault.UnknownWorkspace},
-		{"unknown key", ask{key: "nobody", body: fine}, fault.UnknownWorkspace},
+		{"no key", call{body: fine}, fault.UnknownWorkspace},
+		{"unknown key", call{key: "nobody", body: fine}, fault.UnknownWorkspace},
 		{"malformed JSON", body(`{"model":`), fault.MalformedJSON},
 		{"not an object", body(`7`), fault.MalformedJSON},
 		{"two values", body(fine + fine), fault.MalformedJSON},
@@ -41,7 +41,7 @@
 		{"unknown model", body(strings.Replace(fine, "desk", "none", 1)), fault.UnknownModel},
 		{"unknown adapter", body(strings.Replace(fine, "desk", "desk:none", 1)), fault.UnknownModel},
 		{"adapter of the workspace", body(strings.Replace(fine, "desk", "desk:permits", 1)), 0},
-		{"another workspace's adapter", ask{key: sample.KeyField, body: strings.Replace(fine, "desk", "desk:permits", 1)}, fault.NotAllowed},
+		{"another workspace's adapter", call{key: sample.KeyField, body: strings.Replace(fine, "desk", "desk:permits", 1)}, fault.NotAllowed},
 		{"oversized body", body(strings.Repeat("x", 129<<10)), fault.BodyTooLarge},
 		{"prompt over the context", body(strings.Replace(fine, `"x"`, `"`+strings.Repeat("x", 70<<10)+`"`, 1)), fault.TooLarge},
 		{"unknown priority", with(wire.HeaderPriority, "urgent"), fault.InvalidHeader},
@@ -52,13 +52,13 @@
 		{"mark not a bool", with(wire.HeaderNotRepeatable, "yes"), fault.InvalidHeader},
 		{"key too long", with(wire.HeaderIdempotencyKey, strings.Repeat("k", 300)), fault.InvalidHeader},
 		{"kind too long", with(wire.HeaderKind, strings.Repeat("k", 100)), fault.InvalidHeader},
-		{"unknown path", ask{path: "/v1/none", key: sample.KeyDispatch}, fault.UnknownPath},
-		{"wrong method", ask{method: http.MethodPut, key: sample.KeyDispatch}, fault.UnknownPath},
-		{"unknown service", ask{path: "/services/none/x", key: sample.KeyDispatch}, fault.UnknownService},
-		{"service without a key", ask{path: "/services/orders/x"}, fault.UnknownWorkspace},
-		{"service", ask{path: "/services/orders/x", key: sample.KeyDispatch}, 0},
-		{"resume without an event id", ask{method: http.MethodGet, path: "/v1/chat/completions/r"}, fault.UnknownWorkspace},
-		{"resume with a made-up event id", ask{method: http.MethodGet, path: "/v1/chat/completions/r", key: sample.KeyDispatch, headers: []string{wire.HeaderLastEventID, "YQ.YQ.YQ.YQ.1"}}, fault.UnknownStream},
+		{"unknown path", call{path: "/v1/none", key: sample.KeyDispatch}, fault.UnknownPath},
+		{"wrong method", call{method: http.MethodPut, key: sample.KeyDispatch}, fault.UnknownPath},
+		{"unknown service", call{path: "/services/none/x", key: sample.KeyDispatch}, fault.UnknownService},
+		{"service without a key", call{path: "/services/orders/x"}, fault.UnknownWorkspace},
+		{"service", call{path: "/services/orders/x", key: sample.KeyDispatch}, 0},
+		{"resume without an event id", call{method: http.MethodGet, path: "/v1/chat/completions/r"}, fault.UnknownWorkspace},
+		{"resume with a made-up event id", call{method: http.MethodGet, path: "/v1/chat/completions/r", key: sample.KeyDispatch, headers: []string{wire.HeaderLastEventID, "YQ.YQ.YQ.YQ.1"}}, fault.UnknownStream},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -95,17 +95,17 @@
 }
 
 func TestLimitsTellWhenToComeBack(t *testing.T) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
 	o, err := b.store.Get(api.ResourceKindWorkspace, "dispatch")
 	if err != nil {
 		t.Fatal(err)
 	}
 	o.Spec = []byte(strings.Replace(string(o.Spec), "{", `{"requests_per_second":1,`, 1))
 	b.put(o)
-	v := b.entry("entry-1", "")
-	v.send(chat(1, false))
-	r := v.send(chat(1, false))
+	v := b.startEntry("entry-1", "")
+	v.send(chatCall(1, false))
+	r := v.send(chatCall(1, false))
 	checkRefusal(t, r, fault.LimitReached)
 	if got := r.header.Get(wire.HeaderRetryAfter); got != "1" {
 		t.Errorf("Retry-After: got %q, want 1", got)
@@ -113,9 +113,9 @@
 }
 
 func TestSlowAndHugeSendersAreCutOff(t *testing.T) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
-	v := b.entry("entry-1", "[entry]\nheader_wait_ms = 100\n")
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
+	v := b.startEntry("entry-1", "[entry]\nheader_wait_ms = 100\n")
 	conn := dial(t, v.listen)
 	send(t, conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+sample.KeyDispatch+"\r\nContent-Length: 100\r\n\r\n{")
 	if got := reading(t, conn); !strings.Contains(got, "408") || !strings.Contains(got, "slow_sender") {
@@ -131,7 +131,7 @@
 	if got := reading(t, conn); strings.Contains(got, "200") {
 		t.Errorf("slow head: got %q, want the connection closed", got)
 	}
-	if r := v.send(chat(3, false)); r.status != http.StatusOK {
+	if r := v.send(chatCall(3, false)); r.status != http.StatusOK {
 		t.Errorf("a caller after them: got %d, want 200", r.status)
 	}
 }
--- a/contract/config_test.go
+++ b/contract/config_test.go
@@ -15,7 +15,7 @@
 )
 
 // weights changes the model's weights and gives the version.
-func (b *bed) weights(w string) api.Version {
+func (b *cluster) weights(w string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindModel, "desk")
 	if err != nil {
@@ -26,7 +26,7 @@
 }
 
 // revoke takes a workspace's key away and gives the version.
-func (b *bed) revoke(workspace string) api.Version {
+func (b *cluster) revoke(workspace string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindWorkspace, workspace)
 	if err != nil {
@@ -38,9 +38,9 @@
 	return b.put(o).Version
 }
 
-func (b *bed) inForce(v *vm, n api.Version) {
+func (b *cluster) inForce(v *vm, n api.Version) {
 	b.t.Helper()
-	b.until(v.name+" to have the change in force", func() bool {
+	b.waitFor(v.name+" to have the change in force", func() bool {
 		s, err := b.status(v)
 		return err == nil && s.ConfigVersion >= n
 	})
@@ -49,24 +49,24 @@
 // A restarted entry VM meets a stale replica of the platform: its peers keep
 // it from serving by the old configuration.
 func TestRestartByAStaleReplicaDoesNotRevert(t *testing.T) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
-	v := b.entry("entry-1", "")
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
+	v := b.startEntry("entry-1", "")
 	b.platform.Set(platform.Faults{Copy: true})
 	n := b.revoke("dispatch")
 	b.inForce(v, n)
 	b.platform.Set(platform.Faults{StaleReads: true})
-	w := b.entry("entry-2", "")
-	checkRefusal(t, w.send(chat(1, false)), fault.UnknownWorkspace)
+	w := b.startEntry("entry-2", "")
+	checkRefusal(t, w.send(chatCall(1, false)), fault.UnknownWorkspace)
 	b.inForce(w, n)
 }
 
 // Versions never go back on any entry VM while the platform fails and
 // operators change things.
 func TestVersionsOnlyGrow(t *testing.T) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
-	v, w := b.entry("entry-1", ""), b.entry("entry-2", "")
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
+	v, w := b.startEntry("entry-1", ""), b.startEntry("entry-2", "")
 	var end atomic.Bool
 	b.group.Go(func(context.Context) error {
 		last := map[string]api.Version{}
@@ -96,21 +96,21 @@
 
 // An entry VM that the platform does not answer takes the change from a peer.
 func TestChangeComesFromAPeerWhenTheWatchIsCut(t *testing.T) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
-	v := b.entry("entry-1", "")
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
+	v := b.startEntry("entry-1", "")
 	// entry-2 reaches the platform through a link that is cut later.
 	var cut atomic.Bool
 	direct := b.address
 	b.address = serve(t, link(direct, &cut))
-	w := b.entry("entry-2", "")
+	w := b.startEntry("entry-2", "")
 	b.address = direct
 	cut.Store(true)
 	n := b.revoke("dispatch")
 	b.inForce(v, n)
 	b.inForce(w, n)
-	checkRefusal(t, w.send(chat(1, false)), fault.UnknownWorkspace)
-	if r := w.send(ask{key: sample.KeyField, body: fine}); r.status != http.StatusOK {
+	checkRefusal(t, w.send(chatCall(1, false)), fault.UnknownWorkspace)
+	if r := w.send(call{key: sample.KeyField, body: fine}); r.status != http.StatusOK {
 		t.Errorf("another workspace: got %d, want 200", r.status)
 	}
 }
--- a/contract/conn_test.go
+++ b/contract/conn_test.go
@@ -28,7 +28,7 @@
 // reading reads what comes until the connection closes or is silent for long.
 func reading(t *testing.T, c net.Conn) string {
 	t.Helper()
-	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(maxWait)); err != nil {
 		t.Fatal(err)
 	}
 	b := make([]byte, 4096)
--- a/contract/engine_test.go
+++ b/contract/engine_test.go
@@ -62,12 +62,12 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
+			b := newCluster(t)
 			// Both engines follow one list of scripts, as a retry goes to the other.
 			s := b.scripted("engine-1", c.scripts...)
 			b.twin(s, "engine-2")
-			v := b.entry("entry-1", shortWaits)
-			a := chat(1, true)
+			v := b.startEntry("entry-1", shortWaits)
+			a := chatCall(1, true)
 			if c.once {
 				a.headers = []string{once, "true"}
 			}
@@ -75,8 +75,8 @@
 			if r.err != nil {
 				t.Fatal(r.err)
 			}
-			got, whole := texts(r.body)
-			inOrder(t, got, 0, c.tokens)
+			got, whole := parseTokens(r.body)
+			checkTokens(t, got, 0, c.tokens)
 			if whole != (c.want == 0) {
 				t.Errorf("whole: got %v, want %v: %s", whole, c.want == 0, r.body)
 			}
@@ -95,10 +95,10 @@
 }
 
 // twin declares a second engine that shares a script.
-func (b *bed) twin(s *scripted, name string) {
+func (b *cluster) twin(s *scripted, name string) {
 	b.t.Helper()
 	h := s.handler()
-	b.backend(name, serve(b.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	b.declareServer(name, serve(b.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/load" {
 			(&scripted{name: name}).handler().ServeHTTP(w, r)
 			return
@@ -109,11 +109,11 @@
 }
 
 func TestCallerThatLeavesIsCancelled(t *testing.T) {
-	b := newBed(t)
-	e := b.engine("engine-1", nil, nil)
-	v := b.entry("entry-1", "")
+	b := newCluster(t)
+	e := b.startEngine("engine-1", nil, nil)
+	v := b.startEntry("entry-1", "")
 	ctx, cancel := context.WithCancel(context.Background())
-	r, err := chat(100000, true).request(ctx, v.listen)
+	r, err := chatCall(100000, true).newRequest(ctx, v.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,27 +126,27 @@
 	}
 	cancel()
 	_ = a.Body.Close()
-	b.until("the engine to be told", func() bool { return e.Active() == 0 })
+	b.waitFor("the engine to be told", func() bool { return e.Active() == 0 })
 }
 
 func TestSlowReaderIsBounded(t *testing.T) {
-	b := newBed(t)
-	e := b.engine("engine-1", nil, func(o *standin.Options) {
+	b := newCluster(t)
+	e := b.startEngine("engine-1", nil, func(o *standin.Options) {
 		o.Batch.StepBase = 50 * time.Microsecond
 		o.Batch.StepPerGeneration = 0
 		o.Batch.KVTokens = 1 << 24
 	})
-	v := b.entry("entry-1", "[entry]\nslow_reader_ms = 200\n")
+	v := b.startEntry("entry-1", "[entry]\nslow_reader_ms = 200\n")
 	c := dial(t, v.listen)
 	if err := c.(*net.TCPConn).SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
 	}
-	q := chat(16000, true)
+	q := chatCall(16000, true)
 	send(t, c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+q.key+"\r\nContent-Length: "+strconv.Itoa(len(q.body))+"\r\n\r\n"+q.body)
 	// The caller reads nothing more; its generation must end all the same.
-	b.until("the generation to start", func() bool { return e.Started() == 1 })
-	b.until("the engine to be told", func() bool { return e.Active() == 0 })
-	b.until("the slow reader to be counted", func() bool { return b.metric(v, metric.SlowReaders) == 1 })
+	b.waitFor("the generation to start", func() bool { return e.Started() == 1 })
+	b.waitFor("the engine to be told", func() bool { return e.Active() == 0 })
+	b.waitFor("the slow reader to be counted", func() bool { return b.metric(v, metric.SlowReaders) == 1 })
 }
 
 func TestEngineClientTellsRefusalsApart(t *testing.T) {
@@ -184,9 +184,9 @@
 }
 
 func TestOrdersCarryFences(t *testing.T) {
-	b := newBed(t)
-	checks := b.engine("checks", nil, nil)
-	b.engine("trusts", nil, func(o *standin.Options) { o.ChecksFence = false })
+	b := newCluster(t)
+	checks := b.startEngine("checks", nil, nil)
+	b.startEngine("trusts", nil, func(o *standin.Options) { o.ChecksFence = false })
 	c, closer := engine.New(time.Second)
 	defer closer()
 	load := func(name string, f api.Fence, item string) error {
--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -30,8 +30,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// patience bounds waits; no test asserts a time below it.
-const patience = 20 * time.Second
+// maxWait bounds waits; no test asserts a time below it.
+const maxWait = 20 * time.Second
 
 // vm is one entry VM of a bed.
 type vm struct {
@@ -42,8 +42,8 @@
 	done    chan error
 }
 
-// bed is a small system in this process.
-type bed struct {
+// cluster is a small system in this process.
+type cluster struct {
 	t        testing.TB
 	group    *duty.Group
 	store    *platform.Store
@@ -55,7 +55,7 @@
 	vms      []*vm
 }
 
-func host(s *httptest.Server) string {
+func hostPort(s *httptest.Server) string {
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
@@ -66,15 +66,15 @@
 		s.CloseClientConnections()
 		s.Close()
 	})
-	return host(s)
+	return hostPort(s)
 }
 
 // addresses gives addresses to the entry VMs of all tests here.
 var addresses = loopback.New()
 
-// free finds an address that nobody else is given and that no connection
+// freeAddress finds an address that nobody else is given and that no connection
 // takes: an entry VM listens on it later.
-func free(t testing.TB) string {
+func freeAddress(t testing.TB) string {
 	t.Helper()
 	a, err := addresses.Free()
 	if err != nil {
@@ -83,11 +83,11 @@
 	return a
 }
 
-// newBed starts a platform that holds the models, workspaces and the service
+// newCluster starts a platform that holds the models, workspaces and the service
 // of the sample, without any backend server or entry VM.
-func newBed(t testing.TB) *bed {
+func newCluster(t testing.TB) *cluster {
 	t.Helper()
-	b := &bed{t: t, store: platform.NewStore(), engines: map[string]*engine.Engine{}, services: map[string]*service.Service{}}
+	b := &cluster{t: t, store: platform.NewStore(), engines: map[string]*engine.Engine{}, services: map[string]*service.Service{}}
 	b.platform = platform.New(b.store, platform.Options{WritesPerSecond: 10000, ReadsPerSecond: 10000})
 	b.address = serve(t, b.platform.Handler())
 	var closer func()
@@ -107,7 +107,7 @@
 	return b
 }
 
-func (b *bed) put(o api.Object) api.Object {
+func (b *cluster) put(o api.Object) api.Object {
 	b.t.Helper()
 	n, err := b.store.Put(o)
 	if err != nil {
@@ -116,8 +116,8 @@
 	return n
 }
 
-// backend declares a backend server.
-func (b *bed) backend(name, address string, s api.BackendServerSpec) {
+// declareServer declares a declareServer server.
+func (b *cluster) declareServer(name, address string, s api.BackendServerSpec) {
 	b.t.Helper()
 	s.Address, s.Domain = address, "hall-a"
 	if s.Type == "" {
@@ -139,9 +139,9 @@
 	b.put(api.Object{Kind: api.ResourceKindBackendServer, Name: name, Spec: j})
 }
 
-// engine starts and declares an engine's stand-in with the sample's model
+// startEngine starts and declares an startEngine's stand-in with the sample's model
 // loaded; wrap may stand between it and its callers.
-func (b *bed) engine(name string, wrap func(http.Handler) http.Handler, change func(*engine.Options)) *engine.Engine {
+func (b *cluster) startEngine(name string, wrap func(http.Handler) http.Handler, change func(*engine.Options)) *engine.Engine {
 	b.t.Helper()
 	o := engine.Defaults()
 	o.Name = api.ServerName(name)
@@ -157,16 +157,16 @@
 	if wrap != nil {
 		h = wrap(h)
 	}
-	b.backend(name, serve(b.t, h), api.BackendServerSpec{ChecksFence: true, Models: []api.ModelName{"desk"}, Adapters: []api.AdapterName{"permits"}})
+	b.declareServer(name, serve(b.t, h), api.BackendServerSpec{ChecksFence: true, Models: []api.ModelName{"desk"}, Adapters: []api.AdapterName{"permits"}})
 	b.engines[name] = e
 	return e
 }
 
-// service starts and declares the sample's plain service.
-func (b *bed) service(name string) *service.Service {
+// startService starts and declares the sample's plain startService.
+func (b *cluster) startService(name string) *service.Service {
 	b.t.Helper()
 	s := service.New(api.ServerName(name))
-	b.backend(name, serve(b.t, s.Handler()), api.BackendServerSpec{Type: api.ServerTypeService})
+	b.declareServer(name, serve(b.t, s.Handler()), api.BackendServerSpec{Type: api.ServerTypeService})
 	b.services[name] = s
 	return s
 }
@@ -187,18 +187,18 @@
 report_poll_ms = 20
 `
 
-// entry starts an entry VM and waits until it serves.
-func (b *bed) entry(name, more string) *vm {
+// startEntry starts an startEntry VM and waits until it serves.
+func (b *cluster) startEntry(name, more string) *vm {
 	b.t.Helper()
-	v := b.launch(name, more)
-	b.until(name+" to serve", func() bool {
+	v := b.launchEntry(name, more)
+	b.waitFor(name+" to serve", func() bool {
 		s, err := b.status(v)
-		return err == nil && s.State == api.PeerStateServing && ready(s) == len(b.engines)
+		return err == nil && s.State == api.PeerStateServing && readyServers(s) == len(b.engines)
 	})
 	return v
 }
 
-func ready(s api.NodeStatus) int {
+func readyServers(s api.NodeStatus) int {
 	n := 0
 	for _, x := range s.Servers {
 		if x.State == api.ServerStatusStateReady {
@@ -208,10 +208,10 @@
 	return n
 }
 
-// launch starts an entry VM.
-func (b *bed) launch(name, more string) *vm {
+// launchEntry starts an entry VM.
+func (b *cluster) launchEntry(name, more string) *vm {
 	b.t.Helper()
-	v := &vm{name: name, listen: free(b.t), control: free(b.t), done: make(chan error, 1)}
+	v := &vm{name: name, listen: freeAddress(b.t), control: freeAddress(b.t), done: make(chan error, 1)}
 	s, err := settings.Parse(name, fmt.Appendf(nil, settingsText+more, name, v.listen, v.control, b.address))
 	if err != nil {
 		b.t.Fatal(err)
@@ -238,14 +238,14 @@
 		if err != nil {
 			t.Errorf("%s: got %v at its stop, want none", v.name, err)
 		}
-	case <-time.After(patience):
-		t.Errorf("%s: got no stop in %v", v.name, patience)
+	case <-time.After(maxWait):
+		t.Errorf("%s: got no stop in %v", v.name, maxWait)
 	}
 }
 
-func (b *bed) until(what string, ok func() bool) {
+func (b *cluster) waitFor(what string, ok func() bool) {
 	b.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(maxWait)
 	for time.Now().Before(end) {
 		if ok() {
 			return
@@ -255,13 +255,13 @@
 	b.t.Fatalf("waited too long for %s", what)
 }
 
-func (b *bed) status(v *vm) (api.NodeStatus, error) {
+func (b *cluster) status(v *vm) (api.NodeStatus, error) {
 	c, closer := peer.New(time.Second)
 	defer closer()
 	return c.Status(context.Background(), v.control)
 }
 
-func (b *bed) metric(v *vm, n metric.Name) int64 {
+func (b *cluster) metric(v *vm, n metric.Name) int64 {
 	c, closer := peer.New(time.Second)
 	defer closer()
 	m, err := c.Metrics(context.Background(), v.control)
@@ -291,13 +291,13 @@
 	return e.Error
 }
 
-// ask is a call of an entry VM.
-type ask struct {
+// call is a call of an entry VM.
+type call struct {
 	method, path, key, body string
 	headers                 []string
 }
 
-func (a ask) request(ctx context.Context, listen string) (*http.Request, error) {
+func (a call) newRequest(ctx context.Context, listen string) (*http.Request, error) {
 	if a.method == "" {
 		a.method = http.MethodPost
 	}
@@ -318,10 +318,10 @@
 }
 
 // send sends a call and reads its whole answer.
-func (v *vm) send(a ask) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (v *vm) send(a call) reply {
+	ctx, cancel := context.WithTimeout(context.Background(), maxWait)
 	defer cancel()
-	r, err := a.request(ctx, v.listen)
+	r, err := a.newRequest(ctx, v.listen)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -336,22 +336,22 @@
 	return reply{status: x.StatusCode, header: x.Header, body: string(b), err: err}
 }
 
-// chat is a completion of so many tokens.
-func chat(tokens int, stream bool, headers ...string) ask {
-	return ask{
+// chatCall is a completion of so many tokens.
+func chatCall(tokens int, stream bool, headers ...string) call {
+	return call{
 		key:     sample.KeyDispatch,
 		body:    fmt.Sprintf(`{"model":"desk","stream":%v,"messages":[{"role":"user","content":"x"}],"metadata":{"standin_tokens":"%d"}}`, stream, tokens),
 		headers: headers,
 	}
 }
 
-// order is a call of the plain service that is not repeatable.
-func order(key string, headers ...string) ask {
-	return ask{path: "/services/orders/confirm", key: sample.KeyField, body: "compressor 7", headers: append(headers, wire.HeaderIdempotencyKey, key)}
+// orderCall is a call of the plain service that is not repeatable.
+func orderCall(key string, headers ...string) call {
+	return call{path: "/services/orders/confirm", key: sample.KeyField, body: "compressor 7", headers: append(headers, wire.HeaderIdempotencyKey, key)}
 }
 
-// texts gives the tokens of a streamed answer and whether it ended whole.
-func texts(body string) (tokens []string, whole bool) {
+// parseTokens gives the tokens of a streamed answer and whether it ended whole.
+func parseTokens(body string) (tokens []string, whole bool) {
 	for l := range strings.SplitSeq(body, "\n") {
 		d, ok := strings.CutPrefix(l, "data: ")
 		if !ok {
@@ -368,8 +368,8 @@
 	return tokens, false
 }
 
-// inOrder checks that tokens are those of one generation from an index on.
-func inOrder(t testing.TB, tokens []string, from, want int) {
+// checkTokens checks that tokens are those of one generation from an index on.
+func checkTokens(t testing.TB, tokens []string, from, want int) {
 	t.Helper()
 	if len(tokens) != want {
 		t.Errorf("tokens: got %d, want %d", len(tokens), want)
--- a/contract/once_test.go
+++ b/contract/once_test.go
@@ -23,10 +23,10 @@
 // and is down for moments, and the service loses, cuts and crosses answers.
 // The service's own count is the judge.
 func TestNotRepeatableOverThousandsOfRuns(t *testing.T) {
-	b := newBed(t)
-	s := b.service("orders-1")
+	b := newCluster(t)
+	s := b.startService("orders-1")
 	b.servers("orders-1")
-	vms := []*vm{b.entry("entry-1", ""), b.entry("entry-2", ""), b.entry("entry-3", "")}
+	vms := []*vm{b.startEntry("entry-1", ""), b.startEntry("entry-2", ""), b.startEntry("entry-3", "")}
 	var mutex sync.Mutex
 	told := map[string][]api.ErrorDetail{}
 	g, end := duty.New(context.Background())
@@ -67,7 +67,7 @@
 }
 
 // disturb draws the faults of the next moment.
-func (b *bed) disturb(r *rand.Rand, s *service.Service) {
+func (b *cluster) disturb(r *rand.Rand, s *service.Service) {
 	b.platform.Set(platform.Faults{LoseWrites: r.IntN(3), Outage: r.IntN(12) == 0})
 	f := service.Faults{}
 	switch r.IntN(6) {
@@ -82,14 +82,14 @@
 }
 
 // together sends two or three calls of one key at once.
-func (b *bed) together(r *rand.Rand, vms []*vm, key string) []api.ErrorDetail {
+func (b *cluster) together(r *rand.Rand, vms []*vm, key string) []api.ErrorDetail {
 	n := 2 + r.IntN(2)
 	out := make([]api.ErrorDetail, n)
 	var w sync.WaitGroup
 	for i := range n {
 		v := vms[r.IntN(len(vms))]
 		w.Go(func() {
-			x := v.send(order(key))
+			x := v.send(orderCall(key))
 			if x.status != http.StatusOK {
 				out[i] = x.fault()
 			}
@@ -111,15 +111,15 @@
 // The owner of a claim can't be asked: it is cut off from its peers. The call
 // may have run, so it is not made again.
 func TestOwnerCutOffFromItsPeersKeepsItsClaim(t *testing.T) {
-	b := newBed(t)
-	s := b.service("orders-1")
+	b := newCluster(t)
+	s := b.startService("orders-1")
 	b.servers("orders-1")
-	v := b.entry("entry-1", "")
+	v := b.startEntry("entry-1", "")
 	s.Set(service.Faults{LoseAnswers: 1})
-	v.send(order("k"))
+	v.send(orderCall("k"))
 	b.platform.SetVM(api.VM{Name: "entry-1", Role: api.VMRoleEntry, State: api.VMStateLive, Address: dead(t)})
-	w := b.entry("entry-2", "")
-	checkRefusal(t, w.send(order("k")), fault.ClaimHeld)
+	w := b.startEntry("entry-2", "")
+	checkRefusal(t, w.send(orderCall("k")), fault.ClaimHeld)
 	if got := s.Counts()["k"]; got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
--- a/contract/pairs_test.go
+++ b/contract/pairs_test.go
@@ -17,31 +17,31 @@
 // harm is one fault that strikes a bed; it returns when it is over.
 type harm struct {
 	name   string
-	strike func(b *bed)
+	strike func(b *cluster)
 }
 
 // moment is how long a fault lasts.
 const moment = 250 * time.Millisecond
 
 var harms = []harm{
-	{"platform down", func(b *bed) {
+	{"platform down", func(b *cluster) {
 		b.platform.Set(platform.Faults{Outage: true})
 		time.Sleep(moment)
 		b.platform.Set(platform.Faults{})
 	}},
-	{"platform loses answers", func(b *bed) {
+	{"platform loses answers", func(b *cluster) {
 		b.platform.Set(platform.Faults{LoseWrites: 5})
 		time.Sleep(moment)
 	}},
-	{"engine frozen", func(b *bed) {
+	{"engine frozen", func(b *cluster) {
 		b.engines["engine-1"].Freeze(moment)
 		time.Sleep(moment)
 	}},
-	{"engine drops streams", func(b *bed) { b.engines["engine-2"].DropStreams(6) }},
-	{"engine leaves", func(b *bed) { b.engines["engine-2"].Leave() }},
-	{"service loses answers", func(b *bed) { b.services["orders-1"].Set(service.Faults{LoseAnswers: 3}) }},
-	{"entry VM stops", func(b *bed) { b.vms[1].cancel() }},
-	{"configuration changes", func(b *bed) { b.weights("2026-10") }},
+	{"engine drops streams", func(b *cluster) { b.engines["engine-2"].DropStreams(6) }},
+	{"engine leaves", func(b *cluster) { b.engines["engine-2"].Leave() }},
+	{"service loses answers", func(b *cluster) { b.services["orders-1"].Set(service.Faults{LoseAnswers: 3}) }},
+	{"entry VM stops", func(b *cluster) { b.vms[1].cancel() }},
+	{"configuration changes", func(b *cluster) { b.weights("2026-10") }},
 }
 
 // TestFaultsTwoAtATime strikes with every two faults, and with each one twice,
@@ -58,14 +58,14 @@
 }
 
 func strikeTwice(t *testing.T, x, y harm) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
-	b.engine("engine-2", nil, nil)
-	s := b.service("orders-1")
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
+	b.startEngine("engine-2", nil, nil)
+	s := b.startService("orders-1")
 	b.servers("orders-1")
 	more := "stall_ms = 150\nresume_ms = 15000\nfirst_token_ms = 1000\n"
-	b.entry("entry-1", more)
-	b.entry("entry-2", more)
+	b.startEntry("entry-1", more)
+	b.startEntry("entry-2", more)
 	g, end := duty.New(context.Background())
 	defer end()
 	var mutex sync.Mutex
@@ -76,8 +76,8 @@
 			for i := range each {
 				v := b.vms[(c+i)%2]
 				key := fmt.Sprintf("%d-%d", c, i)
-				stream(t, v.send(chat(25, true)))
-				r := v.send(order(key))
+				stream(t, v.send(chatCall(25, true)))
+				r := v.send(orderCall(key))
 				if r.err == nil && r.status != http.StatusOK {
 					mutex.Lock()
 					orders[key] = r.fault()
@@ -108,7 +108,7 @@
 		// A stopped entry VM takes no connection.
 		return
 	}
-	got, whole := texts(r.body)
+	got, whole := parseTokens(r.body)
 	want := 25
 	if !whole {
 		want = len(got)
@@ -117,6 +117,6 @@
 		}
 	}
 	if len(got) > 0 {
-		inOrder(t, got, 0, want)
+		checkTokens(t, got, 0, want)
 	}
 }
--- a/contract/peer_test.go
+++ b/contract/peer_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestPeerContract(t *testing.T) {
-	b := newBed(t)
-	v := b.entry("entry-1", "")
+	b := newCluster(t)
+	v := b.startEntry("entry-1", "")
 	c, closer := peer.New(time.Second)
 	defer closer()
 	ctx := context.Background()
--- a/contract/platform_test.go
+++ b/contract/platform_test.go
@@ -125,7 +125,7 @@
 }
 
 func TestOperatorsRace(t *testing.T) {
-	b := newBed(t)
+	b := newCluster(t)
 	ctx := context.Background()
 	there, err := b.store.Get(api.ResourceKindModel, "desk")
 	if err != nil {
@@ -148,8 +148,8 @@
 
 // Edits of one field by many operators at once all count.
 func TestEditsDoNotOverwriteEachOther(t *testing.T) {
-	b := newBed(t)
-	b.backend("e", dead(t), api.BackendServerSpec{})
+	b := newCluster(t)
+	b.declareServer("e", dead(t), api.BackendServerSpec{})
 	done := make(chan error, 2)
 	edit := func(field string, value any) {
 		b.group.Go(func(ctx context.Context) error {
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -16,15 +16,15 @@
 )
 
 // crowd is an engine for one generation at a time, which takes long.
-func crowd(b *bed) *engine.Engine {
-	return b.engine("engine-1", nil, func(o *engine.Options) { o.Batch.StepBase = 5 * time.Millisecond })
+func crowd(b *cluster) *engine.Engine {
+	return b.startEngine("engine-1", nil, func(o *engine.Options) { o.Batch.StepBase = 5 * time.Millisecond })
 }
 
 // hold keeps an engine busy until the test ends.
 func hold(t *testing.T, v *vm) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	r, err := chat(16000, true).request(ctx, v.listen)
+	r, err := chatCall(16000, true).newRequest(ctx, v.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,36 +48,36 @@
 	tests := []struct {
 		name  string
 		more  string
-		setup func(t *testing.T, b *bed, v *vm)
-		ask   ask
+		setup func(t *testing.T, b *cluster, v *vm)
+		ask   call
 		want  fault.Code
 	}{
-		{"queue timeout", one, func(t *testing.T, _ *bed, v *vm) { hold(t, v) }, chat(1, false), fault.QueueTimeout},
-		{"deadline while waiting", one, func(t *testing.T, _ *bed, v *vm) { hold(t, v) }, chat(1, false, wire.HeaderDeadline, "40"), fault.DeadlinePassed},
-		{"queue full", one, func(t *testing.T, b *bed, v *vm) {
+		{"queue timeout", one, func(t *testing.T, _ *cluster, v *vm) { hold(t, v) }, chatCall(1, false), fault.QueueTimeout},
+		{"deadline while waiting", one, func(t *testing.T, _ *cluster, v *vm) { hold(t, v) }, chatCall(1, false, wire.HeaderDeadline, "40"), fault.DeadlinePassed},
+		{"queue full", one, func(t *testing.T, b *cluster, v *vm) {
 			hold(t, v)
-			b.group.Go(func(context.Context) error { v.send(chat(1, false)); return nil })
-			b.until("the queue to fill", func() bool { return b.metric(v, "requests_waiting") == 1 })
-		}, chat(1, false, wire.HeaderPriority, "background"), fault.QueueFull},
-		{"engine leaving", "", func(_ *testing.T, b *bed, v *vm) {
+			b.group.Go(func(context.Context) error { v.send(chatCall(1, false)); return nil })
+			b.waitFor("the queue to fill", func() bool { return b.metric(v, "requests_waiting") == 1 })
+		}, chatCall(1, false, wire.HeaderPriority, "background"), fault.QueueFull},
+		{"engine leaving", "", func(_ *testing.T, b *cluster, v *vm) {
 			b.engines["engine-1"].Leave()
-			b.until("the notice", func() bool { s, err := b.status(v); return err == nil && ready(s) == 0 })
-		}, chat(1, false), fault.NoServer},
-		{"engine gone", "", func(t *testing.T, b *bed, v *vm) {
+			b.waitFor("the notice", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
+		}, chatCall(1, false), fault.NoServer},
+		{"engine gone", "", func(t *testing.T, b *cluster, v *vm) {
 			b.move("engine-1", dead(t))
-			b.until("the loss", func() bool { s, err := b.status(v); return err == nil && ready(s) == 0 })
-		}, chat(1, false), fault.NoServer},
-		{"planned stop", "", func(_ *testing.T, b *bed, v *vm) {
+			b.waitFor("the loss", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
+		}, chatCall(1, false), fault.NoServer},
+		{"planned stop", "", func(_ *testing.T, b *cluster, v *vm) {
 			v.cancel()
-			b.until("the stop", func() bool { return v.send(chat(1, false)).status != http.StatusOK })
-		}, chat(1, false), 0},
+			b.waitFor("the stop", func() bool { return v.send(chatCall(1, false)).status != http.StatusOK })
+		}, chatCall(1, false), 0},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
+			b := newCluster(t)
 			e := crowd(b)
-			v := b.entry("entry-1", c.more)
+			v := b.startEntry("entry-1", c.more)
 			c.setup(t, b, v)
 			before := e.Started()
 			r := v.send(c.ask)
@@ -100,7 +100,7 @@
 }
 
 // move changes a backend server's address.
-func (b *bed) move(name, address string) {
+func (b *cluster) move(name, address string) {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindBackendServer, name)
 	if err != nil {
@@ -118,14 +118,14 @@
 	tests := []struct {
 		name   string
 		cut    bool
-		signal func(b *bed)
+		signal func(b *cluster)
 	}{
-		{"its own notice", false, func(b *bed) { b.engines["engine-1"].Leave() }},
-		{"its own notice, platform down", true, func(b *bed) { b.engines["engine-1"].Leave() }},
-		{"the list of VMs", false, func(b *bed) {
+		{"its own notice", false, func(b *cluster) { b.engines["engine-1"].Leave() }},
+		{"its own notice, platform down", true, func(b *cluster) { b.engines["engine-1"].Leave() }},
+		{"the list of VMs", false, func(b *cluster) {
 			b.platform.SetVM(api.VM{Name: "engine-1", Role: api.VMRoleBackend, State: api.VMStateLeaving})
 		}},
-		{"drained by an operator", false, func(b *bed) {
+		{"drained by an operator", false, func(b *cluster) {
 			o, err := b.store.Get(api.ResourceKindBackendServer, "engine-1")
 			if err != nil {
 				b.t.Fatal(err)
@@ -133,21 +133,21 @@
 			o.Spec = []byte(strings.Replace(string(o.Spec), `"active"`, `"draining"`, 1))
 			b.put(o)
 		}},
-		{"frozen, platform down", true, func(b *bed) { b.engines["engine-1"].Freeze(time.Hour) }},
+		{"frozen, platform down", true, func(b *cluster) { b.engines["engine-1"].Freeze(time.Hour) }},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
-			e := b.engine("engine-1", nil, nil)
-			b.engine("engine-2", nil, nil)
-			v := b.entry("entry-1", "suspect_ms = 300\n")
+			b := newCluster(t)
+			e := b.startEngine("engine-1", nil, nil)
+			b.startEngine("engine-2", nil, nil)
+			v := b.startEntry("entry-1", "suspect_ms = 300\n")
 			b.platform.Set(platform.Faults{Outage: c.cut})
 			c.signal(b)
-			b.until("the signal", func() bool { s, err := b.status(v); return err == nil && ready(s) == 1 })
+			b.waitFor("the signal", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 1 })
 			before := e.Started()
 			for range 20 {
-				if r := v.send(chat(1, false)); r.status != http.StatusOK {
+				if r := v.send(chatCall(1, false)); r.status != http.StatusOK {
 					t.Errorf("got %d %s, want 200", r.status, r.body)
 				}
 			}
@@ -160,12 +160,12 @@
 
 // TestStrangersGetNothing asks with one workspace's key for another's things.
 func TestStrangersGetNothing(t *testing.T) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
-	v := b.entry("entry-1", "")
-	r := v.send(chat(5, true))
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
+	v := b.startEntry("entry-1", "")
+	r := v.send(chatCall(5, true))
 	id := lastID(r.body)
-	back := ask{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequestID), headers: []string{wire.HeaderLastEventID, id}}
+	back := call{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequestID), headers: []string{wire.HeaderLastEventID, id}}
 	back.key = sample.KeyField
 	checkRefusal(t, v.send(back), fault.UnknownStream)
 	back.key = "nobody"
@@ -181,7 +181,7 @@
 	o.Spec = []byte(strings.Replace(string(o.Spec), "{", `{"requests_per_second":1,`, 1))
 	n := b.put(o).Version
 	b.inForce(v, n)
-	b.until("the limit", func() bool { return v.send(back).status == http.StatusTooManyRequests })
+	b.waitFor("the limit", func() bool { return v.send(back).status == http.StatusTooManyRequests })
 	if f := v.send(back).fault(); f.Ran != api.RanYes {
 		t.Errorf("resume over the limit: got ran %s, want yes, as the request itself ran", f.Ran)
 	}
--- a/contract/script_test.go
+++ b/contract/script_test.go
@@ -136,10 +136,10 @@
 }
 
 // scripted declares an engine that follows scripts.
-func (b *bed) scripted(name string, scripts ...string) *scripted {
+func (b *cluster) scripted(name string, scripts ...string) *scripted {
 	b.t.Helper()
 	s := &scripted{name: name, scripts: scripts}
-	b.backend(name, serve(b.t, s.handler()), api.BackendServerSpec{ChecksFence: true, Models: []api.ModelName{"desk"}, Adapters: []api.AdapterName{"permits"}})
+	b.declareServer(name, serve(b.t, s.handler()), api.BackendServerSpec{ChecksFence: true, Models: []api.ModelName{"desk"}, Adapters: []api.AdapterName{"permits"}})
 	b.engines[name] = nil
 	return s
 }
@@ -149,5 +149,5 @@
 
 // dead is an address that nobody listens on.
 func dead(t testing.TB) string {
-	return free(t)
+	return freeAddress(t)
 }
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -16,22 +16,22 @@
 
 // TestServiceContract breaks a service in each way and counts what it ran.
 func TestServiceContract(t *testing.T) {
-	plain := ask{path: "/services/orders/look", key: sample.KeyField, headers: []string{wire.HeaderIdempotencyKey, "k"}}
+	plain := call{path: "/services/orders/look", key: sample.KeyField, headers: []string{wire.HeaderIdempotencyKey, "k"}}
 	tests := []struct {
 		name   string
 		faults service.Faults
-		ask    ask
+		ask    call
 		want   fault.Code
 		ran    api.Ran
 		// runs is how often the call ran, and again what asking again gets.
 		runs  int
 		again int
 	}{
-		{"whole", service.Faults{}, order("k"), 0, "", 1, http.StatusOK},
-		{"answer lost", service.Faults{LoseAnswers: 1}, order("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
-		{"answer cut short", service.Faults{CutAnswers: 1}, order("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
-		{"answer of another request", service.Faults{CrossAnswers: 1}, order("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
-		{"slower than the wait", service.Faults{DelayMS: 400}, order("k", wire.HeaderDeadline, "150"), fault.DeadlinePassed, api.RanUnknown, 1, http.StatusConflict},
+		{"whole", service.Faults{}, orderCall("k"), 0, "", 1, http.StatusOK},
+		{"answer lost", service.Faults{LoseAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
+		{"answer cut short", service.Faults{CutAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
+		{"answer of another request", service.Faults{CrossAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
+		{"slower than the wait", service.Faults{DelayMS: 400}, orderCall("k", wire.HeaderDeadline, "150"), fault.DeadlinePassed, api.RanUnknown, 1, http.StatusConflict},
 		{"repeatable, answer lost", service.Faults{LoseAnswers: 1}, plain, 0, "", 2, http.StatusOK},
 		{"repeatable, answer cut short", service.Faults{CutAnswers: 1}, plain, 0, "", 2, http.StatusOK},
 		{"repeatable, answer of another request", service.Faults{CrossAnswers: 1}, plain, 0, "", 2, http.StatusOK},
@@ -40,10 +40,10 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
-			s := b.service("orders-1")
+			b := newCluster(t)
+			s := b.startService("orders-1")
 			b.alias(s, "orders-2")
-			v := b.entry("entry-1", "")
+			v := b.startEntry("entry-1", "")
 			s.Set(c.faults)
 			r := v.send(c.ask)
 			if r.err != nil {
@@ -52,7 +52,7 @@
 			if f := r.fault(); fault.Code(f.Code) != c.want || f.Ran != c.ran {
 				t.Errorf("fault: got %d ran %q (%s), want %d ran %q", f.Code, f.Ran, r.body, c.want, c.ran)
 			}
-			b.until("the call to be counted", func() bool { return s.Counts()["k"] >= c.runs })
+			b.waitFor("the call to be counted", func() bool { return s.Counts()["k"] >= c.runs })
 			if c.again != 0 {
 				s.Set(service.Faults{})
 				if got := v.send(c.ask).status; got != c.again {
@@ -67,14 +67,14 @@
 }
 
 // alias declares a second server of the plain service that is the same one.
-func (b *bed) alias(s *service.Service, name string) {
+func (b *cluster) alias(s *service.Service, name string) {
 	b.t.Helper()
-	b.backend(name, serve(b.t, s.Handler()), api.BackendServerSpec{Type: api.ServerTypeService})
+	b.declareServer(name, serve(b.t, s.Handler()), api.BackendServerSpec{Type: api.ServerTypeService})
 	b.servers("orders-1", name)
 }
 
 // servers sets the servers of the plain service.
-func (b *bed) servers(names ...string) {
+func (b *cluster) servers(names ...string) {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindService, "orders")
 	if err != nil {
@@ -85,29 +85,29 @@
 }
 
 func TestUnreachableServiceWasNotRun(t *testing.T) {
-	b := newBed(t)
-	b.backend("gone", dead(t), api.BackendServerSpec{Type: api.ServerTypeService})
+	b := newCluster(t)
+	b.declareServer("gone", dead(t), api.BackendServerSpec{Type: api.ServerTypeService})
 	b.servers("gone")
-	v := b.entry("entry-1", "")
-	r := v.send(order("k"))
+	v := b.startEntry("entry-1", "")
+	r := v.send(orderCall("k"))
 	checkRefusal(t, r, fault.NoServer)
 	// The claim was given back, so the call can be made once a server is there.
-	s := b.service("orders-1")
+	s := b.startService("orders-1")
 	b.servers("orders-1")
-	b.until("the call to be made", func() bool { return v.send(order("k")).status == http.StatusOK })
+	b.waitFor("the call to be made", func() bool { return v.send(orderCall("k")).status == http.StatusOK })
 	if got := s.Counts()["k"]; got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
 }
 
 func TestUnreachableServerIsPassedOver(t *testing.T) {
-	b := newBed(t)
-	b.backend("a-gone", dead(t), api.BackendServerSpec{Type: api.ServerTypeService})
-	s := b.service("orders-1")
+	b := newCluster(t)
+	b.declareServer("a-gone", dead(t), api.BackendServerSpec{Type: api.ServerTypeService})
+	s := b.startService("orders-1")
 	b.servers("a-gone", "orders-1")
-	v := b.entry("entry-1", "")
+	v := b.startEntry("entry-1", "")
 	for i := range 5 {
-		if r := v.send(order(fmt.Sprint(i))); r.status != http.StatusOK {
+		if r := v.send(orderCall(fmt.Sprint(i))); r.status != http.StatusOK {
 			t.Errorf("call %d: got %d %s, want 200", i, r.status, r.body)
 		}
 	}
@@ -117,23 +117,23 @@
 }
 
 func TestAnswerIsReplayedThroughAnotherEntryVM(t *testing.T) {
-	b := newBed(t)
-	s := b.service("orders-1")
+	b := newCluster(t)
+	s := b.startService("orders-1")
 	b.servers("orders-1")
-	v, w := b.entry("entry-1", ""), b.entry("entry-2", "")
-	first := v.send(order("k"))
-	second := w.send(order("k"))
+	v, w := b.startEntry("entry-1", ""), b.startEntry("entry-2", "")
+	first := v.send(orderCall("k"))
+	second := w.send(orderCall("k"))
 	if first.status != http.StatusOK || second.body != first.body {
 		t.Errorf("second answer: got %d %q, want %q", second.status, second.body, first.body)
 	}
 	if got := s.Counts()["k"]; got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
-	other := order("k")
+	other := orderCall("k")
 	other.body = "compressor 8"
 	checkRefusal(t, w.send(other), fault.ReusedKey)
 	// Another workspace's key of the same text is another key.
-	stranger := order("k")
+	stranger := orderCall("k")
 	stranger.key = sample.KeyDispatch
 	if r := v.send(stranger); r.status != http.StatusOK {
 		t.Errorf("another workspace: got %d, want 200", r.status)
@@ -154,21 +154,21 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
-			s := b.service("orders-1")
+			b := newCluster(t)
+			s := b.startService("orders-1")
 			b.servers("orders-1")
-			v := b.entry("entry-1", "")
+			v := b.startEntry("entry-1", "")
 			b.platform.Set(c.faults)
-			checkRefusal(t, v.send(order("k")), c.want)
+			checkRefusal(t, v.send(orderCall("k")), c.want)
 			if got := s.Counts()["k"]; got != c.runs {
 				t.Errorf("runs: got %d, want %d", got, c.runs)
 			}
 			// What may be repeated needs no platform.
-			if r := v.send(ask{path: "/services/orders/look", key: sample.KeyField}); r.status != http.StatusOK {
+			if r := v.send(call{path: "/services/orders/look", key: sample.KeyField}); r.status != http.StatusOK {
 				t.Errorf("repeatable call: got %d, want 200", r.status)
 			}
 			b.platform.Set(platform.Faults{})
-			b.until("the call to be answered", func() bool { return v.send(order("k")).status == http.StatusOK })
+			b.waitFor("the call to be answered", func() bool { return v.send(orderCall("k")).status == http.StatusOK })
 			if got := s.Counts()["k"]; got != 1 {
 				t.Errorf("runs in the end: got %d, want 1", got)
 			}
@@ -179,14 +179,14 @@
 // The HTTP transport repeats a request that carries an idempotency key when a
 // kept connection breaks; a call that is not repeatable must not be.
 func TestTransportDoesNotRepeatACall(t *testing.T) {
-	b := newBed(t)
-	s := b.service("orders-1")
-	v := b.entry("entry-1", "")
+	b := newCluster(t)
+	s := b.startService("orders-1")
+	v := b.startEntry("entry-1", "")
 	for i := range 10 {
 		warm, key := fmt.Sprintf("warm-%d", i), fmt.Sprintf("k-%d", i)
-		v.send(order(warm))
+		v.send(orderCall(warm))
 		s.Set(service.Faults{LoseAnswers: 1})
-		r := v.send(order(key))
+		r := v.send(orderCall(key))
 		if f := r.fault(); f.Ran != api.RanUnknown {
 			t.Errorf("lost answer: got ran %q, want unknown", f.Ran)
 		}
--- a/contract/trace_test.go
+++ b/contract/trace_test.go
@@ -21,18 +21,18 @@
 	otel.SetTracerProvider(p)
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	t.Cleanup(func() { otel.SetTracerProvider(sdk.NewTracerProvider(sdk.WithSampler(sdk.NeverSample()))) })
-	b := newBed(t)
-	b.engine("engine-1", func(h http.Handler) http.Handler { return trace.Handler("generate", h) }, nil)
-	b.service("orders-1")
-	v := b.entry("entry-1", "")
+	b := newCluster(t)
+	b.startEngine("engine-1", func(h http.Handler) http.Handler { return trace.Handler("generate", h) }, nil)
+	b.startService("orders-1")
+	v := b.startEntry("entry-1", "")
 	const id = "4bf92f3577b34da6a3ce929d0e0e4736"
 	const parent = "00-" + id + "-00f067aa0ba902b7-01"
-	v.send(chat(3, true, "traceparent", parent))
-	v.send(order("k", "traceparent", parent))
+	v.send(chatCall(3, true, "traceparent", parent))
+	v.send(orderCall("k", "traceparent", parent))
 	b.services["orders-1"].Set(service.Faults{LoseAnswers: 1})
-	v.send(order("lost"))
+	v.send(orderCall("lost"))
 	// The claim of the lost call is the other entry VM's, which is asked.
-	b.entry("entry-2", "").send(order("lost", "traceparent", parent))
+	b.startEntry("entry-2", "").send(orderCall("lost", "traceparent", parent))
 	want := []string{"caller", "dispatch", "engine", "generate", "claim", "service", "peer"}
 	t.Cleanup(func() {
 		for _, x := range r.Ended() {
@@ -41,7 +41,7 @@
 			}
 		}
 	})
-	b.until("every span", func() bool { return len(missing(r, id, want)) == 0 })
+	b.waitFor("every span", func() bool { return len(missing(r, id, want)) == 0 })
 }
 
 // missing lists the spans that a trace has not ended yet.
