--- a/contract/address_test.go
+++ b/contract/address_test.go
@@ -7,7 +7,7 @@
 
 // A connection of any test may take a port of 127.0.0.1 between the moment at
 // which an entry VM's address is chosen and the one at which it listens there.
-func TestEntryVMsListenWhereNoConnectionIs(t *testing.T) {
+func TestEntryAddressIsNotTakenByConnections(t *testing.T) {
 	a := freeAddress(t)
 	_, p, err := net.SplitHostPort(a)
 	if err != nil {
--- a/contract/caller_test.go
+++ b/contract/caller_test.go
@@ -11,39 +11,39 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-func body(s string) call {
+func chatBody(s string) call {
 	return call{key: sample.KeyDispatch, body: s}
 }
 
-const fine = `{"model":"desk","messages":[{"role":"user","content":"x"}]}`
+const validBody = `{"model":"desk","messages":[{"role":"user","content":"x"}]}`
 
 func TestCallerContract(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	b.startService("orders-1")
 	v := b.startEntry("entry-1", "[entry]\nbody_limit_kb = 128\n")
-	with := func(h ...string) call { return call{key: sample.KeyDispatch, body: fine, headers: h} }
+	with := func(h ...string) call { return call{key: sample.KeyDispatch, body: validBody, headers: h} }
 	tests := []struct {
 		name string
 		ask  call
 		want fault.Code
 	}{
-		{"whole answer", body(fine), 0},
-		{"no key", call{body: fine}, fault.UnknownWorkspace},
-		{"unknown key", call{key: "nobody", body: fine}, fault.UnknownWorkspace},
-		{"malformed JSON", body(`{"model":`), fault.MalformedJSON},
-		{"not an object", body(`7`), fault.MalformedJSON},
-		{"two values", body(fine + fine), fault.MalformedJSON},
-		{"wrong type", body(`{"model":7,"messages":[]}`), fault.MalformedJSON},
-		{"empty body", body(``), fault.MalformedJSON},
-		{"no message", body(`{"model":"desk","messages":[]}`), fault.InvalidRequest},
-		{"negative length", body(`{"model":"desk","max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`), fault.InvalidRequest},
-		{"unknown model", body(strings.Replace(fine, "desk", "none", 1)), fault.UnknownModel},
-		{"unknown adapter", body(strings.Replace(fine, "desk", "desk:none", 1)), fault.UnknownModel},
-		{"adapter of the workspace", body(strings.Replace(fine, "desk", "desk:permits", 1)), 0},
-		{"another workspace's adapter", call{key: sample.KeyField, body: strings.Replace(fine, "desk", "desk:permits", 1)}, fault.NotAllowed},
-		{"oversized body", body(strings.Repeat("x", 129<<10)), fault.BodyTooLarge},
-		{"prompt over the context", body(strings.Replace(fine, `"x"`, `"`+strings.Repeat("x", 70<<10)+`"`, 1)), fault.TooLarge},
+		{"whole answer", chatBody(validBody), 0},
+		{"no key", call{body: validBody}, fault.UnknownWorkspace},
+		{"unknown key", call{key: "nobody", body: validBody}, fault.UnknownWorkspace},
+		{"malformed JSON", chatBody(`{"model":`), fault.MalformedJSON},
+		{"not an object", chatBody(`7`), fault.MalformedJSON},
+		{"two values", chatBody(validBody + validBody), fault.MalformedJSON},
+		{"wrong type", chatBody(`{"model":7,"messages":[]}`), fault.MalformedJSON},
+		{"empty body", chatBody(``), fault.MalformedJSON},
+		{"no message", chatBody(`{"model":"desk","messages":[]}`), fault.InvalidRequest},
+		{"negative length", chatBody(`{"model":"desk","max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`), fault.InvalidRequest},
+		{"unknown model", chatBody(strings.Replace(validBody, "desk", "none", 1)), fault.UnknownModel},
+		{"unknown adapter", chatBody(strings.Replace(validBody, "desk", "desk:none", 1)), fault.UnknownModel},
+		{"adapter of the workspace", chatBody(strings.Replace(validBody, "desk", "desk:permits", 1)), 0},
+		{"another workspace's adapter", call{key: sample.KeyField, body: strings.Replace(validBody, "desk", "desk:permits", 1)}, fault.NotAllowed},
+		{"oversized body", chatBody(strings.Repeat("x", 129<<10)), fault.BodyTooLarge},
+		{"prompt over the context", chatBody(strings.Replace(validBody, `"x"`, `"`+strings.Repeat("x", 70<<10)+`"`, 1)), fault.TooLarge},
 		{"unknown priority", with(wire.HeaderPriority, "urgent"), fault.InvalidHeader},
 		{"lower priority", with(wire.HeaderPriority, "background"), 0},
 		{"deadline not a number", with(wire.HeaderDeadline, "soon"), fault.InvalidHeader},
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestLimitsTellWhenToComeBack(t *testing.T) {
+func TestRequestOverLimitGetsRetryAfter(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	o, err := b.store.Get(api.ResourceKindWorkspace, "dispatch")
@@ -112,23 +112,23 @@
 	}
 }
 
-func TestSlowAndHugeSendersAreCutOff(t *testing.T) {
+func TestSlowAndOversizedRequestsAreRejected(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	v := b.startEntry("entry-1", "[entry]\nheader_wait_ms = 100\n")
 	conn := dial(t, v.listen)
 	send(t, conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+sample.KeyDispatch+"\r\nContent-Length: 100\r\n\r\n{")
-	if got := reading(t, conn); !strings.Contains(got, "408") || !strings.Contains(got, "slow_sender") {
+	if got := readAll(t, conn); !strings.Contains(got, "408") || !strings.Contains(got, "slow_sender") {
 		t.Errorf("slow body: got %q, want 408 slow_sender", got)
 	}
 	conn = dial(t, v.listen)
 	send(t, conn, "POST / HTTP/1.1\r\nHost: x\r\nX-Long: "+strings.Repeat("x", 64<<10)+"\r\n\r\n")
-	if got := reading(t, conn); !strings.Contains(got, "431") {
+	if got := readAll(t, conn); !strings.Contains(got, "431") {
 		t.Errorf("huge head: got %q, want 431", got)
 	}
 	conn = dial(t, v.listen)
 	send(t, conn, "POST / HT")
-	if got := reading(t, conn); strings.Contains(got, "200") {
+	if got := readAll(t, conn); strings.Contains(got, "200") {
 		t.Errorf("slow head: got %q, want the connection closed", got)
 	}
 	if r := v.send(chatCall(3, false)); r.status != http.StatusOK {
--- a/contract/config_test.go
+++ b/contract/config_test.go
@@ -110,7 +110,7 @@
 	b.inForce(v, n)
 	b.inForce(w, n)
 	checkRefusal(t, w.send(chatCall(1, false)), fault.UnknownWorkspace)
-	if r := w.send(call{key: sample.KeyField, body: fine}); r.status != http.StatusOK {
+	if r := w.send(call{key: sample.KeyField, body: validBody}); r.status != http.StatusOK {
 		t.Errorf("another workspace: got %d, want 200", r.status)
 	}
 }
@@ -129,6 +129,6 @@
 		}
 		defer func() { _ = a.Body.Close() }()
 		w.WriteHeader(a.StatusCode)
-		_, _ = copyAll(w, a)
+		_, _ = copyBody(w, a)
 	})
 }
--- a/contract/conn_test.go
+++ b/contract/conn_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// reading reads what comes until the connection closes or is silent for long.
-func reading(t *testing.T, c net.Conn) string {
+// readAll reads what comes until the connection closes or is silent for long.
+func readAll(t *testing.T, c net.Conn) string {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(maxWait)); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	return string(b[:n])
 }
 
-// copyAll passes an answer's body on.
-func copyAll(w http.ResponseWriter, a *http.Response) (int64, error) {
+// copyBody passes an answer's body on.
+func copyBody(w http.ResponseWriter, a *http.Response) (int64, error) {
 	return io.Copy(w, a.Body)
 }
