--- a/contract/config_test.go
+++ b/contract/config_test.go
@@ -14,8 +14,8 @@
 	"github.com/wardridge/wardridge/internal/standin/platform"
 )
 
-// weights changes the model's weights and gives the version.
-func (b *cluster) weights(w string) api.Version {
+// setWeights changes the model's setWeights and gives the version.
+func (b *cluster) setWeights(w string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindModel, "desk")
 	if err != nil {
@@ -25,8 +25,8 @@
 	return b.put(o).Version
 }
 
-// revoke takes a workspace's key away and gives the version.
-func (b *cluster) revoke(workspace string) api.Version {
+// revokeKey takes a workspace's key away and gives the version.
+func (b *cluster) revokeKey(workspace string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindWorkspace, workspace)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return b.put(o).Version
 }
 
-func (b *cluster) inForce(v *vm, n api.Version) {
+func (b *cluster) waitForVersion(v *vm, n api.Version) {
 	b.t.Helper()
 	b.waitFor(v.name+" to have the change in force", func() bool {
 		s, err := b.status(v)
@@ -48,22 +48,22 @@
 
 // A restarted entry VM meets a stale replica of the platform: its peers keep
 // it from serving by the old configuration.
-func TestRestartByAStaleReplicaDoesNotRevert(t *testing.T) {
+func TestRestartWithStaleReadsKeepsNewerConfig(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	v := b.startEntry("entry-1", "")
 	b.platform.Set(platform.Faults{Copy: true})
-	n := b.revoke("dispatch")
-	b.inForce(v, n)
+	n := b.revokeKey("dispatch")
+	b.waitForVersion(v, n)
 	b.platform.Set(platform.Faults{StaleReads: true})
 	w := b.startEntry("entry-2", "")
 	checkRefusal(t, w.send(chatCall(1, false)), fault.UnknownWorkspace)
-	b.inForce(w, n)
+	b.waitForVersion(w, n)
 }
 
 // Versions never go back on any entry VM while the platform fails and
 // operators change things.
-func TestVersionsOnlyGrow(t *testing.T) {
+func TestConfigVersionNeverDecreases(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	v, w := b.startEntry("entry-1", ""), b.startEntry("entry-2", "")
@@ -86,37 +86,37 @@
 	var n api.Version
 	for i, f := range []platform.Faults{{}, {Outage: true}, {}, {StaleReads: true}, {}, {SlowMS: 300}, {}, {Outage: true}, {}} {
 		b.platform.Set(f)
-		n = b.weights(strings.Repeat("x", i+1))
+		n = b.setWeights(strings.Repeat("x", i+1))
 		time.Sleep(50 * time.Millisecond)
 	}
-	b.inForce(v, n)
-	b.inForce(w, n)
+	b.waitForVersion(v, n)
+	b.waitForVersion(w, n)
 	end.Store(true)
 }
 
 // An entry VM that the platform does not answer takes the change from a peer.
-func TestChangeComesFromAPeerWhenTheWatchIsCut(t *testing.T) {
+func TestChangeArrivesFromPeerWhenPlatformIsUnreachable(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	v := b.startEntry("entry-1", "")
 	// entry-2 reaches the platform through a link that is cut later.
 	var cut atomic.Bool
 	direct := b.address
-	b.address = serve(t, link(direct, &cut))
+	b.address = serve(t, proxy(direct, &cut))
 	w := b.startEntry("entry-2", "")
 	b.address = direct
 	cut.Store(true)
-	n := b.revoke("dispatch")
-	b.inForce(v, n)
-	b.inForce(w, n)
+	n := b.revokeKey("dispatch")
+	b.waitForVersion(v, n)
+	b.waitForVersion(w, n)
 	checkRefusal(t, w.send(chatCall(1, false)), fault.UnknownWorkspace)
 	if r := w.send(call{key: sample.KeyField, body: validBody}); r.status != http.StatusOK {
 		t.Errorf("another workspace: got %d, want 200", r.status)
 	}
 }
 
-// link passes calls on to an address until it is cut.
-func link(address string, cut *atomic.Bool) http.Handler {
+// proxy passes calls on to an address until it is cut.
+func proxy(address string, cut *atomic.Bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if cut.Load() {
 			panic(http.ErrAbortHandler)
--- a/contract/pairs_test.go
+++ b/contract/pairs_test.go
@@ -41,7 +41,7 @@
 	{"engine leaves", func(b *cluster) { b.engines["engine-2"].Leave() }},
 	{"service loses answers", func(b *cluster) { b.services["orders-1"].Set(service.Faults{LoseAnswers: 3}) }},
 	{"entry VM stops", func(b *cluster) { b.vms[1].cancel() }},
-	{"configuration changes", func(b *cluster) { b.weights("2026-10") }},
+	{"configuration changes", func(b *cluster) { b.setWeights("2026-10") }},
 }
 
 // TestFaultsTwoAtATime strikes with every two faults, and with each one twice,
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -180,7 +180,7 @@
 	}
 	o.Spec = []byte(strings.Replace(string(o.Spec), "{", `{"requests_per_second":1,`, 1))
 	n := b.put(o).Version
-	b.inForce(v, n)
+	b.waitForVersion(v, n)
 	b.waitFor("the limit", func() bool { return v.send(back).status == http.StatusTooManyRequests })
 	if f := v.send(back).fault(); f.Ran != api.RanYes {
 		t.Errorf("resume over the limit: got ran %s, want yes, as the request itself ran", f.Ran)
