--- a/contract/engine_test.go
+++ b/contract/engine_test.go
@@ -20,18 +20,18 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// TestStreamsOfEngines breaks streams in each way and checks what the caller
+// TestBrokenStreamsDeliverTokensOnceInOrder breaks streams in each way and checks what the caller
 // gets: every token once, in order, of one generation, or a typed end.
-func TestStreamsOfEngines(t *testing.T) {
-	const once = wire.HeaderNotRepeatable
+func TestBrokenStreamsDeliverTokensOnceInOrder(t *testing.T) {
+	const notRepeatable = wire.HeaderNotRepeatable
 	tests := []struct {
-		name    string
-		scripts []string
-		once    bool
-		tokens  int
-		want    fault.Code
-		ran     api.Ran
-		starts  int
+		name          string
+		scripts       []string
+		notRepeatable bool
+		tokens        int
+		want          fault.Code
+		ran           api.Ran
+		starts        int
 	}{
 		{"whole", []string{"t0 t1 t2 f3"}, false, 3, 0, "", 1},
 		{"no token at all", []string{"f0"}, false, 0, 0, "", 1},
@@ -64,12 +64,12 @@
 			t.Parallel()
 			b := newCluster(t)
 			// Both engines follow one list of scripts, as a retry goes to the other.
-			s := b.scripted("engine-1", c.scripts...)
-			b.twin(s, "engine-2")
-			v := b.startEntry("entry-1", shortWaits)
+			s := b.startScripted("engine-1", c.scripts...)
+			b.shareScript(s, "engine-2")
+			v := b.startEntry("entry-1", shortTimeouts)
 			a := chatCall(1, true)
-			if c.once {
-				a.headers = []string{once, "true"}
+			if c.notRepeatable {
+				a.headers = []string{notRepeatable, "true"}
 			}
 			r := v.send(a)
 			if r.err != nil {
@@ -94,13 +94,13 @@
 	}
 }
 
-// twin declares a second engine that shares a script.
-func (b *cluster) twin(s *scripted, name string) {
+// shareScript declares a second engine that shares a script.
+func (b *cluster) shareScript(s *scriptedEngine, name string) {
 	b.t.Helper()
 	h := s.handler()
 	b.declareServer(name, serve(b.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/load" {
-			(&scripted{name: name}).handler().ServeHTTP(w, r)
+			(&scriptedEngine{name: name}).handler().ServeHTTP(w, r)
 			return
 		}
 		h.ServeHTTP(w, r)
@@ -108,7 +108,7 @@
 	b.engines[name] = nil
 }
 
-func TestCallerThatLeavesIsCancelled(t *testing.T) {
+func TestDisconnectedCallerCancelsGeneration(t *testing.T) {
 	b := newCluster(t)
 	e := b.startEngine("engine-1", nil, nil)
 	v := b.startEntry("entry-1", "")
@@ -129,7 +129,7 @@
 	b.waitFor("the engine to be told", func() bool { return e.Active() == 0 })
 }
 
-func TestSlowReaderIsBounded(t *testing.T) {
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	b := newCluster(t)
 	e := b.startEngine("engine-1", nil, func(o *standin.Options) {
 		o.Batch.StepBase = 50 * time.Microsecond
@@ -149,7 +149,7 @@
 	b.waitFor("the slow reader to be counted", func() bool { return b.metric(v, metric.SlowReaders) == 1 })
 }
 
-func TestEngineClientTellsRefusalsApart(t *testing.T) {
+func TestEngineClientDistinguishesFailures(t *testing.T) {
 	tests := []struct {
 		name   string
 		script string
@@ -164,7 +164,7 @@
 	defer closer()
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
-			s := &scripted{name: "e", scripts: []string{x.script}}
+			s := &scriptedEngine{name: "e", scripts: []string{x.script}}
 			h := s.handler()
 			if x.script == "{}" {
 				h = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) })
@@ -176,14 +176,14 @@
 			}
 		})
 	}
-	_, err := c.Start(context.Background(), dead(t), api.GenerateRequest{Generation: "g"})
+	_, err := c.Start(context.Background(), unusedAddress(t), api.GenerateRequest{Generation: "g"})
 	var b *engine.StreamError
 	if !errors.As(err, &b) || b.Cause != answer.NotConnected {
 		t.Errorf("refused connection: got %v, want cause %d", err, answer.NotConnected)
 	}
 }
 
-func TestOrdersCarryFences(t *testing.T) {
+func TestOrderWithOlderFenceIsRefused(t *testing.T) {
 	b := newCluster(t)
 	checks := b.startEngine("checks", nil, nil)
 	b.startEngine("trusts", nil, func(o *standin.Options) { o.ChecksFence = false })
--- a/contract/once_test.go
+++ b/contract/once_test.go
@@ -117,7 +117,7 @@
 	v := b.startEntry("entry-1", "")
 	s.Set(service.Faults{LoseAnswers: 1})
 	v.send(orderCall("k"))
-	b.platform.SetVM(api.VM{Name: "entry-1", Role: api.VMRoleEntry, State: api.VMStateLive, Address: dead(t)})
+	b.platform.SetVM(api.VM{Name: "entry-1", Role: api.VMRoleEntry, State: api.VMStateLive, Address: unusedAddress(t)})
 	w := b.startEntry("entry-2", "")
 	checkRefusal(t, w.send(orderCall("k")), fault.ClaimHeld)
 	if got := s.Counts()["k"]; got != 1 {
--- a/contract/peer_test.go
+++ b/contract/peer_test.go
@@ -47,7 +47,7 @@
 			return err
 		}, fault.UnknownRequest},
 		{"nobody there", func() error {
-			_, err := c.Status(ctx, dead(t))
+			_, err := c.Status(ctx, unusedAddress(t))
 			return err
 		}, fault.NotStarted},
 		{"configuration", func() error {
--- a/contract/platform_test.go
+++ b/contract/platform_test.go
@@ -149,7 +149,7 @@
 // Edits of one field by many operators at once all count.
 func TestEditsDoNotOverwriteEachOther(t *testing.T) {
 	b := newCluster(t)
-	b.declareServer("e", dead(t), api.BackendServerSpec{})
+	b.declareServer("e", unusedAddress(t), api.BackendServerSpec{})
 	done := make(chan error, 2)
 	edit := func(field string, value any) {
 		b.group.Go(func(ctx context.Context) error {
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -64,7 +64,7 @@
 			b.waitFor("the notice", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
 		}, chatCall(1, false), fault.NoServer},
 		{"engine gone", "", func(t *testing.T, b *cluster, v *vm) {
-			b.move("engine-1", dead(t))
+			b.move("engine-1", unusedAddress(t))
 			b.waitFor("the loss", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
 		}, chatCall(1, false), fault.NoServer},
 		{"planned stop", "", func(_ *testing.T, b *cluster, v *vm) {
--- a/contract/script_test.go
+++ b/contract/script_test.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// scripted is an engine whose streams follow a script, one per stream opened:
+// scriptedEngine is an engine whose streams follow a script, one per stream opened:
 //
 //	tN      token N of the generation asked for
 //	xN      token N of another generation
@@ -25,7 +25,7 @@
 //	stall   silence until the reader leaves
 //	junk    an event that is not JSON
 //	REASON  a refusal with that reason
-type scripted struct {
+type scriptedEngine struct {
 	name    string
 	mutex   sync.Mutex
 	scripts []string
@@ -34,7 +34,7 @@
 	cancels int
 }
 
-func (s *scripted) handler() http.Handler {
+func (s *scriptedEngine) handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/load", func(w http.ResponseWriter, _ *http.Request) {
 		wire.Write(w, http.StatusOK, api.LoadReport{
@@ -51,13 +51,13 @@
 		s.mutex.Lock()
 		s.started = append(s.started, g.Generation)
 		s.mutex.Unlock()
-		s.play(w, r, g.Generation)
+		s.runScript(w, r, g.Generation)
 	})
 	r.Get("/v1/generations/{id}", func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		s.resumed = append(s.resumed, r.URL.Query().Get("from"))
 		s.mutex.Unlock()
-		s.play(w, r, api.GenerationID(chi.URLParam(r, "id")))
+		s.runScript(w, r, api.GenerationID(chi.URLParam(r, "id")))
 	})
 	r.Delete("/v1/generations/{id}", func(w http.ResponseWriter, _ *http.Request) {
 		s.mutex.Lock()
@@ -68,7 +68,7 @@
 	return r
 }
 
-func (s *scripted) next() string {
+func (s *scriptedEngine) next() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.scripts) == 0 {
@@ -79,7 +79,7 @@
 	return x
 }
 
-func (s *scripted) play(w http.ResponseWriter, r *http.Request, g api.GenerationID) {
+func (s *scriptedEngine) runScript(w http.ResponseWriter, r *http.Request, g api.GenerationID) {
 	c := http.NewResponseController(w)
 	for x := range strings.FieldsSeq(s.next()) {
 		var n int
@@ -129,25 +129,25 @@
 }
 
 // counts tells what the engine was asked.
-func (s *scripted) counts() (starts, resumes, cancels int) {
+func (s *scriptedEngine) counts() (starts, resumes, cancels int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.started), len(s.resumed), s.cancels
 }
 
-// scripted declares an engine that follows scripts.
-func (b *cluster) scripted(name string, scripts ...string) *scripted {
+// startScripted declares an engine that follows scripts.
+func (b *cluster) startScripted(name string, scripts ...string) *scriptedEngine {
 	b.t.Helper()
-	s := &scripted{name: name, scripts: scripts}
+	s := &scriptedEngine{name: name, scripts: scripts}
 	b.declareServer(name, serve(b.t, s.handler()), api.BackendServerSpec{ChecksFence: true, Models: []api.ModelName{"desk"}, Adapters: []api.AdapterName{"permits"}})
 	b.engines[name] = nil
 	return s
 }
 
-// shortWaits make broken streams be given up soon.
-const shortWaits = "stall_ms = 150\nfirst_token_ms = 300\nresume_ms = 400\n"
+// shortTimeouts make broken streams be given up soon.
+const shortTimeouts = "stall_ms = 150\nfirst_token_ms = 300\nresume_ms = 400\n"
 
-// dead is an address that nobody listens on.
-func dead(t testing.TB) string {
+// unusedAddress is an address that nobody listens on.
+func unusedAddress(t testing.TB) string {
 	return freeAddress(t)
 }
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -86,7 +86,7 @@
 
 func TestUnreachableServiceWasNotRun(t *testing.T) {
 	b := newCluster(t)
-	b.declareServer("gone", dead(t), api.BackendServerSpec{Type: api.ServerTypeService})
+	b.declareServer("gone", unusedAddress(t), api.BackendServerSpec{Type: api.ServerTypeService})
 	b.servers("gone")
 	v := b.startEntry("entry-1", "")
 	r := v.send(orderCall("k"))
@@ -102,7 +102,7 @@
 
 func TestUnreachableServerIsPassedOver(t *testing.T) {
 	b := newCluster(t)
-	b.declareServer("a-gone", dead(t), api.BackendServerSpec{Type: api.ServerTypeService})
+	b.declareServer("a-gone", unusedAddress(t), api.BackendServerSpec{Type: api.ServerTypeService})
 	s := b.startService("orders-1")
 	b.servers("a-gone", "orders-1")
 	v := b.startEntry("entry-1", "")
