--- a/contract/once_test.go
+++ b/contract/once_test.go
@@ -15,32 +15,32 @@
 	"github.com/wardridge/wardridge/internal/standin/service"
 )
 
-// onceRuns is the number of seeded runs.
-const onceRuns = 2000
+// notRepeatableKeys is the number of seeded runs.
+const notRepeatableKeys = 2000
 
-// TestNotRepeatableOverThousandsOfRuns asks for each of many keys by several
+// TestNotRepeatableCallsRunAtMostOnce asks for each of many keys by several
 // callers at once through three entry VMs, while the platform loses answers
 // and is down for moments, and the service loses, cuts and crosses answers.
 // The service's own count is the judge.
-func TestNotRepeatableOverThousandsOfRuns(t *testing.T) {
+func TestNotRepeatableCallsRunAtMostOnce(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
 	b.servers("orders-1")
 	vms := []*vm{b.startEntry("entry-1", ""), b.startEntry("entry-2", ""), b.startEntry("entry-3", "")}
 	var mutex sync.Mutex
-	told := map[string][]api.ErrorDetail{}
+	failures := map[string][]api.ErrorDetail{}
 	g, end := duty.New(context.Background())
 	defer end()
 	const workers = 8
 	for w := range workers {
 		g.Go(func(context.Context) error {
 			r := rand.New(rand.NewPCG(uint64(w), 1))
-			for i := w; i < onceRuns; i += workers {
+			for i := w; i < notRepeatableKeys; i += workers {
 				key := fmt.Sprintf("key-%d", i)
-				b.disturb(r, s)
-				for _, x := range b.together(r, vms, key) {
+				b.injectFaults(r, s)
+				for _, x := range b.sendConcurrently(r, vms, key) {
 					mutex.Lock()
-					told[key] = append(told[key], x)
+					failures[key] = append(failures[key], x)
 					mutex.Unlock()
 				}
 			}
@@ -50,24 +50,24 @@
 	_ = g.Wait()
 	ran := 0
 	counts := s.Counts()
-	for key, l := range told {
+	for key, l := range failures {
 		n := counts[key]
 		ran += n
 		if n > 1 {
 			t.Errorf("%s: got %d runs, want at most 1", key, n)
 		}
-		if n > 0 && allNo(l) {
+		if n > 0 && allNotRun(l) {
 			t.Errorf("%s: every caller was told that it did not run, got %d runs", key, n)
 		}
 	}
-	t.Logf("%d keys, %d ran", len(told), ran)
-	if ran < onceRuns/2 {
-		t.Errorf("keys run: got %d of %d, want at least half", ran, onceRuns)
+	t.Logf("%d keys, %d ran", len(failures), ran)
+	if ran < notRepeatableKeys/2 {
+		t.Errorf("keys run: got %d of %d, want at least half", ran, notRepeatableKeys)
 	}
 }
 
-// disturb draws the faults of the next moment.
-func (b *cluster) disturb(r *rand.Rand, s *service.Service) {
+// injectFaults draws the faults of the next moment.
+func (b *cluster) injectFaults(r *rand.Rand, s *service.Service) {
 	b.platform.Set(platform.Faults{LoseWrites: r.IntN(3), Outage: r.IntN(12) == 0})
 	f := service.Faults{}
 	switch r.IntN(6) {
@@ -81,8 +81,8 @@
 	s.Set(f)
 }
 
-// together sends two or three calls of one key at once.
-func (b *cluster) together(r *rand.Rand, vms []*vm, key string) []api.ErrorDetail {
+// sendConcurrently sends two or three calls of one key at once.
+func (b *cluster) sendConcurrently(r *rand.Rand, vms []*vm, key string) []api.ErrorDetail {
 	n := 2 + r.IntN(2)
 	out := make([]api.ErrorDetail, n)
 	var w sync.WaitGroup
@@ -99,7 +99,7 @@
 	return out
 }
 
-func allNo(l []api.ErrorDetail) bool {
+func allNotRun(l []api.ErrorDetail) bool {
 	for _, x := range l {
 		if x.Ran != api.RanNo {
 			return false
@@ -110,7 +110,7 @@
 
 // The owner of a claim can't be asked: it is cut off from its peers. The call
 // may have run, so it is not made again.
-func TestOwnerCutOffFromItsPeersKeepsItsClaim(t *testing.T) {
+func TestClaimOfUnreachableOwnerIsNotTakenOver(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
 	b.servers("orders-1")
