--- a/contract/pairs_test.go
+++ b/contract/pairs_test.go
@@ -14,28 +14,28 @@
 	"github.com/wardridge/wardridge/internal/standin/service"
 )
 
-// harm is one fault that strikes a bed; it returns when it is over.
-type harm struct {
+// faultCase is one fault that strikes a bed; it returns when it is over.
+type faultCase struct {
 	name   string
-	strike func(b *cluster)
+	inject func(b *cluster)
 }
 
-// moment is how long a fault lasts.
-const moment = 250 * time.Millisecond
+// faultDuration is how long a fault lasts.
+const faultDuration = 250 * time.Millisecond
 
-var harms = []harm{
+var faultCases = []faultCase{
 	{"platform down", func(b *cluster) {
 		b.platform.Set(platform.Faults{Outage: true})
-		time.Sleep(moment)
+		time.Sleep(faultDuration)
 		b.platform.Set(platform.Faults{})
 	}},
 	{"platform loses answers", func(b *cluster) {
 		b.platform.Set(platform.Faults{LoseWrites: 5})
-		time.Sleep(moment)
+		time.Sleep(faultDuration)
 	}},
 	{"engine frozen", func(b *cluster) {
-		b.engines["engine-1"].Freeze(moment)
-		time.Sleep(moment)
+		b.engines["engine-1"].Freeze(faultDuration)
+		time.Sleep(faultDuration)
 	}},
 	{"engine drops streams", func(b *cluster) { b.engines["engine-2"].DropStreams(6) }},
 	{"engine leaves", func(b *cluster) { b.engines["engine-2"].Leave() }},
@@ -44,20 +44,20 @@
 	{"configuration changes", func(b *cluster) { b.setWeights("2026-10") }},
 }
 
-// TestFaultsTwoAtATime strikes with every two faults, and with each one twice,
+// TestPairsOfFaults strikes with every two faults, and with each one twice,
 // while callers stream and place orders.
-func TestFaultsTwoAtATime(t *testing.T) {
-	for i, x := range harms {
-		for _, y := range harms[i:] {
+func TestPairsOfFaults(t *testing.T) {
+	for i, x := range faultCases {
+		for _, y := range faultCases[i:] {
 			t.Run(x.name+" and "+y.name, func(t *testing.T) {
 				t.Parallel()
-				strikeTwice(t, x, y)
+				injectPair(t, x, y)
 			})
 		}
 	}
 }
 
-func strikeTwice(t *testing.T, x, y harm) {
+func injectPair(t *testing.T, x, y faultCase) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	b.startEngine("engine-2", nil, nil)
@@ -76,7 +76,7 @@
 			for i := range each {
 				v := b.vms[(c+i)%2]
 				key := fmt.Sprintf("%d-%d", c, i)
-				stream(t, v.send(chatCall(25, true)))
+				checkStream(t, v.send(chatCall(25, true)))
 				r := v.send(orderCall(key))
 				if r.err == nil && r.status != http.StatusOK {
 					mutex.Lock()
@@ -87,8 +87,8 @@
 			return nil
 		})
 	}
-	g.Go(func(context.Context) error { time.Sleep(moment / 5); x.strike(b); return nil })
-	g.Go(func(context.Context) error { time.Sleep(moment / 3); y.strike(b); return nil })
+	g.Go(func(context.Context) error { time.Sleep(faultDuration / 5); x.inject(b); return nil })
+	g.Go(func(context.Context) error { time.Sleep(faultDuration / 3); y.inject(b); return nil })
 	_ = g.Wait()
 	for key, n := range s.Counts() {
 		if n > 1 {
@@ -100,9 +100,9 @@
 	}
 }
 
-// stream checks that an answer is whole, or ends with a typed fault after
+// checkStream checks that an answer is whole, or ends with a typed fault after
 // tokens in order.
-func stream(t *testing.T, r reply) {
+func checkStream(t *testing.T, r reply) {
 	t.Helper()
 	if r.err != nil {
 		// A stopped entry VM takes no connection.
