--- a/contract/once_test.go
+++ b/contract/once_test.go
@@ -25,7 +25,7 @@
 func TestNotRepeatableCallsRunAtMostOnce(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
-	b.servers("orders-1")
+	b.setServers("orders-1")
 	vms := []*vm{b.startEntry("entry-1", ""), b.startEntry("entry-2", ""), b.startEntry("entry-3", "")}
 	var mutex sync.Mutex
 	failures := map[string][]api.ErrorDetail{}
@@ -113,7 +113,7 @@
 func TestClaimOfUnreachableOwnerIsNotTakenOver(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
-	b.servers("orders-1")
+	b.setServers("orders-1")
 	v := b.startEntry("entry-1", "")
 	s.Set(service.Faults{LoseAnswers: 1})
 	v.send(orderCall("k"))
--- a/contract/pairs_test.go
+++ b/contract/pairs_test.go
@@ -62,7 +62,7 @@
 	b.startEngine("engine-1", nil, nil)
 	b.startEngine("engine-2", nil, nil)
 	s := b.startService("orders-1")
-	b.servers("orders-1")
+	b.setServers("orders-1")
 	more := "stall_ms = 150\nresume_ms = 15000\nfirst_token_ms = 1000\n"
 	b.startEntry("entry-1", more)
 	b.startEntry("entry-2", more)
--- a/contract/platform_test.go
+++ b/contract/platform_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/standin/platform"
 )
 
-func object(name, weights string, v api.Version) api.Object {
+func modelObject(name, weights string, v api.Version) api.Object {
 	return api.Object{Kind: api.ResourceKindModel, Name: name, Version: v, Spec: []byte(`{"weights":"` + weights + `"}`)}
 }
 
@@ -25,39 +25,39 @@
 		faults platform.Faults
 		call   func(c *client.Client, v api.Version) error
 		want   fault.Code
-		// there is the weights that the object has afterwards.
-		there string
+		// weights is the weights that the object has afterwards.
+		weights string
 	}{
 		{"create what is there", platform.Faults{}, func(c *client.Client, _ api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", 0))
+			_, err := c.Put(ctx, modelObject("m", "b", 0))
 			return err
 		}, fault.VersionConflict, "a"},
 		{"update", platform.Faults{}, func(c *client.Client, v api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", v))
+			_, err := c.Put(ctx, modelObject("m", "b", v))
 			return err
 		}, 0, "b"},
 		{"update of an older version", platform.Faults{}, func(c *client.Client, v api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", v-1))
+			_, err := c.Put(ctx, modelObject("m", "b", v-1))
 			return err
 		}, fault.VersionConflict, "a"},
 		{"answer lost", platform.Faults{LoseWrites: 1}, func(c *client.Client, v api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", v))
+			_, err := c.Put(ctx, modelObject("m", "b", v))
 			return err
 		}, fault.OutcomeUnknown, "b"},
 		{"answer lost, read back", platform.Faults{LoseWrites: 1}, func(c *client.Client, v api.Version) error {
-			_, err := c.PutConfirmed(ctx, object("m", "b", v))
+			_, err := c.PutConfirmed(ctx, modelObject("m", "b", v))
 			return err
 		}, 0, "b"},
 		{"lost answer to a conflict, read back", platform.Faults{LoseWrites: 1}, func(c *client.Client, v api.Version) error {
-			_, err := c.PutConfirmed(ctx, object("m", "b", v-1))
+			_, err := c.PutConfirmed(ctx, modelObject("m", "b", v-1))
 			return err
 		}, fault.VersionConflict, "a"},
 		{"outage", platform.Faults{Outage: true}, func(c *client.Client, v api.Version) error {
-			_, err := c.PutConfirmed(ctx, object("m", "b", v))
+			_, err := c.PutConfirmed(ctx, modelObject("m", "b", v))
 			return err
 		}, fault.PlatformDown, "a"},
 		{"answer slower than the wait", platform.Faults{SlowMS: 400}, func(c *client.Client, v api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", v))
+			_, err := c.Put(ctx, modelObject("m", "b", v))
 			return err
 		}, fault.OutcomeUnknown, ""},
 		{"read of nothing", platform.Faults{}, func(c *client.Client, _ api.Version) error {
@@ -66,7 +66,7 @@
 		}, fault.NotFound, "a"},
 		{"watch from too long ago", platform.Faults{}, func(c *client.Client, _ api.Version) error {
 			for i := range 1100 {
-				o, err := c.Put(ctx, object("other", "x", api.Version(i)*0))
+				o, err := c.Put(ctx, modelObject("other", "x", api.Version(i)*0))
 				if err != nil {
 					return err
 				}
@@ -87,10 +87,10 @@
 			p := platform.New(s, platform.Options{WritesPerSecond: 100000, ReadsPerSecond: 100000})
 			c, closer := client.New(serve(t, p.Handler()), 200*time.Millisecond)
 			defer closer()
-			if _, err := s.Put(object("first", "x", 0)); err != nil {
+			if _, err := s.Put(modelObject("first", "x", 0)); err != nil {
 				t.Fatal(err)
 			}
-			o, err := s.Put(object("m", "a", 0))
+			o, err := s.Put(modelObject("m", "a", 0))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -103,35 +103,35 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if x.there != "" && !strings.Contains(string(n.Spec), `"`+x.there+`"`) {
-				t.Errorf("object: got %s, want weights %s", n.Spec, x.there)
+			if x.weights != "" && !strings.Contains(string(n.Spec), `"`+x.weights+`"`) {
+				t.Errorf("object: got %s, want weights %s", n.Spec, x.weights)
 			}
 		})
 	}
 }
 
-func TestPlatformThrottles(t *testing.T) {
+func TestWritesOverRateAreThrottled(t *testing.T) {
 	p := platform.New(platform.NewStore(), platform.Options{WritesPerSecond: 1, ReadsPerSecond: 100})
 	c, closer := client.New(serve(t, p.Handler()), time.Second)
 	defer closer()
 	ctx := context.Background()
-	if _, err := c.Put(ctx, object("a", "x", 0)); err != nil {
+	if _, err := c.Put(ctx, modelObject("a", "x", 0)); err != nil {
 		t.Fatal(err)
 	}
-	_, err := c.Put(ctx, object("b", "x", 0))
+	_, err := c.Put(ctx, modelObject("b", "x", 0))
 	if !fault.Has(err, fault.PlatformThrottled) {
 		t.Errorf("got %v, want platform_throttled", err)
 	}
 }
 
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentApplyIsAConflict(t *testing.T) {
 	b := newCluster(t)
 	ctx := context.Background()
 	there, err := b.store.Get(api.ResourceKindModel, "desk")
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := object("desk", "first", there.Version), object("desk", "second", there.Version)
+	first, second := modelObject("desk", "first", there.Version), modelObject("desk", "second", there.Version)
 	if _, err := resource.Apply(ctx, b.client, first); err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 }
 
 // Edits of one field by many operators at once all count.
-func TestEditsDoNotOverwriteEachOther(t *testing.T) {
+func TestConcurrentEditsAreBothKept(t *testing.T) {
 	b := newCluster(t)
 	b.declareServer("e", unusedAddress(t), api.BackendServerSpec{})
 	done := make(chan error, 2)
@@ -172,7 +172,7 @@
 }
 
 // A platform that comes back from a copy gives no version out again.
-func TestPlatformComesBackFromACopy(t *testing.T) {
+func TestRestoredPlatformReusesNoVersion(t *testing.T) {
 	p := platform.New(platform.NewStore(), platform.Options{WritesPerSecond: 100, ReadsPerSecond: 100})
 	address := serve(t, p.Handler())
 	c, closer := client.New(address, time.Second)
@@ -194,22 +194,22 @@
 		}
 		_ = r.Body.Close()
 	}
-	first := put(object("a", "first", 0))
+	first := put(modelObject("a", "first", 0))
 	control("copy")
-	second := put(object("a", "second", first))
+	second := put(modelObject("a", "second", first))
 	control("restore")
 	kinds := []api.ResourceKind{api.ResourceKindModel}
 	l, err := c.List(ctx, kinds)
 	if err != nil || l.Version <= second || l.Version.Era() != 1 || len(l.Items) != 1 || l.Items[0].Version != first {
 		t.Errorf("list: got %+v at %v, %v, want the object at %v, as of a later era", l.Items, l.Version, err, first)
 	}
-	if _, err := c.Put(ctx, object("a", "lost", second)); !fault.Has(err, fault.VersionConflict) {
+	if _, err := c.Put(ctx, modelObject("a", "lost", second)); !fault.Has(err, fault.VersionConflict) {
 		t.Errorf("write on what was lost: got %v, want version_conflict", err)
 	}
 	if _, err := c.Watch(ctx, second, time.Second, kinds); !fault.Has(err, fault.WatchTooOld) {
 		t.Errorf("watch from what was lost: got %v, want watch_too_old", err)
 	}
-	if third := put(object("a", "third", first)); third <= l.Version {
+	if third := put(modelObject("a", "third", first)); third <= l.Version {
 		t.Errorf("write on what the copy has: got version %v, want one above %v", third, l.Version)
 	}
 }
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -15,13 +15,13 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// crowd is an engine for one generation at a time, which takes long.
-func crowd(b *cluster) *engine.Engine {
+// startSlowEngine is an engine for one generation at a time, which takes long.
+func startSlowEngine(b *cluster) *engine.Engine {
 	return b.startEngine("engine-1", nil, func(o *engine.Options) { o.Batch.StepBase = 5 * time.Millisecond })
 }
 
-// hold keeps an engine busy until the test ends.
-func hold(t *testing.T, v *vm) {
+// occupyEngine keeps an engine busy until the test ends.
+func occupyEngine(t *testing.T, v *vm) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	r, err := chatCall(16000, true).newRequest(ctx, v.listen)
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestRefusalsThatSayNotRun enumerates the paths on which a caller is told
+// TestNotRunRefusalsStartNoGeneration enumerates the paths on which a caller is told
 // that its request was not run, and counts what engines started.
-func TestRefusalsThatSayNotRun(t *testing.T) {
+func TestNotRunRefusalsStartNoGeneration(t *testing.T) {
 	const one = "admission = slots\nslots = 1\n[entry]\nqueue_limit = 1\nqueue_wait_ms = 300\n"
 	tests := []struct {
 		name  string
@@ -52,10 +52,10 @@
 		ask   call
 		want  fault.Code
 	}{
-		{"queue timeout", one, func(t *testing.T, _ *cluster, v *vm) { hold(t, v) }, chatCall(1, false), fault.QueueTimeout},
-		{"deadline while waiting", one, func(t *testing.T, _ *cluster, v *vm) { hold(t, v) }, chatCall(1, false, wire.HeaderDeadline, "40"), fault.DeadlinePassed},
+		{"queue timeout", one, func(t *testing.T, _ *cluster, v *vm) { occupyEngine(t, v) }, chatCall(1, false), fault.QueueTimeout},
+		{"deadline while waiting", one, func(t *testing.T, _ *cluster, v *vm) { occupyEngine(t, v) }, chatCall(1, false, wire.HeaderDeadline, "40"), fault.DeadlinePassed},
 		{"queue full", one, func(t *testing.T, b *cluster, v *vm) {
-			hold(t, v)
+			occupyEngine(t, v)
 			b.group.Go(func(context.Context) error { v.send(chatCall(1, false)); return nil })
 			b.waitFor("the queue to fill", func() bool { return b.metric(v, "requests_waiting") == 1 })
 		}, chatCall(1, false, wire.HeaderPriority, "background"), fault.QueueFull},
@@ -64,7 +64,7 @@
 			b.waitFor("the notice", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
 		}, chatCall(1, false), fault.NoServer},
 		{"engine gone", "", func(t *testing.T, b *cluster, v *vm) {
-			b.move("engine-1", unusedAddress(t))
+			b.changeAddress("engine-1", unusedAddress(t))
 			b.waitFor("the loss", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
 		}, chatCall(1, false), fault.NoServer},
 		{"planned stop", "", func(_ *testing.T, b *cluster, v *vm) {
@@ -76,7 +76,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			b := newCluster(t)
-			e := crowd(b)
+			e := startSlowEngine(b)
 			v := b.startEntry("entry-1", c.more)
 			c.setup(t, b, v)
 			before := e.Started()
@@ -99,8 +99,8 @@
 	}
 }
 
-// move changes a backend server's address.
-func (b *cluster) move(name, address string) {
+// changeAddress changes a backend server's address.
+func (b *cluster) changeAddress(name, address string) {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindBackendServer, name)
 	if err != nil {
@@ -158,13 +158,13 @@
 	}
 }
 
-// TestStrangersGetNothing asks with one workspace's key for another's things.
-func TestStrangersGetNothing(t *testing.T) {
+// TestStreamIsNotServedToOtherWorkspaces asks with one workspace's key for another's things.
+func TestStreamIsNotServedToOtherWorkspaces(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	v := b.startEntry("entry-1", "")
 	r := v.send(chatCall(5, true))
-	id := lastID(r.body)
+	id := firstEventID(r.body)
 	back := call{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequestID), headers: []string{wire.HeaderLastEventID, id}}
 	back.key = sample.KeyField
 	checkRefusal(t, v.send(back), fault.UnknownStream)
@@ -189,7 +189,7 @@
 	checkRefusal(t, v.send(back), fault.UnknownStream)
 }
 
-func lastID(body string) string {
+func firstEventID(body string) string {
 	_, rest, _ := strings.Cut(body, "id: ")
 	id, _, _ := strings.Cut(rest, "\n")
 	return id
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -42,7 +42,7 @@
 			t.Parallel()
 			b := newCluster(t)
 			s := b.startService("orders-1")
-			b.alias(s, "orders-2")
+			b.declareAlias(s, "orders-2")
 			v := b.startEntry("entry-1", "")
 			s.Set(c.faults)
 			r := v.send(c.ask)
@@ -66,15 +66,15 @@
 	}
 }
 
-// alias declares a second server of the plain service that is the same one.
-func (b *cluster) alias(s *service.Service, name string) {
+// declareAlias declares a second server of the plain service that is the same one.
+func (b *cluster) declareAlias(s *service.Service, name string) {
 	b.t.Helper()
 	b.declareServer(name, serve(b.t, s.Handler()), api.BackendServerSpec{Type: api.ServerTypeService})
-	b.servers("orders-1", name)
+	b.setServers("orders-1", name)
 }
 
-// servers sets the servers of the plain service.
-func (b *cluster) servers(names ...string) {
+// setServers sets the setServers of the plain service.
+func (b *cluster) setServers(names ...string) {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindService, "orders")
 	if err != nil {
@@ -84,27 +84,27 @@
 	b.put(o)
 }
 
-func TestUnreachableServiceWasNotRun(t *testing.T) {
+func TestCallToUnreachableServiceIsNotRun(t *testing.T) {
 	b := newCluster(t)
 	b.declareServer("gone", unusedAddress(t), api.BackendServerSpec{Type: api.ServerTypeService})
-	b.servers("gone")
+	b.setServers("gone")
 	v := b.startEntry("entry-1", "")
 	r := v.send(orderCall("k"))
 	checkRefusal(t, r, fault.NoServer)
 	// The claim was given back, so the call can be made once a server is there.
 	s := b.startService("orders-1")
-	b.servers("orders-1")
+	b.setServers("orders-1")
 	b.waitFor("the call to be made", func() bool { return v.send(orderCall("k")).status == http.StatusOK })
 	if got := s.Counts()["k"]; got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
 }
 
-func TestUnreachableServerIsPassedOver(t *testing.T) {
+func TestUnreachableServerIsSkipped(t *testing.T) {
 	b := newCluster(t)
 	b.declareServer("a-gone", unusedAddress(t), api.BackendServerSpec{Type: api.ServerTypeService})
 	s := b.startService("orders-1")
-	b.servers("a-gone", "orders-1")
+	b.setServers("a-gone", "orders-1")
 	v := b.startEntry("entry-1", "")
 	for i := range 5 {
 		if r := v.send(orderCall(fmt.Sprint(i))); r.status != http.StatusOK {
@@ -119,7 +119,7 @@
 func TestAnswerIsReplayedThroughAnotherEntryVM(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
-	b.servers("orders-1")
+	b.setServers("orders-1")
 	v, w := b.startEntry("entry-1", ""), b.startEntry("entry-2", "")
 	first := v.send(orderCall("k"))
 	second := w.send(orderCall("k"))
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestClaimsThroughThePlatformsFaults(t *testing.T) {
+func TestClaimsDuringPlatformFaults(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults platform.Faults
@@ -156,7 +156,7 @@
 			t.Parallel()
 			b := newCluster(t)
 			s := b.startService("orders-1")
-			b.servers("orders-1")
+			b.setServers("orders-1")
 			v := b.startEntry("entry-1", "")
 			b.platform.Set(c.faults)
 			checkRefusal(t, v.send(orderCall("k")), c.want)
@@ -178,7 +178,7 @@
 
 // The HTTP transport repeats a request that carries an idempotency key when a
 // kept connection breaks; a call that is not repeatable must not be.
-func TestTransportDoesNotRepeatACall(t *testing.T) {
+func TestTransportDoesNotRepeatCalls(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
 	v := b.startEntry("entry-1", "")
--- a/contract/trace_test.go
+++ b/contract/trace_test.go
@@ -13,9 +13,9 @@
 	"github.com/wardridge/wardridge/internal/trace"
 )
 
-// TestSpansPerHop follows one caller's trace through the entry VM to the
+// TestEachHopRecordsASpan follows one caller's trace through the entry VM to the
 // engine, and the question to a peer.
-func TestSpansPerHop(t *testing.T) {
+func TestEachHopRecordsASpan(t *testing.T) {
 	r := tracetest.NewSpanRecorder()
 	p := sdk.NewTracerProvider(sdk.WithSpanProcessor(r))
 	otel.SetTracerProvider(p)
@@ -41,11 +41,11 @@
 			}
 		}
 	})
-	b.waitFor("every span", func() bool { return len(missing(r, id, want)) == 0 })
+	b.waitFor("every span", func() bool { return len(missingSpans(r, id, want)) == 0 })
 }
 
-// missing lists the spans that a trace has not ended yet.
-func missing(r *tracetest.SpanRecorder, id string, want []string) []string {
+// missingSpans lists the spans that a trace has not ended yet.
+func missingSpans(r *tracetest.SpanRecorder, id string, want []string) []string {
 	seen := map[string]bool{}
 	for _, s := range r.Ended() {
 		if s.SpanContext().TraceID().String() == id {
