--- a/contract/caller_test.go
+++ b/contract/caller_test.go
@@ -25,7 +25,7 @@
 	with := func(h ...string) call { return call{key: sample.KeyDispatch, body: validBody, headers: h} }
 	tests := []struct {
 		name string
-		ask  call
+		call call
 		want fault.Code
 	}{
 		{"whole answer", chatBody(validBody), 0},
@@ -62,7 +62,7 @@
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			r := v.send(c.ask)
+			r := v.send(c.call)
 			if r.err != nil {
 				t.Fatal(r.err)
 			}
--- a/contract/engine_test.go
+++ b/contract/engine_test.go
@@ -75,10 +75,10 @@
 			if r.err != nil {
 				t.Fatal(r.err)
 			}
-			got, whole := parseTokens(r.body)
+			got, complete := parseTokens(r.body)
 			checkTokens(t, got, 0, c.tokens)
-			if whole != (c.want == 0) {
-				t.Errorf("whole: got %v, want %v: %s", whole, c.want == 0, r.body)
+			if complete != (c.want == 0) {
+				t.Errorf("whole: got %v, want %v: %s", complete, c.want == 0, r.body)
 			}
 			if f := r.fault(); fault.Code(f.Code) != c.want || f.Ran != c.ran {
 				t.Errorf("fault: got %d ran %q, want %d ran %q", f.Code, f.Ran, c.want, c.ran)
--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -351,7 +351,7 @@
 }
 
 // parseTokens gives the tokens of a streamed answer and whether it ended whole.
-func parseTokens(body string) (tokens []string, whole bool) {
+func parseTokens(body string) (tokens []string, complete bool) {
 	for l := range strings.SplitSeq(body, "\n") {
 		d, ok := strings.CutPrefix(l, "data: ")
 		if !ok {
--- a/contract/pairs_test.go
+++ b/contract/pairs_test.go
@@ -108,9 +108,9 @@
 		// A stopped entry VM takes no connection.
 		return
 	}
-	got, whole := parseTokens(r.body)
+	got, complete := parseTokens(r.body)
 	want := 25
-	if !whole {
+	if !complete {
 		want = len(got)
 		if f := r.fault(); f.Code == 0 || f.Type == "internal" {
 			t.Errorf("got status %d and %q, want a whole answer or a typed fault", r.status, r.body)
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -46,11 +46,11 @@
 func TestNotRunRefusalsStartNoGeneration(t *testing.T) {
 	const one = "admission = slots\nslots = 1\n[entry]\nqueue_limit = 1\nqueue_wait_ms = 300\n"
 	tests := []struct {
-		name  string
-		more  string
-		setup func(t *testing.T, b *cluster, v *vm)
-		ask   call
-		want  fault.Code
+		name     string
+		settings string
+		setup    func(t *testing.T, b *cluster, v *vm)
+		call     call
+		want     fault.Code
 	}{
 		{"queue timeout", one, func(t *testing.T, _ *cluster, v *vm) { occupyEngine(t, v) }, chatCall(1, false), fault.QueueTimeout},
 		{"deadline while waiting", one, func(t *testing.T, _ *cluster, v *vm) { occupyEngine(t, v) }, chatCall(1, false, wire.HeaderDeadline, "40"), fault.DeadlinePassed},
@@ -77,10 +77,10 @@
 			t.Parallel()
 			b := newCluster(t)
 			e := startSlowEngine(b)
-			v := b.startEntry("entry-1", c.more)
+			v := b.startEntry("entry-1", c.settings)
 			c.setup(t, b, v)
 			before := e.Started()
-			r := v.send(c.ask)
+			r := v.send(c.call)
 			if c.want == 0 {
 				// The listener may be closed already, which proves the same.
 				if r.err == nil && fault.Code(r.fault().Code) != fault.Stopping {
@@ -165,13 +165,13 @@
 	v := b.startEntry("entry-1", "")
 	r := v.send(chatCall(5, true))
 	id := firstEventID(r.body)
-	back := call{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequestID), headers: []string{wire.HeaderLastEventID, id}}
-	back.key = sample.KeyField
-	checkRefusal(t, v.send(back), fault.UnknownStream)
-	back.key = "nobody"
-	checkRefusal(t, v.send(back), fault.UnknownWorkspace)
-	back.key = sample.KeyDispatch
-	if got := v.send(back); got.status != http.StatusOK {
+	resume := call{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequestID), headers: []string{wire.HeaderLastEventID, id}}
+	resume.key = sample.KeyField
+	checkRefusal(t, v.send(resume), fault.UnknownStream)
+	resume.key = "nobody"
+	checkRefusal(t, v.send(resume), fault.UnknownWorkspace)
+	resume.key = sample.KeyDispatch
+	if got := v.send(resume); got.status != http.StatusOK {
 		t.Errorf("its own caller: got %d %s, want 200", got.status, got.body)
 	}
 	o, err := b.store.Get(api.ResourceKindWorkspace, "dispatch")
@@ -181,12 +181,12 @@
 	o.Spec = []byte(strings.Replace(string(o.Spec), "{", `{"requests_per_second":1,`, 1))
 	n := b.put(o).Version
 	b.waitForVersion(v, n)
-	b.waitFor("the limit", func() bool { return v.send(back).status == http.StatusTooManyRequests })
-	if f := v.send(back).fault(); f.Ran != api.RanYes {
+	b.waitFor("the limit", func() bool { return v.send(resume).status == http.StatusTooManyRequests })
+	if f := v.send(resume).fault(); f.Ran != api.RanYes {
 		t.Errorf("resume over the limit: got ran %s, want yes, as the request itself ran", f.Ran)
 	}
-	back.path = "/v1/chat/completions/another"
-	checkRefusal(t, v.send(back), fault.UnknownStream)
+	resume.path = "/v1/chat/completions/another"
+	checkRefusal(t, v.send(resume), fault.UnknownStream)
 }
 
 func firstEventID(body string) string {
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -20,12 +20,12 @@
 	tests := []struct {
 		name   string
 		faults service.Faults
-		ask    call
+		call   call
 		want   fault.Code
 		ran    api.Ran
 		// runs is how often the call ran, and again what asking again gets.
-		runs  int
-		again int
+		runs        int
+		retryStatus int
 	}{
 		{"whole", service.Faults{}, orderCall("k"), 0, "", 1, http.StatusOK},
 		{"answer lost", service.Faults{LoseAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
@@ -45,7 +45,7 @@
 			b.declareAlias(s, "orders-2")
 			v := b.startEntry("entry-1", "")
 			s.Set(c.faults)
-			r := v.send(c.ask)
+			r := v.send(c.call)
 			if r.err != nil {
 				t.Fatal(r.err)
 			}
@@ -53,13 +53,13 @@
 				t.Errorf("fault: got %d ran %q (%s), want %d ran %q", f.Code, f.Ran, r.body, c.want, c.ran)
 			}
 			b.waitFor("the call to be counted", func() bool { return s.Counts()["k"] >= c.runs })
-			if c.again != 0 {
+			if c.retryStatus != 0 {
 				s.Set(service.Faults{})
-				if got := v.send(c.ask).status; got != c.again {
-					t.Errorf("asked again: got %d, want %d", got, c.again)
+				if got := v.send(c.call).status; got != c.retryStatus {
+					t.Errorf("asked again: got %d, want %d", got, c.retryStatus)
 				}
 			}
-			if got, most := s.Counts()["k"], c.runs+1; strings.Contains(c.ask.path, "confirm") && got != 1 || got > most {
+			if got, maxRuns := s.Counts()["k"], c.runs+1; strings.Contains(c.call.path, "confirm") && got != 1 || got > maxRuns {
 				t.Errorf("runs: got %d, want %d", got, c.runs)
 			}
 		})
@@ -133,9 +133,9 @@
 	other.body = "compressor 8"
 	checkRefusal(t, w.send(other), fault.ReusedKey)
 	// Another workspace's key of the same text is another key.
-	stranger := orderCall("k")
-	stranger.key = sample.KeyDispatch
-	if r := v.send(stranger); r.status != http.StatusOK {
+	foreign := orderCall("k")
+	foreign.key = sample.KeyDispatch
+	if r := v.send(foreign); r.status != http.StatusOK {
 		t.Errorf("another workspace: got %d, want 200", r.status)
 	}
 }
