--- a/contract/address_test.go
+++ b/contract/address_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A connection of any test may take a port of 127.0.0.1 between the moment at
-// which an entry VM's address is chosen and the one at which it listens there.
+// A connection of any test may take a port of 127.0.0.1 between the moment when an entry VM's
+// address is chosen and the moment when the VM listens there. The address must stay free.
 func TestEntryAddressIsNotTakenByConnections(t *testing.T) {
 	a := freeAddress(t)
 	_, p, err := net.SplitHostPort(a)
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	if l, err := net.Listen("tcp", "127.0.0.1:"+p); err == nil {
-		// Else a connection has it already, which is the same.
+		// If listening failed, a connection has the port already, which serves the test as well.
 		defer func() { _ = l.Close() }()
 	}
 	l, err := net.Listen("tcp", a)
--- a/contract/caller_test.go
+++ b/contract/caller_test.go
@@ -11,10 +11,12 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
+// chatBody is a chat call with the given body.
 func chatBody(s string) call {
 	return call{key: sample.KeyDispatch, body: s}
 }
 
+// validBody is the body of a valid chat request.
 const validBody = `{"model":"desk","messages":[{"role":"user","content":"x"}]}`
 
 func TestCallerContract(t *testing.T) {
@@ -28,7 +30,7 @@
 		call call
 		want fault.Code
 	}{
-		{"whole answer", chatBody(validBody), 0},
+		{"complete answer", chatBody(validBody), 0},
 		{"no key", call{body: validBody}, fault.UnknownWorkspace},
 		{"unknown key", call{key: "nobody", body: validBody}, fault.UnknownWorkspace},
 		{"malformed JSON", chatBody(`{"model":`), fault.MalformedJSON},
@@ -36,29 +38,29 @@
 		{"two values", chatBody(validBody + validBody), fault.MalformedJSON},
 		{"wrong type", chatBody(`{"model":7,"messages":[]}`), fault.MalformedJSON},
 		{"empty body", chatBody(``), fault.MalformedJSON},
-		{"no message", chatBody(`{"model":"desk","messages":[]}`), fault.InvalidRequest},
+		{"no messages", chatBody(`{"model":"desk","messages":[]}`), fault.InvalidRequest},
 		{"negative length", chatBody(`{"model":"desk","max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`), fault.InvalidRequest},
 		{"unknown model", chatBody(strings.Replace(validBody, "desk", "none", 1)), fault.UnknownModel},
 		{"unknown adapter", chatBody(strings.Replace(validBody, "desk", "desk:none", 1)), fault.UnknownModel},
 		{"adapter of the workspace", chatBody(strings.Replace(validBody, "desk", "desk:permits", 1)), 0},
 		{"another workspace's adapter", call{key: sample.KeyField, body: strings.Replace(validBody, "desk", "desk:permits", 1)}, fault.NotAllowed},
 		{"oversized body", chatBody(strings.Repeat("x", 129<<10)), fault.BodyTooLarge},
-		{"prompt over the context", chatBody(strings.Replace(validBody, `"x"`, `"`+strings.Repeat("x", 70<<10)+`"`, 1)), fault.TooLarge},
+		{"prompt longer than the context", chatBody(strings.Replace(validBody, `"x"`, `"`+strings.Repeat("x", 70<<10)+`"`, 1)), fault.TooLarge},
 		{"unknown priority", with(wire.HeaderPriority, "urgent"), fault.InvalidHeader},
 		{"lower priority", with(wire.HeaderPriority, "background"), 0},
 		{"deadline not a number", with(wire.HeaderDeadline, "soon"), fault.InvalidHeader},
 		{"deadline of 0", with(wire.HeaderDeadline, "0"), fault.InvalidHeader},
 		{"deadline too far", with(wire.HeaderDeadline, "99999999999"), fault.InvalidHeader},
-		{"mark not a bool", with(wire.HeaderNotRepeatable, "yes"), fault.InvalidHeader},
+		{"not-repeatable mark not a bool", with(wire.HeaderNotRepeatable, "yes"), fault.InvalidHeader},
 		{"key too long", with(wire.HeaderIdempotencyKey, strings.Repeat("k", 300)), fault.InvalidHeader},
-		{"kind too long", with(wire.HeaderKind, strings.Repeat("k", 100)), fault.InvalidHeader},
+		{"request kind too long", with(wire.HeaderKind, strings.Repeat("k", 100)), fault.InvalidHeader},
 		{"unknown path", call{path: "/v1/none", key: sample.KeyDispatch}, fault.UnknownPath},
 		{"wrong method", call{method: http.MethodPut, key: sample.KeyDispatch}, fault.UnknownPath},
 		{"unknown service", call{path: "/services/none/x", key: sample.KeyDispatch}, fault.UnknownService},
 		{"service without a key", call{path: "/services/orders/x"}, fault.UnknownWorkspace},
 		{"service", call{path: "/services/orders/x", key: sample.KeyDispatch}, 0},
 		{"resume without an event id", call{method: http.MethodGet, path: "/v1/chat/completions/r"}, fault.UnknownWorkspace},
-		{"resume with a made-up event id", call{method: http.MethodGet, path: "/v1/chat/completions/r", key: sample.KeyDispatch, headers: []string{wire.HeaderLastEventID, "YQ.YQ.YQ.YQ.1"}}, fault.UnknownStream},
+		{"resume with a forged event id", call{method: http.MethodGet, path: "/v1/chat/completions/r", key: sample.KeyDispatch, headers: []string{wire.HeaderLastEventID, "YQ.YQ.YQ.YQ.1"}}, fault.UnknownStream},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,8 +73,8 @@
 	}
 }
 
-// checkRefusal checks the answer's status, type, number and word on whether
-// the request ran against the catalogue.
+// checkRefusal compares an answer's status, type, code and report on whether the request ran with
+// the catalogue of faults; a code of 0 means success.
 func checkRefusal(t *testing.T, r reply, want fault.Code) {
 	t.Helper()
 	f := r.fault()
@@ -124,14 +126,14 @@
 	conn = dial(t, v.listen)
 	send(t, conn, "POST / HTTP/1.1\r\nHost: x\r\nX-Long: "+strings.Repeat("x", 64<<10)+"\r\n\r\n")
 	if got := readAll(t, conn); !strings.Contains(got, "431") {
-		t.Errorf("huge head: got %q, want 431", got)
+		t.Errorf("oversized header: got %q, want 431", got)
 	}
 	conn = dial(t, v.listen)
 	send(t, conn, "POST / HT")
 	if got := readAll(t, conn); strings.Contains(got, "200") {
-		t.Errorf("slow head: got %q, want the connection closed", got)
+		t.Errorf("slow header: got %q, want the connection closed", got)
 	}
 	if r := v.send(chatCall(3, false)); r.status != http.StatusOK {
-		t.Errorf("a caller after them: got %d, want 200", r.status)
+		t.Errorf("request after the rejected ones: got %d, want 200", r.status)
 	}
 }
--- a/contract/config_test.go
+++ b/contract/config_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/standin/platform"
 )
 
-// setWeights changes the model's setWeights and gives the version.
+// setWeights changes the model's weights and returns the new version.
 func (b *cluster) setWeights(w string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindModel, "desk")
@@ -25,7 +25,8 @@
 	return b.put(o).Version
 }
 
-// revokeKey takes a workspace's key away and gives the version.
+// revokeKey changes the stored hash of a workspace's API key so that no key matches, and returns
+// the new version.
 func (b *cluster) revokeKey(workspace string) api.Version {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindWorkspace, workspace)
@@ -38,6 +39,7 @@
 	return b.put(o).Version
 }
 
+// waitForVersion waits until an entry VM has a version of the configuration in force.
 func (b *cluster) waitForVersion(v *vm, n api.Version) {
 	b.t.Helper()
 	b.waitFor(v.name+" to have the change in force", func() bool {
@@ -46,8 +48,8 @@
 	})
 }
 
-// A restarted entry VM meets a stale replica of the platform: its peers keep
-// it from serving by the old configuration.
+// A restarted entry VM that reads from a stale replica of the platform must not serve with the old
+// configuration, since its peers have the newer one.
 func TestRestartWithStaleReadsKeepsNewerConfig(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
@@ -61,8 +63,8 @@
 	b.waitForVersion(w, n)
 }
 
-// Versions never go back on any entry VM while the platform fails and
-// operators change things.
+// The configuration version never decreases on any entry VM while the platform has faults and
+// operators change the configuration.
 func TestConfigVersionNeverDecreases(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
@@ -94,12 +96,12 @@
 	end.Store(true)
 }
 
-// An entry VM that the platform does not answer takes the change from a peer.
+// An entry VM that cannot reach the platform takes a change from a peer.
 func TestChangeArrivesFromPeerWhenPlatformIsUnreachable(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
 	v := b.startEntry("entry-1", "")
-	// entry-2 reaches the platform through a link that is cut later.
+	// entry-2 reaches the platform through a proxy that is cut later.
 	var cut atomic.Bool
 	direct := b.address
 	b.address = serve(t, proxy(direct, &cut))
@@ -115,7 +117,7 @@
 	}
 }
 
-// proxy passes calls on to an address until it is cut.
+// proxy forwards requests to an address until it is cut.
 func proxy(address string, cut *atomic.Bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if cut.Load() {
--- a/contract/conn_test.go
+++ b/contract/conn_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -18,6 +19,7 @@
 	return c
 }
 
+// send writes s to a connection.
 func send(t *testing.T, c net.Conn, s string) {
 	t.Helper()
 	if _, err := io.WriteString(c, s); err != nil {
@@ -25,7 +27,7 @@
 	}
 }
 
-// readAll reads what comes until the connection closes or is silent for long.
+// readAll reads up to 4096 bytes, until the connection closes or sends nothing for maxWait.
 func readAll(t *testing.T, c net.Conn) string {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(maxWait)); err != nil {
@@ -39,7 +41,7 @@
 	return string(b[:n])
 }
 
-// copyBody passes an answer's body on.
+// copyBody forwards the body of an answer.
 func copyBody(w http.ResponseWriter, a *http.Response) (int64, error) {
 	return io.Copy(w, a.Body)
 }
--- a/contract/doc.go
+++ b/contract/doc.go
@@ -1,3 +1,3 @@
-// Package contract tests each interface by one table of fault cases, run by
-// our own clients and entry VMs against the stand-ins.
+// Package contract tests each interface of the system with a table of fault cases, in which the
+// project's own clients and entry VMs run against stand-ins.
 package contract
--- a/contract/engine_test.go
+++ b/contract/engine_test.go
@@ -20,8 +20,8 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// TestBrokenStreamsDeliverTokensOnceInOrder breaks streams in each way and checks what the caller
-// gets: every token once, in order, of one generation, or a typed end.
+// TestBrokenStreamsDeliverTokensOnceInOrder breaks streams in each way. The caller must get every
+// token of one generation once and in order, or an end with a typed fault.
 func TestBrokenStreamsDeliverTokensOnceInOrder(t *testing.T) {
 	const notRepeatable = wire.HeaderNotRepeatable
 	tests := []struct {
@@ -33,37 +33,37 @@
 		ran           api.Ran
 		starts        int
 	}{
-		{"whole", []string{"t0 t1 t2 f3"}, false, 3, 0, "", 1},
-		{"no token at all", []string{"f0"}, false, 0, 0, "", 1},
-		{"doubled tokens", []string{"t0 t0 t1 t0 t1 t2 t2 f3"}, false, 3, 0, "", 1},
+		{"complete", []string{"t0 t1 t2 f3"}, false, 3, 0, "", 1},
+		{"no tokens", []string{"f0"}, false, 0, 0, "", 1},
+		{"duplicate tokens", []string{"t0 t0 t1 t0 t1 t2 t2 f3"}, false, 3, 0, "", 1},
 		{"tokens of another generation", []string{"x0 t0 x1 x2 t1 x0 f2"}, false, 2, 0, "", 1},
 		{"another generation's end", []string{"t0 x1 t1 f2"}, false, 2, 0, "", 1},
 		{"missing token", []string{"t0 t2 f3", "t1 t2 f3"}, false, 3, 0, "", 1},
-		{"end before all tokens came", []string{"t0 f3", "t1 t2 f3"}, false, 3, 0, "", 1},
+		{"end before the last token", []string{"t0 f3", "t1 t2 f3"}, false, 3, 0, "", 1},
 		{"cut in mid-stream", []string{"t0 t1 cut", "t2 f3"}, false, 3, 0, "", 1},
 		{"cut twice", []string{"t0 cut", "t1 cut", "t2 f3"}, false, 3, 0, "", 1},
 		{"cut at the last token", []string{"t0 t1 t2 cut", "f3"}, false, 3, 0, "", 1},
-		{"resume doubles tokens", []string{"t0 t1 cut", "t0 t1 t2 f3"}, false, 3, 0, "", 1},
+		{"resume repeats tokens", []string{"t0 t1 cut", "t0 t1 t2 f3"}, false, 3, 0, "", 1},
 		{"stall in mid-stream", []string{"t0 stall", "t1 f2"}, false, 2, 0, "", 1},
-		{"junk in mid-stream", []string{"t0 junk", "t1 f2"}, false, 2, 0, "", 1},
-		{"stream ends without its end", []string{"t0", "t1 f2"}, false, 2, 0, "", 1},
-		{"engine forgot in mid-stream", []string{"t0 cut", "unknown-generation"}, false, 1, fault.GenerationLost, api.RanYes, 1},
-		{"engine gone in mid-stream", []string{"t0 cut"}, false, 1, fault.GenerationLost, api.RanYes, 1},
+		{"invalid event in mid-stream", []string{"t0 junk", "t1 f2"}, false, 2, 0, "", 1},
+		{"stream closes without an end event", []string{"t0", "t1 f2"}, false, 2, 0, "", 1},
+		{"engine forgets the generation in mid-stream", []string{"t0 cut", "unknown-generation"}, false, 1, fault.GenerationLost, api.RanYes, 1},
+		{"engine unreachable in mid-stream", []string{"t0 cut"}, false, 1, fault.GenerationLost, api.RanYes, 1},
 		{"reset before a token", []string{"reset", "t0 f1"}, false, 1, 0, "", 2},
 		{"stall before a token", []string{"stall", "t0 f1"}, false, 1, 0, "", 2},
-		{"refused, then taken", []string{"full", "t0 f1"}, false, 1, 0, "", 2},
-		{"once: whole", []string{"t0 f1"}, true, 1, 0, "", 1},
-		{"once: refused, then taken", []string{"full", "t0 f1"}, true, 1, 0, "", 2},
-		{"once: reset before a token", []string{"reset", "t0 f1"}, true, 1, 0, "", 1},
-		{"once: reset, then unknown", []string{"reset", "unknown-generation"}, true, 0, fault.OutcomeUnknown, api.RanUnknown, 1},
-		{"once: reset, resume refused", []string{"reset", "full", "t0 f1"}, true, 1, 0, "", 1},
-		{"once: taken, cut, resume refused", []string{"cut", "full", "t0 f1"}, true, 1, 0, "", 1},
+		{"refused, then accepted", []string{"full", "t0 f1"}, false, 1, 0, "", 2},
+		{"not repeatable: complete", []string{"t0 f1"}, true, 1, 0, "", 1},
+		{"not repeatable: refused, then accepted", []string{"full", "t0 f1"}, true, 1, 0, "", 2},
+		{"not repeatable: reset before a token", []string{"reset", "t0 f1"}, true, 1, 0, "", 1},
+		{"not repeatable: reset, then unknown", []string{"reset", "unknown-generation"}, true, 0, fault.OutcomeUnknown, api.RanUnknown, 1},
+		{"not repeatable: reset, resume refused", []string{"reset", "full", "t0 f1"}, true, 1, 0, "", 1},
+		{"not repeatable: accepted, cut, resume refused", []string{"cut", "full", "t0 f1"}, true, 1, 0, "", 1},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			b := newCluster(t)
-			// Both engines follow one list of scripts, as a retry goes to the other.
+			// Both engines share one list of scripts, since a retry goes to the other engine.
 			s := b.startScripted("engine-1", c.scripts...)
 			b.shareScript(s, "engine-2")
 			v := b.startEntry("entry-1", shortTimeouts)
@@ -78,7 +78,7 @@
 			got, complete := parseTokens(r.body)
 			checkTokens(t, got, 0, c.tokens)
 			if complete != (c.want == 0) {
-				t.Errorf("whole: got %v, want %v: %s", complete, c.want == 0, r.body)
+				t.Errorf("complete: got %v, want %v: %s", complete, c.want == 0, r.body)
 			}
 			if f := r.fault(); fault.Code(f.Code) != c.want || f.Ran != c.ran {
 				t.Errorf("fault: got %d ran %q, want %d ran %q", f.Code, f.Ran, c.want, c.ran)
@@ -88,13 +88,13 @@
 				t.Errorf("generations started: got %d, want %d", starts, c.starts)
 			}
 			if strings.HasSuffix(c.scripts[len(c.scripts)-1], "unknown-generation") && resumes != 1 {
-				t.Errorf("resumes of a generation that is forgotten: got %d, want 1", resumes)
+				t.Errorf("resumes of a forgotten generation: got %d, want 1", resumes)
 			}
 		})
 	}
 }
 
-// shareScript declares a second engine that shares a script.
+// shareScript declares another engine that plays the scripts of s.
 func (b *cluster) shareScript(s *scriptedEngine, name string) {
 	b.t.Helper()
 	h := s.handler()
@@ -126,7 +126,7 @@
 	}
 	cancel()
 	_ = a.Body.Close()
-	b.waitFor("the engine to be told", func() bool { return e.Active() == 0 })
+	b.waitFor("the engine to cancel the generation", func() bool { return e.Active() == 0 })
 }
 
 func TestSlowReaderIsDisconnected(t *testing.T) {
@@ -143,9 +143,9 @@
 	}
 	q := chatCall(16000, true)
 	send(t, c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+q.key+"\r\nContent-Length: "+strconv.Itoa(len(q.body))+"\r\n\r\n"+q.body)
-	// The caller reads nothing more; its generation must end all the same.
+	// The caller stops reading; its generation must end nevertheless.
 	b.waitFor("the generation to start", func() bool { return e.Started() == 1 })
-	b.waitFor("the engine to be told", func() bool { return e.Active() == 0 })
+	b.waitFor("the engine to cancel the generation", func() bool { return e.Active() == 0 })
 	b.waitFor("the slow reader to be counted", func() bool { return b.metric(v, metric.SlowReaders) == 1 })
 }
 
@@ -158,7 +158,7 @@
 		{"refused", "leaving", answer.Refused},
 		{"unknown", "unknown-generation", answer.GenerationUnknown},
 		{"reset", "reset", answer.Broken},
-		{"an answer that is none", "{}", answer.Broken},
+		{"an unusable answer", "{}", answer.Broken},
 	}
 	c, closer := engine.New(time.Second)
 	defer closer()
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	if err := load("trusts", 1, "model/a@1"); err != nil {
-		t.Errorf("older fence at an engine that does not check: got %v, want it carried out", err)
+		t.Errorf("older fence at an engine that does not check: got %v, want it accepted", err)
 	}
 	if checks.Started() != 0 {
 		t.Errorf("generations: got %d, want 0", checks.Started())
--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -30,10 +30,10 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// maxWait bounds waits; no test asserts a time below it.
+// maxWait bounds every wait. No test asserts a shorter time.
 const maxWait = 20 * time.Second
 
-// vm is one entry VM of a bed.
+// vm is one entry VM of a cluster. done receives the result of its run.
 type vm struct {
 	name    string
 	listen  string
@@ -42,7 +42,7 @@
 	done    chan error
 }
 
-// cluster is a small system in this process.
+// cluster is a small system in this process: a platform, backend servers and entry VMs.
 type cluster struct {
 	t        testing.TB
 	group    *duty.Group
@@ -55,10 +55,12 @@
 	vms      []*vm
 }
 
+// hostPort returns the address of a test server.
 func hostPort(s *httptest.Server) string {
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
+// serve starts a server that is closed at the end of the test and returns its address.
 func serve(t testing.TB, h http.Handler) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -69,11 +71,11 @@
 	return hostPort(s)
 }
 
-// addresses gives addresses to the entry VMs of all tests here.
+// addresses hands out the addresses of the entry VMs of all tests in this package.
 var addresses = loopback.New()
 
-// freeAddress finds an address that nobody else is given and that no connection
-// takes: an entry VM listens on it later.
+// freeAddress returns an address for an entry VM to listen on later. It is returned once only,
+// and no outgoing connection takes it meanwhile.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	a, err := addresses.Free()
@@ -83,8 +85,8 @@
 	return a
 }
 
-// newCluster starts a platform that holds the models, workspaces and the service
-// of the sample, without any backend server or entry VM.
+// newCluster starts a platform with the models, workspaces and the service of the sample, but
+// without backend servers or entry VMs.
 func newCluster(t testing.TB) *cluster {
 	t.Helper()
 	b := &cluster{t: t, store: platform.NewStore(), engines: map[string]*engine.Engine{}, services: map[string]*service.Service{}}
@@ -107,6 +109,7 @@
 	return b
 }
 
+// put stores an object directly in the platform's store.
 func (b *cluster) put(o api.Object) api.Object {
 	b.t.Helper()
 	n, err := b.store.Put(o)
@@ -116,7 +119,7 @@
 	return n
 }
 
-// declareServer declares a declareServer server.
+// declareServer declares a backend server with an address; unset fields of s get defaults.
 func (b *cluster) declareServer(name, address string, s api.BackendServerSpec) {
 	b.t.Helper()
 	s.Address, s.Domain = address, "hall-a"
@@ -139,8 +142,8 @@
 	b.put(api.Object{Kind: api.ResourceKindBackendServer, Name: name, Spec: j})
 }
 
-// startEngine starts and declares an startEngine's stand-in with the sample's model
-// loaded; wrap may stand between it and its callers.
+// startEngine starts and declares a stand-in engine that has the sample's model loaded. wrap, if
+// any, wraps its handler, and change, if any, changes its options.
 func (b *cluster) startEngine(name string, wrap func(http.Handler) http.Handler, change func(*engine.Options)) *engine.Engine {
 	b.t.Helper()
 	o := engine.Defaults()
@@ -162,7 +165,7 @@
 	return e
 }
 
-// startService starts and declares the sample's plain startService.
+// startService starts and declares a server of the sample's plain service.
 func (b *cluster) startService(name string) *service.Service {
 	b.t.Helper()
 	s := service.New(api.ServerName(name))
@@ -171,7 +174,7 @@
 	return s
 }
 
-// settingsText is an entry VM's settings with short waits.
+// settingsText is the template of an entry VM's settings, with short waits.
 const settingsText = `[node]
 name = %s
 domain = hall-a
@@ -187,7 +190,8 @@
 report_poll_ms = 20
 `
 
-// startEntry starts an startEntry VM and waits until it serves.
+// startEntry starts an entry VM and waits until it serves and knows every engine as ready. more is
+// appended to its settings.
 func (b *cluster) startEntry(name, more string) *vm {
 	b.t.Helper()
 	v := b.launchEntry(name, more)
@@ -198,6 +202,7 @@
 	return v
 }
 
+// readyServers counts the backend servers that an entry VM knows as ready.
 func readyServers(s api.NodeStatus) int {
 	n := 0
 	for _, x := range s.Servers {
@@ -208,7 +213,7 @@
 	return n
 }
 
-// launchEntry starts an entry VM.
+// launchEntry starts an entry VM without waiting for it. It is stopped at the end of the test.
 func (b *cluster) launchEntry(name, more string) *vm {
 	b.t.Helper()
 	v := &vm{name: name, listen: freeAddress(b.t), control: freeAddress(b.t), done: make(chan error, 1)}
@@ -229,20 +234,21 @@
 	return v
 }
 
-// stop stops an entry VM as planned.
+// stop makes an entry VM shut down in order and waits for it.
 func (v *vm) stop(t testing.TB) {
 	t.Helper()
 	v.cancel()
 	select {
 	case err := <-v.done:
 		if err != nil {
-			t.Errorf("%s: got %v at its stop, want none", v.name, err)
+			t.Errorf("%s: got error %v at its stop, want none", v.name, err)
 		}
 	case <-time.After(maxWait):
 		t.Errorf("%s: got no stop in %v", v.name, maxWait)
 	}
 }
 
+// waitFor waits until a condition holds and fails the test after maxWait.
 func (b *cluster) waitFor(what string, ok func() bool) {
 	b.t.Helper()
 	end := time.Now().Add(maxWait)
@@ -255,12 +261,14 @@
 	b.t.Fatalf("waited too long for %s", what)
 }
 
+// status requests an entry VM's status.
 func (b *cluster) status(v *vm) (api.NodeStatus, error) {
 	c, closer := peer.New(time.Second)
 	defer closer()
 	return c.Status(context.Background(), v.control)
 }
 
+// metric returns one metric of an entry VM, or -1 if the VM does not answer.
 func (b *cluster) metric(v *vm, n metric.Name) int64 {
 	c, closer := peer.New(time.Second)
 	defer closer()
@@ -271,7 +279,7 @@
 	return m[string(n)]
 }
 
-// reply is an answer as a caller sees it.
+// reply is an answer as a caller receives it.
 type reply struct {
 	status int
 	header http.Header
@@ -279,24 +287,25 @@
 	err    error
 }
 
-// fault is the typed error in the answer, also at the end of a stream.
+// fault returns the typed error in an answer or at the end of a stream.
 func (r reply) fault() api.ErrorDetail {
 	var e api.ErrorBody
 	t := r.body
 	if i := strings.LastIndex(t, "event: error"); i >= 0 {
 		_, t, _ = strings.Cut(t[i:], "data: ")
 	}
-	// A body that is no error has none.
+	// Decoding fails if the body holds no error; the result is then empty.
 	_ = json.NewDecoder(strings.NewReader(t)).Decode(&e)
 	return e.Error
 }
 
-// call is a call of an entry VM.
+// call is a request to an entry VM. headers alternates names and values.
 type call struct {
 	method, path, key, body string
 	headers                 []string
 }
 
+// newRequest builds the HTTP request; the default is a POST to the chat path.
 func (a call) newRequest(ctx context.Context, listen string) (*http.Request, error) {
 	if a.method == "" {
 		a.method = http.MethodPost
@@ -317,7 +326,7 @@
 	return r, nil
 }
 
-// send sends a call and reads its whole answer.
+// send makes a call and reads the whole answer.
 func (v *vm) send(a call) reply {
 	ctx, cancel := context.WithTimeout(context.Background(), maxWait)
 	defer cancel()
@@ -325,7 +334,7 @@
 	if err != nil {
 		return reply{err: err}
 	}
-	// A connection of its own keeps the client from repeating a call.
+	// On a connection of its own, the HTTP client does not repeat a call.
 	t := wire.NewTransport(time.Second, false)
 	x, err := t.RoundTrip(r)
 	if err != nil {
@@ -336,7 +345,7 @@
 	return reply{status: x.StatusCode, header: x.Header, body: string(b), err: err}
 }
 
-// chatCall is a completion of so many tokens.
+// chatCall is a chat call that generates the given number of tokens.
 func chatCall(tokens int, stream bool, headers ...string) call {
 	return call{
 		key:     sample.KeyDispatch,
@@ -345,12 +354,12 @@
 	}
 }
 
-// orderCall is a call of the plain service that is not repeatable.
+// orderCall is a call to the plain service that is not repeatable.
 func orderCall(key string, headers ...string) call {
 	return call{path: "/services/orders/confirm", key: sample.KeyField, body: "compressor 7", headers: append(headers, wire.HeaderIdempotencyKey, key)}
 }
 
-// parseTokens gives the tokens of a streamed answer and whether it ended whole.
+// parseTokens returns the tokens of a streamed answer and whether the stream ended completely.
 func parseTokens(body string) (tokens []string, complete bool) {
 	for l := range strings.SplitSeq(body, "\n") {
 		d, ok := strings.CutPrefix(l, "data: ")
@@ -368,7 +377,8 @@
 	return tokens, false
 }
 
-// checkTokens checks that tokens are those of one generation from an index on.
+// checkTokens checks that tokens holds want consecutive tokens of one generation, starting at index
+// from.
 func checkTokens(t testing.TB, tokens []string, from, want int) {
 	t.Helper()
 	if len(tokens) != want {
@@ -378,7 +388,7 @@
 		g, n, _ := strings.Cut(x, ":")
 		first, _, _ := strings.Cut(tokens[0], ":")
 		if n != fmt.Sprint(from+i) || g != first {
-			t.Errorf("token at place %d: got %q, want %s:%d", i, x, first, from+i)
+			t.Errorf("token at index %d: got %q, want %s:%d", i, x, first, from+i)
 			return
 		}
 	}
--- a/contract/notrepeatable_test.go
+++ b/contract/notrepeatable_test.go
@@ -15,13 +15,13 @@
 	"github.com/wardridge/wardridge/internal/standin/service"
 )
 
-// notRepeatableKeys is the number of seeded runs.
+// notRepeatableKeys is the number of idempotency keys. Each is used in one round of calls with
+// seeded faults.
 const notRepeatableKeys = 2000
 
-// TestNotRepeatableCallsRunAtMostOnce asks for each of many keys by several
-// callers at once through three entry VMs, while the platform loses answers
-// and is down for moments, and the service loses, cuts and crosses answers.
-// The service's own count is the judge.
+// TestNotRepeatableCallsRunAtMostOnce has several callers use each key at the same time through
+// three entry VMs, while the platform loses answers and has short outages, and the service loses,
+// cuts and swaps answers. The runs are those that the service counts itself.
 func TestNotRepeatableCallsRunAtMostOnce(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
@@ -57,7 +57,7 @@
 			t.Errorf("%s: got %d runs, want at most 1", key, n)
 		}
 		if n > 0 && allNotRun(l) {
-			t.Errorf("%s: every caller was told that it did not run, got %d runs", key, n)
+			t.Errorf("%s: got %d runs, want none, as every caller got \"not run\"", key, n)
 		}
 	}
 	t.Logf("%d keys, %d ran", len(failures), ran)
@@ -66,7 +66,7 @@
 	}
 }
 
-// injectFaults draws the faults of the next moment.
+// injectFaults sets random faults of the platform and the service for the next calls.
 func (b *cluster) injectFaults(r *rand.Rand, s *service.Service) {
 	b.platform.Set(platform.Faults{LoseWrites: r.IntN(3), Outage: r.IntN(12) == 0})
 	f := service.Faults{}
@@ -81,7 +81,8 @@
 	s.Set(f)
 }
 
-// sendConcurrently sends two or three calls of one key at once.
+// sendConcurrently makes two or three calls with one key at the same time, and returns the errors
+// of those that failed.
 func (b *cluster) sendConcurrently(r *rand.Rand, vms []*vm, key string) []api.ErrorDetail {
 	n := 2 + r.IntN(2)
 	out := make([]api.ErrorDetail, n)
@@ -99,6 +100,7 @@
 	return out
 }
 
+// allNotRun reports whether all errors say that the call did not run.
 func allNotRun(l []api.ErrorDetail) bool {
 	for _, x := range l {
 		if x.Ran != api.RanNo {
@@ -108,8 +110,8 @@
 	return true
 }
 
-// The owner of a claim can't be asked: it is cut off from its peers. The call
-// may have run, so it is not made again.
+// The owner of a claim is cut off from its peers and can't be asked to release it. The call may
+// have run, so it is not made again.
 func TestClaimOfUnreachableOwnerIsNotTakenOver(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
--- a/contract/pairs_test.go
+++ b/contract/pairs_test.go
@@ -14,13 +14,13 @@
 	"github.com/wardridge/wardridge/internal/standin/service"
 )
 
-// faultCase is one fault that strikes a bed; it returns when it is over.
+// faultCase is a fault of a cluster; inject returns when the fault is over.
 type faultCase struct {
 	name   string
 	inject func(b *cluster)
 }
 
-// faultDuration is how long a fault lasts.
+// faultDuration is the duration of a fault.
 const faultDuration = 250 * time.Millisecond
 
 var faultCases = []faultCase{
@@ -44,8 +44,8 @@
 	{"configuration changes", func(b *cluster) { b.setWeights("2026-10") }},
 }
 
-// TestPairsOfFaults strikes with every two faults, and with each one twice,
-// while callers stream and place orders.
+// TestPairsOfFaults injects every pair of faults, and each fault twice, while callers stream
+// answers and make calls that are not repeatable.
 func TestPairsOfFaults(t *testing.T) {
 	for i, x := range faultCases {
 		for _, y := range faultCases[i:] {
@@ -57,6 +57,8 @@
 	}
 }
 
+// injectPair injects two faults shortly after one another and checks that streams keep their order
+// and that calls run at most once.
 func injectPair(t *testing.T, x, y faultCase) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
@@ -95,17 +97,17 @@
 			t.Errorf("%s: got %d runs, want at most 1", key, n)
 		}
 		if f, ok := orders[key]; ok && f.Ran == api.RanNo {
-			t.Errorf("%s: told that it did not run (%s), got %d runs", key, f.Type, n)
+			t.Errorf("%s: caller got \"not run\" (%s), got %d runs, want none", key, f.Type, n)
 		}
 	}
 }
 
-// checkStream checks that an answer is whole, or ends with a typed fault after
-// tokens in order.
+// checkStream checks that a streamed answer is complete, or that its tokens are in order and a
+// typed fault ends it.
 func checkStream(t *testing.T, r reply) {
 	t.Helper()
 	if r.err != nil {
-		// A stopped entry VM takes no connection.
+		// A stopped entry VM refuses connections.
 		return
 	}
 	got, complete := parseTokens(r.body)
@@ -113,7 +115,7 @@
 	if !complete {
 		want = len(got)
 		if f := r.fault(); f.Code == 0 || f.Type == "internal" {
-			t.Errorf("got status %d and %q, want a whole answer or a typed fault", r.status, r.body)
+			t.Errorf("got status %d and %q, want a complete answer or a typed fault", r.status, r.body)
 		}
 	}
 	if len(got) > 0 {
--- a/contract/peer_test.go
+++ b/contract/peer_test.go
@@ -36,7 +36,7 @@
 			_, err := c.Heartbeat(ctx, v.control, api.Heartbeat{Protocol: member.Protocol + 1})
 			return err
 		}, fault.PeerProtocol},
-		{"question of another protocol", func() error {
+		{"release request of another protocol", func() error {
 			_, err := c.Release(ctx, v.control, api.AttemptQuery{Protocol: member.Protocol + 1})
 			return err
 		}, fault.PeerProtocol},
@@ -46,7 +46,7 @@
 			_, err := c.Explain(ctx, v.control, "none", false)
 			return err
 		}, fault.UnknownRequest},
-		{"nobody there", func() error {
+		{"unreachable peer", func() error {
 			_, err := c.Status(ctx, unusedAddress(t))
 			return err
 		}, fault.NotStarted},
@@ -66,9 +66,9 @@
 			}
 		})
 	}
-	// A release is never promised for another life.
+	// An entry VM never releases an attempt of another incarnation.
 	ok, err := c.Release(ctx, v.control, api.AttemptQuery{Protocol: member.Protocol, Request: "r", Incarnation: 1})
 	if err != nil || ok {
-		t.Errorf("release of another life: got %v, %v, want false", ok, err)
+		t.Errorf("release for another incarnation: got %v, %v, want false", ok, err)
 	}
 }
--- a/contract/platform_test.go
+++ b/contract/platform_test.go
@@ -14,6 +14,7 @@
 	"github.com/wardridge/wardridge/internal/standin/platform"
 )
 
+// modelObject is a model with the given weights.
 func modelObject(name, weights string, v api.Version) api.Object {
 	return api.Object{Kind: api.ResourceKindModel, Name: name, Version: v, Spec: []byte(`{"weights":"` + weights + `"}`)}
 }
@@ -25,10 +26,10 @@
 		faults platform.Faults
 		call   func(c *client.Client, v api.Version) error
 		want   fault.Code
-		// weights is the weights that the object has afterwards.
+		// weights are those that the object has after the call; empty for any.
 		weights string
 	}{
-		{"create what is there", platform.Faults{}, func(c *client.Client, _ api.Version) error {
+		{"create an existing object", platform.Faults{}, func(c *client.Client, _ api.Version) error {
 			_, err := c.Put(ctx, modelObject("m", "b", 0))
 			return err
 		}, fault.VersionConflict, "a"},
@@ -56,15 +57,15 @@
 			_, err := c.PutConfirmed(ctx, modelObject("m", "b", v))
 			return err
 		}, fault.PlatformDown, "a"},
-		{"answer slower than the wait", platform.Faults{SlowMS: 400}, func(c *client.Client, v api.Version) error {
+		{"answer after the timeout", platform.Faults{SlowMS: 400}, func(c *client.Client, v api.Version) error {
 			_, err := c.Put(ctx, modelObject("m", "b", v))
 			return err
 		}, fault.OutcomeUnknown, ""},
-		{"read of nothing", platform.Faults{}, func(c *client.Client, _ api.Version) error {
+		{"read of a missing object", platform.Faults{}, func(c *client.Client, _ api.Version) error {
 			_, err := c.Get(ctx, api.ResourceKindModel, "none")
 			return err
 		}, fault.NotFound, "a"},
-		{"watch from too long ago", platform.Faults{}, func(c *client.Client, _ api.Version) error {
+		{"watch from a version that is too old", platform.Faults{}, func(c *client.Client, _ api.Version) error {
 			for i := range 1100 {
 				o, err := c.Put(ctx, modelObject("other", "x", api.Version(i)*0))
 				if err != nil {
@@ -139,14 +140,14 @@
 	if !fault.Has(err, fault.VersionConflict) || !strings.Contains(err.Error(), "first") {
 		t.Errorf("second operator: got %v, want a conflict that shows the first's change", err)
 	}
-	// Applying again what was applied changes nothing.
+	// Applying the same object again changes nothing.
 	first.Version = 0
 	if o, err := resource.Apply(ctx, b.client, first); err != nil || o.Changed {
-		t.Errorf("same again: got %+v, %v, want unchanged", o, err)
+		t.Errorf("same object again: got %+v, %v, want unchanged", o, err)
 	}
 }
 
-// Edits of one field by many operators at once all count.
+// Operators who edit different fields of one object at the same time must not overwrite each other.
 func TestConcurrentEditsAreBothKept(t *testing.T) {
 	b := newCluster(t)
 	b.declareServer("e", unusedAddress(t), api.BackendServerSpec{})
@@ -171,7 +172,8 @@
 	}
 }
 
-// A platform that comes back from a copy gives no version out again.
+// A platform that was restored from a backup must not issue a version twice, so that a write or
+// watch based on lost state is refused.
 func TestRestoredPlatformReusesNoVersion(t *testing.T) {
 	p := platform.New(platform.NewStore(), platform.Options{WritesPerSecond: 100, ReadsPerSecond: 100})
 	address := serve(t, p.Handler())
@@ -204,12 +206,12 @@
 		t.Errorf("list: got %+v at %v, %v, want the object at %v, as of a later era", l.Items, l.Version, err, first)
 	}
 	if _, err := c.Put(ctx, modelObject("a", "lost", second)); !fault.Has(err, fault.VersionConflict) {
-		t.Errorf("write on what was lost: got %v, want version_conflict", err)
+		t.Errorf("write based on lost state: got %v, want version_conflict", err)
 	}
 	if _, err := c.Watch(ctx, second, time.Second, kinds); !fault.Has(err, fault.WatchTooOld) {
-		t.Errorf("watch from what was lost: got %v, want watch_too_old", err)
+		t.Errorf("watch from a lost version: got %v, want watch_too_old", err)
 	}
 	if third := put(modelObject("a", "third", first)); third <= l.Version {
-		t.Errorf("write on what the copy has: got version %v, want one above %v", third, l.Version)
+		t.Errorf("write based on the backup: got version %v, want one above %v", third, l.Version)
 	}
 }
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -15,12 +15,12 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// startSlowEngine is an engine for one generation at a time, which takes long.
+// startSlowEngine starts an engine whose generations take long.
 func startSlowEngine(b *cluster) *engine.Engine {
 	return b.startEngine("engine-1", nil, func(o *engine.Options) { o.Batch.StepBase = 5 * time.Millisecond })
 }
 
-// occupyEngine keeps an engine busy until the test ends.
+// occupyEngine keeps an engine busy with one long generation until the test ends.
 func occupyEngine(t *testing.T, v *vm) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestNotRunRefusalsStartNoGeneration enumerates the paths on which a caller is told
-// that its request was not run, and counts what engines started.
+// TestNotRunRefusalsStartNoGeneration covers the ways in which a caller gets "not run" as its
+// answer, and checks that the engine started no generation.
 func TestNotRunRefusalsStartNoGeneration(t *testing.T) {
 	const one = "admission = slots\nslots = 1\n[entry]\nqueue_limit = 1\nqueue_wait_ms = 300\n"
 	tests := []struct {
@@ -61,15 +61,15 @@
 		}, chatCall(1, false, wire.HeaderPriority, "background"), fault.QueueFull},
 		{"engine leaving", "", func(_ *testing.T, b *cluster, v *vm) {
 			b.engines["engine-1"].Leave()
-			b.waitFor("the notice", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
+			b.waitFor("the notice to arrive", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
 		}, chatCall(1, false), fault.NoServer},
-		{"engine gone", "", func(t *testing.T, b *cluster, v *vm) {
+		{"engine unreachable", "", func(t *testing.T, b *cluster, v *vm) {
 			b.changeAddress("engine-1", unusedAddress(t))
-			b.waitFor("the loss", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
+			b.waitFor("the loss to be noticed", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
 		}, chatCall(1, false), fault.NoServer},
 		{"planned stop", "", func(_ *testing.T, b *cluster, v *vm) {
 			v.cancel()
-			b.waitFor("the stop", func() bool { return v.send(chatCall(1, false)).status != http.StatusOK })
+			b.waitFor("the stop to begin", func() bool { return v.send(chatCall(1, false)).status != http.StatusOK })
 		}, chatCall(1, false), 0},
 	}
 	for _, c := range tests {
@@ -82,9 +82,9 @@
 			before := e.Started()
 			r := v.send(c.call)
 			if c.want == 0 {
-				// The listener may be closed already, which proves the same.
+				// The listener may be closed already, which refuses the request as well.
 				if r.err == nil && fault.Code(r.fault().Code) != fault.Stopping {
-					t.Errorf("got %d %s, want a refusal by stopping", r.status, r.body)
+					t.Errorf("got %d %s, want code stopping", r.status, r.body)
 				}
 			} else {
 				checkRefusal(t, r, c.want)
@@ -112,8 +112,8 @@
 	b.put(o)
 }
 
-// TestLeavingServerGetsNoNewWork gives each signal, also to an entry VM that
-// is cut off from the platform.
+// TestLeavingServerGetsNoNewWork covers each signal that a server is leaving, also for an entry VM
+// that cannot reach the platform.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -144,7 +144,7 @@
 			v := b.startEntry("entry-1", "suspect_ms = 300\n")
 			b.platform.Set(platform.Faults{Outage: c.cut})
 			c.signal(b)
-			b.waitFor("the signal", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 1 })
+			b.waitFor("the signal to arrive", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 1 })
 			before := e.Started()
 			for range 20 {
 				if r := v.send(chatCall(1, false)); r.status != http.StatusOK {
@@ -158,7 +158,8 @@
 	}
 }
 
-// TestStreamIsNotServedToOtherWorkspaces asks with one workspace's key for another's things.
+// TestStreamIsNotServedToOtherWorkspaces resumes the stream of a workspace with another
+// workspace's key, an unknown key and a wrong request id.
 func TestStreamIsNotServedToOtherWorkspaces(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
@@ -172,7 +173,7 @@
 	checkRefusal(t, v.send(resume), fault.UnknownWorkspace)
 	resume.key = sample.KeyDispatch
 	if got := v.send(resume); got.status != http.StatusOK {
-		t.Errorf("its own caller: got %d %s, want 200", got.status, got.body)
+		t.Errorf("with the workspace's own key: got %d %s, want 200", got.status, got.body)
 	}
 	o, err := b.store.Get(api.ResourceKindWorkspace, "dispatch")
 	if err != nil {
@@ -181,7 +182,7 @@
 	o.Spec = []byte(strings.Replace(string(o.Spec), "{", `{"requests_per_second":1,`, 1))
 	n := b.put(o).Version
 	b.waitForVersion(v, n)
-	b.waitFor("the limit", func() bool { return v.send(resume).status == http.StatusTooManyRequests })
+	b.waitFor("the limit to be reached", func() bool { return v.send(resume).status == http.StatusTooManyRequests })
 	if f := v.send(resume).fault(); f.Ran != api.RanYes {
 		t.Errorf("resume over the limit: got ran %s, want yes, as the request itself ran", f.Ran)
 	}
@@ -189,6 +190,7 @@
 	checkRefusal(t, v.send(resume), fault.UnknownStream)
 }
 
+// firstEventID returns the id of the first event of a stream.
 func firstEventID(body string) string {
 	_, rest, _ := strings.Cut(body, "id: ")
 	id, _, _ := strings.Cut(rest, "\n")
--- a/contract/script_test.go
+++ b/contract/script_test.go
@@ -15,14 +15,15 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// scriptedEngine is an engine whose streams follow a script, one per stream opened:
+// scriptedEngine is an engine that plays one script for each stream that is opened. A script is a
+// list of:
 //
-//	tN      token N of the generation asked for
+//	tN      token N of the requested generation
 //	xN      token N of another generation
 //	fN      the end after N tokens
 //	cut     the connection breaks
 //	reset   the connection breaks before any answer
-//	stall   silence until the reader leaves
+//	stall   nothing more until the reader disconnects
 //	junk    an event that is not JSON
 //	REASON  a refusal with that reason
 type scriptedEngine struct {
@@ -68,6 +69,7 @@
 	return r
 }
 
+// next takes the next script. After the last one, connections are reset.
 func (s *scriptedEngine) next() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -79,6 +81,7 @@
 	return x
 }
 
+// runScript answers a request with the next script.
 func (s *scriptedEngine) runScript(w http.ResponseWriter, r *http.Request, g api.GenerationID) {
 	c := http.NewResponseController(w)
 	for x := range strings.FieldsSeq(s.next()) {
@@ -111,6 +114,7 @@
 	}
 }
 
+// emit writes one token or end event.
 func emit(w http.ResponseWriter, kind byte, g api.GenerationID, n int) {
 	e := api.TokenEvent{Generation: g, Index: n, Text: fmt.Sprintf("g:%d ", n)}
 	switch kind {
@@ -128,14 +132,14 @@
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", j)
 }
 
-// counts tells what the engine was asked.
+// counts returns how many starts, resumes and cancels the engine received.
 func (s *scriptedEngine) counts() (starts, resumes, cancels int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.started), len(s.resumed), s.cancels
 }
 
-// startScripted declares an engine that follows scripts.
+// startScripted starts and declares a scripted engine.
 func (b *cluster) startScripted(name string, scripts ...string) *scriptedEngine {
 	b.t.Helper()
 	s := &scriptedEngine{name: name, scripts: scripts}
@@ -144,10 +148,10 @@
 	return s
 }
 
-// shortTimeouts make broken streams be given up soon.
+// shortTimeouts are settings with which an entry VM gives up broken streams soon.
 const shortTimeouts = "stall_ms = 150\nfirst_token_ms = 300\nresume_ms = 400\n"
 
-// unusedAddress is an address that nobody listens on.
+// unusedAddress returns an address on which nothing listens.
 func unusedAddress(t testing.TB) string {
 	return freeAddress(t)
 }
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// TestServiceContract breaks a service in each way and counts what it ran.
+// TestServiceContract breaks a service in each way and checks how often the call ran.
 func TestServiceContract(t *testing.T) {
 	plain := call{path: "/services/orders/look", key: sample.KeyField, headers: []string{wire.HeaderIdempotencyKey, "k"}}
 	tests := []struct {
@@ -23,15 +23,15 @@
 		call   call
 		want   fault.Code
 		ran    api.Ran
-		// runs is how often the call ran, and again what asking again gets.
+		// runs is how often the call ran, and retryStatus the status of a second call.
 		runs        int
 		retryStatus int
 	}{
-		{"whole", service.Faults{}, orderCall("k"), 0, "", 1, http.StatusOK},
+		{"complete", service.Faults{}, orderCall("k"), 0, "", 1, http.StatusOK},
 		{"answer lost", service.Faults{LoseAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
 		{"answer cut short", service.Faults{CutAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
 		{"answer of another request", service.Faults{CrossAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
-		{"slower than the wait", service.Faults{DelayMS: 400}, orderCall("k", wire.HeaderDeadline, "150"), fault.DeadlinePassed, api.RanUnknown, 1, http.StatusConflict},
+		{"answer after the deadline", service.Faults{DelayMS: 400}, orderCall("k", wire.HeaderDeadline, "150"), fault.DeadlinePassed, api.RanUnknown, 1, http.StatusConflict},
 		{"repeatable, answer lost", service.Faults{LoseAnswers: 1}, plain, 0, "", 2, http.StatusOK},
 		{"repeatable, answer cut short", service.Faults{CutAnswers: 1}, plain, 0, "", 2, http.StatusOK},
 		{"repeatable, answer of another request", service.Faults{CrossAnswers: 1}, plain, 0, "", 2, http.StatusOK},
@@ -56,7 +56,7 @@
 			if c.retryStatus != 0 {
 				s.Set(service.Faults{})
 				if got := v.send(c.call).status; got != c.retryStatus {
-					t.Errorf("asked again: got %d, want %d", got, c.retryStatus)
+					t.Errorf("second call: got %d, want %d", got, c.retryStatus)
 				}
 			}
 			if got, maxRuns := s.Counts()["k"], c.runs+1; strings.Contains(c.call.path, "confirm") && got != 1 || got > maxRuns {
@@ -66,14 +66,15 @@
 	}
 }
 
-// declareAlias declares a second server of the plain service that is the same one.
+// declareAlias declares a second server of the plain service that is the same stand-in, and sets both
+// as the servers of the service.
 func (b *cluster) declareAlias(s *service.Service, name string) {
 	b.t.Helper()
 	b.declareServer(name, serve(b.t, s.Handler()), api.BackendServerSpec{Type: api.ServerTypeService})
 	b.setServers("orders-1", name)
 }
 
-// setServers sets the setServers of the plain service.
+// setServers sets the servers of the plain service.
 func (b *cluster) setServers(names ...string) {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindService, "orders")
@@ -91,7 +92,7 @@
 	v := b.startEntry("entry-1", "")
 	r := v.send(orderCall("k"))
 	checkRefusal(t, r, fault.NoServer)
-	// The claim was given back, so the call can be made once a server is there.
+	// The claim was released, so the call can be made once a server is reachable.
 	s := b.startService("orders-1")
 	b.setServers("orders-1")
 	b.waitFor("the call to be made", func() bool { return v.send(orderCall("k")).status == http.StatusOK })
@@ -132,7 +133,7 @@
 	other := orderCall("k")
 	other.body = "compressor 8"
 	checkRefusal(t, w.send(other), fault.ReusedKey)
-	// Another workspace's key of the same text is another key.
+	// The same key in another workspace is a different key.
 	foreign := orderCall("k")
 	foreign.key = sample.KeyDispatch
 	if r := v.send(foreign); r.status != http.StatusOK {
@@ -148,8 +149,8 @@
 		runs   int
 	}{
 		{"down", platform.Faults{Outage: true}, fault.ClaimUnavailable, 0},
-		{"claim's answer lost", platform.Faults{LoseWrites: 1}, 0, 1},
-		{"slower than the wait", platform.Faults{SlowMS: 700}, fault.ClaimUnavailable, 0},
+		{"answer to the claim lost", platform.Faults{LoseWrites: 1}, 0, 1},
+		{"answer after the timeout", platform.Faults{SlowMS: 700}, fault.ClaimUnavailable, 0},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -163,21 +164,21 @@
 			if got := s.Counts()["k"]; got != c.runs {
 				t.Errorf("runs: got %d, want %d", got, c.runs)
 			}
-			// What may be repeated needs no platform.
+			// A repeatable call needs no claim and so no platform.
 			if r := v.send(call{path: "/services/orders/look", key: sample.KeyField}); r.status != http.StatusOK {
 				t.Errorf("repeatable call: got %d, want 200", r.status)
 			}
 			b.platform.Set(platform.Faults{})
 			b.waitFor("the call to be answered", func() bool { return v.send(orderCall("k")).status == http.StatusOK })
 			if got := s.Counts()["k"]; got != 1 {
-				t.Errorf("runs in the end: got %d, want 1", got)
+				t.Errorf("runs after the outage: got %d, want 1", got)
 			}
 		})
 	}
 }
 
-// The HTTP transport repeats a request that carries an idempotency key when a
-// kept connection breaks; a call that is not repeatable must not be.
+// Go's HTTP transport repeats a request that carries an idempotency key when an idle connection
+// that it reuses breaks. A call that is not repeatable must not be repeated.
 func TestTransportDoesNotRepeatCalls(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
--- a/contract/trace_test.go
+++ b/contract/trace_test.go
@@ -13,8 +13,8 @@
 	"github.com/wardridge/wardridge/internal/trace"
 )
 
-// TestEachHopRecordsASpan follows one caller's trace through the entry VM to the
-// engine, and the question to a peer.
+// TestEachHopRecordsASpan follows a caller's trace through the entry VM to the engine, the service
+// and a peer.
 func TestEachHopRecordsASpan(t *testing.T) {
 	r := tracetest.NewSpanRecorder()
 	p := sdk.NewTracerProvider(sdk.WithSpanProcessor(r))
@@ -31,7 +31,7 @@
 	v.send(orderCall("k", "traceparent", parent))
 	b.services["orders-1"].Set(service.Faults{LoseAnswers: 1})
 	v.send(orderCall("lost"))
-	// The claim of the lost call is the other entry VM's, which is asked.
+	// The claim of the lost call belongs to the first entry VM, which the second one queries.
 	b.startEntry("entry-2", "").send(orderCall("lost", "traceparent", parent))
 	want := []string{"caller", "dispatch", "engine", "generate", "claim", "service", "peer"}
 	t.Cleanup(func() {
@@ -41,10 +41,10 @@
 			}
 		}
 	})
-	b.waitFor("every span", func() bool { return len(missingSpans(r, id, want)) == 0 })
+	b.waitFor("every span to end", func() bool { return len(missingSpans(r, id, want)) == 0 })
 }
 
-// missingSpans lists the spans that a trace has not ended yet.
+// missingSpans lists the wanted spans that have not ended in a trace yet.
 func missingSpans(r *tracetest.SpanRecorder, id string, want []string) []string {
 	seen := map[string]bool{}
 	for _, s := range r.Ended() {
