--- a/spec/claim.go
+++ b/spec/claim.go
@@ -84,15 +84,15 @@
 
 func requestID(i int) api.RequestID { return api.RequestID(sprintf("r%d", i)) }
 
-func claimModel(z claimBounds, mutation string) model[claimState] {
-	s := claimState{canRestore: z.restore}
+func claimModel(b claimBounds, mutation string) model[claimState] {
+	s := claimState{canRestore: b.restore}
 	for i := range vms {
 		s.incarnations[i] = 1
 	}
 	return model[claimState]{
-		name:    z.name,
+		name:    b.name,
 		initial: s,
-		next:    func(s claimState) []step[claimState] { return claimNext(s, z, mutation) },
+		next:    func(s claimState) []step[claimState] { return claimNext(s, b, mutation) },
 		violation: func(s claimState) string {
 			switch {
 			case s.sends > 1:
@@ -105,10 +105,10 @@
 	}
 }
 
-func claimNext(s claimState, z claimBounds, mutation string) []step[claimState] {
+func claimNext(s claimState, b claimBounds, mutation string) []step[claimState] {
 	var l []step[claimState]
 	add := func(name string, n claimState) { l = append(l, step[claimState]{name, n}) }
-	for i := range z.attempts {
+	for i := range b.attempts {
 		a := s.attempt[i]
 		switch {
 		case !a.begun && s.unsettled(mutation):
@@ -118,7 +118,7 @@
 			n.begin(i)
 			add(sprintf("the caller begins attempt %d", i), n)
 		case !a.done:
-			l = append(l, s.actionNext(i, z, mutation)...)
+			l = append(l, s.actionNext(i, b, mutation)...)
 		}
 		if a.hasLateWrite {
 			n := s
@@ -127,7 +127,7 @@
 			add(sprintf("the late write of attempt %d takes effect", i), n)
 		}
 	}
-	if z.restore && s.era == 0 {
+	if b.restore && s.era == 0 {
 		for _, r := range []storedClaim{s.previous, {}} {
 			n := s
 			n.era, n.storedClaim, n.previous = 1, r, storedClaim{}
@@ -137,7 +137,7 @@
 	if s.era > 0 && !s.settled {
 		l = append(l, s.settleNext(mutation)...)
 	}
-	if s.incarnations[0] == 1 && !z.restore {
+	if s.incarnations[0] == 1 && !b.restore {
 		n := s
 		n.incarnations[0] = 2
 		for i := range attempts {
@@ -277,7 +277,7 @@
 }
 
 // actionNext lists all outcomes of an attempt's next action.
-func (s claimState) actionNext(i int, z claimBounds, mutation string) []step[claimState] {
+func (s claimState) actionNext(i int, b claimBounds, mutation string) []step[claimState] {
 	var l []step[claimState]
 	m := s.attempt[i].next
 	add := func(what string, f transition) {
@@ -299,7 +299,7 @@
 	}
 	switch m.Kind {
 	case claim.Create, claim.TakeOver:
-		writeNext(i, m, z, mutation, add)
+		writeNext(i, m, b, mutation, add)
 	case claim.Read:
 		add("reads the claim", func(n *claimState, c *claim.Claim) claim.Action {
 			return c.HandleRead(n.exists, n.spec, n.version, !n.unsettled(mutation))
@@ -333,7 +333,7 @@
 type transition func(n *claimState, c *claim.Claim) claim.Action
 
 // writeNext adds all outcomes of the write of a claim.
-func writeNext(i int, m claim.Action, z claimBounds, mutation string, add func(what string, c transition)) {
+func writeNext(i int, m claim.Action, b claimBounds, mutation string, add func(what string, c transition)) {
 	add("writes its claim", func(n *claimState, c *claim.Claim) claim.Action {
 		switch {
 		case !n.write(m):
@@ -351,7 +351,7 @@
 		}
 		return c.HandleWrite(claim.WriteUnknown)
 	})
-	if z.lateWrites {
+	if b.lateWrites {
 		add("gives up waiting for its write", func(n *claimState, c *claim.Claim) claim.Action {
 			n.attempt[i].lateWrite, n.attempt[i].hasLateWrite = m, true
 			return c.HandleWrite(claim.WriteUnknown)
--- a/spec/explore.go
+++ b/spec/explore.go
@@ -36,16 +36,16 @@
 // explore visits every reachable state of a model in breadth-first order and stops at the first
 // that violates a property. It remembers states by a 64-bit hash; at the sizes here, the chance
 // that a collision hides a state is below one in a million.
-func explore[S comparable](w model[S]) result[S] {
+func explore[S comparable](m model[S]) result[S] {
 	type edge struct {
 		parent uint64
 		step   string
 	}
 	seed := maphash.MakeSeed()
 	hash := func(s S) uint64 { return maphash.Comparable(seed, s) }
-	first := hash(w.initial)
+	first := hash(m.initial)
 	seen := map[uint64]edge{first: {}}
-	queue := []S{w.initial}
+	queue := []S{m.initial}
 	trace := func(h uint64) []string {
 		var l []string
 		for h != first {
@@ -59,10 +59,10 @@
 		s := queue[0]
 		queue = queue[1:]
 		h := hash(s)
-		if b := w.violation(s); b != "" {
-			return result[S]{len(seen), b, trace(h)}
+		if v := m.violation(s); v != "" {
+			return result[S]{len(seen), v, trace(h)}
 		}
-		for _, n := range w.next(s) {
+		for _, n := range m.next(s) {
 			k := hash(n.next)
 			if _, ok := seen[k]; !ok && len(seen) < maxStates {
 				seen[k] = edge{h, n.name}
--- a/spec/incarnation.go
+++ b/spec/incarnation.go
@@ -96,9 +96,9 @@
 	if s.received == maxMessages {
 		return l
 	}
-	receive := func(name string, w incarnationMessage) {
+	receive := func(name string, m incarnationMessage) {
 		add(name, func(s *incarnationState) {
-			s.messages[s.received] = w
+			s.messages[s.received] = m
 			s.received++
 		})
 	}
@@ -130,12 +130,12 @@
 	now := time.Unix(100, 0)
 	r.SetStoreDown(now.Add(-time.Minute), false)
 	later := false
-	for _, w := range s.messages[:s.received] {
-		n := rosterServer(w.entry, mutation)
-		switch w.kind {
+	for _, m := range s.messages[:s.received] {
+		n := rosterServer(m.entry, mutation)
+		switch m.kind {
 		case messageEntry:
-			later = later || w.entry.incarnation == 2
-			if mutation == mutateStaleEntry && later && w.entry.incarnation == 1 {
+			later = later || m.entry.incarnation == 2
+			if mutation == mutateStaleEntry && later && m.entry.incarnation == 1 {
 				n.ID = "another"
 			}
 			r.Update(now, []roster.Server{n}, false)
@@ -173,11 +173,11 @@
 // newestReceived returns the newest entry of the second incarnation that was received, whether
 // there was one, and whether a notice of that incarnation followed its first entry.
 func newestReceived(s incarnationState) (newest incarnationEntry, known, noticed bool) {
-	for _, w := range s.messages[:s.received] {
+	for _, m := range s.messages[:s.received] {
 		switch {
-		case w.entry.incarnation == 2 && w.kind == messageEntry:
-			newest, known = w.entry, true
-		case w.entry.incarnation == 2 && w.kind == messageNotice && known:
+		case m.entry.incarnation == 2 && m.kind == messageEntry:
+			newest, known = m.entry, true
+		case m.entry.incarnation == 2 && m.kind == messageNotice && known:
 			noticed = true
 		}
 	}
--- a/spec/lease.go
+++ b/spec/lease.go
@@ -111,16 +111,16 @@
 	return lease.Owner{VM: api.VMName(sprintf("vm-%d", i)), Incarnation: incarnation}
 }
 
-func leaseModel(z leaseBounds, mutation string) model[leaseState] {
+func leaseModel(b leaseBounds, mutation string) model[leaseState] {
 	var s leaseState
 	for i := range candidates {
 		s.incarnations[i] = 1
 		s.lease[i] = *lease.New(owner(i, 1), leaseTiming)
 	}
 	return model[leaseState]{
-		name:    z.name,
+		name:    b.name,
 		initial: s,
-		next:    func(s leaseState) []step[leaseState] { return leaseNext(s, z, mutation) },
+		next:    func(s leaseState) []step[leaseState] { return leaseNext(s, b, mutation) },
 		violation: func(s leaseState) string {
 			switch {
 			case s.bothHeld:
@@ -135,7 +135,7 @@
 	}
 }
 
-func leaseNext(s leaseState, z leaseBounds, mutation string) []step[leaseState] {
+func leaseNext(s leaseState, b leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(name string, n leaseState) {
 		held := 0
@@ -147,7 +147,7 @@
 		n.bothHeld = held > 1
 		l = append(l, step[leaseState]{name, n})
 	}
-	if s.now < z.seconds {
+	if s.now < b.seconds {
 		n := s
 		n.now++
 		if n.now > lastRestoreSecond {
@@ -155,7 +155,7 @@
 		}
 		add(sprintf("the clock reaches %d s", n.now), n)
 	}
-	if z.restore && s.era == 0 && s.now <= lastRestoreSecond {
+	if b.restore && s.era == 0 && s.now <= lastRestoreSecond {
 		for _, o := range []storedLease{s.previous, {}} {
 			n := s
 			n.era, n.storedLease, n.previous = 1, o, storedLease{}
@@ -163,7 +163,7 @@
 		}
 	}
 	for i := range candidates {
-		for _, x := range candidateNext(s, i, z, mutation) {
+		for _, x := range candidateNext(s, i, b, mutation) {
 			add(x.name, x.next)
 		}
 	}
@@ -172,7 +172,7 @@
 
 // candidateNext lists the steps of one candidate. A candidate is paused in runs in which the
 // clock advances and none of its steps is taken.
-func candidateNext(s leaseState, i int, z leaseBounds, mutation string) []step[leaseState] {
+func candidateNext(s leaseState, i int, b leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(what string, n leaseState) {
 		l = append(l, step[leaseState]{sprintf("%d s: vm-%d %s", s.now, i, what), n})
@@ -182,14 +182,14 @@
 	case !c.pending:
 		callNext(s, i, mutation, add)
 	case !c.applied:
-		applyNext(s, i, z, add)
+		applyNext(s, i, b, add)
 	default:
-		answerArrives(s, i, z, mutation, add)
+		answerArrives(s, i, b, mutation, add)
 	}
-	if i == 0 && s.incarnations[i] <= z.maxCrashes {
+	if i == 0 && s.incarnations[i] <= b.maxCrashes {
 		crashNext(s, i, add)
 	}
-	if !z.orders {
+	if !b.orders {
 		return l
 	}
 	return append(l, orderNext(s, i, mutation)...)
@@ -218,12 +218,12 @@
 
 // applyNext adds the steps of a pending write: the platform applies it, or its caller first gives
 // up waiting.
-func applyNext(s leaseState, i int, z leaseBounds, add addStep) {
+func applyNext(s leaseState, i int, b leaseBounds, add addStep) {
 	c := s.call[i]
 	n := s
 	n.call[i].applied = true
 	if n.write(s.era, c.spec, c.expect) {
-		if z.restore && s.era == 0 && s.now <= lastRestoreSecond {
+		if b.restore && s.era == 0 && s.now <= lastRestoreSecond {
 			n.previous = s.storedLease
 		}
 		n.call[i].accepted, n.call[i].version = true, n.version
@@ -232,7 +232,7 @@
 		n.call[i] = call{}
 	}
 	add("has its write applied", n)
-	if c.abandoned || !z.lateWrites {
+	if c.abandoned || !b.lateWrites {
 		return
 	}
 	n = s
@@ -242,7 +242,7 @@
 }
 
 // answerArrives adds the steps of an answer to a write: it arrives, or is lost.
-func answerArrives(s leaseState, i int, z leaseBounds, mutation string, add addStep) {
+func answerArrives(s leaseState, i int, b leaseBounds, mutation string, add addStep) {
 	c := s.call[i]
 	n := s
 	n.call[i] = call{}
@@ -265,7 +265,7 @@
 		n.lease[i].Invalidate()
 	}
 	add("gets the answer", n)
-	if z.lossless {
+	if b.lossless {
 		return
 	}
 	n = s
--- a/spec/limit.go
+++ b/spec/limit.go
@@ -137,16 +137,16 @@
 	for i, x := range s.exchanges {
 		exchangeNext(s, i, x, mutation, add)
 	}
-	for i, w := range s.reports {
-		reportNext(s, i, w, mutation, add)
+	for i, r := range s.reports {
+		reportNext(s, i, r, mutation, add)
 	}
 	return l
 }
 
 // reportDue reports whether a report has been in flight for the maximum time.
 func (s limitState) reportDue() bool {
-	for _, w := range s.reports {
-		if w.inFlight && s.now-w.sent >= maxTransitTicks {
+	for _, r := range s.reports {
+		if r.inFlight && s.now-r.sent >= maxTransitTicks {
 			return true
 		}
 	}
@@ -181,8 +181,8 @@
 }
 
 // reportNext adds the steps of one report of a peer.
-func reportNext(s limitState, i int, w limitReport, mutation string, add func(string, func(n *limitState))) {
-	if !w.inFlight {
+func reportNext(s limitState, i int, r limitReport, mutation string, add func(string, func(n *limitState))) {
+	if !r.inFlight {
 		for vm := range int8(limitVMs) {
 			if s.records[vm].known {
 				add(sprintf("VM %d reports to its peer", vm), func(n *limitState) {
@@ -193,19 +193,19 @@
 		return
 	}
 	add("a report is lost", func(n *limitState) { n.reports[i] = limitReport{} })
-	add(sprintf("a report reaches VM %d", w.to), func(n *limitState) {
+	add(sprintf("a report reaches VM %d", r.to), func(n *limitState) {
 		n.reports[i] = limitReport{}
-		youngest, oldest := limitAt(w.sent).Sub(limitAt(w.record.latest)), limitAt(w.sent).Sub(limitAt(w.record.earliest))
+		youngest, oldest := limitAt(r.sent).Sub(limitAt(r.record.latest)), limitAt(r.sent).Sub(limitAt(r.record.earliest))
 		if mutation == mutateNoTransit {
 			oldest = max(youngest, oldest-maxTransitTicks*limitTick)
 		}
-		before := s.records[w.to]
+		before := s.records[r.to]
 		l := before.toLimits()
 		l.Merge(limitAt(s.now), api.ServerLimit{
-			Server: limitServer, Named: w.record.named, PerSecond: 1, AgeMS: api.ToMilliseconds(youngest), OldestMS: api.ToMilliseconds(oldest),
+			Server: limitServer, Named: r.record.named, PerSecond: 1, AgeMS: api.ToMilliseconds(youngest), OldestMS: api.ToMilliseconds(oldest),
 		})
-		n.records[w.to] = fromLimits(l, s.now)
-		if before.known && w.record.latest <= before.latest && n.records[w.to].named != before.named {
+		n.records[r.to] = fromLimits(l, s.now)
+		if before.known && r.record.latest <= before.latest && n.records[r.to].named != before.named {
 			n.staleApplied = true
 		}
 	})
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -27,36 +27,36 @@
 }
 
 func TestLease(t *testing.T) {
-	z := leaseBounds{name: "lease: 2 candidates, 5 s, a crash, late writes", seconds: 5, lateWrites: true, maxCrashes: 1}
-	check(t, func(m string) model[leaseState] { return leaseModel(z, m) },
+	b := leaseBounds{name: "lease: 2 candidates, 5 s, a crash, late writes", seconds: 5, lateWrites: true, maxCrashes: 1}
+	check(t, func(m string) model[leaseState] { return leaseModel(b, m) },
 		"deadline counted from receipt", "no read-back", "no wait after a cold start")
 }
 
 func TestLeaseThroughARestore(t *testing.T) {
-	for _, z := range []leaseBounds{
+	for _, b := range []leaseBounds{
 		{name: "lease: 2 candidates, 5 s, a restore", seconds: 5, restore: true, lossless: true},
 		{name: "lease: 2 candidates, 3 s, a restore, lost answers", seconds: 3, restore: true},
 	} {
-		check(t, func(m string) model[leaseState] { return leaseModel(z, m) }, mutateNoWait, mutateAnyEra)
+		check(t, func(m string) model[leaseState] { return leaseModel(b, m) }, mutateNoWait, mutateAnyEra)
 	}
 }
 
 func TestFenceThroughARestore(t *testing.T) {
-	z := leaseBounds{name: "fence: 2 candidates, 4 s, a restore, late and duplicated orders", seconds: 4, orders: true, restore: true, lossless: true}
-	check(t, func(m string) model[leaseState] { return leaseModel(z, m) }, mutateSameFence)
+	b := leaseBounds{name: "fence: 2 candidates, 4 s, a restore, late and duplicated orders", seconds: 4, orders: true, restore: true, lossless: true}
+	check(t, func(m string) model[leaseState] { return leaseModel(b, m) }, mutateSameFence)
 }
 
 func TestFence(t *testing.T) {
-	z := leaseBounds{name: "fence: 2 candidates, 5 s, late and duplicated orders", seconds: 5, orders: true}
-	check(t, func(m string) model[leaseState] { return leaseModel(z, m) }, "engine checks no fence")
+	b := leaseBounds{name: "fence: 2 candidates, 5 s, late and duplicated orders", seconds: 5, orders: true}
+	check(t, func(m string) model[leaseState] { return leaseModel(b, m) }, "engine checks no fence")
 }
 
 func TestClaim(t *testing.T) {
-	for _, z := range []claimBounds{
+	for _, b := range []claimBounds{
 		{"claim: 2 attempts on 2 entry VMs, a crash, lost and late writes", 2, true, false},
 		{"claim: 3 attempts on 2 entry VMs, a crash, lost writes", 3, false, false},
 	} {
-		check(t, func(m string) model[claimState] { return claimModel(z, m) },
+		check(t, func(m string) model[claimState] { return claimModel(b, m) },
 			"a silent owner counts as given up", "no read-back", "no check before the send")
 	}
 }
@@ -64,8 +64,8 @@
 // A request that is not repeatable must not be sent twice when a restore of the platform loses its
 // claim.
 func TestClaimThroughARestore(t *testing.T) {
-	z := claimBounds{"claim: 2 attempts on 2 entry VMs, a restore, lost and late writes", 2, true, true}
-	check(t, func(m string) model[claimState] { return claimModel(z, m) }, mutateNoSettling, mutateNoRewrite, mutateOldPermit)
+	b := claimBounds{"claim: 2 attempts on 2 entry VMs, a restore, lost and late writes", 2, true, true}
+	check(t, func(m string) model[claimState] { return claimModel(b, m) }, mutateNoSettling, mutateNoRewrite, mutateOldPermit)
 }
 
 func TestOneGeneration(t *testing.T) {
