--- a/spec/claim.go
+++ b/spec/claim.go
@@ -258,7 +258,7 @@
 }
 
 // release requests the release of a claim from its owner, and reports whether it was granted.
-// An owner of an earlier incarnation is out of reach and grants nothing.
+// An owner that restarted since is out of reach and grants nothing.
 func (s *claimState) release(spec api.ClaimSpec, mutation string) bool {
 	for i := range attempts {
 		if requestID(i) != spec.Request {
--- a/spec/lease.go
+++ b/spec/lease.go
@@ -13,7 +13,7 @@
 // candidates is the number of VMs that compete for the lease.
 const candidates = 2
 
-// leaseTiming has a duration and a skew of whole seconds, since the model's clock counts seconds.
+// leaseTiming is in whole seconds, like the clock of the model.
 var leaseTiming = lease.Timing{Duration: 2 * time.Second, Skew: time.Second}
 
 // leaseBounds bounds a lease model so that all its runs can be explored.
