--- a/contract/address_test.go
+++ b/contract/address_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// A connection of any test may take a port of 127.0.0.1 between the moment at
-// which an entry VM's address is chosen and the one at which it listens there.
-func TestEntryVMsListenWhereNoConnectionIs(t *testing.T) {
-	a := free(t)
+// A connection of any test may take a port of 127.0.0.1 between the moment when an entry VM's
+// address is chosen and the moment when the VM listens there. The address must stay free.
+func TestEntryAddressIsNotTakenByConnections(t *testing.T) {
+	a := freeAddress(t)
 	_, p, err := net.SplitHostPort(a)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if l, err := net.Listen("tcp", "127.0.0.1:"+p); err == nil {
-		// Else a connection has it already, which is the same.
+		// If listening failed, a connection has the port already, which serves the test as well.
 		defer func() { _ = l.Close() }()
 	}
 	l, err := net.Listen("tcp", a)
--- a/contract/engine_test.go
+++ b/contract/engine_test.go
@@ -20,65 +20,65 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// TestStreamsOfEngines breaks streams in each way and checks what the caller
-// gets: every token once, in order, of one generation, or a typed end.
-func TestStreamsOfEngines(t *testing.T) {
-	const once = wire.HeaderNotRepeatable
+// TestBrokenStreamsDeliverTokensOnceInOrder breaks streams in each way. The caller must get every
+// token of one generation once and in order, or an end with a typed fault.
+func TestBrokenStreamsDeliverTokensOnceInOrder(t *testing.T) {
+	const notRepeatable = wire.HeaderNotRepeatable
 	tests := []struct {
-		name    string
-		scripts []string
-		once    bool
-		tokens  int
-		want    fault.Code
-		ran     api.Ran
-		starts  int
+		name          string
+		scripts       []string
+		notRepeatable bool
+		tokens        int
+		want          fault.Code
+		ran           api.Ran
+		starts        int
 	}{
-		{"whole", []string{"t0 t1 t2 f3"}, false, 3, 0, "", 1},
-		{"no token at all", []string{"f0"}, false, 0, 0, "", 1},
-		{"doubled tokens", []string{"t0 t0 t1 t0 t1 t2 t2 f3"}, false, 3, 0, "", 1},
+		{"complete", []string{"t0 t1 t2 f3"}, false, 3, 0, "", 1},
+		{"no tokens", []string{"f0"}, false, 0, 0, "", 1},
+		{"duplicate tokens", []string{"t0 t0 t1 t0 t1 t2 t2 f3"}, false, 3, 0, "", 1},
 		{"tokens of another generation", []string{"x0 t0 x1 x2 t1 x0 f2"}, false, 2, 0, "", 1},
 		{"another generation's end", []string{"t0 x1 t1 f2"}, false, 2, 0, "", 1},
 		{"missing token", []string{"t0 t2 f3", "t1 t2 f3"}, false, 3, 0, "", 1},
-		{"end before all tokens came", []string{"t0 f3", "t1 t2 f3"}, false, 3, 0, "", 1},
+		{"end before the last token", []string{"t0 f3", "t1 t2 f3"}, false, 3, 0, "", 1},
 		{"cut in mid-stream", []string{"t0 t1 cut", "t2 f3"}, false, 3, 0, "", 1},
 		{"cut twice", []string{"t0 cut", "t1 cut", "t2 f3"}, false, 3, 0, "", 1},
 		{"cut at the last token", []string{"t0 t1 t2 cut", "f3"}, false, 3, 0, "", 1},
-		{"resume doubles tokens", []string{"t0 t1 cut", "t0 t1 t2 f3"}, false, 3, 0, "", 1},
+		{"resume repeats tokens", []string{"t0 t1 cut", "t0 t1 t2 f3"}, false, 3, 0, "", 1},
 		{"stall in mid-stream", []string{"t0 stall", "t1 f2"}, false, 2, 0, "", 1},
-		{"junk in mid-stream", []string{"t0 junk", "t1 f2"}, false, 2, 0, "", 1},
-		{"stream ends without its end", []string{"t0", "t1 f2"}, false, 2, 0, "", 1},
-		{"engine forgot in mid-stream", []string{"t0 cut", "unknown-generation"}, false, 1, fault.GenerationLost, api.RanYes, 1},
-		{"engine gone in mid-stream", []string{"t0 cut"}, false, 1, fault.GenerationLost, api.RanYes, 1},
+		{"invalid event in mid-stream", []string{"t0 junk", "t1 f2"}, false, 2, 0, "", 1},
+		{"stream closes without an end event", []string{"t0", "t1 f2"}, false, 2, 0, "", 1},
+		{"engine forgets the generation in mid-stream", []string{"t0 cut", "unknown-generation"}, false, 1, fault.GenerationLost, api.RanYes, 1},
+		{"engine unreachable in mid-stream", []string{"t0 cut"}, false, 1, fault.GenerationLost, api.RanYes, 1},
 		{"reset before a token", []string{"reset", "t0 f1"}, false, 1, 0, "", 2},
 		{"stall before a token", []string{"stall", "t0 f1"}, false, 1, 0, "", 2},
-		{"refused, then taken", []string{"full", "t0 f1"}, false, 1, 0, "", 2},
-		{"once: whole", []string{"t0 f1"}, true, 1, 0, "", 1},
-		{"once: refused, then taken", []string{"full", "t0 f1"}, true, 1, 0, "", 2},
-		{"once: reset before a token", []string{"reset", "t0 f1"}, true, 1, 0, "", 1},
-		{"once: reset, then unknown", []string{"reset", "unknown-generation"}, true, 0, fault.OutcomeUnknown, api.RanUnknown, 1},
-		{"once: reset, resume refused", []string{"reset", "full", "t0 f1"}, true, 1, 0, "", 1},
-		{"once: taken, cut, resume refused", []string{"cut", "full", "t0 f1"}, true, 1, 0, "", 1},
+		{"refused, then accepted", []string{"full", "t0 f1"}, false, 1, 0, "", 2},
+		{"not repeatable: complete", []string{"t0 f1"}, true, 1, 0, "", 1},
+		{"not repeatable: refused, then accepted", []string{"full", "t0 f1"}, true, 1, 0, "", 2},
+		{"not repeatable: reset before a token", []string{"reset", "t0 f1"}, true, 1, 0, "", 1},
+		{"not repeatable: reset, then unknown", []string{"reset", "unknown-generation"}, true, 0, fault.OutcomeUnknown, api.RanUnknown, 1},
+		{"not repeatable: reset, resume refused", []string{"reset", "full", "t0 f1"}, true, 1, 0, "", 1},
+		{"not repeatable: accepted, cut, resume refused", []string{"cut", "full", "t0 f1"}, true, 1, 0, "", 1},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
-			// Both engines follow one list of scripts, as a retry goes to the other.
-			s := b.scripted("engine-1", c.scripts...)
-			b.twin(s, "engine-2")
-			v := b.entry("entry-1", shortWaits)
-			a := chat(1, true)
-			if c.once {
-				a.headers = []string{once, "true"}
+			b := newCluster(t)
+			// Both engines share one list of scripts, since a retry goes to the other engine.
+			s := b.startScripted("engine-1", c.scripts...)
+			b.shareScript(s, "engine-2")
+			v := b.startEntry("entry-1", shortTimeouts)
+			a := chatCall(1, true)
+			if c.notRepeatable {
+				a.headers = []string{notRepeatable, "true"}
 			}
 			r := v.send(a)
 			if r.err != nil {
 				t.Fatal(r.err)
 			}
-			got, whole := texts(r.body)
-			inOrder(t, got, 0, c.tokens)
-			if whole != (c.want == 0) {
-				t.Errorf("whole: got %v, want %v: %s", whole, c.want == 0, r.body)
+			got, complete := parseTokens(r.body)
+			checkTokens(t, got, 0, c.tokens)
+			if complete != (c.want == 0) {
+				t.Errorf("complete: got %v, want %v: %s", complete, c.want == 0, r.body)
 			}
 			if f := r.fault(); fault.Code(f.Code) != c.want || f.Ran != c.ran {
 				t.Errorf("fault: got %d ran %q, want %d ran %q", f.Code, f.Ran, c.want, c.ran)
@@ -88,19 +88,19 @@
 				t.Errorf("generations started: got %d, want %d", starts, c.starts)
 			}
 			if strings.HasSuffix(c.scripts[len(c.scripts)-1], "unknown-generation") && resumes != 1 {
-				t.Errorf("resumes of a generation that is forgotten: got %d, want 1", resumes)
+				t.Errorf("resumes of a forgotten generation: got %d, want 1", resumes)
 			}
 		})
 	}
 }
 
-// twin declares a second engine that shares a script.
-func (b *bed) twin(s *scripted, name string) {
+// shareScript declares another engine that plays the scripts of s.
+func (b *cluster) shareScript(s *scriptedEngine, name string) {
 	b.t.Helper()
 	h := s.handler()
-	b.backend(name, serve(b.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	b.declareServer(name, serve(b.t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/load" {
-			(&scripted{name: name}).handler().ServeHTTP(w, r)
+			(&scriptedEngine{name: name}).handler().ServeHTTP(w, r)
 			return
 		}
 		h.ServeHTTP(w, r)
@@ -108,12 +108,12 @@
 	b.engines[name] = nil
 }
 
-func TestCallerThatLeavesIsCancelled(t *testing.T) {
-	b := newBed(t)
-	e := b.engine("engine-1", nil, nil)
-	v := b.entry("entry-1", "")
+func TestDisconnectedCallerCancelsGeneration(t *testing.T) {
+	b := newCluster(t)
+	e := b.startEngine("engine-1", nil, nil)
+	v := b.startEntry("entry-1", "")
 	ctx, cancel := context.WithCancel(context.Background())
-	r, err := chat(100000, true).request(ctx, v.listen)
+	r, err := chatCall(100000, true).newRequest(ctx, v.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,30 +126,30 @@
 	}
 	cancel()
 	_ = a.Body.Close()
-	b.until("the engine to be told", func() bool { return e.Active() == 0 })
+	b.waitFor("the engine to cancel the generation", func() bool { return e.Active() == 0 })
 }
 
-func TestSlowReaderIsBounded(t *testing.T) {
-	b := newBed(t)
-	e := b.engine("engine-1", nil, func(o *standin.Options) {
+func TestSlowReaderIsDisconnected(t *testing.T) {
+	b := newCluster(t)
+	e := b.startEngine("engine-1", nil, func(o *standin.Options) {
 		o.Batch.StepBase = 50 * time.Microsecond
 		o.Batch.StepPerGeneration = 0
 		o.Batch.KVTokens = 1 << 24
 	})
-	v := b.entry("entry-1", "[entry]\nslow_reader_ms = 200\n")
+	v := b.startEntry("entry-1", "[entry]\nslow_reader_ms = 200\n")
 	c := dial(t, v.listen)
 	if err := c.(*net.TCPConn).SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
 	}
-	q := chat(16000, true)
+	q := chatCall(16000, true)
 	send(t, c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+q.key+"\r\nContent-Length: "+strconv.Itoa(len(q.body))+"\r\n\r\n"+q.body)
-	// The caller reads nothing more; its generation must end all the same.
-	b.until("the generation to start", func() bool { return e.Started() == 1 })
-	b.until("the engine to be told", func() bool { return e.Active() == 0 })
-	b.until("the slow reader to be counted", func() bool { return b.metric(v, metric.SlowReaders) == 1 })
+	// The caller stops reading; its generation must end nevertheless.
+	b.waitFor("the generation to start", func() bool { return e.Started() == 1 })
+	b.waitFor("the engine to cancel the generation", func() bool { return e.Active() == 0 })
+	b.waitFor("the slow reader to be counted", func() bool { return b.metric(v, metric.SlowReaders) == 1 })
 }
 
-func TestEngineClientTellsRefusalsApart(t *testing.T) {
+func TestEngineClientDistinguishesFailures(t *testing.T) {
 	tests := []struct {
 		name   string
 		script string
@@ -158,13 +158,13 @@
 		{"refused", "leaving", answer.Refused},
 		{"unknown", "unknown-generation", answer.GenerationUnknown},
 		{"reset", "reset", answer.Broken},
-		{"an answer that is none", "{}", answer.Broken},
+		{"an unusable answer", "{}", answer.Broken},
 	}
 	c, closer := engine.New(time.Second)
 	defer closer()
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
-			s := &scripted{name: "e", scripts: []string{x.script}}
+			s := &scriptedEngine{name: "e", scripts: []string{x.script}}
 			h := s.handler()
 			if x.script == "{}" {
 				h = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) })
@@ -176,17 +176,17 @@
 			}
 		})
 	}
-	_, err := c.Start(context.Background(), dead(t), api.GenerateRequest{Generation: "g"})
+	_, err := c.Start(context.Background(), unusedAddress(t), api.GenerateRequest{Generation: "g"})
 	var b *engine.StreamError
 	if !errors.As(err, &b) || b.Cause != answer.NotConnected {
 		t.Errorf("refused connection: got %v, want cause %d", err, answer.NotConnected)
 	}
 }
 
-func TestOrdersCarryFences(t *testing.T) {
-	b := newBed(t)
-	checks := b.engine("checks", nil, nil)
-	b.engine("trusts", nil, func(o *standin.Options) { o.ChecksFence = false })
+func TestOrderWithOlderFenceIsRefused(t *testing.T) {
+	b := newCluster(t)
+	checks := b.startEngine("checks", nil, nil)
+	b.startEngine("trusts", nil, func(o *standin.Options) { o.ChecksFence = false })
 	c, closer := engine.New(time.Second)
 	defer closer()
 	load := func(name string, f api.Fence, item string) error {
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	if err := load("trusts", 1, "model/a@1"); err != nil {
-		t.Errorf("older fence at an engine that does not check: got %v, want it carried out", err)
+		t.Errorf("older fence at an engine that does not check: got %v, want it accepted", err)
 	}
 	if checks.Started() != 0 {
 		t.Errorf("generations: got %d, want 0", checks.Started())
--- a/contract/platform_test.go
+++ b/contract/platform_test.go
@@ -14,7 +14,8 @@
 	"github.com/wardridge/wardridge/internal/standin/platform"
 )
 
-func object(name, weights string, v api.Version) api.Object {
+// modelObject is a model with the given weights.
+func modelObject(name, weights string, v api.Version) api.Object {
 	return api.Object{Kind: api.ResourceKindModel, Name: name, Version: v, Spec: []byte(`{"weights":"` + weights + `"}`)}
 }
 
@@ -25,48 +26,48 @@
 		faults platform.Faults
 		call   func(c *client.Client, v api.Version) error
 		want   fault.Code
-		// there is the weights that the object has afterwards.
-		there string
+		// weights are those that the object has after the call; empty for any.
+		weights string
 	}{
-		{"create what is there", platform.Faults{}, func(c *client.Client, _ api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", 0))
+		{"create an existing object", platform.Faults{}, func(c *client.Client, _ api.Version) error {
+			_, err := c.Put(ctx, modelObject("m", "b", 0))
 			return err
 		}, fault.VersionConflict, "a"},
 		{"update", platform.Faults{}, func(c *client.Client, v api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", v))
+			_, err := c.Put(ctx, modelObject("m", "b", v))
 			return err
 		}, 0, "b"},
 		{"update of an older version", platform.Faults{}, func(c *client.Client, v api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", v-1))
+			_, err := c.Put(ctx, modelObject("m", "b", v-1))
 			return err
 		}, fault.VersionConflict, "a"},
 		{"answer lost", platform.Faults{LoseWriteAnswers: 1}, func(c *client.Client, v api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", v))
+			_, err := c.Put(ctx, modelObject("m", "b", v))
 			return err
 		}, fault.OutcomeUnknown, "b"},
 		{"answer lost, read back", platform.Faults{LoseWriteAnswers: 1}, func(c *client.Client, v api.Version) error {
-			_, err := c.PutConfirmed(ctx, object("m", "b", v))
+			_, err := c.PutConfirmed(ctx, modelObject("m", "b", v))
 			return err
 		}, 0, "b"},
 		{"lost answer to a conflict, read back", platform.Faults{LoseWriteAnswers: 1}, func(c *client.Client, v api.Version) error {
-			_, err := c.PutConfirmed(ctx, object("m", "b", v-1))
+			_, err := c.PutConfirmed(ctx, modelObject("m", "b", v-1))
 			return err
 		}, fault.VersionConflict, "a"},
 		{"outage", platform.Faults{Outage: true}, func(c *client.Client, v api.Version) error {
-			_, err := c.PutConfirmed(ctx, object("m", "b", v))
+			_, err := c.PutConfirmed(ctx, modelObject("m", "b", v))
 			return err
 		}, fault.PlatformDown, "a"},
-		{"answer slower than the wait", platform.Faults{SlowMS: 400}, func(c *client.Client, v api.Version) error {
-			_, err := c.Put(ctx, object("m", "b", v))
+		{"answer after the timeout", platform.Faults{SlowMS: 400}, func(c *client.Client, v api.Version) error {
+			_, err := c.Put(ctx, modelObject("m", "b", v))
 			return err
 		}, fault.OutcomeUnknown, ""},
-		{"read of nothing", platform.Faults{}, func(c *client.Client, _ api.Version) error {
+		{"read of a missing object", platform.Faults{}, func(c *client.Client, _ api.Version) error {
 			_, err := c.Get(ctx, api.ResourceKindModel, "none")
 			return err
 		}, fault.NotFound, "a"},
-		{"watch from too long ago", platform.Faults{}, func(c *client.Client, _ api.Version) error {
+		{"watch from a version that is too old", platform.Faults{}, func(c *client.Client, _ api.Version) error {
 			for i := range 1100 {
-				o, err := c.Put(ctx, object("other", "x", api.Version(i)*0))
+				o, err := c.Put(ctx, modelObject("other", "x", api.Version(i)*0))
 				if err != nil {
 					return err
 				}
@@ -87,10 +88,10 @@
 			p := platform.New(s, platform.Options{WritesPerSecond: 100000, ReadsPerSecond: 100000})
 			c, closer := client.New(serve(t, p.Handler()), 200*time.Millisecond)
 			defer closer()
-			if _, err := s.Put(object("first", "x", 0)); err != nil {
+			if _, err := s.Put(modelObject("first", "x", 0)); err != nil {
 				t.Fatal(err)
 			}
-			o, err := s.Put(object("m", "a", 0))
+			o, err := s.Put(modelObject("m", "a", 0))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -103,35 +104,35 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if x.there != "" && !strings.Contains(string(n.Spec), `"`+x.there+`"`) {
-				t.Errorf("object: got %s, want weights %s", n.Spec, x.there)
+			if x.weights != "" && !strings.Contains(string(n.Spec), `"`+x.weights+`"`) {
+				t.Errorf("object: got %s, want weights %s", n.Spec, x.weights)
 			}
 		})
 	}
 }
 
-func TestPlatformThrottles(t *testing.T) {
+func TestWritesOverRateAreThrottled(t *testing.T) {
 	p := platform.New(platform.NewStore(), platform.Options{WritesPerSecond: 1, ReadsPerSecond: 100})
 	c, closer := client.New(serve(t, p.Handler()), time.Second)
 	defer closer()
 	ctx := context.Background()
-	if _, err := c.Put(ctx, object("a", "x", 0)); err != nil {
+	if _, err := c.Put(ctx, modelObject("a", "x", 0)); err != nil {
 		t.Fatal(err)
 	}
-	_, err := c.Put(ctx, object("b", "x", 0))
+	_, err := c.Put(ctx, modelObject("b", "x", 0))
 	if !fault.Has(err, fault.PlatformThrottled) {
 		t.Errorf("got %v, want platform_throttled", err)
 	}
 }
 
-func TestOperatorsRace(t *testing.T) {
-	b := newBed(t)
+func TestConcurrentApplyIsAConflict(t *testing.T) {
+	b := newCluster(t)
 	ctx := context.Background()
 	there, err := b.store.Get(api.ResourceKindModel, "desk")
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := object("desk", "first", there.Version), object("desk", "second", there.Version)
+	first, second := modelObject("desk", "first", there.Version), modelObject("desk", "second", there.Version)
 	if _, err := resource.Apply(ctx, b.client, first); err != nil {
 		t.Fatal(err)
 	}
@@ -139,17 +140,17 @@
 	if !fault.Has(err, fault.VersionConflict) || !strings.Contains(err.Error(), "first") {
 		t.Errorf("second operator: got %v, want a conflict that shows the first's change", err)
 	}
-	// Applying again what was applied changes nothing.
+	// Applying the same object again changes nothing.
 	first.Version = 0
 	if o, err := resource.Apply(ctx, b.client, first); err != nil || o.Changed {
-		t.Errorf("same again: got %+v, %v, want unchanged", o, err)
+		t.Errorf("same object again: got %+v, %v, want unchanged", o, err)
 	}
 }
 
-// Edits of one field by many operators at once all count.
-func TestEditsDoNotOverwriteEachOther(t *testing.T) {
-	b := newBed(t)
-	b.backend("e", dead(t), api.BackendServerSpec{})
+// Operators who edit different fields of one object at the same time must not overwrite each other.
+func TestConcurrentEditsAreBothKept(t *testing.T) {
+	b := newCluster(t)
+	b.declareServer("e", unusedAddress(t), api.BackendServerSpec{})
 	done := make(chan error, 2)
 	edit := func(field string, value any) {
 		b.group.Go(func(ctx context.Context) error {
@@ -171,8 +172,9 @@
 	}
 }
 
-// A platform that comes back from a copy gives no version out again.
-func TestPlatformComesBackFromACopy(t *testing.T) {
+// A platform that was restored from a backup must not issue a version twice, so that a write or
+// watch based on lost state is refused.
+func TestRestoredPlatformReusesNoVersion(t *testing.T) {
 	p := platform.New(platform.NewStore(), platform.Options{WritesPerSecond: 100, ReadsPerSecond: 100})
 	address := serve(t, p.Handler())
 	c, closer := client.New(address, time.Second)
@@ -194,22 +196,22 @@
 		}
 		_ = r.Body.Close()
 	}
-	first := put(object("a", "first", 0))
+	first := put(modelObject("a", "first", 0))
 	control("copy")
-	second := put(object("a", "second", first))
+	second := put(modelObject("a", "second", first))
 	control("restore")
 	kinds := []api.ResourceKind{api.ResourceKindModel}
 	l, err := c.List(ctx, kinds)
 	if err != nil || l.Version <= second || l.Version.Era() != 1 || len(l.Items) != 1 || l.Items[0].Version != first {
 		t.Errorf("list: got %+v at %v, %v, want the object at %v, as of a later era", l.Items, l.Version, err, first)
 	}
-	if _, err := c.Put(ctx, object("a", "lost", second)); !fault.Has(err, fault.VersionConflict) {
-		t.Errorf("write on what was lost: got %v, want version_conflict", err)
+	if _, err := c.Put(ctx, modelObject("a", "lost", second)); !fault.Has(err, fault.VersionConflict) {
+		t.Errorf("write based on lost state: got %v, want version_conflict", err)
 	}
 	if _, err := c.Watch(ctx, second, time.Second, kinds); !fault.Has(err, fault.WatchTooOld) {
-		t.Errorf("watch from what was lost: got %v, want watch_too_old", err)
+		t.Errorf("watch from a lost version: got %v, want watch_too_old", err)
 	}
-	if third := put(object("a", "third", first)); third <= l.Version {
-		t.Errorf("write on what the copy has: got version %v, want one above %v", third, l.Version)
+	if third := put(modelObject("a", "third", first)); third <= l.Version {
+		t.Errorf("write based on the backup: got version %v, want one above %v", third, l.Version)
 	}
 }
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -15,16 +15,16 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// crowd is an engine for one generation at a time, which takes long.
-func crowd(b *bed) *engine.Engine {
-	return b.engine("engine-1", nil, func(o *engine.Options) { o.Batch.StepBase = 5 * time.Millisecond })
+// startSlowEngine starts an engine whose generations take long.
+func startSlowEngine(b *cluster) *engine.Engine {
+	return b.startEngine("engine-1", nil, func(o *engine.Options) { o.Batch.StepBase = 5 * time.Millisecond })
 }
 
-// hold keeps an engine busy until the test ends.
-func hold(t *testing.T, v *vm) {
+// occupyEngine keeps an engine busy with one long generation until the test ends.
+func occupyEngine(t *testing.T, v *vm) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	r, err := chat(16000, true).request(ctx, v.listen)
+	r, err := chatCall(16000, true).newRequest(ctx, v.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,50 +41,50 @@
 	}
 }
 
-// TestRefusalsThatSayNotRun enumerates the paths on which a caller is told
-// that its request was not run, and counts what engines started.
-func TestRefusalsThatSayNotRun(t *testing.T) {
+// TestNotRunRefusalsStartNoGeneration covers the ways in which a caller gets "not run" as its
+// answer, and checks that the engine started no generation.
+func TestNotRunRefusalsStartNoGeneration(t *testing.T) {
 	const one = "admission = slots\nslots = 1\n[entry]\nqueue_limit = 1\nqueue_wait_ms = 300\n"
 	tests := []struct {
-		name  string
-		more  string
-		setup func(t *testing.T, b *bed, v *vm)
-		ask   ask
-		want  fault.Code
+		name     string
+		settings string
+		setup    func(t *testing.T, b *cluster, v *vm)
+		call     call
+		want     fault.Code
 	}{
-		{"queue timeout", one, func(t *testing.T, _ *bed, v *vm) { hold(t, v) }, chat(1, false), fault.QueueTimeout},
-		{"deadline while waiting", one, func(t *testing.T, _ *bed, v *vm) { hold(t, v) }, chat(1, false, wire.HeaderDeadline, "40"), fault.DeadlinePassed},
-		{"queue full", one, func(t *testing.T, b *bed, v *vm) {
-			hold(t, v)
-			b.group.Go(func(context.Context) error { v.send(chat(1, false)); return nil })
-			b.until("the queue to fill", func() bool { return b.metric(v, "requests_waiting") == 1 })
-		}, chat(1, false, wire.HeaderPriority, "background"), fault.QueueFull},
-		{"engine leaving", "", func(_ *testing.T, b *bed, v *vm) {
+		{"queue timeout", one, func(t *testing.T, _ *cluster, v *vm) { occupyEngine(t, v) }, chatCall(1, false), fault.QueueTimeout},
+		{"deadline while waiting", one, func(t *testing.T, _ *cluster, v *vm) { occupyEngine(t, v) }, chatCall(1, false, wire.HeaderDeadline, "40"), fault.DeadlinePassed},
+		{"queue full", one, func(t *testing.T, b *cluster, v *vm) {
+			occupyEngine(t, v)
+			b.group.Go(func(context.Context) error { v.send(chatCall(1, false)); return nil })
+			b.waitFor("the queue to fill", func() bool { return b.metric(v, "requests_waiting") == 1 })
+		}, chatCall(1, false, wire.HeaderPriority, "background"), fault.QueueFull},
+		{"engine leaving", "", func(_ *testing.T, b *cluster, v *vm) {
 			b.engines["engine-1"].Leave()
-			b.until("the notice", func() bool { s, err := b.status(v); return err == nil && ready(s) == 0 })
-		}, chat(1, false), fault.NoServer},
-		{"engine gone", "", func(t *testing.T, b *bed, v *vm) {
-			b.move("engine-1", dead(t))
-			b.until("the loss", func() bool { s, err := b.status(v); return err == nil && ready(s) == 0 })
-		}, chat(1, false), fault.NoServer},
-		{"planned stop", "", func(_ *testing.T, b *bed, v *vm) {
+			b.waitFor("the notice to arrive", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
+		}, chatCall(1, false), fault.NoServer},
+		{"engine unreachable", "", func(t *testing.T, b *cluster, v *vm) {
+			b.changeAddress("engine-1", unusedAddress(t))
+			b.waitFor("the loss to be noticed", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 0 })
+		}, chatCall(1, false), fault.NoServer},
+		{"planned stop", "", func(_ *testing.T, b *cluster, v *vm) {
 			v.cancel()
-			b.until("the stop", func() bool { return v.send(chat(1, false)).status != http.StatusOK })
-		}, chat(1, false), 0},
+			b.waitFor("the stop to begin", func() bool { return v.send(chatCall(1, false)).status != http.StatusOK })
+		}, chatCall(1, false), 0},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
-			e := crowd(b)
-			v := b.entry("entry-1", c.more)
+			b := newCluster(t)
+			e := startSlowEngine(b)
+			v := b.startEntry("entry-1", c.settings)
 			c.setup(t, b, v)
 			before := e.Started()
-			r := v.send(c.ask)
+			r := v.send(c.call)
 			if c.want == 0 {
-				// The listener may be closed already, which proves the same.
+				// The listener may be closed already, which refuses the request as well.
 				if r.err == nil && fault.Code(r.fault().Code) != fault.Stopping {
-					t.Errorf("got %d %s, want a refusal by stopping", r.status, r.body)
+					t.Errorf("got %d %s, want code stopping", r.status, r.body)
 				}
 			} else {
 				checkRefusal(t, r, c.want)
@@ -99,8 +99,8 @@
 	}
 }
 
-// move changes a backend server's address.
-func (b *bed) move(name, address string) {
+// changeAddress changes a backend server's address.
+func (b *cluster) changeAddress(name, address string) {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindBackendServer, name)
 	if err != nil {
@@ -112,20 +112,20 @@
 	b.put(o)
 }
 
-// TestLeavingServerGetsNoNewWork gives each signal, also to an entry VM that
-// is cut off from the platform.
+// TestLeavingServerGetsNoNewWork covers each signal that a server is leaving, also for an entry VM
+// that cannot reach the platform.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	tests := []struct {
 		name   string
 		cut    bool
-		signal func(b *bed)
+		signal func(b *cluster)
 	}{
-		{"its own notice", false, func(b *bed) { b.engines["engine-1"].Leave() }},
-		{"its own notice, platform down", true, func(b *bed) { b.engines["engine-1"].Leave() }},
-		{"the list of VMs", false, func(b *bed) {
+		{"its own notice", false, func(b *cluster) { b.engines["engine-1"].Leave() }},
+		{"its own notice, platform down", true, func(b *cluster) { b.engines["engine-1"].Leave() }},
+		{"the list of VMs", false, func(b *cluster) {
 			b.platform.SetVM(api.VM{Name: "engine-1", Role: api.VMRoleBackend, State: api.VMStateLeaving})
 		}},
-		{"drained by an operator", false, func(b *bed) {
+		{"drained by an operator", false, func(b *cluster) {
 			o, err := b.store.Get(api.ResourceKindBackendServer, "engine-1")
 			if err != nil {
 				b.t.Fatal(err)
@@ -133,21 +133,21 @@
 			o.Spec = []byte(strings.Replace(string(o.Spec), `"active"`, `"draining"`, 1))
 			b.put(o)
 		}},
-		{"frozen, platform down", true, func(b *bed) { b.engines["engine-1"].Freeze(time.Hour) }},
+		{"frozen, platform down", true, func(b *cluster) { b.engines["engine-1"].Freeze(time.Hour) }},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
-			e := b.engine("engine-1", nil, nil)
-			b.engine("engine-2", nil, nil)
-			v := b.entry("entry-1", "suspect_ms = 300\n")
+			b := newCluster(t)
+			e := b.startEngine("engine-1", nil, nil)
+			b.startEngine("engine-2", nil, nil)
+			v := b.startEntry("entry-1", "suspect_ms = 300\n")
 			b.platform.Set(platform.Faults{Outage: c.cut})
 			c.signal(b)
-			b.until("the signal", func() bool { s, err := b.status(v); return err == nil && ready(s) == 1 })
+			b.waitFor("the signal to arrive", func() bool { s, err := b.status(v); return err == nil && readyServers(s) == 1 })
 			before := e.Started()
 			for range 20 {
-				if r := v.send(chat(1, false)); r.status != http.StatusOK {
+				if r := v.send(chatCall(1, false)); r.status != http.StatusOK {
 					t.Errorf("got %d %s, want 200", r.status, r.body)
 				}
 			}
@@ -158,21 +158,22 @@
 	}
 }
 
-// TestStrangersGetNothing asks with one workspace's key for another's things.
-func TestStrangersGetNothing(t *testing.T) {
-	b := newBed(t)
-	b.engine("engine-1", nil, nil)
-	v := b.entry("entry-1", "")
-	r := v.send(chat(5, true))
-	id := lastID(r.body)
-	back := ask{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequestID), headers: []string{wire.HeaderLastEventID, id}}
-	back.key = sample.KeyField
-	checkRefusal(t, v.send(back), fault.UnknownStream)
-	back.key = "nobody"
-	checkRefusal(t, v.send(back), fault.UnknownWorkspace)
-	back.key = sample.KeyDispatch
-	if got := v.send(back); got.status != http.StatusOK {
-		t.Errorf("its own caller: got %d %s, want 200", got.status, got.body)
+// TestStreamIsNotServedToOtherWorkspaces resumes the stream of a workspace with another
+// workspace's key, an unknown key and a wrong request id.
+func TestStreamIsNotServedToOtherWorkspaces(t *testing.T) {
+	b := newCluster(t)
+	b.startEngine("engine-1", nil, nil)
+	v := b.startEntry("entry-1", "")
+	r := v.send(chatCall(5, true))
+	id := firstEventID(r.body)
+	resume := call{method: http.MethodGet, path: "/v1/chat/completions/" + r.header.Get(wire.HeaderRequestID), headers: []string{wire.HeaderLastEventID, id}}
+	resume.key = sample.KeyField
+	checkRefusal(t, v.send(resume), fault.UnknownStream)
+	resume.key = "nobody"
+	checkRefusal(t, v.send(resume), fault.UnknownWorkspace)
+	resume.key = sample.KeyDispatch
+	if got := v.send(resume); got.status != http.StatusOK {
+		t.Errorf("with the workspace's own key: got %d %s, want 200", got.status, got.body)
 	}
 	o, err := b.store.Get(api.ResourceKindWorkspace, "dispatch")
 	if err != nil {
@@ -180,16 +181,17 @@
 	}
 	o.Spec = []byte(strings.Replace(string(o.Spec), "{", `{"requests_per_second":1,`, 1))
 	n := b.put(o).Version
-	b.inForce(v, n)
-	b.until("the limit", func() bool { return v.send(back).status == http.StatusTooManyRequests })
-	if f := v.send(back).fault(); f.Ran != api.RanYes {
+	b.waitForVersion(v, n)
+	b.waitFor("the limit to be reached", func() bool { return v.send(resume).status == http.StatusTooManyRequests })
+	if f := v.send(resume).fault(); f.Ran != api.RanYes {
 		t.Errorf("resume over the limit: got ran %s, want yes, as the request itself ran", f.Ran)
 	}
-	back.path = "/v1/chat/completions/another"
-	checkRefusal(t, v.send(back), fault.UnknownStream)
+	resume.path = "/v1/chat/completions/another"
+	checkRefusal(t, v.send(resume), fault.UnknownStream)
 }
 
-func lastID(body string) string {
+// firstEventID returns the id of the first event of a stream.
+func firstEventID(body string) string {
 	_, rest, _ := strings.Cut(body, "id: ")
 	id, _, _ := strings.Cut(rest, "\n")
 	return id
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -14,24 +14,24 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// TestServiceContract breaks a service in each way and counts what it ran.
+// TestServiceContract breaks a service in each way and checks how often the call ran.
 func TestServiceContract(t *testing.T) {
-	plain := ask{path: "/services/orders/look", key: sample.KeyField, headers: []string{wire.HeaderIdempotencyKey, "k"}}
+	plain := call{path: "/services/orders/look", key: sample.KeyField, headers: []string{wire.HeaderIdempotencyKey, "k"}}
 	tests := []struct {
 		name   string
 		faults service.Faults
-		ask    ask
+		call   call
 		want   fault.Code
 		ran    api.Ran
-		// runs is how often the call ran, and again what asking again gets.
-		runs  int
-		again int
+		// runs is how often the call ran, and retryStatus the status of a second call.
+		runs        int
+		retryStatus int
 	}{
-		{"whole", service.Faults{}, order("k"), 0, "", 1, http.StatusOK},
-		{"answer lost", service.Faults{LoseAnswers: 1}, order("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
-		{"answer cut short", service.Faults{CutAnswers: 1}, order("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
-		{"answer of another request", service.Faults{CrossAnswers: 1}, order("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
-		{"slower than the wait", service.Faults{DelayMS: 400}, order("k", wire.HeaderDeadline, "150"), fault.DeadlinePassed, api.RanUnknown, 1, http.StatusConflict},
+		{"complete", service.Faults{}, orderCall("k"), 0, "", 1, http.StatusOK},
+		{"answer lost", service.Faults{LoseAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
+		{"answer cut short", service.Faults{CutAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
+		{"answer of another request", service.Faults{CrossAnswers: 1}, orderCall("k"), fault.OutcomeUnknown, api.RanUnknown, 1, http.StatusConflict},
+		{"answer after the deadline", service.Faults{DelayMS: 400}, orderCall("k", wire.HeaderDeadline, "150"), fault.DeadlinePassed, api.RanUnknown, 1, http.StatusConflict},
 		{"repeatable, answer lost", service.Faults{LoseAnswers: 1}, plain, 0, "", 2, http.StatusOK},
 		{"repeatable, answer cut short", service.Faults{CutAnswers: 1}, plain, 0, "", 2, http.StatusOK},
 		{"repeatable, answer of another request", service.Faults{CrossAnswers: 1}, plain, 0, "", 2, http.StatusOK},
@@ -40,41 +40,42 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
-			s := b.service("orders-1")
-			b.alias(s, "orders-2")
-			v := b.entry("entry-1", "")
+			b := newCluster(t)
+			s := b.startService("orders-1")
+			b.declareAlias(s, "orders-2")
+			v := b.startEntry("entry-1", "")
 			s.Set(c.faults)
-			r := v.send(c.ask)
+			r := v.send(c.call)
 			if r.err != nil {
 				t.Fatal(r.err)
 			}
 			if f := r.fault(); fault.Code(f.Code) != c.want || f.Ran != c.ran {
 				t.Errorf("fault: got %d ran %q (%s), want %d ran %q", f.Code, f.Ran, r.body, c.want, c.ran)
 			}
-			b.until("the call to be counted", func() bool { return s.Counts()["k"] >= c.runs })
-			if c.again != 0 {
+			b.waitFor("the call to be counted", func() bool { return s.Counts()["k"] >= c.runs })
+			if c.retryStatus != 0 {
 				s.Set(service.Faults{})
-				if got := v.send(c.ask).status; got != c.again {
-					t.Errorf("asked again: got %d, want %d", got, c.again)
+				if got := v.send(c.call).status; got != c.retryStatus {
+					t.Errorf("second call: got %d, want %d", got, c.retryStatus)
 				}
 			}
-			if got, most := s.Counts()["k"], c.runs+1; strings.Contains(c.ask.path, "confirm") && got != 1 || got > most {
+			if got, maxRuns := s.Counts()["k"], c.runs+1; strings.Contains(c.call.path, "confirm") && got != 1 || got > maxRuns {
 				t.Errorf("runs: got %d, want %d", got, c.runs)
 			}
 		})
 	}
 }
 
-// alias declares a second server of the plain service that is the same one.
-func (b *bed) alias(s *service.Service, name string) {
+// declareAlias declares a second server of the plain service that is the same stand-in, and sets both
+// as the servers of the service.
+func (b *cluster) declareAlias(s *service.Service, name string) {
 	b.t.Helper()
-	b.backend(name, serve(b.t, s.Handler()), api.BackendServerSpec{Type: api.ServerTypeService})
-	b.servers("orders-1", name)
+	b.declareServer(name, serve(b.t, s.Handler()), api.BackendServerSpec{Type: api.ServerTypeService})
+	b.setServers("orders-1", name)
 }
 
-// servers sets the servers of the plain service.
-func (b *bed) servers(names ...string) {
+// setServers sets the servers of the plain service.
+func (b *cluster) setServers(names ...string) {
 	b.t.Helper()
 	o, err := b.store.Get(api.ResourceKindService, "orders")
 	if err != nil {
@@ -84,30 +85,30 @@
 	b.put(o)
 }
 
-func TestUnreachableServiceWasNotRun(t *testing.T) {
-	b := newBed(t)
-	b.backend("gone", dead(t), api.BackendServerSpec{Type: api.ServerTypeService})
-	b.servers("gone")
-	v := b.entry("entry-1", "")
-	r := v.send(order("k"))
+func TestCallToUnreachableServiceIsNotRun(t *testing.T) {
+	b := newCluster(t)
+	b.declareServer("gone", unusedAddress(t), api.BackendServerSpec{Type: api.ServerTypeService})
+	b.setServers("gone")
+	v := b.startEntry("entry-1", "")
+	r := v.send(orderCall("k"))
 	checkRefusal(t, r, fault.NoServer)
-	// The claim was given back, so the call can be made once a server is there.
-	s := b.service("orders-1")
-	b.servers("orders-1")
-	b.until("the call to be made", func() bool { return v.send(order("k")).status == http.StatusOK })
+	// The claim was released, so the call can be made once a server is reachable.
+	s := b.startService("orders-1")
+	b.setServers("orders-1")
+	b.waitFor("the call to be made", func() bool { return v.send(orderCall("k")).status == http.StatusOK })
 	if got := s.Counts()["k"]; got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
 }
 
-func TestUnreachableServerIsPassedOver(t *testing.T) {
-	b := newBed(t)
-	b.backend("a-gone", dead(t), api.BackendServerSpec{Type: api.ServerTypeService})
-	s := b.service("orders-1")
-	b.servers("a-gone", "orders-1")
-	v := b.entry("entry-1", "")
+func TestUnreachableServerIsSkipped(t *testing.T) {
+	b := newCluster(t)
+	b.declareServer("a-gone", unusedAddress(t), api.BackendServerSpec{Type: api.ServerTypeService})
+	s := b.startService("orders-1")
+	b.setServers("a-gone", "orders-1")
+	v := b.startEntry("entry-1", "")
 	for i := range 5 {
-		if r := v.send(order(fmt.Sprint(i))); r.status != http.StatusOK {
+		if r := v.send(orderCall(fmt.Sprint(i))); r.status != http.StatusOK {
 			t.Errorf("call %d: got %d %s, want 200", i, r.status, r.body)
 		}
 	}
@@ -117,30 +118,30 @@
 }
 
 func TestAnswerIsReplayedThroughAnotherEntryVM(t *testing.T) {
-	b := newBed(t)
-	s := b.service("orders-1")
-	b.servers("orders-1")
-	v, w := b.entry("entry-1", ""), b.entry("entry-2", "")
-	first := v.send(order("k"))
-	second := w.send(order("k"))
+	b := newCluster(t)
+	s := b.startService("orders-1")
+	b.setServers("orders-1")
+	v, w := b.startEntry("entry-1", ""), b.startEntry("entry-2", "")
+	first := v.send(orderCall("k"))
+	second := w.send(orderCall("k"))
 	if first.status != http.StatusOK || second.body != first.body {
 		t.Errorf("second answer: got %d %q, want %q", second.status, second.body, first.body)
 	}
 	if got := s.Counts()["k"]; got != 1 {
 		t.Errorf("runs: got %d, want 1", got)
 	}
-	other := order("k")
+	other := orderCall("k")
 	other.body = "compressor 8"
 	checkRefusal(t, w.send(other), fault.ReusedKey)
-	// Another workspace's key of the same text is another key.
-	stranger := order("k")
-	stranger.key = sample.KeyDispatch
-	if r := v.send(stranger); r.status != http.StatusOK {
+	// The same key in another workspace is a different key.
+	foreign := orderCall("k")
+	foreign.key = sample.KeyDispatch
+	if r := v.send(foreign); r.status != http.StatusOK {
 		t.Errorf("another workspace: got %d, want 200", r.status)
 	}
 }
 
-func TestClaimsThroughThePlatformsFaults(t *testing.T) {
+func TestClaimsDuringPlatformFaults(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults platform.Faults
@@ -148,45 +149,45 @@
 		runs   int
 	}{
 		{"down", platform.Faults{Outage: true}, fault.ClaimUnavailable, 0},
-		{"claim's answer lost", platform.Faults{LoseWriteAnswers: 1}, 0, 1},
-		{"slower than the wait", platform.Faults{SlowMS: 700}, fault.ClaimUnavailable, 0},
+		{"answer to the claim lost", platform.Faults{LoseWriteAnswers: 1}, 0, 1},
+		{"answer after the timeout", platform.Faults{SlowMS: 700}, fault.ClaimUnavailable, 0},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
-			s := b.service("orders-1")
-			b.servers("orders-1")
-			v := b.entry("entry-1", "")
+			b := newCluster(t)
+			s := b.startService("orders-1")
+			b.setServers("orders-1")
+			v := b.startEntry("entry-1", "")
 			b.platform.Set(c.faults)
-			checkRefusal(t, v.send(order("k")), c.want)
+			checkRefusal(t, v.send(orderCall("k")), c.want)
 			if got := s.Counts()["k"]; got != c.runs {
 				t.Errorf("runs: got %d, want %d", got, c.runs)
 			}
-			// What may be repeated needs no platform.
-			if r := v.send(ask{path: "/services/orders/look", key: sample.KeyField}); r.status != http.StatusOK {
+			// A repeatable call needs no claim and so no platform.
+			if r := v.send(call{path: "/services/orders/look", key: sample.KeyField}); r.status != http.StatusOK {
 				t.Errorf("repeatable call: got %d, want 200", r.status)
 			}
 			b.platform.Set(platform.Faults{})
-			b.until("the call to be answered", func() bool { return v.send(order("k")).status == http.StatusOK })
+			b.waitFor("the call to be answered", func() bool { return v.send(orderCall("k")).status == http.StatusOK })
 			if got := s.Counts()["k"]; got != 1 {
-				t.Errorf("runs in the end: got %d, want 1", got)
+				t.Errorf("runs after the outage: got %d, want 1", got)
 			}
 		})
 	}
 }
 
-// The HTTP transport repeats a request that carries an idempotency key when a
-// kept connection breaks; a call that is not repeatable must not be.
-func TestTransportDoesNotRepeatACall(t *testing.T) {
-	b := newBed(t)
-	s := b.service("orders-1")
-	v := b.entry("entry-1", "")
+// Go's HTTP transport repeats a request that carries an idempotency key when an idle connection
+// that it reuses breaks. A call that is not repeatable must not be repeated.
+func TestTransportDoesNotRepeatCalls(t *testing.T) {
+	b := newCluster(t)
+	s := b.startService("orders-1")
+	v := b.startEntry("entry-1", "")
 	for i := range 10 {
 		warm, key := fmt.Sprintf("warm-%d", i), fmt.Sprintf("k-%d", i)
-		v.send(order(warm))
+		v.send(orderCall(warm))
 		s.Set(service.Faults{LoseAnswers: 1})
-		r := v.send(order(key))
+		r := v.send(orderCall(key))
 		if f := r.fault(); f.Ran != api.RanUnknown {
 			t.Errorf("lost answer: got ran %q, want unknown", f.Ran)
 		}
--- a/contract/trace_test.go
+++ b/contract/trace_test.go
@@ -13,26 +13,26 @@
 	"github.com/wardridge/wardridge/internal/trace"
 )
 
-// TestSpansPerHop follows one caller's trace through the entry VM to the
-// engine, and the question to a peer.
-func TestSpansPerHop(t *testing.T) {
+// TestEachHopRecordsASpan follows a caller's trace through the entry VM to the engine, the service
+// and a peer.
+func TestEachHopRecordsASpan(t *testing.T) {
 	r := tracetest.NewSpanRecorder()
 	p := sdk.NewTracerProvider(sdk.WithSpanProcessor(r))
 	otel.SetTracerProvider(p)
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	t.Cleanup(func() { otel.SetTracerProvider(sdk.NewTracerProvider(sdk.WithSampler(sdk.NeverSample()))) })
-	b := newBed(t)
-	b.engine("engine-1", func(h http.Handler) http.Handler { return trace.Handler("generate", h) }, nil)
-	b.service("orders-1")
-	v := b.entry("entry-1", "")
+	b := newCluster(t)
+	b.startEngine("engine-1", func(h http.Handler) http.Handler { return trace.Handler("generate", h) }, nil)
+	b.startService("orders-1")
+	v := b.startEntry("entry-1", "")
 	const id = "4bf92f3577b34da6a3ce929d0e0e4736"
 	const parent = "00-" + id + "-00f067aa0ba902b7-01"
-	v.send(chat(3, true, "traceparent", parent))
-	v.send(order("k", "traceparent", parent))
+	v.send(chatCall(3, true, "traceparent", parent))
+	v.send(orderCall("k", "traceparent", parent))
 	b.services["orders-1"].Set(service.Faults{LoseAnswers: 1})
-	v.send(order("lost"))
-	// The claim of the lost call is the other entry VM's, which is asked.
-	b.entry("entry-2", "").send(order("lost", "traceparent", parent))
+	v.send(orderCall("lost"))
+	// The claim of the lost call belongs to the first entry VM, which the second one queries.
+	b.startEntry("entry-2", "").send(orderCall("lost", "traceparent", parent))
 	want := []string{"caller", "dispatch", "engine", "generate", "claim", "service", "peer"}
 	t.Cleanup(func() {
 		for _, x := range r.Ended() {
@@ -41,11 +41,11 @@
 			}
 		}
 	})
-	b.until("every span", func() bool { return len(missing(r, id, want)) == 0 })
+	b.waitFor("every span to end", func() bool { return len(missingSpans(r, id, want)) == 0 })
 }
 
-// missing lists the spans that a trace has not ended yet.
-func missing(r *tracetest.SpanRecorder, id string, want []string) []string {
+// missingSpans lists the wanted spans that have not ended in a trace yet.
+func missingSpans(r *tracetest.SpanRecorder, id string, want []string) []string {
 	seen := map[string]bool{}
 	for _, s := range r.Ended() {
 		if s.SpanContext().TraceID().String() == id {
--- a/spec/answer.go
+++ b/spec/answer.go
@@ -7,8 +7,8 @@
 	"github.com/wardridge/wardridge/internal/decide/answer"
 )
 
-// The answer's world: two generations of two tokens each on engines that may
-// break or forget, with every event lost, late, doubled or out of order.
+// Sizes of the answer model: two generations of two tokens each, on engines that may fail or
+// forget a generation. Any event may be lost, late, duplicated or out of order.
 const (
 	generations = 2
 	tokens      = 2
@@ -16,13 +16,13 @@
 
 type answerState struct {
 	answer answer.Answer
-	// begun counts the generations that were started.
-	begun int
-	// sent tells which generations may have run.
+	// started counts the generations that were started.
+	started int
+	// sent marks the generations that may have run.
 	sent [generations]bool
-	// open is whether a stream of the present generation is read.
+	// open is set while a stream of the current generation is read.
 	open bool
-	// delivered are the tokens that the caller saw, as generation and index.
+	// delivered holds the generation and index of each token that the caller received.
 	delivered [2*tokens + 1][2]int
 	count     int
 	finished  bool
@@ -31,22 +31,22 @@
 	now       int
 }
 
-func generationID(g int) api.GenerationID { return api.GenerationID(named("g%d", g)) }
+func generationID(g int) api.GenerationID { return api.GenerationID(sprintf("g%d", g)) }
 
-func answerWorld(repeatable bool, mutation string) world[answerState] {
+func answerModel(repeatable bool, mutation string) model[answerState] {
 	p := answer.Policy{Repeatable: repeatable, MaxResumeTime: 2 * time.Second, Deadline: at(100)}
-	return world[answerState]{
-		name:   named("one generation: 2 generations of 2 tokens, repeatable %v", repeatable),
-		start:  answerState{answer: *answer.New(p), begun: 0},
-		next:   func(s answerState) []step[answerState] { return answerNext(s, mutation) },
-		broken: func(s answerState) string { return answerBroken(s, repeatable) },
+	return model[answerState]{
+		name:      sprintf("one generation: 2 generations of 2 tokens, repeatable %v", repeatable),
+		initial:   answerState{answer: *answer.New(p), started: 0},
+		next:      func(s answerState) []step[answerState] { return answerNext(s, mutation) },
+		violation: func(s answerState) string { return answerViolation(s, repeatable) },
 	}
 }
 
-func answerBroken(s answerState, repeatable bool) string {
+func answerViolation(s answerState, repeatable bool) string {
 	for i := range s.count {
 		if s.delivered[i][1] != i || s.delivered[i][0] != s.delivered[0][0] {
-			return "the caller saw a token doubled, missing, out of order or of another generation"
+			return "the caller received a duplicate, missing, reordered or foreign token"
 		}
 	}
 	ran := 0
@@ -57,7 +57,7 @@
 	}
 	switch {
 	case s.finished && s.count != tokens:
-		return "the answer ended before all its tokens came"
+		return "the answer ended before its last token"
 	case !repeatable && ran > 1:
 		return "a request that is not repeatable ran twice"
 	case s.failed && s.ran == api.RanNo && ran > 0:
@@ -72,55 +72,57 @@
 	}
 	var l []step[answerState]
 	add := func(name string, n answerState) { l = append(l, step[answerState]{name, n}) }
-	if s.begun == 0 {
+	if s.started == 0 {
 		n := s
 		n.answer.Begin(generationID(0))
 		n.answer.MarkSent()
-		n.begun = 1
+		n.started = 1
 		add("g0 is sent", n)
 		return l
 	}
 	if !s.open {
-		l = append(l, opening(s, mutation)...)
+		l = append(l, openNext(s, mutation)...)
 		return l
 	}
-	for g := range s.begun {
+	for g := range s.started {
 		for i := range tokens + 1 {
 			if n, ok := receive(s, g, i, mutation); ok {
-				add(named("token %d of g%d arrives", i, g), n)
+				add(sprintf("token %d of g%d arrives", i, g), n)
 			}
 		}
 	}
 	n := s
-	n.broke(answer.Broken, mutation)
+	n.handleBreak(answer.Broken, mutation)
 	add("the stream breaks", n)
 	return l
 }
 
-// opening is what can come of a start or a resume.
-func opening(s answerState, mutation string) []step[answerState] {
+// openNext lists the outcomes of a start or a resume.
+func openNext(s answerState, mutation string) []step[answerState] {
 	var l []step[answerState]
 	add := func(name string, n answerState) { l = append(l, step[answerState]{name, n}) }
 	n := s
-	n.sent[s.begun-1] = true
+	n.sent[s.started-1] = true
 	n.open = true
 	n.answer.MarkOpened()
 	add("the engine streams", n)
 	n = s
-	n.sent[s.begun-1] = true
-	n.broke(answer.Broken, mutation)
-	add("the connection breaks, the engine has it", n)
+	n.sent[s.started-1] = true
+	n.handleBreak(answer.Broken, mutation)
+	add("the connection breaks, the engine has the generation", n)
 	for _, c := range []answer.Cause{answer.NotConnected, answer.Refused} {
 		n = s
-		n.broke(c, mutation)
-		add(named("cause %d", c), n)
+		n.handleBreak(c, mutation)
+		add(sprintf("the engine is not reached or refuses (cause %d)", c), n)
 	}
 	n = s
-	n.broke(answer.GenerationUnknown, mutation)
-	add("the engine has forgotten it", n)
+	n.handleBreak(answer.GenerationUnknown, mutation)
+	add("the engine has forgotten the generation", n)
 	return l
 }
 
+// receive handles an event of a generation: token i, or the end after the last token. It returns
+// false if the event can't occur.
 func receive(s answerState, g, i int, mutation string) (answerState, bool) {
 	if !s.sent[g] {
 		return s, false
@@ -131,7 +133,7 @@
 	}
 	n := s
 	v := n.answer.HandleEvent(e)
-	if mutation == "late tokens are taken" && v == answer.Drop && e.Finish == "" {
+	if mutation == "late tokens are accepted" && v == answer.Drop && e.Finish == "" {
 		v = answer.Deliver
 	}
 	switch v {
@@ -144,13 +146,13 @@
 	case answer.Finish:
 		n.finished = true
 	case answer.Gap:
-		n.broke(answer.Broken, mutation)
+		n.handleBreak(answer.Broken, mutation)
 	}
 	return n, true
 }
 
-// broke asks what follows a break and does it.
-func (s *answerState) broke(c answer.Cause, mutation string) {
+// handleBreak carries out the action that the real code decides on after a break.
+func (s *answerState) handleBreak(c answer.Cause, mutation string) {
 	s.open = false
 	s.now = min(s.now+1, 5)
 	n := s.answer.Break(at(s.now), c)
@@ -159,27 +161,29 @@
 	}
 	switch n.Action {
 	case answer.Retry:
-		s.again(mutation)
+		s.retry(mutation)
 	case answer.Fail:
 		s.failed, s.ran = true, n.Fault.Ran
 	}
 }
 
-func (s *answerState) again(mutation string) {
-	if s.begun == generations {
+// retry starts the next generation, or fails the answer if there is none or the real code
+// forbids another.
+func (s *answerState) retry(mutation string) {
+	if s.started == generations {
 		s.failed, s.ran = true, s.answer.Ran()
 		return
 	}
-	ok := s.answer.Begin(generationID(s.begun))
+	ok := s.answer.Begin(generationID(s.started))
 	if !ok && mutation == "" {
 		s.failed, s.ran = true, s.answer.Ran()
 		return
 	}
 	if !ok {
-		// The mutated code starts a generation all the same.
+		// The mutation starts a generation although the real code forbids it.
 		s.answer = *answer.New(answer.Policy{MaxResumeTime: 2 * time.Second, Deadline: at(100)})
-		s.answer.Begin(generationID(s.begun))
+		s.answer.Begin(generationID(s.started))
 	}
 	s.answer.MarkSent()
-	s.begun++
+	s.started++
 }
--- a/spec/lease.go
+++ b/spec/lease.go
@@ -7,134 +7,135 @@
 	"github.com/wardridge/wardridge/internal/decide/lease"
 )
 
+// epoch is the start of time in the models; at counts seconds from it.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The lease's world: two candidates, one object, whole seconds, a duration of
-// 2 s and a skew of 1 s.
+// candidates is the number of VMs that compete for the lease.
 const candidates = 2
 
+// leaseTiming is in whole seconds, like the clock of the model.
 var leaseTiming = lease.Timing{Duration: 2 * time.Second, Skew: time.Second}
 
-// leaseSize bounds a world, so that every run of it can be visited.
-type leaseSize struct {
+// leaseBounds bounds a lease model so that all its runs can be explored.
+type leaseBounds struct {
 	name    string
 	seconds int
-	// late lets writes be carried out after their callers gave up.
-	late bool
-	// orders lets holders send orders to an engine.
+	// lateWrites allows writes to take effect after their callers gave up waiting.
+	lateWrites bool
+	// orders allows holders to send orders to an engine.
 	orders bool
-	// crashes is how often vm-0 may crash.
-	crashes api.Incarnation
-	// restore lets the platform come back once, within the first second, from a copy of before
-	// the last write or of before all of them.
+	// maxCrashes is how often vm-0 may crash.
+	maxCrashes api.Incarnation
+	// restore allows the platform to be restored once, by lastRestoreSecond, from a backup taken
+	// before the last write or before all writes.
 	restore bool
-	// lossless has every answer arrive.
+	// lossless makes every answer arrive.
 	lossless bool
 }
 
-// restoreBy is the last second in which the platform comes back.
-const restoreBy = 1
+// lastRestoreSecond is the last second in which the platform may be restored.
+const lastRestoreSecond = 1
 
-// Mutations of a restore.
+// Mutations of the protocol after a restore.
 const (
 	mutateNoWait    = "no wait in a later era"
 	mutateAnyEra    = "a write of another era counts as a hold"
-	mutateSameFence = "fences begin again in a later era"
+	mutateSameFence = "fences restart in a later era"
 )
 
-// object is the lease as the platform has it, after so many writes.
-type object struct {
+// storedLease is the lease as the platform stores it, and the number of writes so far.
+type storedLease struct {
 	exists  bool
 	spec    api.LeaseSpec
 	version api.Version
-	written api.Revision
+	writes  api.Revision
 }
 
-// seen is the object as it is read.
-func (s leaseState) seen() lease.Object {
+// readLease returns the stored lease as a read returns it.
+func (s leaseState) readLease() lease.Object {
 	return lease.Object{Exists: s.exists, Spec: s.spec, Version: s.version, Era: s.era}
 }
 
-// write carries a write out in an era, if its condition holds.
-func (o *object) write(e api.Era, s api.LeaseSpec, expect api.Version) bool {
+// write stores a lease in an era if the expected version is current, and reports whether it was.
+func (o *storedLease) write(e api.Era, s api.LeaseSpec, expect api.Version) bool {
 	if expect != o.version {
 		return false
 	}
-	o.written++
-	o.exists, o.spec, o.version = true, s, api.NewVersion(e, o.written)
+	o.writes++
+	o.exists, o.spec, o.version = true, s, api.NewVersion(e, o.writes)
 	return true
 }
 
-// call is a write of a candidate that the platform has not carried out yet, or
-// whose answer is on its way.
+// call is a candidate's write that the platform has not applied yet, or whose answer is in
+// flight.
 type call struct {
-	open    bool
-	applied bool
-	ok      bool
-	version api.Version
-	spec    api.LeaseSpec
-	expect  api.Version
-	// late is a write whose caller has given up waiting.
-	late bool
+	pending  bool
+	applied  bool
+	accepted bool
+	version  api.Version
+	spec     api.LeaseSpec
+	expect   api.Version
+	// abandoned is set once the caller has given up waiting.
+	abandoned bool
 }
 
-// order is an order on its way to an engine.
+// order is an order to an engine.
 type order struct {
-	open  bool
-	fence api.Fence
+	inFlight bool
+	fence    api.Fence
 }
 
 type leaseState struct {
 	now int
-	object
-	// era counts the restores; before is the object before the last write.
-	era      api.Era
-	before   object
-	lease    [candidates]lease.Lease
-	call     [candidates]call
-	life     [candidates]api.Incarnation
-	order    [candidates]order
-	applied  api.Fence
-	oldOrder bool
-	// by is the candidate whose order was carried out last, one up; sameFence tells that two
-	// ordered with one fence.
-	by        int
-	sameFence bool
-	// both tells that both candidates held at once.
-	both bool
+	storedLease
+	// era counts the restores; previous is the lease before the last write.
+	era          api.Era
+	previous     storedLease
+	lease        [candidates]lease.Lease
+	call         [candidates]call
+	incarnations [candidates]api.Incarnation
+	order        [candidates]order
+	appliedFence api.Fence
+	staleOrder   bool
+	// lastSender is the candidate whose order the engine applied last, counted from one;
+	// sameFence is set if two candidates sent orders with the same fence.
+	lastSender int
+	sameFence  bool
+	// bothHeld is set if both candidates hold the lease.
+	bothHeld bool
 }
 
 func at(n int) time.Time { return epoch.Add(time.Duration(n) * time.Second) }
 
-func owner(i int, life api.Incarnation) lease.Owner {
-	return lease.Owner{VM: api.VMName(named("vm-%d", i)), Incarnation: life}
+func owner(i int, incarnation api.Incarnation) lease.Owner {
+	return lease.Owner{VM: api.VMName(sprintf("vm-%d", i)), Incarnation: incarnation}
 }
 
-func leaseWorld(z leaseSize, mutation string) world[leaseState] {
+func leaseModel(b leaseBounds, mutation string) model[leaseState] {
 	var s leaseState
 	for i := range candidates {
-		s.life[i] = 1
+		s.incarnations[i] = 1
 		s.lease[i] = *lease.New(owner(i, 1), leaseTiming)
 	}
-	return world[leaseState]{
-		name:  z.name,
-		start: s,
-		next:  func(s leaseState) []step[leaseState] { return leaseNext(s, z, mutation) },
-		broken: func(s leaseState) string {
+	return model[leaseState]{
+		name:    b.name,
+		initial: s,
+		next:    func(s leaseState) []step[leaseState] { return leaseNext(s, b, mutation) },
+		violation: func(s leaseState) string {
 			switch {
-			case s.both:
+			case s.bothHeld:
 				return "two candidates hold the lease at once"
 			case s.sameFence:
-				return "two holders order with one fence"
-			case s.oldOrder:
-				return "an order of an older holder was carried out after one of a newer"
+				return "two holders sent orders with the same fence"
+			case s.staleOrder:
+				return "an order of an earlier holder was applied after one of a later holder"
 			}
 			return ""
 		},
 	}
 }
 
-func leaseNext(s leaseState, z leaseSize, mutation string) []step[leaseState] {
+func leaseNext(s leaseState, b leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(name string, n leaseState) {
 		held := 0
@@ -143,126 +144,128 @@
 				held++
 			}
 		}
-		n.both = held > 1
+		n.bothHeld = held > 1
 		l = append(l, step[leaseState]{name, n})
 	}
-	if s.now < z.seconds {
+	if s.now < b.seconds {
 		n := s
 		n.now++
-		if n.now > restoreBy {
-			n.before = object{}
+		if n.now > lastRestoreSecond {
+			n.previous = storedLease{}
 		}
-		add(named("the clock reaches %d s", n.now), n)
+		add(sprintf("the clock reaches %d s", n.now), n)
 	}
-	if z.restore && s.era == 0 && s.now <= restoreBy {
-		for _, o := range []object{s.before, {}} {
+	if b.restore && s.era == 0 && s.now <= lastRestoreSecond {
+		for _, o := range []storedLease{s.previous, {}} {
 			n := s
-			n.era, n.object, n.before = 1, o, object{}
-			add(named("%d s: the platform comes back from a copy of %d writes", s.now, o.written), n)
+			n.era, n.storedLease, n.previous = 1, o, storedLease{}
+			add(sprintf("%d s: the platform is restored from a backup with %d writes", s.now, o.writes), n)
 		}
 	}
 	for i := range candidates {
-		for _, x := range candidateNext(s, i, z, mutation) {
+		for _, x := range candidateNext(s, i, b, mutation) {
 			add(x.name, x.next)
 		}
 	}
 	return l
 }
 
-// candidateNext is what can happen around one candidate; a pause is its not
-// being chosen while the clock goes on.
-func candidateNext(s leaseState, i int, z leaseSize, mutation string) []step[leaseState] {
+// candidateNext lists the steps of one candidate. A candidate is paused in runs in which the
+// clock advances and none of its steps is taken.
+func candidateNext(s leaseState, i int, b leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(what string, n leaseState) {
-		l = append(l, step[leaseState]{named("%d s: vm-%d %s", s.now, i, what), n})
+		l = append(l, step[leaseState]{sprintf("%d s: vm-%d %s", s.now, i, what), n})
 	}
 	c := s.call[i]
 	switch {
-	case !c.open:
-		stepNext(s, i, mutation, add)
+	case !c.pending:
+		callNext(s, i, mutation, add)
 	case !c.applied:
-		applyNext(s, i, z, add)
+		applyNext(s, i, b, add)
 	default:
-		answerArrives(s, i, z, mutation, add)
+		answerArrives(s, i, b, mutation, add)
 	}
-	if i == 0 && s.life[i] <= z.crashes {
+	if i == 0 && s.incarnations[i] <= b.maxCrashes {
 		crashNext(s, i, add)
 	}
-	if !z.orders {
+	if !b.orders {
 		return l
 	}
 	return append(l, orderNext(s, i, mutation)...)
 }
 
-type adder func(what string, n leaseState)
+// addStep adds a step of a candidate.
+type addStep func(what string, n leaseState)
 
-// stepNext makes the call that the candidate's own code asks for.
-func stepNext(s leaseState, i int, mutation string, add adder) {
+// callNext adds the call that the candidate's real code makes next.
+func callNext(s leaseState, i int, mutation string, add addStep) {
 	n := s
 	switch a := n.lease[i].Step(at(s.now)); a.Kind {
 	case lease.Read:
-		n.lease[i].HandleRead(at(s.now), s.seen())
+		n.lease[i].HandleRead(at(s.now), s.readLease())
 		if mutation == "no wait after a cold start" || mutation == mutateNoWait && s.era > 0 {
-			m := *lease.New(owner(i, s.life[i]), leaseTiming)
-			m.HandleRead(at(-100), s.seen())
+			m := *lease.New(owner(i, s.incarnations[i]), leaseTiming)
+			m.HandleRead(at(-100), s.readLease())
 			n.lease[i] = m
 		}
 		add("reads the lease", n)
 	case lease.Write:
-		n.call[i] = call{open: true, spec: a.Spec, expect: a.Version}
+		n.call[i] = call{pending: true, spec: a.Spec, expect: a.Version}
 		add("sends a write", n)
 	}
 }
 
-// applyNext carries a write out, or lets its caller give up waiting first.
-func applyNext(s leaseState, i int, z leaseSize, add adder) {
+// applyNext adds the steps of a pending write: the platform applies it, or its caller first gives
+// up waiting.
+func applyNext(s leaseState, i int, b leaseBounds, add addStep) {
 	c := s.call[i]
 	n := s
 	n.call[i].applied = true
 	if n.write(s.era, c.spec, c.expect) {
-		if z.restore && s.era == 0 && s.now <= restoreBy {
-			n.before = s.object
+		if b.restore && s.era == 0 && s.now <= lastRestoreSecond {
+			n.previous = s.storedLease
 		}
-		n.call[i].ok, n.call[i].version = true, n.version
+		n.call[i].accepted, n.call[i].version = true, n.version
 	}
-	if c.late {
+	if c.abandoned {
 		n.call[i] = call{}
 	}
-	add("has its write carried out", n)
-	if c.late || !z.late {
+	add("has its write applied", n)
+	if c.abandoned || !b.lateWrites {
 		return
 	}
 	n = s
-	n.call[i].late = true
+	n.call[i].abandoned = true
 	n.lease[i].Invalidate()
 	add("gives up waiting, the write is late", n)
 }
 
-// answerArrives gives the candidate the answer to its write, or loses it.
-func answerArrives(s leaseState, i int, z leaseSize, mutation string, add adder) {
+// answerArrives adds the steps of an answer to a write: it arrives, or is lost.
+func answerArrives(s leaseState, i int, b leaseBounds, mutation string, add addStep) {
 	c := s.call[i]
 	n := s
 	n.call[i] = call{}
-	if mutation == "deadline counted from receipt" && c.ok {
-		// The hold begins anew when the answer comes.
+	if mutation == "deadline counted from receipt" && c.accepted {
+		// The mutation counts the duration from the answer's arrival.
 		m := n.lease[i]
 		m.Invalidate()
-		x := s.seen()
+		x := s.readLease()
 		x.Version = c.expect
 		m.HandleRead(at(s.now), x)
 		m.Step(at(s.now))
 		n.lease[i] = m
 	}
 	switch {
-	case c.ok && mutation == mutateAnyEra:
+	case c.accepted && mutation == mutateAnyEra:
 		n.lease[i].HandleWritten(api.NewVersion(0, c.version.Revision()))
-	case c.ok:
+	case c.accepted:
 		n.lease[i].HandleWritten(c.version)
 	default:
 		n.lease[i].Invalidate()
 	}
 	add("gets the answer", n)
-	if z.lossless {
+	if b.lossless {
 		return
 	}
 	n = s
@@ -275,48 +278,47 @@
 	add("loses the answer", n)
 }
 
-// crashNext starts the candidate again without a memory; a write on its way
-// may still be carried out.
-func crashNext(s leaseState, i int, add adder) {
+// crashNext restarts the candidate without its memory. A write in flight may still be applied.
+func crashNext(s leaseState, i int, add addStep) {
 	n := s
-	n.life[i]++
-	n.lease[i] = *lease.New(owner(i, n.life[i]), leaseTiming)
-	if n.call[i].open {
-		n.call[i].late = true
+	n.incarnations[i]++
+	n.lease[i] = *lease.New(owner(i, n.incarnations[i]), leaseTiming)
+	if n.call[i].pending {
+		n.call[i].abandoned = true
 		if n.call[i].applied {
 			n.call[i] = call{}
 		}
 	}
-	add("crashes and starts again", n)
+	add("crashes and restarts", n)
 }
 
-// orderNext sends an order while the lease is held; it may stay on its way for
-// ever and arrive twice. The engine checks fences.
+// orderNext lists the steps of a candidate's order. The holder of the lease may send one, which
+// may stay in flight forever or arrive twice. The engine checks its fence.
 func orderNext(s leaseState, i int, mutation string) []step[leaseState] {
 	var l []step[leaseState]
-	if f, ok := s.lease[i].Held(at(s.now)); ok && !s.order[i].open {
+	if f, ok := s.lease[i].Held(at(s.now)); ok && !s.order[i].inFlight {
 		if mutation == mutateSameFence {
 			f %= 1 << 20
 		}
 		n := s
-		n.order[i] = order{open: true, fence: f}
-		l = append(l, step[leaseState]{named("%d s: vm-%d sends an order", s.now, i), n})
+		n.order[i] = order{inFlight: true, fence: f}
+		l = append(l, step[leaseState]{sprintf("%d s: vm-%d sends an order", s.now, i), n})
 	}
-	if o := s.order[i]; o.open {
+	if o := s.order[i]; o.inFlight {
 		for _, again := range []bool{false, true} {
 			n := s
-			n.order[i].open = again
-			if o.fence < s.applied && mutation != "engine checks no fence" {
+			n.order[i].inFlight = again
+			if o.fence < s.appliedFence && mutation != "engine checks no fence" {
 				if again {
 					continue
 				}
 			} else {
-				n.oldOrder = o.fence < s.applied
-				n.sameFence = o.fence == s.applied && s.by != 0 && s.by != i+1
-				n.by = i + 1
-				n.applied = max(s.applied, o.fence)
+				n.staleOrder = o.fence < s.appliedFence
+				n.sameFence = o.fence == s.appliedFence && s.lastSender != 0 && s.lastSender != i+1
+				n.lastSender = i + 1
+				n.appliedFence = max(s.appliedFence, o.fence)
 			}
-			l = append(l, step[leaseState]{named("%d s: an order with fence %d arrives", s.now, o.fence), n})
+			l = append(l, step[leaseState]{sprintf("%d s: an order with fence %d arrives", s.now, o.fence), n})
 		}
 	}
 	return l
--- a/spec/limit.go
+++ b/spec/limit.go
@@ -7,73 +7,77 @@
 	"github.com/wardridge/wardridge/internal/decide/throttle"
 )
 
-// Mutations of what entry VMs know of a server's limit.
+// Mutations of how entry VMs track a server's limit.
 const (
-	// mutateSent lets any answer without a limit take one back.
-	mutateSent = "answers that were on their way count"
-	// mutateWay takes a peer's word for as new as it looks.
-	mutateWay = "the way of a word is not counted"
+	// mutateInFlight lets any answer without a limit remove one, even if its request was sent before
+	// the limit was announced.
+	mutateInFlight = "answers to earlier requests remove limits"
+	// mutateNoTransit leaves the time in transit out of the age of a peer's report.
+	mutateNoTransit = "the transit time of reports is not counted"
 )
 
 const (
-	// limitTick is the length of a step of time, and wordTicks how many a peer's word is on
-	// its way at most.
-	limitTick = 300 * time.Millisecond
-	wordTicks = 2
-	// limitTicks bounds the time, switchMost how often the server names a limit or takes it
-	// back.
-	limitTicks = 5
-	switchMost = 3
-	// limitVMs is the number of entry VMs, of which the hearer has answers of the server and the
-	// other one words of its peer; exchangesMost and wordsMost bound what is on its way.
-	limitVMs      = 2
-	hearer        = 0
-	exchangesMost = 2
-	wordsMost     = 1
+	// limitTick is the length of a step of time, and maxTransitTicks the maximum number of steps
+	// that a peer's report is in transit.
+	limitTick       = 300 * time.Millisecond
+	maxTransitTicks = 2
+	// maxTicks bounds the time, and maxChanges how often the server announces or removes its
+	// limit.
+	maxTicks   = 5
+	maxChanges = 3
+	// limitVMs is the number of entry VMs. The requester gets answers from the server, the other
+	// one learns of the limit from its peer's reports only. maxExchanges and maxReports bound the
+	// messages in flight.
+	limitVMs     = 2
+	requester    = 0
+	maxExchanges = 2
+	maxReports   = 1
 )
 
-// limitRecord is what an entry VM knows: since when, and whether a limit is named.
+// limitRecord is an entry VM's knowledge: whether a limit is in force, and the earliest and the
+// latest time at which the server may have announced that.
 type limitRecord struct {
-	known, named bool
-	since, at    int8
+	known, named     bool
+	earliest, latest int8
 }
 
-// limitExchange is a request to the server, or its answer.
+// limitExchange is a request to the server, or the answer to it.
 type limitExchange struct {
 	open, answered, named bool
 	sent                  int8
-	// switches are those of the server when it answered.
-	switches int8
+	// changes is the server's number of changes when it answered.
+	changes int8
 }
 
-// limitWord is a peer's word on its way.
-type limitWord struct {
-	open   bool
-	to     int8
-	record limitRecord
-	sent   int8
+// limitReport is a peer's report in flight.
+type limitReport struct {
+	inFlight bool
+	to       int8
+	record   limitRecord
+	sent     int8
 }
 
-// limitState is a server that names a limit now and then, and entry VMs that hear of it from its
-// answers or from each other, late and out of order.
+// limitState is a server that announces and removes a limit, and entry VMs that learn of it from
+// answers or from each other's reports, late and out of order.
 type limitState struct {
 	now       int8
 	named     bool
-	switches  int8
+	changes   int8
 	records   [limitVMs]limitRecord
-	exchanges [exchangesMost]limitExchange
-	words     [wordsMost]limitWord
-	// told is the switches of the server when it last named its limit to each entry VM.
-	told [limitVMs]int8
-	// older is set once a word that is older than what was known changed it.
-	older bool
+	exchanges [maxExchanges]limitExchange
+	reports   [maxReports]limitReport
+	// announced is the server's number of changes when it last announced its limit to each entry
+	// VM.
+	announced [limitVMs]int8
+	// staleApplied is set once a report changed a record that was newer.
+	staleApplied bool
 }
 
-func limitWorld(mutation string) world[limitState] {
-	return world[limitState]{
-		name:   "limit",
-		next:   func(s limitState) []step[limitState] { return limitNext(s, mutation) },
-		broken: limitBroken,
+func limitModel(mutation string) model[limitState] {
+	return model[limitState]{
+		name:      "limit",
+		next:      func(s limitState) []step[limitState] { return limitNext(s, mutation) },
+		violation: limitViolation,
 	}
 }
 
@@ -83,34 +87,35 @@
 	return time.Unix(1000, 0).Add(time.Duration(tick) * limitTick)
 }
 
-// limits makes the real record of what an entry VM knows.
-func (r limitRecord) limits() *throttle.Limits {
+// toLimits builds the real record that represents r.
+func (r limitRecord) toLimits() *throttle.Limits {
 	l := throttle.NewLimits()
 	if !r.known {
 		return l
 	}
-	// An earlier word makes one that takes the limit back count.
+	// A removal is stored only if a limit was announced before it.
 	l.Record(limitAt(-100), limitAt(-100), limitServer, throttle.Limit{Named: true, Rate: 1})
-	if r.since == r.at {
-		l.Record(limitAt(r.at), limitAt(r.at), limitServer, throttle.Limit{Named: r.named, Rate: 1})
+	if r.earliest == r.latest {
+		l.Record(limitAt(r.latest), limitAt(r.latest), limitServer, throttle.Limit{Named: r.named, Rate: 1})
 		return l
 	}
-	// A peer's word is as old as its way allows.
-	l.Merge(limitAt(r.at), api.ServerLimit{Server: limitServer, Named: r.named, PerSecond: 1, OldestMS: r.oldest()})
+	// Merge adds the maximum time in transit to the age of a peer's report.
+	l.Merge(limitAt(r.latest), api.ServerLimit{Server: limitServer, Named: r.named, PerSecond: 1, OldestMS: r.oldestMS()})
 	return l
 }
 
-// oldest is what a peer has to tell as the oldest time of a record that is as young as it may be.
-func (r limitRecord) oldest() api.Milliseconds {
-	return api.ToMilliseconds(time.Duration(r.at-r.since-wordTicks) * limitTick)
+// oldestMS returns the age that a report must give as its oldest for Merge to record r.earliest
+// at r.latest.
+func (r limitRecord) oldestMS() api.Milliseconds {
+	return api.ToMilliseconds(time.Duration(r.latest-r.earliest-maxTransitTicks) * limitTick)
 }
 
-// readLimits reads the real record back.
-func readLimits(l *throttle.Limits, now int8) limitRecord {
+// fromLimits converts the real record back.
+func fromLimits(l *throttle.Limits, now int8) limitRecord {
 	for _, r := range l.Reports(limitAt(now)) {
 		return limitRecord{
 			known: true, named: r.Named,
-			since: now - int8(r.OldestMS.Duration()/limitTick), at: now - int8(r.AgeMS.Duration()/limitTick),
+			earliest: now - int8(r.OldestMS.Duration()/limitTick), latest: now - int8(r.AgeMS.Duration()/limitTick),
 		}
 	}
 	return limitRecord{}
@@ -123,32 +128,32 @@
 		change(&n)
 		l = append(l, step[limitState]{name, n})
 	}
-	if s.now < limitTicks && !s.overdue() {
+	if s.now < maxTicks && !s.reportDue() {
 		add("time passes", func(n *limitState) { n.now++ })
 	}
-	if s.switches < switchMost {
-		add("the server names its limit or takes it back", func(n *limitState) { n.named, n.switches = !n.named, n.switches+1 })
+	if s.changes < maxChanges {
+		add("the server announces or removes its limit", func(n *limitState) { n.named, n.changes = !n.named, n.changes+1 })
 	}
 	for i, x := range s.exchanges {
 		exchangeNext(s, i, x, mutation, add)
 	}
-	for i, w := range s.words {
-		wordNext(s, i, w, mutation, add)
+	for i, r := range s.reports {
+		reportNext(s, i, r, mutation, add)
 	}
 	return l
 }
 
-// overdue reports whether a word has been on its way for as long as it may.
-func (s limitState) overdue() bool {
-	for _, w := range s.words {
-		if w.open && s.now-w.sent >= wordTicks {
+// reportDue reports whether a report has been in flight for the maximum time.
+func (s limitState) reportDue() bool {
+	for _, r := range s.reports {
+		if r.inFlight && s.now-r.sent >= maxTransitTicks {
 			return true
 		}
 	}
 	return false
 }
 
-// exchangeNext is what can happen to one request.
+// exchangeNext adds the steps of one request.
 func exchangeNext(s limitState, i int, x limitExchange, mutation string, add func(string, func(n *limitState))) {
 	switch {
 	case !x.open && (i == 0 || s.exchanges[i-1].open):
@@ -156,65 +161,65 @@
 	case !x.open:
 	case !x.answered:
 		add("the server answers", func(n *limitState) {
-			n.exchanges[i].answered, n.exchanges[i].named, n.exchanges[i].switches = true, s.named, s.switches
+			n.exchanges[i].answered, n.exchanges[i].named, n.exchanges[i].changes = true, s.named, s.changes
 		})
 	default:
 		add("an answer arrives", func(n *limitState) {
 			n.exchanges[i] = limitExchange{}
 			sent := x.sent
-			if mutation == mutateSent {
+			if mutation == mutateInFlight {
 				sent = s.now + 1
 			}
-			l := s.records[hearer].limits()
+			l := s.records[requester].toLimits()
 			l.Record(limitAt(s.now), limitAt(sent), limitServer, throttle.Limit{Named: x.named, Rate: throttle.Rate(1)})
-			n.records[hearer] = readLimits(l, s.now)
+			n.records[requester] = fromLimits(l, s.now)
 			if x.named {
-				n.told[hearer] = x.switches
+				n.announced[requester] = x.changes
 			}
 		})
 	}
 }
 
-// wordNext is what can happen to one word of a peer.
-func wordNext(s limitState, i int, w limitWord, mutation string, add func(string, func(n *limitState))) {
-	if !w.open {
+// reportNext adds the steps of one report of a peer.
+func reportNext(s limitState, i int, r limitReport, mutation string, add func(string, func(n *limitState))) {
+	if !r.inFlight {
 		for vm := range int8(limitVMs) {
 			if s.records[vm].known {
-				add(named("VM %d tells its peer", vm), func(n *limitState) {
-					n.words[i] = limitWord{open: true, to: 1 - vm, record: s.records[vm], sent: s.now}
+				add(sprintf("VM %d reports to its peer", vm), func(n *limitState) {
+					n.reports[i] = limitReport{inFlight: true, to: 1 - vm, record: s.records[vm], sent: s.now}
 				})
 			}
 		}
 		return
 	}
-	add("a word is lost", func(n *limitState) { n.words[i] = limitWord{} })
-	add(named("a word reaches VM %d", w.to), func(n *limitState) {
-		n.words[i] = limitWord{}
-		youngest, oldest := limitAt(w.sent).Sub(limitAt(w.record.at)), limitAt(w.sent).Sub(limitAt(w.record.since))
-		if mutation == mutateWay {
-			oldest = max(youngest, oldest-wordTicks*limitTick)
+	add("a report is lost", func(n *limitState) { n.reports[i] = limitReport{} })
+	add(sprintf("a report reaches VM %d", r.to), func(n *limitState) {
+		n.reports[i] = limitReport{}
+		youngest, oldest := limitAt(r.sent).Sub(limitAt(r.record.latest)), limitAt(r.sent).Sub(limitAt(r.record.earliest))
+		if mutation == mutateNoTransit {
+			oldest = max(youngest, oldest-maxTransitTicks*limitTick)
 		}
-		before := s.records[w.to]
-		l := before.limits()
+		before := s.records[r.to]
+		l := before.toLimits()
 		l.Merge(limitAt(s.now), api.ServerLimit{
-			Server: limitServer, Named: w.record.named, PerSecond: 1, AgeMS: api.ToMilliseconds(youngest), OldestMS: api.ToMilliseconds(oldest),
+			Server: limitServer, Named: r.record.named, PerSecond: 1, AgeMS: api.ToMilliseconds(youngest), OldestMS: api.ToMilliseconds(oldest),
 		})
-		n.records[w.to] = readLimits(l, s.now)
-		if before.known && w.record.at <= before.at && n.records[w.to].named != before.named {
-			n.older = true
+		n.records[r.to] = fromLimits(l, s.now)
+		if before.known && r.record.latest <= before.latest && n.records[r.to].named != before.named {
+			n.staleApplied = true
 		}
 	})
 }
 
-// limitBroken checks that an entry VM that has heard of a limit knows it as long as the server
-// names it, and that no older word changes what is known.
-func limitBroken(s limitState) string {
-	if s.older {
-		return "an older word of a peer changed what was known"
+// limitViolation checks that an entry VM to which a limit was announced knows it while it is in
+// force, and that no older report changes a record.
+func limitViolation(s limitState) string {
+	if s.staleApplied {
+		return "an older report of a peer changed a record"
 	}
 	for vm, r := range s.records {
-		if s.named && s.told[vm] == s.switches && !r.named {
-			return "a limit that was heard, and is named still, is not known"
+		if s.named && s.announced[vm] == s.changes && !r.named {
+			return "an announced limit that is in force is not known"
 		}
 	}
 	return ""
