--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -81,8 +81,8 @@
 	Permit(a api.PermitAsk) api.PermitAnswer
 }
 
-// Parts are the dependencies and settings of a Mesh.
-type Parts struct {
+// Options are the dependencies and settings of a Mesh.
+type Options struct {
 	VM      api.VMName
 	Self    gossip.Member
 	Seeds   []string
@@ -105,7 +105,7 @@
 
 // Mesh exchanges state with the peers of one entry VM.
 type Mesh struct {
-	Parts
+	Options
 
 	mutex sync.Mutex
 	peers *gossip.Peers
@@ -121,9 +121,9 @@
 }
 
 // New creates a mesh that knows only the seed addresses.
-func New(p Parts) *Mesh {
+func New(p Options) *Mesh {
 	return &Mesh{
-		Parts: p, peers: gossip.New(time.Now(), p.Self, p.Seeds, p.Hubs),
+		Options: p, peers: gossip.New(time.Now(), p.Self, p.Seeds, p.Hubs),
 		inProgress: map[string]bool{}, lag: map[string]*gossip.Lag[api.Version]{PathConfig: {}, PathServers: {}, PathClosures: {}, PathQuarantines: {}}, live: map[string]bool{},
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -51,9 +51,9 @@
 	v := &vm{address: s.Listener.Addr().String(), table: gateway.New(gateway.Options{
 		Domain: "d", Group: g, Log: event.Discard(), Metrics: metric.New(), Retries: retry.NewWindows(time.Second, 0, 0),
 	})}
-	v.config = mirror.New(mirror.Parts[directory.Config]{OnSnapshot: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
-	v.servers = mirror.New(mirror.Parts[roster.Server]{OnSnapshot: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
-	v.Mesh = mesh.New(mesh.Parts{
+	v.config = mirror.New(mirror.Options[directory.Config]{OnSnapshot: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
+	v.servers = mirror.New(mirror.Options[roster.Server]{OnSnapshot: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
+	v.Mesh = mesh.New(mesh.Options{
 		VM: api.VMName(name), Self: gossip.Member{Address: v.address, Domain: "d"}, Seeds: seeds, Hubs: 2,
 		Client: c, Group: g, Log: event.Discard(), Metrics: metric.New(), Config: v.config, Servers: v.servers, Loads: v.table, Allocator: v.table, Notices: v.table, Applied: v.table,
 	})
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -47,8 +47,8 @@
 	Slack time.Duration
 }
 
-// Parts are the dependencies and settings of a Mirror.
-type Parts[T any] struct {
+// Options are the dependencies and settings of a Mirror.
+type Options[T any] struct {
 	// Name is the name of the kind in logs.
 	Name    string
 	Source  port.Source[T]
@@ -74,7 +74,7 @@
 
 // Mirror replicates one kind of the platform's objects.
 type Mirror[T any] struct {
-	Parts[T]
+	Options[T]
 
 	// direct is set while the platform answers, and unset while a peer relays changes.
 	direct atomic.Bool
@@ -91,8 +91,8 @@
 }
 
 // New creates a mirror without objects, at version zero, that counts as lost.
-func New[T any](p Parts[T]) *Mirror[T] {
-	return &Mirror[T]{Parts: p, store: replica.New[T](), lost: true}
+func New[T any](p Options[T]) *Mirror[T] {
+	return &Mirror[T]{Options: p, store: replica.New[T](), lost: true}
 }
 
 // Run lists and watches the platform until the context ends.
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -102,7 +102,7 @@
 func newDelayedBed(t *testing.T, d time.Duration) *bed {
 	t.Helper()
 	b := &bed{store: &store{at: 1, value: "v1"}}
-	b.Mirror = mirror.New(mirror.Parts[string]{
+	b.Mirror = mirror.New(mirror.Options[string]{
 		Name: "kind", Source: b.store, Log: event.Discard(), Metrics: metric.New(),
 		Timing: mirror.Timing{Wait: time.Second, Slack: 400 * time.Millisecond}, ListDelay: d,
 		HasRelay: func() bool {
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -88,29 +88,29 @@
 		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(answerTimeShare * float64(apply))}
 	}
 	d := h.listDelay()
-	h.config = mirror.New(mirror.Parts[directory.Config]{
+	h.config = mirror.New(mirror.Options[directory.Config]{
 		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configWaitShare), ListDelay: d,
 		OnSnapshot: h.applyConfig, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
 	})
-	h.servers = mirror.New(mirror.Parts[roster.Server]{
+	h.servers = mirror.New(mirror.Options[roster.Server]{
 		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverWaitShare), ListDelay: d,
 		OnSnapshot: h.applyServers, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: h.setPlatformLost,
 	})
 	if c := s.CloseMS.Duration(); c > 0 {
-		h.closures = mirror.New(mirror.Parts[roster.Closure]{
+		h.closures = mirror.New(mirror.Options[roster.Closure]{
 			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, ListDelay: d,
 			Timing:     mirror.Timing{Wait: time.Duration(configWaitShare * float64(c)), Slack: time.Duration(answerTimeShare * float64(c))},
 			OnSnapshot: h.applyClosures, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
 		})
 	}
 	if h.adapter.QuarantineSource != nil {
-		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
+		h.quarantines = mirror.New(mirror.Options[quarantine.Entry]{
 			Name: "quarantines", Source: h.adapter.QuarantineSource, Log: h.Log, Metrics: h.Metrics, ListDelay: firstListDelay,
 			Timing:     mirror.Timing{Wait: quarantineWatchWait, Slack: time.Duration(answerTimeShare * float64(quarantineWatchWait))},
 			OnSnapshot: h.applyQuarantines, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
 		})
 	}
-	h.mesh = mesh.New(mesh.Parts{
+	h.mesh = mesh.New(mesh.Options{
 		VM: h.Settings.Node.Name, Hubs: s.Hubs, Seeds: splitAddresses(s.Seeds),
 		Self: gossip.Member{
 			Address: h.Settings.Node.Control, Domain: h.Settings.Node.Domain, Capacity: gossip.Capacity(s.CpuShare, s.LinkMbps),
