--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -44,7 +44,7 @@
 // Follower holds the configuration in force.
 type Follower struct {
 	source     Source
-	life       *lifecycle.Tracker
+	lifecycle       *lifecycle.Tracker
 	log        *event.Log
 	metrics    *metric.Set
 	wait       time.Duration
@@ -67,7 +67,7 @@
 // without a change.
 func New(s Source, l *lifecycle.Tracker, e *event.Log, m *metric.Set, wait time.Duration, viewFuncs ...ViewFunc) *Follower {
 	f := &Follower{
-		source: s, life: l, log: e, metrics: m, wait: wait, viewFuncs: viewFuncs,
+		source: s, lifecycle: l, log: e, metrics: m, wait: wait, viewFuncs: viewFuncs,
 		updates: ring.New[update](ringSize), store: config.New(), ready: make(chan struct{}),
 	}
 	f.view.Store(&config.View{})
@@ -89,7 +89,7 @@
 func (f *Follower) List() api.ObjectList {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.store.List(f.life.Now())
+	return f.store.List(f.lifecycle.Now())
 }
 
 // Retained counts the objects and removals that are in force although the restored platform lacks
@@ -113,7 +113,7 @@
 	if f.lost || f.answeringSince.IsZero() {
 		return 0
 	}
-	return f.life.Now().Sub(f.answeringSince)
+	return f.lifecycle.Now().Sub(f.answeringSince)
 }
 
 // Watch is the duty that lists and watches the configuration on the platform and queues the
@@ -153,7 +153,7 @@
 // fetch watches for changes after the known version. It lists if there is none, or if the platform
 // no longer has the changes after it.
 func (f *Follower) fetch(ctx context.Context) (update, error) {
-	sent := f.life.Now()
+	sent := f.lifecycle.Now()
 	from := f.version()
 	if from > 0 {
 		f.metrics.Add(metric.PlatformWatches, 1)
@@ -209,7 +209,7 @@
 	f.mutex.Lock()
 	back := f.lost
 	if back || f.answeringSince.IsZero() {
-		f.answeringSince = f.life.Now()
+		f.answeringSince = f.lifecycle.Now()
 	}
 	f.lost = false
 	f.mutex.Unlock()
@@ -220,7 +220,7 @@
 
 // Refresh lists the configuration once, concurrently with the watch, to confirm the one in force.
 func (f *Follower) Refresh(ctx context.Context) {
-	sent := f.life.Now()
+	sent := f.lifecycle.Now()
 	f.metrics.Add(metric.PlatformReads, 1)
 	l, err := f.source.List(ctx, config.DeclaredKinds)
 	if err != nil {
@@ -265,7 +265,7 @@
 		f.publish(v, bad)
 	}
 	if !stale {
-		f.life.Confirm(u.requestedAt)
+		f.lifecycle.Confirm(u.requestedAt)
 	}
 	if u.changes != nil {
 		f.markReady()
@@ -295,7 +295,7 @@
 		return n > 0 || expired, false
 	}
 	before, kept := f.store.Version(), f.store.Retained()
-	if !f.store.Replace(f.life.Now(), *u.list) {
+	if !f.store.Replace(f.lifecycle.Now(), *u.list) {
 		f.log.Emit(event.ConfigStale, zap.Stringer("offered", u.list.Version), zap.Stringer("version", before))
 		return expired, true
 	}
@@ -313,7 +313,7 @@
 // expire drops the retained objects whose retention time is over and reports whether that changes
 // the objects in force. The caller holds the mutex.
 func (f *Follower) expire() bool {
-	if !f.store.Expire(f.life.Now()) {
+	if !f.store.Expire(f.lifecycle.Now()) {
 		return false
 	}
 	f.log.Emit(event.KeptExpired, zap.Stringer("version", f.store.Version()))
