--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -14,7 +14,7 @@
 // admission is the queue of one service, with what is learned of its servers.
 type admission struct {
 	backlog *backlog.Backlog[*waiter]
-	reading placement.PrefillRate
+	prefillRate placement.PrefillRate
 	reserve placement.Reserve
 	// shortage keeps backup copies out of memory that runs need.
 	shortage placement.Shortage
@@ -75,7 +75,7 @@
 	defer g.mutex.Unlock()
 	if n := l.load.Unread; n > 0 {
 		d := time.Since(l.since)
-		g.admission(q.service.Name).reading.Record(l.unreadAhead+n, d)
+		g.admission(q.service.Name).prefillRate.Record(l.unreadAhead+n, d)
 		g.observations.RecordPrefill(l.domain, q.service.Name, l.unreadAhead+n, d)
 	}
 }
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -176,7 +176,7 @@
 	g.picker.EngineLoads.Update(now, h.VM, x)
 	for n, r := range h.Read {
 		if a, ok := g.admissions[api.ServiceName(n)]; ok {
-			a.reading.Record(r.Tokens, time.Duration(r.MS)*time.Millisecond)
+			a.prefillRate.Record(r.Tokens, time.Duration(r.MS)*time.Millisecond)
 		}
 	}
 	for n, x := range h.Met {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -130,7 +130,7 @@
 			err = fault.New(fault.OutcomeUnknown, "the server answered "+http.StatusText(a.Status))
 		} else {
 			g.recordOutcome(s, serverOutcome(err))
-			g.noteBrokenRun(q, s, err)
+			g.recordBrokenRun(q, s, err)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(q.ID)), zap.String("server", string(s.Name)), zap.String("content", string(q.content())), zap.Error(err))
 		m, f := c.AttemptFailed(attemptOutcome(err), err, ctx.Err() != nil, retry)
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -60,7 +60,7 @@
 		if !d.short {
 			l.MaxMemoryShare = a.reserve.MaxMemoryShare(now)
 		}
-		l.MaxUnread = a.reading.MaxTokens(d.request.LatencyTarget)
+		l.MaxUnread = a.prefillRate.MaxTokens(d.request.LatencyTarget)
 	case api.PlaceAskPurposeMove:
 		l.PreferDomain = true
 	case api.PlaceAskPurposeCopy:
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,7 +83,7 @@
 	// domains holds the load reports of the allocators of other failure domains, and contacts
 	// the allocators that failed to answer.
 	domains  *placement.RemotePools
-	contacts *holder.Reachability
+	reachability *holder.Reachability
 	// fleet tells whether some of the entry VMs may be cut off by a network partition.
 	fleet throttle.Fleet
 	// These are the state of the reports of this entry VM to allocators: incarnation and
@@ -113,7 +113,7 @@
 		p.Contents = contents.New(p.Log, p.Metrics)
 	}
 	g := &Gateway{
-		domains: placement.NewRemotePools(), contacts: holder.NewReachability(), reports: holder.NewReportSchedule(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
+		domains: placement.NewRemotePools(), reachability: holder.NewReachability(), reports: holder.NewReportSchedule(), observations: holder.NewObservations(), incarnation: api.Incarnation(p.Seed),
 		Options: p, roster: roster.New(), picker: placement.NewPicker(rand.NewPCG(p.Seed, 0)),
 		runs: map[api.ServerName]map[*run]bool{}, admissions: map[api.ServiceName]*admission{},
 		queryResults: silence.NewResultCache(), watchdog: newWatchdog(),
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -151,7 +151,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var l []allocator
-	for _, a := range g.contacts.Usable(time.Now(), all) {
+	for _, a := range g.reachability.Usable(time.Now(), all) {
 		l = append(l, allocator{address: a, standby: a != all[0]})
 	}
 	return l
@@ -201,7 +201,7 @@
 
 // markUnreachable leaves an allocator out for a while; the mutex is held.
 func (g *Gateway) markUnreachable(address string, err error) {
-	g.contacts.RecordFailure(time.Now(), address)
+	g.reachability.RecordFailure(time.Now(), address)
 	g.Log.Emit(event.AllocatorSilent, zap.String("address", address), zap.Error(err))
 }
 
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -23,9 +23,9 @@
 	maxWriteBackoff = 5 * time.Second
 )
 
-// noteBrokenRun records a failed run against its content, as the possible cause of a crash of
+// recordBrokenRun records a failed run against its content, as the possible cause of a crash of
 // the server. A server that is leaving has not crashed.
-func (g *Gateway) noteBrokenRun(q *request, s roster.Server, err error) {
+func (g *Gateway) recordBrokenRun(q *request, s roster.Server, err error) {
 	if !g.departing(s.Name) {
 		g.Contents.RecordFailure(q.content, s.Name, err)
 	}
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -41,7 +41,7 @@
 	if !stopped {
 		g.recordOutcome(from, placement.Lost)
 		if r.startedRecently(began) {
-			g.noteBrokenRun(r.request, from, cause)
+			g.recordBrokenRun(r.request, from, cause)
 		}
 	}
 	c := r.takeCopy()
