--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -44,7 +44,7 @@
 // Follower holds the configuration in force.
 type Follower struct {
 	source     Source
-	lifecycle       *lifecycle.Tracker
+	lifecycle  *lifecycle.Tracker
 	log        *event.Log
 	metrics    *metric.Set
 	wait       time.Duration
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -13,9 +13,9 @@
 
 // admission is the queue of one service, with what is learned of its servers.
 type admission struct {
-	backlog *backlog.Backlog[*waiter]
+	backlog     *backlog.Backlog[*waiter]
 	prefillRate placement.PrefillRate
-	reserve placement.Reserve
+	reserve     placement.Reserve
 	// shortage keeps backup copies out of memory that runs need.
 	shortage placement.Shortage
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,7 +82,7 @@
 	admissions map[api.ServiceName]*admission
 	// domains holds the load reports of the allocators of other failure domains, and contacts
 	// the allocators that failed to answer.
-	domains  *placement.RemotePools
+	domains      *placement.RemotePools
 	reachability *holder.Reachability
 	// fleet tells whether some of the entry VMs may be cut off by a network partition.
 	fleet throttle.Fleet
