--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -257,7 +257,7 @@
 		return nil, wire.RoundTripFault(err)
 	}
 	defer func() { _ = a.Body.Close() }()
-	s.noteSignals(began, n, signalHeaders.Parse(a.StatusCode, a.Header))
+	s.recordSignals(began, n, signalHeaders.Parse(a.StatusCode, a.Header))
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, fault.Wrap(fault.BadAnswer, err, "the answer ended early")
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -16,17 +16,17 @@
 // backoffs and that they are leaving.
 var signalHeaders = port.SignalHeaders{Limit: wire.HeaderLimit, Leaving: wire.HeaderLeaving, Backoff: wire.HeaderRetryAfter}
 
-// noteSignals applies what a server announces in the answer to a call that was sent at
+// recordSignals applies what a server announces in the answer to a call that was sent at
 // sent.
-func (s *Server) noteSignals(sent time.Time, n api.ServerName, x port.Signals) {
+func (s *Server) recordSignals(sent time.Time, n api.ServerName, x port.Signals) {
 	if x.Unreadable != "" {
 		s.Log.Emit(event.SignalUnreadable, zap.String("server", string(n)), zap.String("text", x.Unreadable))
 	}
 	if x.Leaving {
-		s.noteLeaving(n, true)
+		s.recordLeaving(n, true)
 	}
 	if x.BackoffRequested {
-		s.noteBackoff(n, x.Backoff)
+		s.recordBackoff(n, x.Backoff)
 	}
 	if !x.Limited && x.Unreadable != "" {
 		// The unreadable signal may be the limit, so this answer does not withdraw a limit.
@@ -76,11 +76,11 @@
 // to a peer.
 func (s *Server) MergeLeaving(l []api.ServerName) {
 	for _, n := range l {
-		s.noteLeaving(n, false)
+		s.recordLeaving(n, false)
 	}
 }
 
-func (s *Server) noteLeaving(n api.ServerName, announcedHere bool) {
+func (s *Server) recordLeaving(n api.ServerName, announcedHere bool) {
 	s.serverMutex.Lock()
 	changed := s.servers.NoteLeaving(time.Now(), n, announcedHere)
 	s.serverMutex.Unlock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// noteBackoff applies the backoff that a server has requested from this entry VM.
-func (s *Server) noteBackoff(n api.ServerName, d time.Duration) {
+// recordBackoff applies the backoff that a server has requested from this entry VM.
+func (s *Server) recordBackoff(n api.ServerName, d time.Duration) {
 	s.Log.Emit(event.ServerRest, zap.String("server", string(n)), zap.Duration("rest", d))
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
