--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// NoteLeaving notes that a server has announced in an answer that it is leaving, and reports
+// RecordLeaving notes that a server has announced in an answer that it is leaving, and reports
 // whether that is new. here is set if the answer was to this entry VM, not to a peer.
-func (s *Servers) NoteLeaving(now time.Time, n api.ServerName, here bool) bool {
+func (s *Servers) RecordLeaving(now time.Time, n api.ServerName, here bool) bool {
 	x, ok := s.states[n]
 	if !ok || x.announcesLeaving(now) && x.announcedHere {
 		return false
@@ -126,9 +126,9 @@
 	s.members.Observe(now, n)
 }
 
-// NoteLimit takes the rate limit, or its absence, in the answer to a call that was sent at sent,
+// RecordLimit takes the rate limit, or its absence, in the answer to a call that was sent at sent,
 // and reports whether that is new.
-func (s *Servers) NoteLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
+func (s *Servers) RecordLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
 	return s.limits.Record(now, sent, n, l)
 }
 
--- a/internal/decide/backend/backend_test.go
+++ b/internal/decide/backend/backend_test.go
@@ -52,7 +52,7 @@
 	s := servers()
 	s.SetMembers(epoch, 4)
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
-	s.NoteLimit(epoch, epoch.Add(-time.Millisecond), "a", throttle.Limit{Named: true, Rate: 2})
+	s.RecordLimit(epoch, epoch.Add(-time.Millisecond), "a", throttle.Limit{Named: true, Rate: 2})
 	got := 0
 	for ms := 0; ms < 20_000; ms += 50 {
 		if s.Pick(at(ms), []api.ServerName{"a"}, nil).Name == "a" {
@@ -68,7 +68,7 @@
 	if x := s.Pick(at(20_000), both, nil); x.Name != "b" {
 		t.Errorf("with a server without limit: got %+v, want that one", x)
 	}
-	s.NoteLimit(at(20_100), at(20_050), "a", throttle.Limit{})
+	s.RecordLimit(at(20_100), at(20_050), "a", throttle.Limit{})
 	if x := s.Pick(at(20_100), []api.ServerName{"a"}, nil); x.Name != "a" {
 		t.Errorf("after the limit was withdrawn: got %+v, want the server", x)
 	}
@@ -78,7 +78,7 @@
 // passed on, or it would never expire.
 func TestAnnouncedLeaveHoldsForAMinute(t *testing.T) {
 	s := servers()
-	if !s.NoteLeaving(epoch, "a", true) || s.NoteLeaving(epoch.Add(time.Second), "a", true) || !s.NoteLeaving(epoch, "b", false) {
+	if !s.RecordLeaving(epoch, "a", true) || s.RecordLeaving(epoch.Add(time.Second), "a", true) || !s.RecordLeaving(epoch, "b", false) {
 		t.Error("new announcements: got another answer, want only the first of each server to be new")
 	}
 	if got, want := s.AnnouncedLeaving(epoch.Add(2*time.Second)), []api.ServerName{"a"}; !slices.Equal(got, want) {
@@ -87,7 +87,7 @@
 	if x := s.Pick(epoch.Add(2*time.Second), both, nil); x.Name != "" || x.Wait != 0 {
 		t.Errorf("while both are leaving: got %+v, want none", x)
 	}
-	s.NoteLeaving(epoch.Add(50*time.Second), "b", false)
+	s.RecordLeaving(epoch.Add(50*time.Second), "b", false)
 	if x := s.Pick(epoch.Add(61*time.Second), both, nil); x.Name != "a" {
 		t.Errorf("a minute after its announcement: got %+v, want the server", x)
 	}
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -33,7 +33,7 @@
 		return
 	}
 	s.serverMutex.Lock()
-	changed := s.servers.NoteLimit(time.Now(), sent, n, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
+	changed := s.servers.RecordLimit(time.Now(), sent, n, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
 	s.serverMutex.Unlock()
 	if changed {
 		s.logLimit(n, x.Limited, x.Limit, false)
@@ -82,7 +82,7 @@
 
 func (s *Server) recordLeaving(n api.ServerName, announcedHere bool) {
 	s.serverMutex.Lock()
-	changed := s.servers.NoteLeaving(time.Now(), n, announcedHere)
+	changed := s.servers.RecordLeaving(time.Now(), n, announcedHere)
 	s.serverMutex.Unlock()
 	if changed {
 		s.Log.Emit(event.ServerNotice, zap.String("server", string(n)))
