--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -192,8 +192,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestGateway(t, newFakeServers(), 0)
 		s := startStream(t, newFakeServers(), 60, 5)
-		a.NoteLeaving([]api.ServerName{api.ServerName(s.server), "unknown"})
-		s.NoteLeaving(a.Leaving())
+		a.MarkLeaving([]api.ServerName{api.ServerName(s.server), "unknown"})
+		s.MarkLeaving(a.AnnouncedLeaving())
 		s.checkWhole(t, s.server, other(s.server))
 	})
 }
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if p.Leaving {
-		g.NoteLeaving([]api.ServerName{s.Name})
+		g.MarkLeaving([]api.ServerName{s.Name})
 	}
 }
 
@@ -79,8 +79,8 @@
 	}
 }
 
-// NoteLeaving marks servers as leaving that announced it to this entry VM or a peer.
-func (g *Gateway) NoteLeaving(l []api.ServerName) {
+// MarkLeaving marks servers as leaving that announced it to this entry VM or a peer.
+func (g *Gateway) MarkLeaving(l []api.ServerName) {
 	var c []roster.Member
 	g.mutex.Lock()
 	for _, n := range l {
@@ -92,8 +92,8 @@
 	g.applyChanges(c)
 }
 
-// Leaving lists the servers that announced themselves that they are leaving.
-func (g *Gateway) Leaving() []api.ServerName {
+// AnnouncedLeaving lists the servers that announced themselves that they are leaving.
+func (g *Gateway) AnnouncedLeaving() []api.ServerName {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.roster.AnnouncedLeaving()
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -116,7 +116,7 @@
 	if !g.departing(s.Name) {
 		g.Log.Emit(event.ServerNotice, zap.String("server", string(s.Name)))
 	}
-	g.NoteLeaving([]api.ServerName{s.Name})
+	g.MarkLeaving([]api.ServerName{s.Name})
 }
 
 // recordBackoff records the backoff that a server asked this entry VM for. Runs that have to
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -28,10 +28,10 @@
 // leaving, which limits they announce, which failure domains remain closed, and which contents
 // crash them.
 type Notices interface {
-	// Leaving lists the servers that have announced that they are leaving.
-	Leaving() []api.ServerName
-	// NoteLeaving adds the leaving servers that a peer knows of.
-	NoteLeaving(l []api.ServerName)
+	// AnnouncedLeaving lists the servers that have announced that they are leaving.
+	AnnouncedLeaving() []api.ServerName
+	// MarkLeaving adds the leaving servers that a peer knows of.
+	MarkLeaving(l []api.ServerName)
 	// RetainedClosures lists the failure domains that stay closed although the platform has
 	// lost their closures.
 	RetainedClosures() []api.KeptClosure
@@ -238,7 +238,7 @@
 	e := api.Exchange{
 		Protocol: gossip.Protocol, VM: m.VM, ConfigAt: m.Config.ChangedAt(), ServersAt: m.Servers.ChangedAt(),
 		Direct: m.direct(), Relation: relationNames[r], Members: x.Members,
-		Leaving: m.Notices.Leaving(), Contents: m.Notices.ContentReports(), Limits: m.Notices.Limits(), ConfigNumber: m.Applied.AppliedNumber(),
+		Leaving: m.Notices.AnnouncedLeaving(), Contents: m.Notices.ContentReports(), Limits: m.Notices.Limits(), ConfigNumber: m.Applied.AppliedNumber(),
 	}
 	if m.Closures != nil {
 		e.ClosuresAt, e.KeptClosures = m.Closures.ChangedAt(), m.Notices.RetainedClosures()
@@ -321,7 +321,7 @@
 	}
 	m.Loads.UpdateLoads(e.VM, r, x)
 	m.updatePools(e, r)
-	m.Notices.NoteLeaving(e.Leaving)
+	m.Notices.MarkLeaving(e.Leaving)
 	m.Notices.MergeContentReports(e.Contents)
 	m.Notices.MergeLimits(e.Limits)
 	catchUp(m, e.Self.Address, PathConfig, e.ConfigAt, m.Config)
