--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -87,7 +87,7 @@
 	return l
 }
 
-func (p fleetPeers) Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
+func (p fleetPeers) RequestPlace(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	p.fleet.mutex.Lock()
 	p.fleet.placeRequests[address]++
 	p.fleet.mutex.Unlock()
@@ -103,7 +103,7 @@
 	return x, err
 }
 
-func (p fleetPeers) Permit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
+func (p fleetPeers) RequestPermit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
 	g, err := p.fleet.reach(ctx, address)
 	if err != nil {
 		return api.PermitAnswer{}, err
@@ -111,7 +111,7 @@
 	return g.Permit(a), nil
 }
 
-func (p fleetPeers) Report(ctx context.Context, address string, h api.Holding) error {
+func (p fleetPeers) SendHolding(ctx context.Context, address string, h api.Holding) error {
 	g, err := p.fleet.reach(ctx, address)
 	if err != nil {
 		return err
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -90,7 +90,7 @@
 	g.Group.Go(func(ctx context.Context) error {
 		c, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
-		err := g.Peers.Report(c, to, h)
+		err := g.Peers.SendHolding(c, to, h)
 		g.endReport(d, to, err)
 		return nil
 	})
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -184,7 +184,7 @@
 		l, _ := g.backingOff(d.service.Name)
 		a.Tried = append(slices.Clone(a.Tried), l...)
 	}
-	r, err := g.Peers.Place(c, to, a)
+	r, err := g.Peers.RequestPlace(c, to, a)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if local {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -12,12 +12,12 @@
 	// Allocators lists the addresses of the entry VMs that may allocate the engines of a
 	// failure domain, the first choice first. An empty address stands for this entry VM.
 	Allocators(d api.DomainName) []string
-	// Place requests a place at an engine from one of them.
-	Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error)
-	// Permit requests a send slot at a server with a rate limit from one of them.
-	Permit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error)
-	// Report reports to one of them what this entry VM holds there.
-	Report(ctx context.Context, address string, h api.Holding) error
+	// RequestPlace requests a place at an engine from one of them.
+	RequestPlace(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error)
+	// RequestPermit requests a send slot at a server with a rate limit from one of them.
+	RequestPermit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error)
+	// SendHolding reports to one of them what this entry VM holds there.
+	SendHolding(ctx context.Context, address string, h api.Holding) error
 }
 
 // noPeers is the Peers of an entry VM that runs alone.
@@ -25,12 +25,12 @@
 
 func (noPeers) Allocators(api.DomainName) []string { return []string{""} }
 
-func (noPeers) Place(context.Context, string, api.PlaceAsk) (api.PlaceAnswer, error) {
+func (noPeers) RequestPlace(context.Context, string, api.PlaceAsk) (api.PlaceAnswer, error) {
 	return api.PlaceAnswer{}, fault.New(fault.NotStarted, "there are no other entry VMs")
 }
 
-func (noPeers) Permit(context.Context, string, api.PermitAsk) (api.PermitAnswer, error) {
+func (noPeers) RequestPermit(context.Context, string, api.PermitAsk) (api.PermitAnswer, error) {
 	return api.PermitAnswer{}, fault.New(fault.NotStarted, "there are no other entry VMs")
 }
 
-func (noPeers) Report(context.Context, string, api.Holding) error { return nil }
+func (noPeers) SendHolding(context.Context, string, api.Holding) error { return nil }
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -172,7 +172,7 @@
 func (g *Gateway) queryPermit(ctx context.Context, to string, a api.PermitAsk) (permit, bool) {
 	c, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	x, err := g.Peers.Permit(c, to, a)
+	x, err := g.Peers.RequestPermit(c, to, a)
 	if err != nil {
 		if ctx.Err() == nil {
 			g.mutex.Lock()
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -148,15 +148,15 @@
 	return a.hosted.mesh.Allocators(d)
 }
 
-func (a meshPeers) Place(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
+func (a meshPeers) RequestPlace(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
 	return a.hosted.mesh.RequestPlace(ctx, address, x)
 }
 
-func (a meshPeers) Permit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
+func (a meshPeers) RequestPermit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
 	return a.hosted.mesh.RequestPermit(ctx, address, x)
 }
 
-func (a meshPeers) Report(ctx context.Context, address string, x api.Holding) error {
+func (a meshPeers) SendHolding(ctx context.Context, address string, x api.Holding) error {
 	return a.hosted.mesh.SendHolding(ctx, address, x)
 }
 
