--- a/cmd/adapter.go
+++ b/cmd/adapter.go
@@ -12,7 +12,7 @@
 )
 
 // newHostedAdapter creates the adapter for the hosting platform.
-func newHostedAdapter(d node.AdapterDeps) node.Adapter {
+func newHostedAdapter(d node.AdapterOptions) node.Adapter {
 	o := platform.NewStoreClient(d.Platform, d.Address)
 	bad := func(kind, name string, err error) {
 		d.Log.Emit(event.ObjectUnreadable, zap.String("kind", kind), zap.String("name", name), zap.Error(err))
--- a/fleet/hosted_test.go
+++ b/fleet/hosted_test.go
@@ -33,7 +33,7 @@
 
 	// newAdapter, if set, makes the adapter of an entry VM in place of newPoolAdapter, and
 	// settings are added to those of its gateway.
-	newAdapter func(i int, l node.AdapterDeps) node.Adapter
+	newAdapter func(i int, l node.AdapterOptions) node.Adapter
 	settings   string
 
 	mutex    sync.Mutex
@@ -87,7 +87,7 @@
 	m := machine{b.net, h}
 	b.group.Go(func(context.Context) error {
 		defer close(done)
-		return node.RunHosted(ctx, node.Machine{Dial: m.dial, Listen: m.listen, Now: time.Now}, s, event.Discard(), node.SettingsReload{}, func(l node.AdapterDeps) node.Adapter { return b.adapter(i, l) })
+		return node.RunHosted(ctx, node.Machine{Dial: m.dial, Listen: m.listen, Now: time.Now}, s, event.Discard(), node.SettingsReload{}, func(l node.AdapterOptions) node.Adapter { return b.adapter(i, l) })
 	})
 	stop := func() {
 		cancel()
@@ -98,7 +98,7 @@
 }
 
 // adapter returns the platform adapter of entry VM i.
-func (b *hostedTestbed) adapter(i int, l node.AdapterDeps) node.Adapter {
+func (b *hostedTestbed) adapter(i int, l node.AdapterOptions) node.Adapter {
 	if b.newAdapter != nil {
 		return b.newAdapter(i, l)
 	}
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -110,7 +110,7 @@
 }
 
 // newSignalAdapter returns an adapter of entry VM i that records what it sends to servers.
-func (b *signalTestbed) newSignalAdapter(i int, l node.AdapterDeps) node.Adapter {
+func (b *signalTestbed) newSignalAdapter(i int, l node.AdapterOptions) node.Adapter {
 	a := b.newPoolAdapter(i)
 	a.Backends = recordingBackends{platform.NewBackends(l.Pool), b, i}
 	a.Ingress = func(g *gateway.Gateway) http.Handler { return b.ingress(i, g) }
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -134,7 +134,7 @@
 
 // newStoreAdapter returns the hosting platform's adapter for entry VM i, with servers that
 // only record attempts.
-func (b *storeTestbed) newStoreAdapter(i int, l node.AdapterDeps) node.Adapter {
+func (b *storeTestbed) newStoreAdapter(i int, l node.AdapterOptions) node.Adapter {
 	o := platform.NewStoreClient(l.Platform, l.Address)
 	bad := func(kind, name string, err error) { b.t.Errorf("%s/%s: %v", kind, name, err) }
 	return node.Adapter{
--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -40,8 +40,8 @@
 	Readiness func(g *gateway.Gateway) http.Handler
 }
 
-// AdapterDeps holds what an adapter needs to reach the platform and the backend servers.
-type AdapterDeps struct {
+// AdapterOptions holds what an adapter needs to reach the platform and the backend servers.
+type AdapterOptions struct {
 	// Platform is the HTTP client for the platform's store, which listens at Address.
 	Platform *http.Client
 	Address  string
@@ -60,7 +60,7 @@
 	Metrics  *metric.Set
 	Reload   SettingsReload
 	// NewAdapter creates the adapter for the hosting platform.
-	NewAdapter func(d AdapterDeps) Adapter
+	NewAdapter func(d AdapterOptions) Adapter
 
 	adapter Adapter
 	group   *duty.Group
@@ -96,7 +96,7 @@
 
 // RunHosted runs an entry VM behind a hosting platform until ctx ends, and then performs
 // a planned stop.
-func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, newAdapter func(d AdapterDeps) Adapter) error {
+func RunHosted(ctx context.Context, m Machine, s api.Settings, l *event.Log, r SettingsReload, newAdapter func(d AdapterOptions) Adapter) error {
 	h := &HostedContext{Context: ctx, Settings: s, Machine: m, Log: l, Metrics: metric.New(), Reload: r, NewAdapter: newAdapter}
 	defer h.cleanups.run()
 	if err := step.Run(h, l, hostedStartSteps); err != nil {
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -48,7 +48,7 @@
 	h.cleanups.add(closer)
 	h.pool, closer = upstream.New(h.Machine.Dial)
 	h.cleanups.add(closer)
-	h.adapter = h.NewAdapter(AdapterDeps{Platform: p, Address: h.Settings.Platform.Address, Pool: h.pool, Log: h.Log})
+	h.adapter = h.NewAdapter(AdapterOptions{Platform: p, Address: h.Settings.Platform.Address, Pool: h.pool, Log: h.Log})
 	return nil
 }
 
--- a/internal/node/hosted_test.go
+++ b/internal/node/hosted_test.go
@@ -64,7 +64,7 @@
 }
 
 // newTestVMWithAdapter starts a VM whose adapter is created by the given function.
-func newTestVMWithAdapter(t *testing.T, newAdapter func(l node.AdapterDeps) node.Adapter) *testVM {
+func newTestVMWithAdapter(t *testing.T, newAdapter func(l node.AdapterOptions) node.Adapter) *testVM {
 	t.Helper()
 	listeners := map[string]net.Listener{}
 	for _, a := range []string{"10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3"} {
@@ -107,7 +107,7 @@
 }
 
 // testAdapter returns an adapter without servers that reports the gateway's readiness.
-func testAdapter(node.AdapterDeps) node.Adapter {
+func testAdapter(node.AdapterOptions) node.Adapter {
 	c := replica.Snapshot[directory.Config]{At: 1, Items: []replica.Object[directory.Config]{{Name: "main", Version: 1, Value: directory.Config{Version: 1}}}}
 	return node.Adapter{
 		Config:  staticSource[directory.Config]{c},
@@ -184,7 +184,7 @@
 // detector finds data shared between the stop and goroutines that still run.
 func TestStopEndsWhilePlatformIsUnreachable(t *testing.T) {
 	var listed atomic.Int64
-	b := newTestVMWithAdapter(t, func(l node.AdapterDeps) node.Adapter {
+	b := newTestVMWithAdapter(t, func(l node.AdapterOptions) node.Adapter {
 		a := testAdapter(l)
 		a.Servers = failingSource{staticSource[roster.Server]{replica.Snapshot[roster.Server]{At: 1}}, &listed}
 		return a
