--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -69,7 +69,7 @@
 func (g *Guard) RecordFailure(n HashFunc, s api.ServerName, err error) {
 	switch {
 	case port.ConnectionRefused(err), fault.Has(err, fault.Misdirected):
-		g.RecordServerEnd(s)
+		g.RecordCrash(s)
 		return
 	case fault.Has(err, fault.NotStarted), fault.Has(err, fault.ServerRefused):
 		return
@@ -84,11 +84,11 @@
 	g.table.RecordFailure(time.Now(), c, s, e)
 }
 
-// RecordServerEnd records that a server has ended without notice.
-func (g *Guard) RecordServerEnd(s api.ServerName) {
+// RecordCrash records that a server has ended without notice.
+func (g *Guard) RecordCrash(s api.ServerName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.table.RecordServerEnd(time.Now(), s)
+	g.table.RecordCrash(time.Now(), s)
 }
 
 // RecordAnswer records that a server has answered a request completely.
@@ -133,7 +133,7 @@
 			c, cancel := context.WithTimeout(ctx, probeTimeout)
 			defer cancel()
 			if err := connect(c, s); port.ConnectionRefused(err) {
-				g.RecordServerEnd(s)
+				g.RecordCrash(s)
 			}
 			return nil
 		})
--- a/internal/contents/guard_test.go
+++ b/internal/contents/guard_test.go
@@ -44,7 +44,7 @@
 				g := contents.New(event.Discard(), metric.New())
 				for _, s := range []api.ServerName{"a", "b"} {
 					g.RecordFailure(hash, s, c.err)
-					g.RecordServerEnd(s)
+					g.RecordCrash(s)
 				}
 				time.Sleep(2 * time.Second)
 				g.Step()
--- a/internal/decide/quarantine/judge.go
+++ b/internal/decide/quarantine/judge.go
@@ -56,9 +56,9 @@
 			delete(t.contents, c)
 		}
 	}
-	for s, at := range t.ended {
+	for s, at := range t.crashed {
 		if now.Sub(at) > failureRetention {
-			delete(t.ended, s)
+			delete(t.crashed, s)
 		}
 	}
 	maps.DeleteFunc(t.platform.released, func(_ api.ContentHash, at time.Time) bool { return now.Sub(at) > quarantineTime })
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -91,8 +91,8 @@
 // Table holds what one entry VM knows of contents that crash servers.
 type Table struct {
 	contents map[api.ContentHash]*content
-	// ended holds when servers were found to have ended without notice.
-	ended map[api.ServerName]time.Time
+	// crashed holds when servers were found to have crashed without notice.
+	crashed map[api.ServerName]time.Time
 	// stored holds the contents that the platform stores with the end of each quarantine, and
 	// platform how they differ from what is known here.
 	stored   map[api.ContentHash]time.Time
@@ -107,7 +107,7 @@
 
 // New creates an empty table.
 func New() *Table {
-	return &Table{contents: map[api.ContentHash]*content{}, ended: map[api.ServerName]time.Time{}, stored: map[api.ContentHash]time.Time{}, platform: newPlatformState(), answers: newAnswers()}
+	return &Table{contents: map[api.ContentHash]*content{}, crashed: map[api.ServerName]time.Time{}, stored: map[api.ContentHash]time.Time{}, platform: newPlatformState(), answers: newAnswers()}
 }
 
 // Empty reports whether no content is known.
@@ -177,7 +177,7 @@
 	if _, ok := x.failures[s]; ok || x.trustedAt(at) {
 		return
 	}
-	end, ok := t.ended[s]
+	end, ok := t.crashed[s]
 	r := &failure{at: at, confirmed: ok && end.Sub(at).Abs() <= crashMatchWindow, noAnswer: e == NoAnswer}
 	x.failures[s] = r
 	if r.reportable() {
@@ -196,10 +196,10 @@
 	return r.confirmed || !r.noAnswer
 }
 
-// RecordServerEnd records that a server has ended without notice, and confirms the failures at
+// RecordCrash records that a server has ended without notice, and confirms the failures at
 // it within crashMatchWindow.
-func (t *Table) RecordServerEnd(now time.Time, s api.ServerName) {
-	t.ended[s] = now
+func (t *Table) RecordCrash(now time.Time, s api.ServerName) {
+	t.crashed[s] = now
 	for _, x := range t.contents {
 		if r, ok := x.failures[s]; ok && now.Sub(r.at) <= crashMatchWindow {
 			t.confirm(now, x, r)
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -16,7 +16,7 @@
 // recordCrash records that a content crashed a server at a time, with the crash confirmed at once.
 func recordCrash(t *quarantine.Table, ms int, c api.ContentHash, s api.ServerName) {
 	t.RecordFailure(at(ms), c, s, quarantine.ConnectionLost)
-	t.RecordServerEnd(at(ms), s)
+	t.RecordCrash(at(ms), s)
 }
 
 func TestQuarantined(t *testing.T) {
@@ -40,18 +40,18 @@
 		{"servers that ended long after the failures", func(t *quarantine.Table) {
 			t.RecordFailure(at(0), "c", "a", quarantine.ConnectionLost)
 			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
-			t.RecordServerEnd(at(30000), "a")
-			t.RecordServerEnd(at(30000), "b")
+			t.RecordCrash(at(30000), "a")
+			t.RecordCrash(at(30000), "b")
 		}, false},
 		{"two servers that did not answer and turn out to have ended", func(t *quarantine.Table) {
 			t.RecordFailure(at(0), "c", "a", quarantine.NoAnswer)
 			t.RecordFailure(at(10), "c", "b", quarantine.NoAnswer)
-			t.RecordServerEnd(at(4000), "a")
-			t.RecordServerEnd(at(4000), "b")
+			t.RecordCrash(at(4000), "a")
+			t.RecordCrash(at(4000), "b")
 		}, true},
 		{"server ends known before the failures", func(t *quarantine.Table) {
-			t.RecordServerEnd(at(0), "a")
-			t.RecordServerEnd(at(0), "b")
+			t.RecordCrash(at(0), "a")
+			t.RecordCrash(at(0), "b")
 			t.RecordFailure(at(5), "c", "a", quarantine.ConnectionLost)
 			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
 		}, true},
@@ -165,7 +165,7 @@
 	if l := q.RecentReports(at(10)); len(l) != 0 {
 		t.Errorf("got %+v, want nothing to report", l)
 	}
-	q.RecordServerEnd(at(3000), "a")
+	q.RecordCrash(at(3000), "a")
 	if l := q.RecentReports(at(3010)); len(l) != 1 || !l[0].Ended {
 		t.Errorf("after the server ended: got %+v, want one confirmed crash", l)
 	}
@@ -267,7 +267,7 @@
 		t.Errorf("after one failure: got %v to probe, want none", l)
 	}
 	q.RecordFailure(at(20), "c", "b", quarantine.ConnectionLost)
-	q.RecordServerEnd(at(30), "a")
+	q.RecordCrash(at(30), "a")
 	probed := 0
 	for ms := 40; ms < 5000; ms += 100 {
 		l := q.NextProbes(at(ms))
--- a/internal/gateway/query.go
+++ b/internal/gateway/query.go
@@ -36,7 +36,7 @@
 	g.queryResults.Put(s.Name, a)
 	g.mutex.Unlock()
 	if port.ConnectionRefused(err) {
-		g.Contents.RecordServerEnd(s.Name)
+		g.Contents.RecordCrash(s.Name)
 	}
 	if a.Unresponsive() {
 		g.recordOutcome(s, placement.Lost)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -154,7 +154,7 @@
 			return a, err
 		}
 		if port.ConnectionRefused(err) {
-			g.Contents.RecordServerEnd(t.Server.Name)
+			g.Contents.RecordCrash(t.Server.Name)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(t.Request.ID)), zap.String("server", string(t.Server.Name)), zap.Error(err))
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -69,7 +69,7 @@
 	g.recordDepartures(l)
 	for _, m := range l {
 		if m.Unannounced() {
-			g.Contents.RecordServerEnd(m.Name)
+			g.Contents.RecordCrash(m.Name)
 		}
 		g.Log.Emit(event.ServerState, zap.String("server", string(m.Name)), zap.String("address", m.Address), zap.String("state", m.State.String()))
 	}
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -172,7 +172,7 @@
 func (c *Context) handleEngineLost(n api.ServerName, err error) {
 	c.Broker.MarkUnreachable(n)
 	if port.ConnectionRefused(err) {
-		c.Contents.RecordServerEnd(n)
+		c.Contents.RecordCrash(n)
 	}
 }
 
