--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -90,24 +90,24 @@
 	d := h.listDelay()
 	h.config = mirror.New(mirror.Options[directory.Config]{
 		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configWaitShare), ListDelay: d,
-		OnSnapshot: h.applyConfig, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
+		OnSnapshot: h.applyConfig, HasRelay: h.hasRelay, BacksOff: h.backsOff, LostChanged: func(bool) {},
 	})
 	h.servers = mirror.New(mirror.Options[roster.Server]{
 		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverWaitShare), ListDelay: d,
-		OnSnapshot: h.applyServers, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: h.setPlatformLost,
+		OnSnapshot: h.applyServers, HasRelay: h.hasRelay, BacksOff: h.backsOff, LostChanged: h.setPlatformLost,
 	})
 	if c := s.CloseMS.Duration(); c > 0 {
 		h.closures = mirror.New(mirror.Options[roster.Closure]{
 			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, ListDelay: d,
 			Timing:     mirror.Timing{Wait: time.Duration(configWaitShare * float64(c)), Slack: time.Duration(answerTimeShare * float64(c))},
-			OnSnapshot: h.applyClosures, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
+			OnSnapshot: h.applyClosures, HasRelay: h.hasRelay, BacksOff: h.backsOff, LostChanged: func(bool) {},
 		})
 	}
 	if h.adapter.QuarantineSource != nil {
 		h.quarantines = mirror.New(mirror.Options[quarantine.Entry]{
 			Name: "quarantines", Source: h.adapter.QuarantineSource, Log: h.Log, Metrics: h.Metrics, ListDelay: firstListDelay,
 			Timing:     mirror.Timing{Wait: quarantineWatchWait, Slack: time.Duration(answerTimeShare * float64(quarantineWatchWait))},
-			OnSnapshot: h.applyQuarantines, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
+			OnSnapshot: h.applyQuarantines, HasRelay: h.hasRelay, BacksOff: h.backsOff, LostChanged: func(bool) {},
 		})
 	}
 	h.mesh = mesh.New(mesh.Options{
@@ -160,14 +160,14 @@
 	return a.hosted.mesh.SendHolding(ctx, address, x)
 }
 
-// hubRelays reports whether a hub relays the platform's changes to this entry VM.
-func (h *HostedContext) hubRelays() bool {
+// hasRelay reports whether a hub relays the platform's changes to this entry VM.
+func (h *HostedContext) hasRelay() bool {
 	return h.mesh.HasRelay()
 }
 
-// hubQueriesPlatform reports whether a hub queries the platform for this entry VM, so
+// backsOff reports whether a hub queries the platform for this entry VM, so
 // that after this number of failures in a row it may query less often.
-func (h *HostedContext) hubQueriesPlatform(failures int) bool {
+func (h *HostedContext) backsOff(failures int) bool {
 	return h.mesh.BacksOff(failures)
 }
 
