--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -11,7 +11,7 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// admission is the queue of one service, with what is learned of its servers.
+// admission is the queue of one service, with the observations of its servers.
 type admission struct {
 	backlog     *backlog.Backlog[*waiter]
 	prefillRate placement.PrefillRate
@@ -31,8 +31,8 @@
 	return a
 }
 
-// forgetUnconfigured drops what was learned of routes and services that a configuration no
-// longer has.
+// forgetUnconfigured drops the records of routes and services that a configuration no longer
+// has.
 func (g *Gateway) forgetUnconfigured(d *directory.Directory) {
 	routes := make(map[string]bool, len(d.Routes))
 	for i := range d.Routes {
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -13,8 +13,8 @@
 )
 
 // allocate places a demand at an engine of this entry VM's failure domain, forwards it to
-// another domain that is less loaded, or lets it wait. Other demands are placed while it is
-// forwarded, so the choice at home is made again after that.
+// another domain that is less loaded, or queues it. Other demands are placed while it is
+// forwarded, so that the choice in the local domain is made again after that.
 func (g *Gateway) allocate(ctx context.Context, d demand) assignment {
 	if !d.forwarded {
 		g.markLate(&d)
@@ -55,8 +55,8 @@
 	return g.enqueue(ctx, d)
 }
 
-// betterDomain returns the failure domain to which a demand had better be forwarded, if there
-// is one; the mutex is held. Backup copies stay in the domain of their run, and so do moves for
+// betterDomain returns the failure domain that a demand is better forwarded to, if there is
+// one; the mutex is held. Backup copies stay in the domain of their run, and so do moves for
 // which there is an engine here.
 func (g *Gateway) betterDomain(now time.Time, d demand, x placement.Choice, ok bool) (api.DomainName, bool) {
 	if d.forwarded || d.purpose == api.PlaceAskPurposeCopy || ok && d.purpose == api.PlaceAskPurposeMove {
@@ -147,7 +147,7 @@
 	}, nil
 }
 
-// placeAnswer makes the message that tells another entry VM what its demand was assigned.
+// placeAnswer makes the answer to another entry VM's request for a place.
 func placeAnswer(p assignment) api.PlaceAnswer {
 	if f := p.fault; f != nil {
 		return api.PlaceAnswer{Refused: &api.PlaceRefusal{
@@ -158,7 +158,7 @@
 	return api.PlaceAnswer{Server: p.choice.Name, Load: &p.choice.Load, Score: p.choice.Score, Of: p.choice.Candidates, Copy: p.backupName}
 }
 
-// UpdateHolding takes another entry VM's report of what it holds at engines that this one
+// UpdateHolding records another entry VM's report of what it holds at engines that this one
 // allocates.
 func (g *Gateway) UpdateHolding(h api.Holding) {
 	x := placement.Holding{
@@ -212,7 +212,7 @@
 	return l
 }
 
-// UpdatePools takes the sums that the allocator of another failure domain reports.
+// UpdatePools records the load sums that the allocator of another failure domain reports.
 func (g *Gateway) UpdatePools(d api.DomainName, l map[api.ServiceName]api.PoolLoad) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/closure.go
+++ b/internal/gateway/closure.go
@@ -93,7 +93,7 @@
 }
 
 // avoids reports whether no requests are sent to a server for now although it could serve them:
-// its failure domain is closed, or it has asked this entry VM for a backoff.
+// its failure domain is closed, or it has requested a backoff from this entry VM.
 func (g *Gateway) avoids(s roster.Server) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/closure_test.go
+++ b/internal/gateway/closure_test.go
@@ -157,7 +157,7 @@
 	})
 }
 
-// An entry VM that does not know yet which failure domains are closed must not be ready.
+// An entry VM that has not yet read which failure domains are closed must not be ready.
 func TestReadyWaitsForClosures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestGateway(t, newFakeServers(), 0)
--- a/internal/gateway/configure.go
+++ b/internal/gateway/configure.go
@@ -37,7 +37,7 @@
 // Apply applies a peer's configuration unless a newer one is in force. After the platform's
 // store is restored from a backup, only peers know the configuration that the backup lacks:
 // without them, an entry VM that starts then serves by an older one until operators write again
-// (TestVMStartedAfterTheStoreCameBackFromACopy).
+// (TestVMStartedAfterStoreRestore).
 func (g *Gateway) Apply(c directory.Config) {
 	if c.Version > 0 && g.apply(c) {
 		g.Log.Emit(event.ConfigApplied, zap.Int64("number", c.Version), zap.Bool("of_peer", true), zap.Int("routes", len(c.Routes)))
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -10,16 +10,16 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// demand asks for a place at an engine, for this entry VM or for a peer.
+// demand is a request for a place at an engine, for this entry VM or for a peer.
 type demand struct {
 	service *directory.Service
 	purpose api.PlaceAskPurpose
-	// domain is the failure domain whose engines are asked for.
+	// domain is the failure domain whose engines are requested.
 	domain  api.DomainName
 	need    placement.Requirements
 	request backlog.Request
 	// route and timeout are the route of a new run and the timeout of its caller, by which the
-	// backlog tells a retry of a refused request from a first try.
+	// backlog distinguishes the retry of a refused request from a first attempt.
 	route   string
 	timeout time.Duration
 	// deadline is when the caller gives up.
@@ -105,7 +105,7 @@
 	return x, ok
 }
 
-// markLate notes whether a new run comes too late for its latency target. That is decided by
+// markLate records whether a new run comes too late for its latency target. That is decided by
 // the entry VM that places the run: it sees most requests of a route and so knows the usual
 // timeouts of its callers.
 func (g *Gateway) markLate(d *demand) {
@@ -126,8 +126,8 @@
 	return l
 }
 
-// backupDemand asks for a place for a backup copy of a run, at another server than the one that
-// runs it.
+// backupDemand returns the demand for a place for a backup copy of a run, at another server than
+// the one that runs it.
 func (d demand) backupDemand(at roster.Server) demand {
 	return demand{
 		service: d.service, purpose: api.PlaceAskPurposeCopy, domain: at.Domain, need: placement.Requirements{Tokens: d.need.Tokens},
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -32,7 +32,8 @@
 // gapTarget is the longest gap between two events that is in time.
 const gapTarget = 180 * time.Millisecond
 
-// firstCopyTime is what the first copy of a run takes, and laterCopyTime a later one.
+// firstCopyTime is the duration of the first copy of a run, and laterCopyTime that of a later
+// one.
 const (
 	firstCopyTime = 300 * time.Millisecond
 	laterCopyTime = 10 * time.Millisecond
@@ -70,7 +71,7 @@
 	// stoppedAt maps the handles of stopped runs to their source servers, which hold the memory
 	// as well.
 	stoppedAt map[string]string
-	// refuses names the servers that refuse each request and ask for a backoff.
+	// refuses names the servers that refuse each request and request a backoff.
 	refuses map[string]bool
 	// signals are sent by servers in their reports.
 	signals map[string]port.Signals
@@ -87,7 +88,7 @@
 	reports int
 	// waiting makes a stream report unread bytes.
 	waiting bool
-	// log takes the gateway's log lines.
+	// log receives the gateway's log lines.
 	log *event.Log
 	// backups lets servers hold backup copies of runs.
 	backups bool
@@ -412,7 +413,7 @@
 	return b
 }
 
-// servers declares servers by name; the value tells whether a server is draining.
+// servers declares servers by name; the value is whether a server is draining.
 func (b *testGateway) servers(m map[string]bool) {
 	var l []roster.Server
 	for n, d := range m {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -97,7 +97,7 @@
 	}
 	x, err := g.Place(ctx, a)
 	if ctx.Err() != nil {
-		// The client has given up, so no answer reaches it.
+		// The client no longer waits, so that no answer reaches it.
 		return api.PlaceAnswer{}, fault.New(fault.OutcomeUnknown, "no answer in time")
 	}
 	return x, err
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// playFleet plays a load against a number of entry VMs in virtual time, while during runs
-// alongside.
+// playFleet plays a load against a number of entry VMs in virtual time, and runs the function
+// during concurrently.
 func playFleet(t *testing.T, seed uint64, vms int, x float64, during func(f *fleetLoad)) []tally {
 	t.Helper()
 	var got []tally
@@ -221,7 +221,7 @@
 }
 
 // An allocator that forwards requests to a silent failure domain must still answer in time, or
-// its peers would take it for silent too and go to the standby.
+// its peers would consider it silent too and use the standby.
 func TestForwardToSilentDomainKeepsAllocatorInUse(t *testing.T) {
 	var first, second int
 	playFleet(t, 7, 40, 4, func(f *fleetLoad) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -38,8 +38,8 @@
 type Options struct {
 	VM     api.VMName
 	Domain api.DomainName
-	// Seed seeds the random numbers by which servers are chosen, and tells the incarnations of
-	// this entry VM apart.
+	// Seed seeds the random numbers by which servers are chosen, and identifies the incarnation
+	// of this entry VM.
 	Seed     uint64
 	Backends port.Backends
 	// Peers reaches the entry VMs that allocate engines; nil for an entry VM without peers.
@@ -52,7 +52,7 @@
 	// Deadlines end requests at their callers' deadlines; nil for a default that follows the
 	// boot clock.
 	Deadlines *clock.Deadlines
-	// Contents knows the contents that crash servers; nil for a guard of this gateway alone.
+	// Contents detects contents that crash servers. If it is nil, New creates a separate guard.
 	Contents *contents.Guard
 	// Quarantines stores quarantined contents; nil where only entry VMs remember them.
 	Quarantines port.Quarantines
@@ -78,17 +78,17 @@
 	picker *placement.Picker
 	// runs holds the running streams by the server that runs them.
 	runs map[api.ServerName]map[*run]bool
-	// admissions holds the waiting requests and what is learned of servers, by service.
+	// admissions holds the waiting requests and the observations of servers, by service.
 	admissions map[api.ServiceName]*admission
 	// domains holds the load reports of the allocators of other failure domains, and contacts
 	// the allocators that failed to answer.
 	domains      *placement.RemotePools
 	reachability *holder.Reachability
-	// fleet tells whether some of the entry VMs may be cut off by a network partition.
+	// fleet detects that some of the entry VMs may be cut off by a network partition.
 	fleet throttle.Fleet
-	// These are the state of the reports of this entry VM to allocators: incarnation and
-	// sequence order them, placeRequests are the place requests under way, reports says when
-	// one is due, and observations is what they tell of servers.
+	// The following fields are the state of this entry VM's reports to allocators: incarnation
+	// and sequence order the reports, placeRequests holds the place requests under way, reports
+	// schedules the reports, and observations holds the observations of servers to be reported.
 	incarnation   api.Incarnation
 	sequence      int
 	placeRequests holder.Requests
@@ -181,7 +181,8 @@
 	hash api.ContentHash
 }
 
-// content is the hash of what the request asks for: the same for each attempt of its caller.
+// content returns the hash of the request's content, which is the same for each attempt of its
+// caller.
 func (q *request) content() api.ContentHash {
 	if q.hash == "" {
 		q.hash = quarantine.Hash(q.workspace.Name, q.Method, q.Host, q.Target, q.Body)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -257,8 +257,8 @@
 	})
 }
 
-// A server whose address now belongs to another one is gone; a request must not be sent there
-// every time.
+// A server whose address now belongs to another one no longer exists; only a few requests may be
+// sent to it.
 func TestServerWhoseAddressWasReusedIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeServers()
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -16,7 +16,7 @@
 const queryTimeout = 250 * time.Millisecond
 
 // QueryLeaving asks the servers that run streams of this entry VM whether they are leaving. It
-// is for an entry VM that learns of it neither from the platform nor from peers.
+// is for an entry VM that gets no notices of it from the platform or from peers.
 func (g *Gateway) QueryLeaving() {
 	for _, s := range g.serversWithRuns() {
 		g.Group.Go(func(ctx context.Context) error {
@@ -47,7 +47,7 @@
 	g.handleReport(s, p, err)
 }
 
-// handleReport takes what a server reports of itself, or logs that it did not answer.
+// handleReport applies a server's report on itself, or logs that the server did not answer.
 func (g *Gateway) handleReport(s roster.Server, p port.Report, err error) {
 	if err != nil {
 		g.Log.Emit(event.ServerUnreachable, zap.String("server", string(s.Name)), zap.Error(err))
@@ -79,7 +79,7 @@
 	}
 }
 
-// MarkLeaving marks servers as leaving that announced it to this entry VM or a peer.
+// MarkLeaving marks servers as leaving that have announced it to this entry VM or a peer.
 func (g *Gateway) MarkLeaving(l []api.ServerName) {
 	var c []roster.Member
 	g.mutex.Lock()
@@ -92,7 +92,8 @@
 	g.applyChanges(c)
 }
 
-// AnnouncedLeaving lists the servers that announced themselves that they are leaving.
+// AnnouncedLeaving lists the servers that have announced that they are leaving, rather than
+// being listed so by the platform.
 func (g *Gateway) AnnouncedLeaving() []api.ServerName {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -184,7 +184,7 @@
 }
 
 // kinds are requests for long and for short answers of one service, the short ones of higher
-// rank. The engines carry this load with ease.
+// rank. This load is well below the capacity of the engines.
 var kinds = []requestKind{
 	{"/long/", 3000, 900, 3.3, 1800 * time.Millisecond, 39 * time.Second},
 	{"/short/", 2500, 12, 4.6, 1500 * time.Millisecond, 6 * time.Second},
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -13,7 +13,7 @@
 )
 
 // The log line of a failed request must show by itself whether the server was slow or the
-// caller's timeout was short. Without the time allowed, operators on call could not tell.
+// caller's timeout was short. Operators on call distinguish the two by the time allowed.
 func TestFailureLogsTheTimeAllowed(t *testing.T) {
 	var out bytes.Buffer
 	l, flush, err := event.NewWithOutput(api.LogSettings{Level: api.LogSettingsLevelInfo, Format: api.LogSettingsFormatJson}, &out)
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -20,7 +20,7 @@
 
 const (
 	// copyTimeout bounds one call that copies a run's memory: no server serves longer than
-	// this after it gave notice that it leaves.
+	// this after its notice that it is leaving.
 	copyTimeout = 3 * time.Second
 	// moveUnreadTokens is the length of the unread prompt that a run counts for at its target
 	// while it is moved, so that no long prompt is sent there that would delay the run.
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -42,7 +42,7 @@
 	at     time.Time
 }
 
-// placePlain gives a request a plain server. One with a rate limit is used if it has a send
+// placePlain assigns a plain server to a request. One with a rate limit is used if it has a send
 // slot now; the request waits for a slot only where there is no other server.
 func (g *Gateway) placePlain(ctx context.Context, q *request, c *call.Call) assignment {
 	var busy []busyServer
@@ -99,7 +99,7 @@
 	return ok && m.AcceptsRequests() && !g.picker.Backoffs.Active(time.Now(), n)
 }
 
-// refuseAllBusy is the refusal of a request that no server can take for a time.
+// refuseAllBusy counts and returns the refusal of a request that no server accepts for a time.
 func (g *Gateway) refuseAllBusy(c *call.Call, wait time.Duration) *fault.Error {
 	g.Metrics.Add(metric.ServersBusy, 1)
 	return c.AllBusy(wait)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -33,7 +33,7 @@
 
 // quarantineConfirmed quarantines the contents that are now confirmed to crash servers, and
 // writes those found here to the platform: an entry VM that peers can't reach, or that starts
-// later, learns of them there.
+// later, reads them there.
 func (g *Gateway) quarantineConfirmed() {
 	for _, v := range g.Contents.Step() {
 		if v.Local && g.Quarantines != nil {
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -72,7 +72,7 @@
 
 // closedTargetGrace is the time after its stop in which a run that can't return to its source
 // may resume at its target although operators have closed the target's failure domain in the
-// meantime. It is far less than operators allow for requests that are on their way.
+// meantime. It is far less than the time that operators allow for requests in transit.
 const closedTargetGrace = 500 * time.Millisecond
 
 // returnToSource resumes a run that its target refused at the source that stopped it. The
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// UpdateServers takes the backend servers that the platform lists.
+// UpdateServers applies the platform's list of backend servers.
 func (g *Gateway) UpdateServers(s replica.Snapshot[roster.Server]) {
 	l := make([]roster.Server, 0, len(s.Items))
 	for _, o := range s.Items {
@@ -29,15 +29,15 @@
 	g.applyChanges(c)
 }
 
-// SetStoreDown notes whether the platform's store is down.
-func (g *Gateway) SetStoreDown(away bool) {
+// SetStoreDown records whether the platform's store is down.
+func (g *Gateway) SetStoreDown(down bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.roster.SetStoreDown(time.Now(), away)
+	g.roster.SetStoreDown(time.Now(), down)
 }
 
 // Maintain does the periodic work: it expires servers, closures and grants, drops the records
-// of servers that are gone, and divides the bound on retries by the number of entry VMs.
+// of servers that no longer exist, and divides the bound on retries by the number of entry VMs.
 func (g *Gateway) Maintain() {
 	now := time.Now()
 	g.mutex.Lock()
@@ -117,7 +117,7 @@
 }
 
 // evacuate moves a run off its server. A backup copy at a server that accepts no requests now
-// is given up first: the run could not be resumed from it.
+// is dropped first, since the run could not be resumed from it.
 func (g *Gateway) evacuate(r *run) {
 	r.dropBackup(func(s roster.Server) bool { return !g.acceptsRequests(s.Name) })
 	g.startMove(r)
@@ -224,7 +224,7 @@
 
 // recordOutcome records the outcome of a request at a server. For an engine it is also reported
 // to the allocator, and a bad outcome at once: an engine that accepts no connection has no
-// load, and looks best to an allocator that does not know.
+// load, so that an allocator without the report would prefer it.
 func (g *Gateway) recordOutcome(s roster.Server, o placement.Outcome) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -250,14 +250,14 @@
 	return ok && v.Engine != nil
 }
 
-// ReportLoads makes the report on the loads of plain servers for a peer.
+// ReportLoads returns the report on the loads of plain servers for a peer.
 func (g *Gateway) ReportLoads(vm api.VMName, r placement.Relation) placement.Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.PlainLoads.Report(time.Now(), vm, r)
 }
 
-// UpdateLoads takes a peer's report on the loads of plain servers.
+// UpdateLoads records a peer's report on the loads of plain servers.
 func (g *Gateway) UpdateLoads(vm api.VMName, r placement.Relation, x placement.Report) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -119,8 +119,8 @@
 	g.MarkLeaving([]api.ServerName{s.Name})
 }
 
-// recordBackoff records the backoff that a server asked this entry VM for. Runs that have to
-// leave their server are moved if their backup server is the one that backs off.
+// recordBackoff records the backoff that a server has requested from this entry VM. Runs that
+// have to leave their server are moved if their backup server is the one that requested it.
 func (g *Gateway) recordBackoff(s roster.Server, d time.Duration) {
 	g.Log.Emit(event.ServerRest, zap.String("server", string(s.Name)), zap.Duration("rest", d))
 	g.mutex.Lock()
@@ -133,8 +133,8 @@
 	}
 }
 
-// backingOff lists the servers of a service that have asked this entry VM for a backoff. If all
-// have, it also returns the time until the first of them takes requests again, else zero.
+// backingOff lists the servers of a service that have requested a backoff from this entry VM. If
+// all have, it also returns the time until the first of them accepts requests again, else zero.
 func (g *Gateway) backingOff(n api.ServiceName) ([]api.ServerName, time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -142,11 +142,11 @@
 }
 
 // retrySpread is the time over which the retries of callers are spread that were refused
-// because all servers had asked for a backoff.
+// because all servers had requested a backoff.
 const retrySpread = 500 * time.Millisecond
 
-// refuseIfAllBackOff returns the refusal of a request if all servers of its service have asked
-// for a backoff, or else nil.
+// refuseIfAllBackOff returns the refusal of a request if all servers of its service have
+// requested a backoff, or else nil.
 func (g *Gateway) refuseIfAllBackOff(q *request, c *call.Call) *fault.Error {
 	_, d := g.backingOff(q.service.Name)
 	if d == 0 {
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -28,7 +28,7 @@
 	return l
 }
 
-// A server that asked for a backoff must be sent only a few of the runs that no other server can
+// A server that requested a backoff must be sent only a few of the runs that no other server can
 // resume: those that have their backup copies there.
 func TestFewRunsResumeAtServerInBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -70,8 +70,8 @@
 	})
 }
 
-// reportBackoff lets a server ask this entry VM for a backoff in its next report, and requests
-// the report.
+// reportBackoff makes a server request a backoff from this entry VM in its next report, and
+// queries the report.
 func (b *testGateway) reportBackoff(n string, d time.Duration) {
 	b.fake.mutex.Lock()
 	b.fake.signals[n] = port.Signals{Answered: true, BackoffRequested: true, Backoff: d}
@@ -79,7 +79,7 @@
 	_, _ = b.Backends.Report(context.Background(), server(n, "x", false), false)
 }
 
-// A run whose backup server has asked for a backoff must be moved when its server leaves.
+// A run whose backup server has requested a backoff must be moved when its server leaves.
 func TestRunIsMovedWhenItsBackupServerBacksOff(t *testing.T) {
 	tests := []struct {
 		name string
@@ -136,7 +136,7 @@
 	})
 }
 
-// A backoff that any server asks for must not start a second move of a run that is stopped and
+// A backoff that any server requests must not start a second move of a run that is stopped and
 // about to resume.
 func TestStoppedRunIsNotMovedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -22,8 +22,9 @@
 	})
 }
 
-// If the backup server is silent as well, the server has probably not crashed. In the soak with
-// 300 VMs on one machine (seed 2001), live runs were abandoned for copies that no longer existed.
+// If the backup server is silent as well, the server has probably not crashed. Without this rule,
+// a soak with 300 VMs on one machine (seed 2001) abandons live runs for copies that no longer
+// exist.
 func TestRunIsNotAbandonedWhenNoServerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeServers()
@@ -42,7 +43,7 @@
 }
 
 // An entry VM that is slow or was suspended has unread bytes on its connections. It must not
-// take that for the silence of a server.
+// conclude from this that a server is silent.
 func TestServerIsNotQueriedWhileItsBytesAreUnread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeServers()
@@ -84,7 +85,7 @@
 	})
 }
 
-// A connection may stay silent for good while new connections to the same server work.
+// A connection may stay silent permanently while new connections to the same server work.
 func TestRunIsFetchedWhenOnlyItsConnectionIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startStream(t, newFakeServers(), 40, 5)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -70,7 +70,7 @@
 }
 
 // pump relays events, from one server after the other, until the stream is complete, the
-// run is lost or the caller is gone.
+// run is lost or the caller has left.
 func (g *Gateway) pump(ctx context.Context, r *run, s port.Stream) {
 	for {
 		err := g.relay(ctx, r, s)
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -110,7 +110,7 @@
 }
 
 // withdraw takes a demand out of the queue. Its result is the server that it was given at the
-// last moment, or else a refusal, which is left out where the caller is gone.
+// last moment, or else a refusal, which is left out if the caller has left.
 func (g *Gateway) withdraw(a *admission, w *waiter, gone bool) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -126,7 +126,7 @@
 	return assignment{fault: g.noCapacity(time.Now(), a, w.demand)}
 }
 
-// admitWaiting gives servers to waiting demands, as far as there is capacity; the mutex is
+// admitWaiting assigns servers to waiting demands, as far as there is capacity; the mutex is
 // held.
 func (g *Gateway) admitWaiting(now time.Time) {
 	for _, a := range g.admissions {
@@ -155,8 +155,8 @@
 	g.reportDue()
 }
 
-// waitFields are the log fields of a refusal that tell how long the request waited and by which
-// forecast it was refused.
+// waitFields are the log fields of a refusal: how long the request waited and the forecast by
+// which it was refused.
 func (q *request) waitFields() []zap.Field {
 	l := []zap.Field{zap.Duration("waited", q.waited)}
 	if f := q.forecast; f.MaxWait > 0 {
--- a/internal/gateway/wait_test.go
+++ b/internal/gateway/wait_test.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// While no server is known, a caller must not be told of an overload: it may retry as soon as
-// servers can be expected.
+// While no server is known, a request must not be refused as an overload: the caller may retry as
+// soon as servers can be expected.
 func TestNoServerIsNotRefusedAsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestGateway(t, newFakeServers(), 0)
