--- a/internal/mesh/allocate_test.go
+++ b/internal/mesh/allocate_test.go
@@ -41,7 +41,7 @@
 }
 
 // A place is granted while the engine has free memory, refused while a place that is
-// held takes it up, and granted again after the holder has reported that the run ended.
+// held occupies it, and granted again after the holder has reported that the run ended.
 func TestPlaceOverTheWire(t *testing.T) {
 	a, b := newAllocator(t), newVM(t, "b")
 	ask := func(n, sequence int, loads map[string]api.ServerLoad) api.PlaceAnswer {
@@ -102,7 +102,7 @@
 }
 
 // An allocator without a configuration refuses as starting, so that the requesting entry VM
-// turns to another allocator.
+// queries another allocator.
 func TestAllocatorWithoutConfiguration(t *testing.T) {
 	a, b := newVM(t, "a"), newVM(t, "b")
 	c, cancel := context.WithTimeout(t.Context(), 5*time.Second)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -24,13 +24,13 @@
 // callTimeout bounds one exchange or fetch.
 const callTimeout = 600 * time.Millisecond
 
-// Notices holds what entry VMs learn about backend servers outside the platform: which are
+// Notices holds what entry VMs find out about backend servers without the platform: which are
 // leaving, which limits they announce, which failure domains remain closed, and which contents
 // crash them.
 type Notices interface {
 	// AnnouncedLeaving lists the servers that have announced that they are leaving.
 	AnnouncedLeaving() []api.ServerName
-	// MarkLeaving adds the leaving servers that a peer knows of.
+	// MarkLeaving marks the servers as leaving that a peer reports.
 	MarkLeaving(l []api.ServerName)
 	// RetainedClosures lists the failure domains that stay closed although the platform has
 	// lost their closures.
@@ -188,7 +188,7 @@
 	m.Metrics.Put(metric.MembersServing, int64(1+len(live)))
 }
 
-// NoPeerInformed reports whether no live peer gets the changes on the platform.
+// NoPeerInformed reports whether no live peer receives the changes on the platform.
 func (m *Mesh) NoPeerInformed() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
