--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -326,14 +326,14 @@
 	return m.store.ChangedAt()
 }
 
-// recordSuccess notes that the platform answers, itself or through a peer.
+// recordSuccess records that the platform answers, itself or through a peer.
 func (m *Mirror[T]) recordSuccess() {
 	if m.setLost(false) {
 		m.Log.Emit(event.PlatformBack, zap.String("kind", m.Name))
 	}
 }
 
-// recordFailure counts a failed call, unless the context has ended, and notes that the
+// recordFailure counts a failed call, unless the context has ended, and records that the
 // platform is lost.
 func (m *Mirror[T]) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -23,7 +23,7 @@
 	value   string
 	lists   int
 	watches int
-	// silent watches never answer, tooOld ones report that the history is gone, and with
+	// silent watches never answer, tooOld ones report that the history is no longer available, and with
 	// down every call fails.
 	silent, tooOld, down bool
 }
