--- a/internal/node/hosted.go
+++ b/internal/node/hosted.go
@@ -86,7 +86,7 @@
 	cleanups     cleanups
 }
 
-// SettingsReload tells how changed settings are noticed and read.
+// SettingsReload detects and reads changed settings.
 type SettingsReload struct {
 	// Signal delivers a signal when the settings may have changed.
 	Signal <-chan os.Signal
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -165,8 +165,8 @@
 	return h.mesh.HasRelay()
 }
 
-// backsOff reports whether a hub queries the platform for this entry VM, so
-// that after this number of failures in a row it may query less often.
+// backsOff reports whether this entry VM may query the platform less often after the given
+// number of failures in a row, since a hub queries it as well.
 func (h *HostedContext) backsOff(failures int) bool {
 	return h.mesh.BacksOff(failures)
 }
@@ -280,7 +280,7 @@
 	// unused; a run generates a few tokens in this time.
 	hostedTickInterval = 60 * time.Millisecond
 	// ticksPerRound is the number of ticks between rounds of periodic work. A round is due
-	// every sixth of the shortest notice that leaving servers give.
+	// every sixth of the shortest notice period of leaving servers.
 	ticksPerRound = 4
 	// roundsPerSweep is the number of rounds between sweeps that close idle connections.
 	roundsPerSweep = 4
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -168,7 +168,7 @@
 }
 
 // handleEngineLost records that an engine can't be reached. A refused connection also
-// confirms that the engine has ended.
+// confirms that the engine has crashed.
 func (c *Context) handleEngineLost(n api.ServerName, err error) {
 	c.Broker.MarkUnreachable(n)
 	if port.ConnectionRefused(err) {
