--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -167,7 +167,7 @@
 	return n, done
 }
 
-// reportUnavailable tells the dispatcher that an engine refuses requests or can't be
+// reportUnavailable reports to the dispatcher that an engine refuses requests or can't be
 // reached.
 func (t *attempt) reportUnavailable(b *engine.StreamError) {
 	var r *engine.RefusalError
@@ -229,7 +229,7 @@
 	}
 }
 
-// cancelGeneration tells the engine that the generation is no longer needed.
+// cancelGeneration cancels a generation that is no longer needed at its engine.
 func (t *attempt) cancelGeneration(ctx context.Context) {
 	if t.address == "" {
 		return
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -26,7 +26,7 @@
 // defaultKind is the kind of a request that does not name one.
 const defaultKind = "default"
 
-// request is what the headers of a request tell, and the workspace that it belongs to.
+// request holds the values of a request's headers, and the workspace that it belongs to.
 type request struct {
 	id            api.RequestID
 	workspace     config.Workspace
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -19,8 +19,8 @@
 )
 
 // eventIDParts is the number of parts of an event id: model.generation.server.mac.index,
-// all encoded in base64 except the index. The id tells where its stream comes from, so
-// that any entry VM can resume the stream.
+// all encoded in base64 except the index. The id identifies the source of its stream,
+// so that any entry VM can resume the stream.
 const eventIDParts = 5
 
 // eventIDPrefix returns the part of an event id before the index.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -60,7 +60,7 @@
 	Contents *contents.Guard
 	// KeepAliveClient sends calls over reused connections.
 	KeepAliveClient *http.Client
-	// SingleUseClient sends each call over a connection of its own.
+	// SingleUseClient sends each call over a new connection.
 	SingleUseClient *http.Client
 }
 
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -242,7 +242,7 @@
 }
 
 // clientFor returns the client for a call. The transport may repeat a request by itself on
-// a reused connection, so a call that is not repeatable gets a connection of its own.
+// a reused connection, so a call that is not repeatable gets a new connection.
 func (s *Server) clientFor(c *call) *http.Client {
 	if c.notRepeatable {
 		return s.SingleUseClient
