--- a/internal/contents/guard.go
+++ b/internal/contents/guard.go
@@ -65,7 +65,7 @@
 
 // RecordFailure records that a run failed within quarantine.SuspectWindow, at a server that had
 // not announced its end. An error which shows that nothing listens for the server at its address
-// records the end of the server instead, and one of a request that did not run records nothing.
+// records the crash of the server instead, and one of a request that did not run records nothing.
 func (g *Guard) RecordFailure(n HashFunc, s api.ServerName, err error) {
 	switch {
 	case port.ConnectionRefused(err), fault.Has(err, fault.Misdirected):
@@ -84,7 +84,7 @@
 	g.table.RecordFailure(time.Now(), c, s, e)
 }
 
-// RecordCrash records that a server has ended without notice.
+// RecordCrash records that a server has crashed: it ended without notice.
 func (g *Guard) RecordCrash(s api.ServerName) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -122,8 +122,8 @@
 // ConnectFunc tries to connect to a server and returns the error of the connection.
 type ConnectFunc func(ctx context.Context, s api.ServerName) error
 
-// ProbeServers connects concurrently to the servers that may have crashed, and records the end
-// of those that refuse the connection.
+// ProbeServers connects concurrently to the servers that may have crashed, and records a
+// crash of those that refuse the connection.
 func (g *Guard) ProbeServers(d *duty.Group, connect ConnectFunc) {
 	g.mutex.Lock()
 	l := g.table.NextProbes(time.Now())
--- a/internal/contents/guard_test.go
+++ b/internal/contents/guard_test.go
@@ -23,7 +23,7 @@
 
 func hash() api.ContentHash { return "c" }
 
-// A content is quarantined if two attempts at two servers that end fail in a way that a crash
+// A content is quarantined if two attempts at two servers that crash fail in a way that a crash
 // explains, and not if the errors show that the request did not run.
 func TestFailuresThatQuarantineAContent(t *testing.T) {
 	tests := []struct {
