--- a/internal/claims/claimer.go
+++ b/internal/claims/claimer.go
@@ -30,10 +30,10 @@
 	PutConfirmed(ctx context.Context, o api.Object) (api.Object, error)
 }
 
-// Peers calls the other entry VMs and knows their state.
+// Peers calls the other entry VMs and tracks their state.
 type Peers interface {
-	// Release asks the entry VM that owns a claim to give up its attempt, and reports whether
-	// the attempt was not sent and never will be.
+	// Release requests the entry VM that owns a claim to release its attempt, and reports
+	// whether the attempt was not sent and never will be.
 	Release(ctx context.Context, vm api.VMName, q api.AttemptQuery) (bool, error)
 	// ClaimsRewritten reports whether all other entry VMs have rewritten their claims in an era.
 	ClaimsRewritten(e api.Era) bool
@@ -78,7 +78,7 @@
 	return hex.EncodeToString(h[:])
 }
 
-// RequestHash returns a hash by which different requests with the same key are told apart.
+// RequestHash returns a hash that distinguishes different requests with the same key.
 func RequestHash(method, path string, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(method + "\x00" + path + "\x00"))
@@ -160,7 +160,7 @@
 	k.attempts.SetClaim(p.spec.Request, claim.Record{Name: p.name, Spec: p.spec})
 }
 
-// write writes the claim that an action asks for and classifies the result. The validity of the
+// write writes the claim of an action and classifies the result. The validity of the
 // permit counts from before the write.
 func (k *Claimer) write(ctx context.Context, p *Permit, m claim.Action) claim.WriteResult {
 	k.metrics.Add(metric.PlatformWrites, 1)
@@ -213,8 +213,8 @@
 	return c.HandleRead(true, s, o.Version, k.observe(o.Version))
 }
 
-// requestRelease asks the owner of a claim to give up its attempt, and reports whether the attempt
-// was not sent and never will be. It does not call the owner if that is this entry VM.
+// requestRelease requests the owner of a claim to release its attempt, and reports whether the
+// attempt was not sent and never will be. It does not call the owner if that is this entry VM.
 func (k *Claimer) requestRelease(ctx context.Context, name string, s api.ClaimSpec) bool {
 	q := api.AttemptQuery{Protocol: member.Protocol, Claim: name, Request: s.Request, Incarnation: s.Incarnation}
 	if s.Owner == k.owner.VM {
@@ -224,7 +224,7 @@
 	return err == nil && ok
 }
 
-// Release gives up a local attempt at the request of another entry VM. It reports whether the
+// Release releases a local attempt at the request of another entry VM. It reports whether the
 // attempt was not sent and never will be.
 func (k *Claimer) Release(q api.AttemptQuery) bool {
 	k.mutex.Lock()
--- a/internal/claims/rewrite.go
+++ b/internal/claims/rewrite.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// EnterEra notes the platform's era. If it is later than the one known before, the claims of this
+// EnterEra records the platform's era. If it is later than the one known before, the claims of this
 // entry VM are rewritten: no other VM knows the ones that the platform has lost, and a request
 // whose claim is lost could be sent a second time.
 func (k *Claimer) EnterEra(e api.Era) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// observe notes the era of a version and reports whether the claims on the platform are complete
+// observe records the era of a version and reports whether the claims on the platform are complete
 // in it.
 func (k *Claimer) observe(v api.Version) bool {
 	k.mutex.Lock()
@@ -146,7 +146,7 @@
 	return claim.Rewrite(r.Spec, true, s, o.Version), nil
 }
 
-// displace asks the owner of a later claim for the same key to give up its attempt, so that the
+// displace requests the owner of a later claim for the same key to release its attempt, so that the
 // claim r can replace it. If the owner does not, nothing changes and the conflict is logged.
 func (k *Claimer) displace(ctx context.Context, r claim.Record, m claim.Action) claim.Action {
 	if k.requestRelease(ctx, r.Name, m.Spec) {
