--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -30,7 +30,7 @@
 type ViewFunc func(v *config.View)
 
 // update is the result of one call, which was made at requestedAt by the clock of
-// lifecycle.Life. Exactly one of list and changes is set; fromPeer marks the list of a peer.
+// lifecycle.Tracker. Exactly one of list and changes is set; fromPeer marks the list of a peer.
 type update struct {
 	list        *api.ObjectList
 	changes     *api.ChangeList
@@ -232,7 +232,7 @@
 }
 
 // OfferFromPeer queues the configuration of a peer, which was requested at sent by the clock of
-// lifecycle.Life. It drops the configuration if the queue is full.
+// lifecycle.Tracker. It drops the configuration if the queue is full.
 func (f *Follower) OfferFromPeer(l api.ObjectList, sent time.Time) {
 	if !f.updates.Offer(update{list: &l, requestedAt: sent, fromPeer: true}) {
 		f.metrics.Add(metric.EventsDropped, 1)
