--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// RecordLeaving notes that a server has announced in an answer that it is leaving, and reports
+// RecordLeaving records that a server has announced in an answer that it is leaving, and reports
 // whether that is new. here is set if the answer was to this entry VM, not to a peer.
 func (s *Servers) RecordLeaving(now time.Time, n api.ServerName, here bool) bool {
 	x, ok := s.states[n]
@@ -113,7 +113,7 @@
 	return l
 }
 
-// SetBackoff notes that a server has requested a backoff: it gets no calls from this entry VM for
+// SetBackoff records that a server has requested a backoff: it gets no calls from this entry VM for
 // a time. A backoff that ends earlier than the present one has no effect.
 func (s *Servers) SetBackoff(now time.Time, n api.ServerName, d time.Duration) {
 	if x, ok := s.states[n]; ok && now.Add(d).After(x.backoffUntil) {
@@ -126,8 +126,8 @@
 	s.members.Observe(now, n)
 }
 
-// RecordLimit takes the rate limit, or its absence, in the answer to a call that was sent at sent,
-// and reports whether that is new.
+// RecordLimit records the rate limit, or its absence, in the answer to a call that was sent at
+// sent, and reports whether that is new.
 func (s *Servers) RecordLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
 	return s.limits.Record(now, sent, n, l)
 }
@@ -137,7 +137,7 @@
 	return s.limits.Reports(now)
 }
 
-// MergeLimit takes the rate limit that a server has named to a peer, and reports whether that is
+// MergeLimit records the rate limit that a server has named to a peer, and reports whether that is
 // new.
 func (s *Servers) MergeLimit(now time.Time, l api.ServerLimit) bool {
 	_, ok := s.states[l.Server]
