--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -91,7 +91,8 @@
 // Table holds what one entry VM knows of contents that crash servers.
 type Table struct {
 	contents map[api.ContentHash]*content
-	// crashed holds when servers were found to have crashed without notice.
+	// crashed holds when servers were found to have crashed, that is, to have ended without
+	// notice.
 	crashed map[api.ServerName]time.Time
 	// stored holds the contents that the platform stores with the end of each quarantine, and
 	// platform how they differ from what is known here.
@@ -177,8 +178,8 @@
 	if _, ok := x.failures[s]; ok || x.trustedAt(at) {
 		return
 	}
-	end, ok := t.crashed[s]
-	r := &failure{at: at, confirmed: ok && end.Sub(at).Abs() <= crashMatchWindow, noAnswer: e == NoAnswer}
+	crash, ok := t.crashed[s]
+	r := &failure{at: at, confirmed: ok && crash.Sub(at).Abs() <= crashMatchWindow, noAnswer: e == NoAnswer}
 	x.failures[s] = r
 	if r.reportable() {
 		t.markUpdated(now, x)
@@ -196,8 +197,8 @@
 	return r.confirmed || !r.noAnswer
 }
 
-// RecordCrash records that a server has ended without notice, and confirms the failures at
-// it within crashMatchWindow.
+// RecordCrash records that a server has crashed, and confirms the failures at it within
+// crashMatchWindow.
 func (t *Table) RecordCrash(now time.Time, s api.ServerName) {
 	t.crashed[s] = now
 	for _, x := range t.contents {
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -37,19 +37,19 @@
 			t.RecordFailure(at(0), "c", "a", quarantine.ConnectionLost)
 			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
 		}, false},
-		{"servers that ended long after the failures", func(t *quarantine.Table) {
+		{"servers that crashed long after the failures", func(t *quarantine.Table) {
 			t.RecordFailure(at(0), "c", "a", quarantine.ConnectionLost)
 			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
 			t.RecordCrash(at(30000), "a")
 			t.RecordCrash(at(30000), "b")
 		}, false},
-		{"two servers that did not answer and turn out to have ended", func(t *quarantine.Table) {
+		{"two servers that did not answer and turn out to have crashed", func(t *quarantine.Table) {
 			t.RecordFailure(at(0), "c", "a", quarantine.NoAnswer)
 			t.RecordFailure(at(10), "c", "b", quarantine.NoAnswer)
 			t.RecordCrash(at(4000), "a")
 			t.RecordCrash(at(4000), "b")
 		}, true},
-		{"server ends known before the failures", func(t *quarantine.Table) {
+		{"crashes known before the failures", func(t *quarantine.Table) {
 			t.RecordCrash(at(0), "a")
 			t.RecordCrash(at(0), "b")
 			t.RecordFailure(at(5), "c", "a", quarantine.ConnectionLost)
@@ -158,7 +158,7 @@
 }
 
 // Runs given up under load must not count against a content at peers, so they are reported
-// only once their server is known to have ended.
+// only once their server is known to have crashed.
 func TestUnansweredRunsAreReportedOnceConfirmed(t *testing.T) {
 	q := quarantine.New()
 	q.RecordFailure(at(0), "c", "a", quarantine.NoAnswer)
@@ -167,7 +167,7 @@
 	}
 	q.RecordCrash(at(3000), "a")
 	if l := q.RecentReports(at(3010)); len(l) != 1 || !l[0].Ended {
-		t.Errorf("after the server ended: got %+v, want one confirmed crash", l)
+		t.Errorf("after the crash: got %+v, want one confirmed crash", l)
 	}
 }
 
