--- a/internal/decide/claim/era.go
+++ b/internal/decide/claim/era.go
@@ -58,17 +58,17 @@
 // Rewrite decides how an owner rewrites its claim after the platform was restored, given the
 // claim found there, if any. It gives Create, TakeOver or RequestRelease, and NoChange where
 // the claim is up to date or another attempt is done.
-func Rewrite(own api.ClaimSpec, exists bool, found api.ClaimSpec, v api.Version) Action {
+func Rewrite(local api.ClaimSpec, exists bool, found api.ClaimSpec, v api.Version) Action {
 	switch {
 	case !exists:
-		return Action{Kind: Create, Spec: own}
-	case found.Request == own.Request && found.Incarnation == own.Incarnation:
-		if found.State == own.State {
+		return Action{Kind: Create, Spec: local}
+	case found.Request == local.Request && found.Incarnation == local.Incarnation:
+		if found.State == local.State {
 			return Action{Kind: NoChange}
 		}
-		return Action{Kind: TakeOver, Spec: own, Version: v}
+		return Action{Kind: TakeOver, Spec: local, Version: v}
 	case found.State == api.ClaimStateAbandoned:
-		return Action{Kind: TakeOver, Spec: own, Version: v}
+		return Action{Kind: TakeOver, Spec: local, Version: v}
 	case found.State == api.ClaimStateClaimed:
 		return Action{Kind: RequestRelease, Spec: found, Version: v}
 	default:
--- a/internal/decide/gossip/lag.go
+++ b/internal/decide/gossip/lag.go
@@ -22,7 +22,7 @@
 // theirs: at once if away is set, as this entry VM does not follow the platform then,
 // and otherwise after the local version has been behind for lagWait. Without any local
 // version it is true for the first peer, and for another one after each lagWait.
-func (l *Lag[N]) ShouldFetch(now time.Time, local, theirs N, away bool) bool {
+func (l *Lag[N]) ShouldFetch(now time.Time, local, theirs N, notFollowing bool) bool {
 	if local != l.local {
 		l.local = local
 		l.since = time.Time{}
@@ -31,7 +31,7 @@
 		// Another peer may still be ahead.
 		return false
 	}
-	if away && local > 0 {
+	if notFollowing && local > 0 {
 		return true
 	}
 	first := l.since.IsZero()
--- a/internal/decide/member/candidate.go
+++ b/internal/decide/member/candidate.go
@@ -13,10 +13,10 @@
 // hashing over the entry VMs that serve. Entry VMs may differ in which peers they count as
 // serving; the lease of the duty still admits a single holder.
 func (m *Members) IsCandidate(duty string) bool {
-	own := weight(m.self, duty)
+	selfWeight := weight(m.self, duty)
 	above := 0
 	for _, p := range m.peers {
-		if p.alive && p.heartbeat.State == api.PeerStateServing && weight(p.VM, duty) > own {
+		if p.alive && p.heartbeat.State == api.PeerStateServing && weight(p.VM, duty) > selfWeight {
 			above++
 		}
 	}
--- a/internal/decide/replica/replica.go
+++ b/internal/decide/replica/replica.go
@@ -67,17 +67,17 @@
 	objects   map[string]Object[T]
 	// names holds the names of the objects in order.
 	names []string
-	// learnedAt holds, for each object, the version of the store at which it learned of the
+	// recordedAt holds, for each object, the version of the store at which it learned of the
 	// object's last change.
-	learnedAt map[string]api.Version
-	removals  []removal
+	recordedAt map[string]api.Version
+	removals   []removal
 	// removalsSince is the version after which all removals are remembered.
 	removalsSince api.Version
 }
 
 // New makes a store without objects, at version zero.
 func New[T any]() *Store[T] {
-	return &Store[T]{objects: map[string]Object[T]{}, learnedAt: map[string]api.Version{}}
+	return &Store[T]{objects: map[string]Object[T]{}, recordedAt: map[string]api.Version{}}
 }
 
 // At is the version up to which every change is known.
@@ -159,7 +159,7 @@
 		s.names = slices.Insert(s.names, i, o.Name)
 	}
 	s.objects[o.Name] = o
-	s.learnedAt[o.Name] = s.at
+	s.recordedAt[o.Name] = s.at
 	s.changedAt = s.at
 	return true
 }
@@ -169,7 +169,7 @@
 		s.names = slices.Delete(s.names, i, i+1)
 	}
 	delete(s.objects, name)
-	delete(s.learnedAt, name)
+	delete(s.recordedAt, name)
 	s.changedAt = s.at
 	s.removals = append(s.removals, removal{name: name, at: s.at})
 	if len(s.removals) > maxRemovals {
@@ -206,7 +206,7 @@
 		d.From, from = 0, 0
 	}
 	for name, o := range s.objects {
-		if from == 0 || s.learnedAt[name] > from {
+		if from == 0 || s.recordedAt[name] > from {
 			d.Items = append(d.Items, Change[T]{Object: o})
 		}
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -294,7 +294,7 @@
 		}
 		return n > 0 || expired, false
 	}
-	before, kept := f.store.Version(), f.store.Retained()
+	before, retained := f.store.Version(), f.store.Retained()
 	if !f.store.Replace(f.lifecycle.Now(), *u.list) {
 		f.log.Emit(event.ConfigStale, zap.Stringer("offered", u.list.Version), zap.Stringer("version", before))
 		return expired, true
@@ -307,7 +307,7 @@
 		f.metrics.Add(metric.PlatformRestores, 1)
 		f.log.Emit(event.EraChanged, zap.Stringer("from", before), zap.Stringer("version", now), zap.Int("kept", f.store.Retained()))
 	}
-	return expired || now != before || f.store.Retained() != kept || f.view.Load().Models == nil, false
+	return expired || now != before || f.store.Retained() != retained || f.view.Load().Models == nil, false
 }
 
 // expire drops the retained objects whose retention time is over and reports whether that changes
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -83,9 +83,9 @@
 
 // send sends a heartbeat to a peer and applies its answer.
 func (t *Tracker) send(ctx context.Context, address string) {
-	own := t.self()
+	local := t.self()
 	t.metrics.Add(metric.HeartbeatsSent, 1)
-	b, err := t.client.Heartbeat(ctx, address, own)
+	b, err := t.client.Heartbeat(ctx, address, local)
 	if err != nil {
 		t.metrics.Add(metric.HeartbeatsFailed, 1)
 		if fault.Has(err, fault.PeerProtocol) {
@@ -99,7 +99,7 @@
 	}
 	t.recordHeartbeat(b)
 	t.merge(b)
-	if b.ConfigVersion > own.ConfigVersion || b.ConfigKept > own.ConfigKept {
+	if b.ConfigVersion > local.ConfigVersion || b.ConfigKept > local.ConfigKept {
 		t.onLag(ctx, address)
 	}
 }
@@ -127,12 +127,12 @@
 // HandleHeartbeat answers a peer's heartbeat with that of this entry VM. It refuses a peer that uses
 // another version of the protocol.
 func (t *Tracker) HandleHeartbeat(b api.Heartbeat) (api.Heartbeat, error) {
-	own := t.self()
+	local := t.self()
 	if b.Protocol != member.Protocol {
-		return own, fault.New(fault.PeerProtocol, "this entry VM speaks another protocol version")
+		return local, fault.New(fault.PeerProtocol, "this entry VM speaks another protocol version")
 	}
 	t.merge(b)
-	return own, nil
+	return local, nil
 }
 
 // ClaimsRewritten reports whether every other entry VM has rewritten its claims in an era.
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -351,11 +351,11 @@
 // catchUp fetches a kind from a peer that has a newer version of it: at once if the mirror does
 // not follow the platform itself, and otherwise after a delay.
 func catchUp[T any](m *Mesh, address, path string, theirs api.Version, k *mirror.Mirror[T]) {
-	own, away := k.At(), k.Lost() || m.HasRelay()
+	local, notFollowing := k.At(), k.Lost() || m.HasRelay()
 	m.mutex.Lock()
-	ask := m.lag[path].ShouldFetch(time.Now(), own, theirs, away)
+	due := m.lag[path].ShouldFetch(time.Now(), local, theirs, notFollowing)
 	m.mutex.Unlock()
-	if ask {
+	if due {
 		fetch(m, address, path, k)
 	}
 }
@@ -363,11 +363,11 @@
 // catchUpApplied fetches the configuration that a peer has in force if it is newer than the local
 // one although the local replica of the platform's configuration is as new as the peer's.
 func (m *Mesh) catchUpApplied(e api.Exchange) {
-	own, at := m.Applied.AppliedNumber(), m.Config.At()
+	local, at := m.Applied.AppliedNumber(), m.Config.At()
 	m.mutex.Lock()
-	ask := at >= e.ConfigAt && m.appliedLag.ShouldFetch(time.Now(), own, e.ConfigNumber, false)
+	due := at >= e.ConfigAt && m.appliedLag.ShouldFetch(time.Now(), local, e.ConfigNumber, false)
 	m.mutex.Unlock()
-	if ask {
+	if due {
 		m.fetchApplied(e.Self.Address)
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -105,8 +105,8 @@
 	e := api.Exchange{Protocol: 999, VM: "x", Self: api.MeshMember{Address: "127.0.0.1:1", Domain: "d"}, ConfigAt: 50, Relation: api.ExchangeRelationHub, Loads: map[string]api.ServerLoad{"s": {Requests: 5}}}
 	c, closer := wire.NewClient(time.Second, false)
 	defer closer()
-	var own api.Exchange
-	if err := wire.Call(t.Context(), c, http.MethodPost, "http://"+a.address+mesh.PathExchange, e, &own); err != nil {
+	var answer api.Exchange
+	if err := wire.Call(t.Context(), c, http.MethodPost, "http://"+a.address+mesh.PathExchange, e, &answer); err != nil {
 		t.Fatal(err)
 	}
 	if !a.NoPeerInformed() {
