--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -33,11 +33,11 @@
 }
 
 // announcementTTL is how long a server's announcement that it is leaving holds. Afterwards the
-// server is tried again if it is still declared: its next answer tells whether it is still
+// server is tried again if it is still declared: its next answer shows whether it is still
 // leaving, or a new incarnation serves under its name.
 const announcementTTL = time.Minute
 
-// unavailable reports whether the server is draining or leaving, and thus takes no new calls.
+// unavailable reports whether the server is draining or leaving, and thus accepts no new calls.
 func (x *serverState) unavailable(now time.Time) bool {
 	return x.draining || x.listedLeaving || x.announcesLeaving(now)
 }
@@ -146,9 +146,9 @@
 
 // Choice is the server for a call, or the time until there may be one.
 type Choice struct {
-	// Name is the chosen server; empty if none takes the call now.
+	// Name is the chosen server; empty if none accepts the call now.
 	Name api.ServerName
-	// Wait is the time until a server takes calls again; zero if none is expected to.
+	// Wait is the time until a server accepts calls again; zero if none is expected to.
 	Wait time.Duration
 }
 
