--- a/internal/decide/backlog/backlog.go
+++ b/internal/decide/backlog/backlog.go
@@ -68,7 +68,7 @@
 	random   *rand.Rand
 }
 
-// New returns an empty backlog that takes its random numbers from s.
+// New returns an empty backlog that gets its random numbers from s.
 func New[T any](s rand.Source) *Backlog[T] {
 	return &Backlog[T]{queue: queue.New[T](maxWaiting), timeouts: map[string]*typicalTimeout{}, random: rand.New(s)}
 }
--- a/internal/decide/backlog/backlog_test.go
+++ b/internal/decide/backlog/backlog_test.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// What was learned of unconfigured routes is forgotten: routes that are added and
+// The estimates of unconfigured routes are dropped: routes that are added and
 // removed must not use memory, and a new route of the same name starts from nothing.
 func TestUnconfiguredRoutesAreForgotten(t *testing.T) {
 	b := newBacklog()
