--- a/internal/decide/call/call.go
+++ b/internal/decide/call/call.go
@@ -85,7 +85,7 @@
 	return f
 }
 
-// Fault creates a fault that tells whether an earlier attempt of this call may have run.
+// Fault creates a fault that states whether an earlier attempt of this call may have run.
 func (c *Call) Fault(code fault.Code, cause error, detail string) *fault.Error {
 	r := api.RanNo
 	if c.mayHaveRun {
--- a/internal/decide/call/connect.go
+++ b/internal/decide/call/connect.go
@@ -15,7 +15,7 @@
 )
 
 // ConnectTimeout returns the time to connect for a request with a latency target. Without a
-// target it is zero, which means no bound of its own.
+// target it is zero, which means no separate bound.
 func ConnectTimeout(target time.Duration) time.Duration {
 	if target <= 0 {
 		return 0
