--- a/internal/decide/claim/attempts.go
+++ b/internal/decide/claim/attempts.go
@@ -96,7 +96,7 @@
 	a.attempts[r] = x
 }
 
-// MarkRecorded notes that the platform has recorded the outcome of an attempt.
+// MarkRecorded records that the platform has recorded the outcome of an attempt.
 func (a *Attempts) MarkRecorded(now time.Time, r api.RequestID) {
 	if x, ok := a.attempts[r]; ok {
 		x.recordedAt = now
@@ -132,7 +132,7 @@
 	return l
 }
 
-// Release gives up an attempt at the request of another entry VM, and reports whether it was
+// Release releases an attempt at the request of another entry VM, and reports whether it was
 // not sent and never will be. It reports false for attempts of another incarnation, of which
 // nothing is known here.
 func (a *Attempts) Release(r api.RequestID, i api.Incarnation) bool {
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -7,7 +7,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Kind tells what an Action does.
+// Kind is the kind of an Action.
 type Kind int
 
 // Kinds of actions.
@@ -16,7 +16,7 @@
 	Create Kind = iota
 	// Read reads the claim's object.
 	Read
-	// RequestRelease asks the claim's owner to give up its attempt, if that was not sent.
+	// RequestRelease requests the claim's owner to release its attempt, if that was not sent.
 	RequestRelease
 	// TakeOver replaces the claim by Spec, provided that it is still at Version.
 	TakeOver
@@ -32,7 +32,7 @@
 	NoChange
 )
 
-// Action is the next step for a claimed request; Kind tells which of the other fields it uses.
+// Action is the next step for a claimed request; Kind decides which of the other fields it uses.
 type Action struct {
 	Kind    Kind
 	Spec    api.ClaimSpec
@@ -65,7 +65,7 @@
 const maxReads = 4
 
 // Claim is the state machine that makes the claim of one request. Begin gives the first
-// action; the Handle methods take the result of an action and give the next.
+// action; the Handle methods apply the result of an action and return the next one.
 type Claim struct {
 	spec             api.ClaimSpec
 	readsLeft        int
@@ -83,7 +83,7 @@
 	return Action{Kind: Create, Spec: c.spec}
 }
 
-// HandleWrite takes the result of a create or a take-over.
+// HandleWrite applies the result of a create or a take-over and returns the next action.
 func (c *Claim) HandleWrite(w WriteResult) Action {
 	switch w {
 	case WriteDone:
@@ -117,7 +117,7 @@
 	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
-// abandon gives up a claim, as the platform may have lost an earlier one of the same key.
+// abandon abandons a claim, since the platform may have lost an earlier one of the same key.
 func (c *Claim) abandon() Action {
 	m := c.refuseUnavailable()
 	m.Kind, m.Spec = Abandon, c.spec
@@ -125,12 +125,12 @@
 	return m
 }
 
-// HandleReadError takes a failure to read the claim's object.
+// HandleReadError applies a failure to read the claim's object.
 func (c *Claim) HandleReadError() Action {
 	return c.refuseUnavailable()
 }
 
-// HandleRead takes the object as read. If exists is false there is none; if settled is false,
+// HandleRead applies the object as read. If exists is false there is none; if settled is false,
 // the platform may have lost an earlier claim of the same key.
 func (c *Claim) HandleRead(exists bool, s api.ClaimSpec, v api.Version, settled bool) Action {
 	if !exists {
@@ -176,7 +176,7 @@
 	return Action{Kind: Refuse, Fault: f.After(retryAfter)}
 }
 
-// HandleRelease takes the owner's answer to a request for release; released is true only if
+// HandleRelease applies the owner's answer to a request for release; released is true only if
 // the owner's attempt was not sent and never will be.
 func (c *Claim) HandleRelease(released bool, v api.Version) Action {
 	if !released {
--- a/internal/decide/claim/era.go
+++ b/internal/decide/claim/era.go
@@ -27,7 +27,7 @@
 	enteredAt time.Time
 }
 
-// Enter notes the platform's era and reports whether it is later than the one known before,
+// Enter records the platform's era and reports whether it is later than the one known before,
 // in which case claims may be lost.
 func (x *EraTracker) Enter(now time.Time, e api.Era) bool {
 	if x.known && e <= x.era {
