--- a/internal/decide/config/retained.go
+++ b/internal/decide/config/retained.go
@@ -11,7 +11,7 @@
 const (
 	// retentionTime is how long an object stays in force that a restored platform has lost.
 	// Operators are to write it again, at a time that is not known here. Afterwards the
-	// platform's state is in force, so that entry VMs don't differ from it for good.
+	// platform's state is in force, so that entry VMs don't differ from it permanently.
 	retentionTime = 30 * time.Second
 	// maxRemovals bounds the removals that are remembered; it is enough for some minutes with
 	// many changes.
--- a/internal/decide/config/view.go
+++ b/internal/decide/config/view.go
@@ -181,7 +181,7 @@
 	return rule == path
 }
 
-// Draining reports whether a server takes no new work: operators drain it, or have
+// Draining reports whether a server accepts no new work: operators drain it, or have
 // closed its failure domain.
 func (v *View) Draining(s Server) bool {
 	return s.State == api.ServerStateDraining || v.Domains[s.Domain].State == api.DomainStateClosed
