--- a/internal/decide/directory/config.go
+++ b/internal/decide/directory/config.go
@@ -69,7 +69,7 @@
 	MaxConnections int
 	// WarmUp is how long a server is cold after a start.
 	WarmUp time.Duration
-	// ColdRate is the number of requests per second that a cold server can take; zero
+	// ColdRate is the number of requests per second that a cold server can serve; zero
 	// means no limit.
 	ColdRate float64
 	// Engine is nil for plain services.
