--- a/internal/decide/dispatch/refuse.go
+++ b/internal/decide/dispatch/refuse.go
@@ -7,7 +7,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// Limits of the time that a refused caller is told to wait, before it is spread.
+// Limits of the retry time of a refused caller, before it is spread.
 const (
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
