--- a/internal/decide/evacuate/evacuate.go
+++ b/internal/decide/evacuate/evacuate.go
@@ -13,7 +13,7 @@
 	recopyDelay = 20 * time.Millisecond
 	// maxTargets is the number of targets that are tried in a row before a pause.
 	maxTargets = 4
-	// moveTimeout bounds the time until the run is stopped. The source is gone by then.
+	// moveTimeout bounds the time until the run is stopped. The source has ended by then.
 	moveTimeout = 4 * time.Second
 )
 
@@ -126,8 +126,8 @@
 		return Action{Kind: Copy, Delay: retryDelay}
 	case Full:
 		if m.copies > 0 {
-			// The part of the memory that the target already holds is worth more than a new
-			// target.
+			// The target already holds a part of the memory, which a new target would need from
+			// the start.
 			return Action{Kind: Copy, Delay: retryDelay}
 		}
 		return m.tryNewTarget(Copy)
