--- a/internal/decide/freshness/freshness.go
+++ b/internal/decide/freshness/freshness.go
@@ -9,7 +9,7 @@
 // that is cut off from the platform and all peers serves by the view that it has.
 const MaxWait = 5 * time.Second
 
-// queryInterval is the time between queries that ask to confirm a stale view.
+// queryInterval is the time between queries that confirm a stale view.
 const queryInterval = time.Second
 
 // View tracks whether an entry VM may serve requests by its view of the configuration.
