--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -42,7 +42,7 @@
 func TestLagFetchesImmediatelyWithoutPlatform(t *testing.T) {
 	var l gossip.Lag[api.Version]
 	if got := l.ShouldFetch(at(0), 22, 40, true); !got {
-		t.Error("platform away: got no fetch, want one")
+		t.Error("platform not followed: got no fetch, want one")
 	}
 	if got := l.ShouldFetch(at(0), 0, 40, false); !got {
 		t.Error("no local version: got no fetch, want one")
--- a/internal/decide/gossip/hubs.go
+++ b/internal/decide/gossip/hubs.go
@@ -38,8 +38,8 @@
 	return best[:min(len(best), n)]
 }
 
-// remoteHubTimeout is how long a hub of another failure domain that only other peers
-// hear from counts after they last named it. They name the peers that are alive at
+// remoteHubTimeout is how long a hub of another failure domain that exchanges messages
+// only with other peers counts after they last named it. They name the peers that are alive at
 // least every two seconds.
 const remoteHubTimeout = 5 * time.Second
 
--- a/internal/decide/gossip/lag.go
+++ b/internal/decide/gossip/lag.go
@@ -19,7 +19,7 @@
 }
 
 // ShouldFetch reports whether to fetch the state from a peer that has the version
-// theirs: at once if away is set, as this entry VM does not follow the platform then,
+// theirs: at once if this entry VM does not follow the platform, which notFollowing says,
 // and otherwise after the local version has been behind for lagWait. Without any local
 // version it is true for the first peer, and for another one after each lagWait.
 func (l *Lag[N]) ShouldFetch(now time.Time, local, theirs N, notFollowing bool) bool {
--- a/internal/decide/gossip/peers.go
+++ b/internal/decide/gossip/peers.go
@@ -22,7 +22,7 @@
 	// the primary one fails.
 	secondaryHubInterval = time.Second
 	// listInterval is the minimum time between lists of members sent to one peer. All
-	// peers learn of a hub that starts within two intervals.
+	// peers get to know a hub that starts within two intervals.
 	listInterval = 900 * time.Millisecond
 	// seedInterval is the time between exchanges with an address from the settings
 	// that needs no exchange for any other reason. They let separated parts of the
@@ -112,7 +112,7 @@
 	return p
 }
 
-// record notes that a message names a member. What live peers report of themselves
+// record records that a message names a member. What live peers report of themselves
 // takes precedence over what others report of them.
 func (p *Peers) record(now time.Time, m Member) {
 	if m.Address == p.self.Address || m.Address == "" {
--- a/internal/decide/gossip/relay.go
+++ b/internal/decide/gossip/relay.go
@@ -102,8 +102,8 @@
 }
 
 // BacksOff reports whether this entry VM waits longer before it calls the platform
-// again, after the given number of failed calls in a row. It does so while it hears
-// from a peer that comes before it, which calls the platform as well and relays the
+// again, after the given number of failed calls in a row. It does so while a
+// peer that ranks before it is live, which calls the platform as well and relays the
 // answer. A hub retries once without the longer wait. The first two leaders never back
 // off, since the platform may refuse only one of them.
 func (p *Peers) BacksOff(now time.Time, failures int) bool {
