--- a/internal/decide/holder/reachability.go
+++ b/internal/decide/holder/reachability.go
@@ -17,7 +17,7 @@
 	return &Reachability{retryAt: map[string]time.Time{}}
 }
 
-// RecordFailure notes that the entry VM at an address did not answer.
+// RecordFailure records that the entry VM at an address did not answer.
 func (r *Reachability) RecordFailure(now time.Time, address string) {
 	r.retryAt[address] = now.Add(failureTTL)
 }
--- a/internal/decide/holder/reports.go
+++ b/internal/decide/holder/reports.go
@@ -8,7 +8,7 @@
 
 const (
 	// refreshInterval is the interval between reports of a holder whose loads do not
-	// change: a third of the time after which the holder counts as gone (placement.Ledger).
+	// change: a third of the time after which a report expires (placement.Ledger).
 	refreshInterval = time.Second
 	// grantReportDelay is how long a grant may stay unreported, since it already counts at
 	// the allocator that made it. Most prompts are read by then, so that one report covers
@@ -93,14 +93,14 @@
 	return true
 }
 
-// AllocatedLocally notes that this entry VM allocates a domain's engines itself, so that no
+// AllocatedLocally records that this entry VM allocates a domain's engines itself, so that no
 // report is due.
 func (r *ReportSchedule) AllocatedLocally(now time.Time, d api.DomainName) {
 	s := r.state(d)
 	s.due, s.sentAt, s.sentTo = time.Time{}, now, ""
 }
 
-// End notes the result of a report. A failed report is due again at once.
+// End records the result of a report. A failed report is due again at once.
 func (r *ReportSchedule) End(now time.Time, d api.DomainName, failed bool) {
 	s := r.state(d)
 	s.inFlight = false
