--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -20,7 +20,7 @@
 	Skew time.Duration
 }
 
-// Kind tells what an Action does.
+// Kind is the kind of an Action.
 type Kind int
 
 // Kinds of actions.
@@ -183,7 +183,7 @@
 	return Action{Kind: Write, Spec: s, Version: l.version}
 }
 
-// HandleRead takes the object as read at now.
+// HandleRead applies the object as read at now.
 func (l *Lease) HandleRead(now time.Time, o Object) {
 	l.readAt = now
 	later := l.enterEra(now, o.Era)
@@ -208,7 +208,7 @@
 	}
 }
 
-// enterEra notes the platform's era and reports whether it is later than the one known before.
+// enterEra records the platform's era and reports whether it is later than the one known before.
 func (l *Lease) enterEra(now time.Time, e api.Era) bool {
 	later := l.eraKnown && e > l.era
 	if l.eraKnown && !later {
@@ -230,7 +230,7 @@
 	}
 }
 
-// HandleWritten takes the version that a successful write has given the object. A write that
+// HandleWritten applies the version that a successful write has given the object. A write that
 // took effect in a later era than it was decided in gives no hold: its condition on the version
 // does not exclude a holder whose write the platform has lost.
 func (l *Lease) HandleWritten(v api.Version) {
@@ -253,7 +253,7 @@
 	l.confirmWrite(s)
 }
 
-// Invalidate notes that a write failed or that its answer was lost, so that the object is
+// Invalidate records that a write failed or that its answer was lost, so that the object is
 // read again before the next write.
 func (l *Lease) Invalidate() {
 	l.known = false
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -133,8 +133,8 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, 1).Draw(t, "who")
 			l := candidates[i]
-			switch rapid.SampledFrom([]string{"turn", "turn", "turn", "lost", "failed", "restart"}).Draw(t, "what") {
-			case "turn":
+			switch rapid.SampledFrom([]string{"step", "step", "step", "lost", "failed", "restart"}).Draw(t, "what") {
+			case "step":
 				s.step(now, l)
 			case "lost":
 				if a := l.Step(now); a.Kind == lease.Write {
