--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -81,7 +81,7 @@
 	p.Address = address
 }
 
-// HandleHeartbeat takes the heartbeat that a listed peer has answered with, and returns a change
+// HandleHeartbeat applies the heartbeat that a listed peer has answered with, and returns a change
 // if the peer has joined by it. A heartbeat of an earlier incarnation than the last is dropped.
 func (m *Members) HandleHeartbeat(now time.Time, b api.Heartbeat) (Change, bool) {
 	p, ok := m.peers[b.VM]
