--- a/internal/decide/placement/backoff.go
+++ b/internal/decide/placement/backoff.go
@@ -8,17 +8,17 @@
 )
 
 // backoffAllowance is how many requests may be sent to a server during its backoff if no
-// other server can take them, for example because this one holds the memory of their runs.
+// other server can serve them, for example because this one holds the memory of their runs.
 const backoffAllowance = 2
 
-// backoff is a period in which a server wants no requests from this entry VM.
+// backoff is a period in which a server has requested to get no requests from this entry VM.
 type backoff struct {
 	until time.Time
 	// allowance is the number of requests that may still be sent.
 	allowance int
 }
 
-// Backoffs holds the backoffs that servers have asked this entry VM for.
+// Backoffs holds the backoffs that servers have requested from this entry VM.
 type Backoffs struct {
 	backoffs map[api.ServerName]backoff
 }
@@ -28,7 +28,7 @@
 	return &Backoffs{backoffs: map[api.ServerName]backoff{}}
 }
 
-// Add records that a server asked for a backoff. It extends a current one, and never
+// Add records that a server requested a backoff. It extends a current one, and never
 // shortens it.
 func (b *Backoffs) Add(now time.Time, n api.ServerName, d time.Duration) {
 	x, ok := b.backoffs[n]
@@ -49,7 +49,7 @@
 	return ok
 }
 
-// TakeAllowance reports whether a request that only this server can take may be sent to it.
+// TakeAllowance reports whether a request that only this server can serve may be sent to it.
 // During a backoff it uses up one request of the allowance.
 func (b *Backoffs) TakeAllowance(now time.Time, n api.ServerName) bool {
 	if !b.Active(now, n) {
@@ -64,7 +64,7 @@
 	return true
 }
 
-// ActiveAmong returns those of the servers that are in a backoff and, if no other one takes
+// ActiveAmong returns those of the servers that are in a backoff and, if no other one accepts
 // requests, the time until the first backoff ends; otherwise zero.
 func (b *Backoffs) ActiveAmong(now time.Time, l []roster.Member) ([]api.ServerName, time.Duration) {
 	if len(b.backoffs) == 0 {
--- a/internal/decide/placement/backoff_test.go
+++ b/internal/decide/placement/backoff_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// During a backoff a server may be sent two requests that no other server can take, and no more.
+// During a backoff a server may be sent two requests that no other server can serve, and no more.
 func TestBackoffAllowsTwoRequests(t *testing.T) {
 	begin := time.UnixMilli(1_000_000)
 	r := placement.NewBackoffs()
--- a/internal/decide/placement/ledger.go
+++ b/internal/decide/placement/ledger.go
@@ -10,11 +10,11 @@
 
 const (
 	// holderTimeout is how long a holder's report is valid. Holders report at least once a
-	// second, so one that is silent for longer is gone, and its runs with it.
+	// second, so one that is silent for longer has ended, and its runs with it.
 	holderTimeout = 3 * time.Second
 	// grantTimeout is how long a grant counts before its holder reports it. It is many
-	// times the round trip of the answer; a holder that has not taken the grant by then
-	// never will.
+	// times the round trip of the answer; a holder that has not accepted the grant by
+	// then never will.
 	grantTimeout = time.Second
 )
 
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -51,8 +51,8 @@
 	// ExcludeLimited leaves out servers that have announced a rate limit: a run that
 	// resumes from its backup copy cannot wait for a send slot there.
 	ExcludeLimited bool
-	// ExcludeBackingOff leaves out servers in a backoff that they asked this entry VM for;
-	// it is set for the requests of this entry VM.
+	// ExcludeBackingOff leaves out servers in a backoff that they requested from this entry
+	// VM; it is set for the requests of this entry VM.
 	ExcludeBackingOff bool
 }
 
@@ -62,8 +62,8 @@
 	// memory. Engines read 14 tokens a ms, so it delays a request by half a second.
 	unreadScale = 7000.0
 	// jitter is the largest random addition to a score. Entry VMs that have the same
-	// reports must not all choose the same server before they learn of each other's
-	// choices.
+	// reports must not all choose the same server before their choices are reported to
+	// each other.
 	jitter = 0.15
 	// remotePenalty is added for a server in another failure domain. It only breaks ties,
 	// since a request there transfers a few KB and takes one ms longer.
@@ -115,7 +115,7 @@
 }
 
 // Pick returns the best server of a pool for a request, leaving out those tried, or false
-// if no server can take it.
+// if no server can accept it.
 func (p *Picker) Pick(now time.Time, l Pool, n Requirements, tried []api.ServerName) (Choice, bool) {
 	all := p.candidates(now, l, n, tried)
 	if l.PreferDomain {
@@ -140,7 +140,7 @@
 	return n
 }
 
-// candidates returns the servers that can take a request, with their scores.
+// candidates returns the servers that can accept a request, with their scores.
 func (p *Picker) candidates(now time.Time, l Pool, n Requirements, tried []api.ServerName) []Choice {
 	var all []Choice
 	poolFailureRate := p.Health.meanFailureRate(serverNames(l.Members))
@@ -178,7 +178,7 @@
 	case l.ExcludeLimited:
 		return false
 	case l.Memory == 0:
-		// The entry VM that paces a plain server is asked after the choice.
+		// The entry VM that paces a plain server is queried after the choice.
 		return true
 	default:
 		return !p.Pacer.NextSlot(now, m.Name, l.throttleTerms(m, r)).After(now)
@@ -199,7 +199,7 @@
 	return t
 }
 
-// RecordSend notes a request that is sent to a server, or granted to another entry VM.
+// RecordSend records a request that is sent to a server, or granted to another entry VM.
 func (p *Picker) RecordSend(now time.Time, n api.ServerName) {
 	p.Sends.Record(now, n)
 	p.Pacer.RecordSend(now, n)
@@ -282,7 +282,7 @@
 	return s, true
 }
 
-// fits reports whether an engine with load t can take a request; used is the share of its
+// fits reports whether an engine with load t can accept a request; used is the share of its
 // memory that would be reserved.
 func (l Pool) fits(t api.ServerLoad, n Requirements, used float64) bool {
 	switch {
@@ -297,15 +297,15 @@
 
 const (
 	// maxBackupShare is the share of an engine's memory up to which backup copies of runs
-	// elsewhere are placed. Memory above it is for the engine's own runs.
+	// elsewhere are placed. Memory above it is for the runs that the engine executes.
 	maxBackupShare = 0.5
-	// minBackupLength is the expected answer length from which a run is worth a backup
-	// copy: about three seconds, during which its server may end.
+	// minBackupLength is the expected answer length from which a run justifies the cost of a
+	// backup copy: about three seconds, during which its server may end.
 	minBackupLength = 300
 )
 
-// WorthBackup reports whether a run with this expected answer length is worth a backup
-// copy.
+// WorthBackup reports whether a run with this expected answer length is long enough for a
+// backup copy.
 func WorthBackup(expected api.Tokens) bool {
 	return expected >= minBackupLength
 }
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -148,7 +148,7 @@
 }
 
 // Sixty entry VMs with the same reports must not all choose the one idle server, which would
-// overload it before they learn of each other's choices.
+// overload it before their choices are reported to each other.
 func TestEntryVMsDoNotAllPickTheSameServer(t *testing.T) {
 	var l placement.Pool
 	l.Memory, l.Domain = 34000, "x"
--- a/internal/decide/placement/remote.go
+++ b/internal/decide/placement/remote.go
@@ -51,8 +51,8 @@
 }
 
 // LessLoaded returns another failure domain whose engines have a lower mean score than the
-// best local engine, or, if there is no local choice (local is nil), a domain that is worth
-// more than waiting for a local engine. Domains where requests wait are left out.
+// best local engine, or, if there is no local choice (local is nil), a domain that is
+// better than waiting for a local engine. Domains where requests wait are left out.
 func (p *RemotePools) LessLoaded(now time.Time, s api.ServiceName, memory api.Tokens, n Requirements, local *Choice) (api.DomainName, bool) {
 	bound := maxMemoryShare + fullUnreadScore
 	if local != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// SumLoads adds up the loads of the engines in a pool that currently take new requests.
+// SumLoads adds up the loads of the engines in a pool that currently accept new requests.
 func (p *Picker) SumLoads(now time.Time, l Pool) api.PoolLoad {
 	var x api.PoolLoad
 	for _, m := range l.Members {
--- a/internal/decide/placement/reserve.go
+++ b/internal/decide/placement/reserve.go
@@ -42,7 +42,7 @@
 	r.recordedAt = now
 }
 
-// RecordShortage notes that a run of a leaving server found no engine.
+// RecordShortage records that a run of a leaving server found no engine.
 func (r *Reserve) RecordShortage(now time.Time) {
 	r.lastShortage = now
 }
@@ -95,7 +95,7 @@
 	last time.Time
 }
 
-// Record notes a run that found no free memory.
+// Record records a run that found no free memory.
 func (s *Shortage) Record(now time.Time) {
 	s.last = now
 }
--- a/internal/decide/placement/warmup.go
+++ b/internal/decide/placement/warmup.go
@@ -11,7 +11,7 @@
 )
 
 // A cold server, whether it has just started or is cold for another reason, fails at a rate well
-// above the one that its service is configured to take cold. Each entry VM that chooses a server
+// above the one that its service is configured to serve while cold. Each entry VM that chooses a server
 // stays within a share of that rate, so that the sum holds without coordination. The shares are
 // those of the entry VM that allocates an engine, of its successor while both allocate, and of all
 // entry VMs together that choose for themselves.
@@ -29,7 +29,7 @@
 	plainWarmupShare = 0.9
 )
 
-// Warmup is the request rate that a cold server of a pool can take, and the number of entry
+// Warmup is the request rate that a cold server of a pool can serve, and the number of entry
 // VMs that share it.
 type Warmup struct {
 	// Rate is in requests a second; zero for no bound.
