--- a/internal/decide/quarantine/platform.go
+++ b/internal/decide/quarantine/platform.go
@@ -41,8 +41,8 @@
 
 // ApplySnapshot applies the quarantined contents stored on the platform in an era. Within an
 // era, a content that disappears was released by operators, and everything recorded against it
-// is dropped. In a later era the store was restored from an older copy: contents may have been
-// lost and released ones may be back, so what is known here takes precedence.
+// is dropped. In a later era the store was restored from a backup: contents may have been lost
+// and released ones may be present again, so the local state takes precedence.
 func (t *Table) ApplySnapshot(now time.Time, e api.Era, l []Entry) {
 	restored := t.platform.advance(e)
 	s := make(map[api.ContentHash]time.Time, len(l))
@@ -57,7 +57,7 @@
 	t.stored = s
 }
 
-// applyCurrent applies a snapshot of the same era: contents that are gone were released,
+// applyCurrent applies a snapshot of the same era: contents that are missing were released,
 // except those that a restore lost.
 func (t *Table) applyCurrent(now time.Time, s map[api.ContentHash]time.Time) {
 	p := &t.platform
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -25,13 +25,13 @@
 	// that delay, during which callers that retry at once would crash further servers.
 	immediateCrashes = 4
 	// quarantineTime is how long a content is quarantined, counted from its last crash so that
-	// entry VMs that learn of it later agree on the end. An operator can release it earlier; a
+	// entry VMs that receive it later agree on the end. An operator can release it earlier; a
 	// caller that was refused by mistake is admitted again afterwards.
 	quarantineTime = time.Hour
 	// failureRetention is how long a failure counts. Callers retry within their own deadlines,
 	// which are below a minute, or at their next scheduled run some minutes later.
 	failureRetention = 10 * time.Minute
-	// answerTrustTime is how long after a complete answer a failure is not held against a
+	// answerTrustTime is how long after a complete answer a failure does not count against a
 	// content. In a wave of crashes a popular content is on several of the servers, and some
 	// entry VM has just received an answer to it.
 	answerTrustTime = 10 * time.Second
@@ -158,7 +158,7 @@
 const (
 	// ConnectionLost means that the connection was closed during the run.
 	ConnectionLost FailureKind = iota
-	// NoAnswer means that the run was given up or its answer was invalid.
+	// NoAnswer means that the run was abandoned or its answer was invalid.
 	NoAnswer
 )
 
@@ -216,7 +216,7 @@
 	}
 }
 
-// trustedAt reports whether a failure at a time is not held against a content, because of an
+// trustedAt reports whether a failure at a time does not count against a content, because of an
 // answer after it or at most answerTrustTime before it.
 func (x *content) trustedAt(at time.Time) bool {
 	return !x.lastAnswer.IsZero() && at.Sub(x.lastAnswer) <= answerTrustTime
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// Runs given up under load must not count against a content at peers, so they are reported
+// Runs abandoned under load must not count against a content at peers, so they are reported
 // only once their server is known to have crashed.
 func TestUnansweredRunsAreReportedOnceConfirmed(t *testing.T) {
 	q := quarantine.New()
@@ -224,7 +224,7 @@
 	if quarantined(q, 4000) {
 		t.Error("after operators released it: got the content quarantined, want it admitted")
 	}
-	// Another entry VM learns of the content from the platform only.
+	// Another entry VM gets the content from the platform only.
 	o := quarantine.New()
 	o.ApplySnapshot(at(0), 1, e)
 	// The quarantine lasts an hour from the last crash.
