--- a/internal/decide/replica/replica.go
+++ b/internal/decide/replica/replica.go
@@ -54,7 +54,7 @@
 // removal is the record of a removed object.
 type removal struct {
 	name string
-	// at is the version of the store at which it learned of the removal.
+	// at is the version of the store at which it recorded the removal.
 	at api.Version
 }
 
@@ -67,7 +67,7 @@
 	objects   map[string]Object[T]
 	// names holds the names of the objects in order.
 	names []string
-	// recordedAt holds, for each object, the version of the store at which it learned of the
+	// recordedAt holds, for each object, the version of the store at which it recorded the
 	// object's last change.
 	recordedAt map[string]api.Version
 	removals   []removal
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -134,7 +134,7 @@
 }
 
 // ChangedAt must not follow the platform's version while no object of the kind changes, or peers
-// would request deltas in vain.
+// would request deltas to no effect.
 func TestChangedAtStaysWithoutChanges(t *testing.T) {
 	s := replica.New[string]()
 	s.Replace(replica.Snapshot[string]{At: 5, Items: []replica.Object[string]{object("a", 5, "x")}})
