--- a/internal/decide/retry/window.go
+++ b/internal/decide/retry/window.go
@@ -12,8 +12,8 @@
 const transitTime = 500 * time.Millisecond
 
 // Window allows repeated sends, those beyond the first of each request, within a bound that
-// holds over every time span of a length. The bound holds for a fleet of members, each with a
-// window of its own, that do not coordinate.
+// holds over every time span of a length. The bound holds for a fleet of members that do not
+// coordinate, each with a separate window.
 type Window struct {
 	span  time.Duration
 	ratio float64
