--- a/internal/decide/roster/incarnation.go
+++ b/internal/decide/roster/incarnation.go
@@ -39,7 +39,7 @@
 	return n, ok && n.SupersededBy(s.Born)
 }
 
-// remove drops an incarnation that is gone, unless a later one is known.
+// remove drops an incarnation that has ended, unless a later one is known.
 func (l incarnations) remove(s Server) {
 	if n, ok := l[s.ID]; ok && n.Name == s.Name {
 		delete(l, s.ID)
--- a/internal/decide/roster/leave_test.go
+++ b/internal/decide/roster/leave_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Once its entry is gone, a server that has announced its leave is removed.
+// Once its entry is removed, a server that has announced its leave is removed.
 func TestAnnouncedLeaveEndsWithTheEntry(t *testing.T) {
 	r := newRoster()
 	r.Update(at(0), []roster.Server{server("a", false)}, false)
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -33,12 +33,12 @@
 
 // States of servers.
 const (
-	// Ready servers take new requests.
+	// Ready servers accept new requests.
 	Ready State = iota
 	// Lapsed servers lost their entry in an outage of the store. They continue to
-	// serve, and take new requests only where no server is ready.
+	// serve, and accept new requests only where no server is ready.
 	Lapsed
-	// Leaving servers take no new requests and end soon.
+	// Leaving servers accept no new requests and end soon.
 	Leaving
 	// Ended incarnations are over: the server has restarted and kept no state.
 	Ended
@@ -49,7 +49,7 @@
 	return [...]string{"ready", "lapsed", "leaving", "ended"}[s]
 }
 
-// Departing reports whether the server is leaving or has ended, and so takes no new
+// Departing reports whether the server is leaving or has ended, and so accepts no new
 // requests.
 func (s State) Departing() bool {
 	return s == Leaving || s == Ended
