--- a/internal/decide/silence/silence.go
+++ b/internal/decide/silence/silence.go
@@ -178,8 +178,8 @@
 }
 
 const (
-	// answeredTTL is how long an answer applies to other streams of the server. The server's
-	// own figures are that old anyway.
+	// answeredTTL is how long an answer applies to other streams of the server. The figures in
+	// an answer are that old anyway.
 	answeredTTL = 300 * time.Millisecond
 	// unansweredTTL is how long a missing answer applies: the streams of a server that ends
 	// fall silent within one step.
