--- a/internal/decide/throttle/pacer.go
+++ b/internal/decide/throttle/pacer.go
@@ -12,7 +12,8 @@
 type Share int
 
 // Whole, Standby and Alone add up to one and a half times the limit, which servers tolerate,
-// so the limit holds even while two entry VMs both believe that they pace a server.
+// so the limit holds even while two entry VMs both pace a server for all others, neither
+// knowing of the other.
 const (
 	// Whole is the share of the entry VM that paces a server for all others.
 	Whole Share = iota
@@ -28,7 +29,7 @@
 	// standbyFraction and aloneFraction are the parts of a limit behind Standby and Alone.
 	standbyFraction = 0.4
 	aloneFraction   = 0.1
-	// probeRate is the minimum rate under any limit, however low: only an answer tells that
+	// probeRate is the minimum rate under any limit, however low: only an answer shows that
 	// the limit was removed.
 	probeRate Rate = 0.1
 )
--- a/internal/decide/throttle/pacer_test.go
+++ b/internal/decide/throttle/pacer_test.go
@@ -129,7 +129,7 @@
 		{"half lost", []int{6, 3}, true},
 		{"cut off", []int{6, 1}, true},
 		{"reachable again", []int{6, 1, 5}, false},
-		{"lost for good", []int{6, 2, 2, 2, 2, 2, 2, 2, 2}, false},
+		{"lost permanently", []int{6, 2, 2, 2, 2, 2, 2, 2, 2}, false},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
