--- a/internal/decide/backend/backend_test.go
+++ b/internal/decide/backend/backend_test.go
@@ -52,7 +52,7 @@
 	s := servers()
 	s.SetMembers(epoch, 4)
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
-	s.RecordLimit(epoch, epoch.Add(-time.Millisecond), "a", throttle.Limit{Named: true, Rate: 2})
+	s.RecordLimit(epoch, epoch.Add(-time.Millisecond), "a", throttle.Limit{Announced: true, Rate: 2})
 	got := 0
 	for ms := 0; ms < 20_000; ms += 50 {
 		if s.Pick(at(ms), []api.ServerName{"a"}, nil).Name == "a" {
--- a/internal/decide/throttle/limits.go
+++ b/internal/decide/throttle/limits.go
@@ -14,9 +14,9 @@
 // Limit is what one answer of a server announces: the rate that it accepts from all entry VMs
 // together, or no limit.
 type Limit struct {
-	// Named is set if the answer announces a limit.
-	Named bool
-	Rate  Rate
+	// Announced is set if the answer announces a limit.
+	Announced bool
+	Rate      Rate
 }
 
 // notice is the newest announcement of one server's limit.
@@ -43,7 +43,7 @@
 // limit removes one only if its request was sent after the limit was last announced.
 func (l *Limits) Record(now, sent time.Time, n api.ServerName, x Limit) bool {
 	w, ok := l.notices[n]
-	if !x.Named && (!ok || !w.Named || !sent.After(w.latest)) {
+	if !x.Announced && (!ok || !w.Announced || !sent.After(w.latest)) {
 		return false
 	}
 	l.notices[n] = notice{Limit: x, earliest: now, latest: now}
@@ -53,7 +53,7 @@
 // Find returns the limit that a server has in force.
 func (l *Limits) Find(n api.ServerName) (Rate, bool) {
 	w := l.notices[n]
-	return w.Rate, w.Named
+	return w.Rate, w.Announced
 }
 
 const (
@@ -67,9 +67,9 @@
 func (l *Limits) Reports(now time.Time) []api.ServerLimit {
 	var r []api.ServerLimit
 	for n, w := range l.notices {
-		if age := now.Sub(w.latest); w.Named || age < removalReportTime {
+		if age := now.Sub(w.latest); w.Announced || age < removalReportTime {
 			r = append(r, api.ServerLimit{
-				Server: n, Named: w.Named, PerSecond: float64(w.Rate), AgeMS: api.ToMilliseconds(age), OldestMS: api.ToMilliseconds(now.Sub(w.earliest)),
+				Server: n, Named: w.Announced, PerSecond: float64(w.Rate), AgeMS: api.ToMilliseconds(age), OldestMS: api.ToMilliseconds(now.Sub(w.earliest)),
 			})
 		}
 	}
@@ -80,13 +80,13 @@
 // Merge applies a peer's report if it is certainly newer than what is known, and reports
 // whether the limit changed.
 func (l *Limits) Merge(now time.Time, r api.ServerLimit) bool {
-	x := Limit{Named: r.Named, Rate: Rate(r.PerSecond)}
+	x := Limit{Announced: r.Named, Rate: Rate(r.PerSecond)}
 	w, ok := l.notices[r.Server]
 	since := now.Add(-r.OldestMS.Duration() - maxReportDelay)
 	switch {
 	case r.AgeMS < 0 || r.OldestMS < r.AgeMS || r.PerSecond < 0:
 		return false
-	case !x.Named && !ok:
+	case !x.Announced && !ok:
 		return false
 	case ok && !since.After(w.latest):
 		return false
--- a/internal/decide/throttle/limits_test.go
+++ b/internal/decide/throttle/limits_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestNewestAnswerWins(t *testing.T) {
-	two, three, none := throttle.Limit{Named: true, Rate: 2}, throttle.Limit{Named: true, Rate: 3}, throttle.Limit{}
+	two, three, none := throttle.Limit{Announced: true, Rate: 2}, throttle.Limit{Announced: true, Rate: 3}, throttle.Limit{}
 	tests := []struct {
 		name    string
 		answers []answer
@@ -33,7 +33,7 @@
 		{"removed", []answer{{0, 10, two}, {20, 30, none}}, none, 2},
 		{"answer to an earlier request does not remove the limit", []answer{{0, 10, two}, {5, 30, none}}, two, 1},
 		{"announced again", []answer{{0, 10, two}, {20, 30, none}, {35, 40, two}}, two, 3},
-		{"limit of zero", []answer{{0, 10, throttle.Limit{Named: true}}}, throttle.Limit{Named: true}, 1},
+		{"limit of zero", []answer{{0, 10, throttle.Limit{Announced: true}}}, throttle.Limit{Announced: true}, 1},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 				}
 			}
 			r, ok := l.Find("s")
-			if got := (throttle.Limit{Named: ok, Rate: r}); got != c.want {
+			if got := (throttle.Limit{Announced: ok, Rate: r}); got != c.want {
 				t.Errorf("limit: got %+v, want %+v", got, c.want)
 			}
 			if changes != c.changes {
--- a/internal/decide/throttle/pacer_test.go
+++ b/internal/decide/throttle/pacer_test.go
@@ -146,7 +146,7 @@
 
 // A peer's report is applied only if it is certainly newer than what is known.
 func TestMergeTakesOnlyNewerReports(t *testing.T) {
-	two, none := throttle.Limit{Named: true, Rate: 2}, throttle.Limit{}
+	two, none := throttle.Limit{Announced: true, Rate: 2}, throttle.Limit{}
 	tests := []struct {
 		name string
 		// local is recorded at 10,000 ms, unless nil; the peer's report arrives at 20,000 ms.
@@ -156,7 +156,7 @@
 	}{
 		{"nothing known", nil, api.ServerLimit{Named: true, PerSecond: 2, AgeMS: 60000}, two},
 		{"nothing known, removed", nil, api.ServerLimit{}, none},
-		{"newer", &two, api.ServerLimit{Named: true, PerSecond: 5, AgeMS: 5000}, throttle.Limit{Named: true, Rate: 5}},
+		{"newer", &two, api.ServerLimit{Named: true, PerSecond: 5, AgeMS: 5000}, throttle.Limit{Announced: true, Rate: 5}},
 		{"newer and removed", &two, api.ServerLimit{AgeMS: 5000}, none},
 		{"older", &two, api.ServerLimit{AgeMS: 15000}, two},
 		{"possibly older, given its earlier transit", &two, api.ServerLimit{AgeMS: 5000, OldestMS: 9600}, two},
@@ -177,7 +177,7 @@
 			}
 			l.Merge(at(20000), c.peer)
 			r, ok := l.Find("s")
-			if got := (throttle.Limit{Named: ok, Rate: r}); got != c.want {
+			if got := (throttle.Limit{Announced: ok, Rate: r}); got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
@@ -188,7 +188,7 @@
 // seemed newer each time, an answer that removes the limit would be taken for out of date.
 func TestExchangedReportsKeepTheirAge(t *testing.T) {
 	a, b := throttle.NewLimits(), throttle.NewLimits()
-	a.Record(at(0), at(-10), "s", throttle.Limit{Named: true, Rate: 2})
+	a.Record(at(0), at(-10), "s", throttle.Limit{Announced: true, Rate: 2})
 	for ms := 100; ms < 60_000; ms += 250 {
 		for _, r := range a.Reports(at(ms)) {
 			b.Merge(at(ms+200), r)
--- a/internal/entry/signals.go
+++ b/internal/entry/signals.go
@@ -33,7 +33,7 @@
 		return
 	}
 	s.serverMutex.Lock()
-	changed := s.servers.RecordLimit(time.Now(), sent, n, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
+	changed := s.servers.RecordLimit(time.Now(), sent, n, throttle.Limit{Announced: x.Limited, Rate: throttle.Rate(x.Limit)})
 	s.serverMutex.Unlock()
 	if changed {
 		s.logLimit(n, x.Limited, x.Limit, false)
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -97,7 +97,7 @@
 	}
 	if x.Limited || x.Unreadable == "" {
 		// An unreadable signal may be the limit, so that its absence does not withdraw one.
-		g.recordLimit(sent, s, throttle.Limit{Named: x.Limited, Rate: throttle.Rate(x.Limit)})
+		g.recordLimit(sent, s, throttle.Limit{Announced: x.Limited, Rate: throttle.Rate(x.Limit)})
 	}
 }
 
@@ -107,7 +107,7 @@
 	changed := g.picker.Limits.Record(time.Now(), sent, s.Name, l)
 	g.mutex.Unlock()
 	if changed {
-		g.logLimit(s.Name, l.Named, float64(l.Rate), false)
+		g.logLimit(s.Name, l.Announced, float64(l.Rate), false)
 	}
 }
 
--- a/spec/limit.go
+++ b/spec/limit.go
@@ -90,9 +90,9 @@
 		return l
 	}
 	// An earlier word makes one that takes the limit back count.
-	l.Record(limitAt(-100), limitAt(-100), limitServer, throttle.Limit{Named: true, Rate: 1})
+	l.Record(limitAt(-100), limitAt(-100), limitServer, throttle.Limit{Announced: true, Rate: 1})
 	if r.since == r.at {
-		l.Record(limitAt(r.at), limitAt(r.at), limitServer, throttle.Limit{Named: r.named, Rate: 1})
+		l.Record(limitAt(r.at), limitAt(r.at), limitServer, throttle.Limit{Announced: r.named, Rate: 1})
 		return l
 	}
 	// A peer's word is as old as its way allows.
@@ -166,7 +166,7 @@
 				sent = s.now + 1
 			}
 			l := s.records[hearer].limits()
-			l.Record(limitAt(s.now), limitAt(sent), limitServer, throttle.Limit{Named: x.named, Rate: throttle.Rate(1)})
+			l.Record(limitAt(s.now), limitAt(sent), limitServer, throttle.Limit{Announced: x.named, Rate: throttle.Rate(1)})
 			n.records[hearer] = readLimits(l, s.now)
 			if x.named {
 				n.told[hearer] = x.switches
