--- a/internal/decide/call/call.go
+++ b/internal/decide/call/call.go
@@ -49,7 +49,7 @@
 // AttemptFailed decides what to do after an attempt failed with a cause. expired is set if the
 // deadline has passed or the caller has left. takeRetry takes a retry out of the retry budget
 // and reports whether there was one.
-func (c *Call) AttemptFailed(o Outcome, cause error, expired bool, takeRetry func() bool) (Action, *fault.Error) {
+func (c *Call) AttemptFailed(o Outcome, cause error, expired bool, allowRetry func() bool) (Action, *fault.Error) {
 	c.mayHaveRun = c.mayHaveRun || o == Incomplete
 	switch {
 	case o == ClaimLost:
@@ -58,7 +58,7 @@
 		return Fail, c.Fault(fault.DeadlinePassed, cause, "the deadline passed or the caller left")
 	case o == Incomplete && c.notRepeatable:
 		return Fail, c.Fault(fault.OutcomeUnknown, cause, "the call was sent and no complete answer came back")
-	case !takeRetry():
+	case !allowRetry():
 		return Fail, c.Fault(fault.NoServer, cause, "the attempt failed and the retry budget is spent").After(retryAfter)
 	default:
 		return Retry, nil
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -324,16 +324,16 @@
 
 func TestRelayTargetsAndNoneInformed(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 3)
-	if !p.NoneInformed(at(0)) {
+	if !p.NoPeerInformed(at(0)) {
 		t.Error("without peers: got false, want none informed")
 	}
 	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "b:1"}})
 	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "d:1"}})
-	if !p.NoneInformed(at(10)) {
+	if !p.NoPeerInformed(at(10)) {
 		t.Error("peers that the platform does not answer: got false, want none informed")
 	}
 	p.Receive(at(0), gossip.Message{Member: gossip.Member{Address: "c:1"}, Direct: true, Informed: true})
-	if p.NoneInformed(at(10)) {
+	if p.NoPeerInformed(at(10)) {
 		t.Error("peer that the platform answers: got none informed, want false")
 	}
 	if got, want := p.RelayTargets(at(10), false), []string{"b:1", "d:1"}; !slices.Equal(got, want) {
@@ -423,7 +423,7 @@
 		t.Error("the next leader: got a relay, want it to follow the platform")
 	}
 	for a, p := range f.peers {
-		if p.NoneInformed(at(12000)) {
+		if p.NoPeerInformed(at(12000)) {
 			t.Errorf("%s: got no informed peer, want one", a)
 		}
 	}
--- a/internal/decide/gossip/relay.go
+++ b/internal/decide/gossip/relay.go
@@ -147,8 +147,8 @@
 	return l
 }
 
-// NoneInformed reports whether no live peer gets the changes on the platform.
-func (p *Peers) NoneInformed(now time.Time) bool {
+// NoPeerInformed reports whether no live peer gets the changes on the platform.
+func (p *Peers) NoPeerInformed(now time.Time) bool {
 	for _, x := range p.peers {
 		if p.alive(now, x) && x.Informed {
 			return false
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -164,7 +164,7 @@
 		s.Contents.RecordFailure(c.contentHash, n, err)
 		s.explain(c.request, "failed", string(n)+": "+err.Error())
 		o := outcome(err)
-		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.takeRetry); m == decide.Fail {
+		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.allowRetry); m == decide.Fail {
 			return nil, f
 		}
 		if o == decide.Unsent && c.permit != nil {
@@ -197,8 +197,8 @@
 	return x
 }
 
-// takeRetry takes one retry out of the retry budget, and reports false if none is left.
-func (s *Server) takeRetry() bool {
+// allowRetry takes one retry out of the retry budget, and reports false if none is left.
+func (s *Server) allowRetry() bool {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
 	return s.retryBudget.Allow()
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -192,7 +192,7 @@
 func (m *Mesh) NoPeerInformed() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.peers.NoneInformed(time.Now())
+	return m.peers.NoPeerInformed(time.Now())
 }
 
 // HasRelay reports whether a hub relays the changes on the platform to this entry VM.
