--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -81,8 +81,8 @@
 	return replica.Changes[string]{At: from}, ctx.Err()
 }
 
-// bed is a mirror of a store with controllable peers.
-type bed struct {
+// testbed is a mirror of a store with controllable peers.
+type testbed struct {
 	*mirror.Mirror[string]
 	store *store
 	mutex sync.Mutex
@@ -93,15 +93,15 @@
 	backsOff bool
 }
 
-func newBed(t *testing.T) *bed {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
-	return newDelayedBed(t, 0)
+	return newDelayedTestbed(t, 0)
 }
 
-// newDelayedBed creates a bed whose mirror delays the first list.
-func newDelayedBed(t *testing.T, d time.Duration) *bed {
+// newDelayedTestbed creates a bed whose mirror delays the first list.
+func newDelayedTestbed(t *testing.T, d time.Duration) *testbed {
 	t.Helper()
-	b := &bed{store: &store{at: 1, value: "v1"}}
+	b := &testbed{store: &store{at: 1, value: "v1"}}
 	b.Mirror = mirror.New(mirror.Options[string]{
 		Name: "kind", Source: b.store, Log: event.Discard(), Metrics: metric.New(),
 		Timing: mirror.Timing{Wait: time.Second, Slack: 400 * time.Millisecond}, ListDelay: d,
@@ -129,14 +129,14 @@
 }
 
 // setRelay sets whether a peer relays changes.
-func (b *bed) setRelay(on bool) {
+func (b *testbed) setRelay(on bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.relayed = on
 }
 
 // last returns the value in the last snapshot that the mirror passed on.
-func (b *bed) last() string {
+func (b *testbed) last() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if len(b.taken) == 0 {
@@ -158,7 +158,7 @@
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t)
+				b := newTestbed(t)
 				time.Sleep(100 * time.Millisecond)
 				b.store.mutex.Lock()
 				c.fault(b.store)
@@ -178,7 +178,7 @@
 // list after the outage does not undo that.
 func TestOutageIsReportedAndPeersBridgeIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestbed(t)
 		time.Sleep(100 * time.Millisecond)
 		if b.Lost() {
 			t.Error("lost before the outage: got true, want false")
@@ -207,7 +207,7 @@
 // peer stops relaying.
 func TestRelayedMirrorDoesNotCallThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestbed(t)
 		time.Sleep(100 * time.Millisecond)
 		b.setRelay(true)
 		time.Sleep(2 * time.Second)
@@ -233,7 +233,7 @@
 // What could not be fetched from the relaying peer is read from the platform.
 func TestRelayedMirrorRefreshes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestbed(t)
 		b.setRelay(true)
 		time.Sleep(3 * time.Second)
 		b.store.write("v2")
@@ -248,7 +248,7 @@
 // A mirror without objects calls the platform even though a peer may relay changes.
 func TestEmptyRelayedMirrorCallsThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestbed(t)
 		b.setRelay(true)
 		b.store.fail(true)
 		time.Sleep(time.Second)
@@ -265,7 +265,7 @@
 func TestFirstListWaitsForPeers(t *testing.T) {
 	for _, sent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newDelayedBed(t, 3*time.Second)
+			b := newDelayedTestbed(t, 3*time.Second)
 			b.setRelay(true)
 			time.Sleep(time.Second)
 			if sent {
@@ -288,7 +288,7 @@
 // A mirror in a long wait after failed calls notices at once that a peer relays changes again.
 func TestLongBackoffEndsWithARelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestbed(t)
 		time.Sleep(100 * time.Millisecond)
 		b.mutex.Lock()
 		b.backsOff = true
