--- a/internal/decide/call/call.go
+++ b/internal/decide/call/call.go
@@ -47,7 +47,7 @@
 }
 
 // AttemptFailed decides what to do after an attempt failed with a cause. expired is set if the
-// deadline has passed or the caller has left. takeRetry takes a retry out of the retry budget
+// deadline has passed or the caller has left. allowRetry takes a retry out of the retry budget
 // and reports whether there was one.
 func (c *Call) AttemptFailed(o Outcome, cause error, expired bool, allowRetry func() bool) (Action, *fault.Error) {
 	c.mayHaveRun = c.mayHaveRun || o == Incomplete
--- a/internal/decide/freshness/freshness_test.go
+++ b/internal/decide/freshness/freshness_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A request that detects the pause first must not keep Tick from asking for a query.
+// A request that detects the pause first must not prevent Tick from requesting a query.
 func TestTickQueriesUntilTheViewIsConfirmed(t *testing.T) {
 	v := freshness.New(epoch)
 	resumed := epoch.Add(time.Minute)
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -322,7 +322,7 @@
 	}
 }
 
-func TestRelayTargetsAndNoneInformed(t *testing.T) {
+func TestRelayTargetsAndNoPeerInformed(t *testing.T) {
 	p := gossip.New(at(0), gossip.Member{Address: "a:1", Domain: "d"}, nil, 3)
 	if !p.NoPeerInformed(at(0)) {
 		t.Error("without peers: got false, want none informed")
--- a/internal/decide/gossip/peers.go
+++ b/internal/decide/gossip/peers.go
@@ -13,7 +13,7 @@
 	// member: several rounds of exchanges.
 	memberTimeout = 2 * time.Second
 	// addressTimeout is how long an address that does not answer is retried before it
-	// is dropped. A VM that restarts is back within that time.
+	// is dropped. A VM that restarts answers again within that time.
 	addressTimeout = 20 * time.Second
 	// retryInterval is the time between attempts at an address that does not answer.
 	retryInterval = time.Second
--- a/internal/decide/gossip/relay.go
+++ b/internal/decide/gossip/relay.go
@@ -147,7 +147,7 @@
 	return l
 }
 
-// NoPeerInformed reports whether no live peer gets the changes on the platform.
+// NoPeerInformed reports whether no live peer receives the changes on the platform.
 func (p *Peers) NoPeerInformed(now time.Time) bool {
 	for _, x := range p.peers {
 		if p.alive(now, x) && x.Informed {
--- a/internal/decide/holder/holder_test.go
+++ b/internal/decide/holder/holder_test.go
@@ -78,7 +78,7 @@
 }
 
 // An observation counted twice, or at the wrong allocator, distorts the choice of engines: each
-// is taken once, and only for its own failure domain.
+// is returned once, and only for the failure domain of its engine.
 func TestObservationsAreReportedOnce(t *testing.T) {
 	o := holder.NewObservations()
 	o.RecordPrefill("x", "s", 3000, 400*time.Millisecond)
@@ -100,7 +100,7 @@
 		t.Errorf("outcomes at another engine: got %+v, want %+v", x, want)
 	}
 	if x := o.Take("x"); len(x.Prefill) != 0 || len(x.Outcomes) != 0 {
-		t.Errorf("taken a second time: got %+v, want no observations", x)
+		t.Errorf("second call of Take: got %+v, want no observations", x)
 	}
 	if x := o.Take("y").Prefill["s"].Tokens; x != 9000 {
 		t.Errorf("the other domain: got %d tokens, want 9000", x)
--- a/internal/decide/placement/ledger.go
+++ b/internal/decide/placement/ledger.go
@@ -118,7 +118,7 @@
 	l.total.add(n, x)
 }
 
-// Expire drops holders that stopped reporting and grants that were never taken.
+// Expire drops holders that stopped reporting and grants that were never accepted.
 func (l *Ledger) Expire(now time.Time) {
 	for n, h := range l.holders {
 		if now.Sub(h.lastHeard) > holderTimeout {
--- a/internal/decide/placement/ledger_test.go
+++ b/internal/decide/placement/ledger_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Grants that were never taken and holders that stopped reporting must not block memory: they
+// Grants that were never accepted and holders that stopped reporting must not block memory: they
 // expire after one and three seconds.
 func TestLedgerExpiresGrantsAndSilentHolders(t *testing.T) {
 	l := placement.NewLedger()
--- a/internal/decide/quarantine/platform_test.go
+++ b/internal/decide/quarantine/platform_test.go
@@ -18,7 +18,7 @@
 	return e
 }
 
-// After the platform is restored from an older copy, contents that the copy lacks stay
+// After the platform is restored from a backup, contents that the backup lacks stay
 // quarantined, and released contents that it still has stay released.
 func TestPlatformRestoredFromOlderCopy(t *testing.T) {
 	tests := []struct {
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -38,12 +38,12 @@
 	// maxAnswers bounds the answered contents that are remembered in each of two maps, at some
 	// 100 bytes each.
 	maxAnswers = 2048
-	// crashMatchWindow is how far apart a failure and the end of its server may be for the
+	// crashMatchWindow is how far apart a failure and the crash of its server may be for the
 	// failure to count as confirmed: a server's entry lapses after three missed heartbeats,
 	// and the report of that takes a second or two to arrive.
 	crashMatchWindow = 10 * time.Second
 	// probeInterval is the time between two probes of a server, and maxProbes bounds their
-	// number. A crashed server accepts no connection from then on, and is back after some
+	// number. A crashed server accepts no connection from then on, and restarts after some
 	// seconds.
 	probeInterval = 300 * time.Millisecond
 	maxProbes     = 5
--- a/internal/decide/throttle/pacer_test.go
+++ b/internal/decide/throttle/pacer_test.go
@@ -185,7 +185,7 @@
 }
 
 // A report that two entry VMs send to each other again and again must keep its age. If it
-// seemed newer each time, an answer that removes the limit would be taken for out of date.
+// seemed newer each time, an answer that removes the limit would be considered out of date.
 func TestExchangedReportsKeepTheirAge(t *testing.T) {
 	a, b := throttle.NewLimits(), throttle.NewLimits()
 	a.Record(at(0), at(-10), "s", throttle.Limit{Announced: true, Rate: 2})
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -284,7 +284,7 @@
 			}
 		}
 		if limit := 6; got > limit {
-			t.Errorf("sends to the server that is gone in four seconds: got %d, want at most %d", got, limit)
+			t.Errorf("sends in four seconds to the server that no longer exists: got %d, want at most %d", got, limit)
 		}
 	})
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -106,7 +106,7 @@
 // the run there on success.
 func (g *Gateway) sendResume(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
 	if !g.reserveResume(c.server) {
-		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for a backoff")
+		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has requested a backoff")
 	}
 	q := r.request
 	x := c.resume
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -98,7 +98,7 @@
 	return newDelayedTestbed(t, 0)
 }
 
-// newDelayedTestbed creates a bed whose mirror delays the first list.
+// newDelayedTestbed creates a testbed whose mirror delays the first list.
 func newDelayedTestbed(t *testing.T, d time.Duration) *testbed {
 	t.Helper()
 	b := &testbed{store: &store{at: 1, value: "v1"}}
