--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -20,8 +20,8 @@
 	shortage placement.Shortage
 }
 
-// admission returns the admission of a service, which it makes if there is none; the mutex is
-// held.
+// admission returns the admission of a service, which it makes if there is none; the caller
+// holds the mutex.
 func (g *Gateway) admission(n api.ServiceName) *admission {
 	a, ok := g.admissions[n]
 	if !ok {
@@ -80,7 +80,7 @@
 	}
 }
 
-// countWaiting counts the requests in all queues; the mutex is held.
+// countWaiting counts the requests in all queues; the caller holds the mutex.
 func (g *Gateway) countWaiting() int {
 	n := 0
 	for _, a := range g.admissions {
--- a/internal/gateway/allocate.go
+++ b/internal/gateway/allocate.go
@@ -55,8 +55,8 @@
 	return g.enqueue(ctx, d)
 }
 
-// betterDomain returns the failure domain that a demand is better forwarded to, if there is
-// one; the mutex is held. Backup copies stay in the domain of their run, and so do moves for
+// betterDomain returns the failure domain that a demand is better forwarded to, if there is one;
+// the caller holds the mutex. Backup copies stay in the domain of their run, and so do moves for
 // which there is an engine here.
 func (g *Gateway) betterDomain(now time.Time, d demand, x placement.Choice, ok bool) (api.DomainName, bool) {
 	if d.forwarded || d.purpose == api.PlaceAskPurposeCopy || ok && d.purpose == api.PlaceAskPurposeMove {
@@ -101,7 +101,7 @@
 	return g.hasEngineLocked(time.Now(), d)
 }
 
-// hasEngineLocked is hasEngine; the mutex is held.
+// hasEngineLocked is hasEngine; the caller holds the mutex.
 func (g *Gateway) hasEngineLocked(now time.Time, d demand) bool {
 	return slices.ContainsFunc(g.enginePool(now, d).Members, func(m roster.Member) bool {
 		return m.AcceptsRequests() && !slices.Contains(d.tried, m.Name)
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -46,7 +46,7 @@
 // enginePool is the pool that a demand is placed in: the engines of its failure domain, and
 // those of domains without a known allocator. For a new run, memory is reserved for the runs of
 // servers that leave, and the prompts that an engine has to read before it are bounded by the
-// latency target. The mutex is held.
+// latency target. The caller holds the mutex.
 func (g *Gateway) enginePool(now time.Time, d demand) placement.Pool {
 	l := placement.Pool{
 		Domain: d.domain, ExactLoads: d.exactLoads, ExcludeBackingOff: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmupBound(now, d.service),
@@ -69,7 +69,8 @@
 	return l
 }
 
-// membersWhere lists the servers of a service that satisfy a condition; the mutex is held.
+// membersWhere lists the servers of a service that satisfy a condition; the caller holds the
+// mutex.
 func (g *Gateway) membersWhere(n api.ServiceName, want func(m roster.Member) bool) []roster.Member {
 	all := g.roster.Service(n)
 	l := make([]roster.Member, 0, len(all))
@@ -82,7 +83,7 @@
 }
 
 // pickEngine chooses an engine for a demand without waiting. A new run gets none while others
-// are ahead of it in the queue. The mutex is held.
+// are ahead of it in the queue. The caller holds the mutex.
 func (g *Gateway) pickEngine(now time.Time, d demand) (placement.Choice, bool) {
 	l := g.enginePool(now, d)
 	a := g.admission(d.service.Name)
@@ -135,8 +136,8 @@
 	}
 }
 
-// assign counts the place chosen for a demand, and one for a backup copy of its run where a
-// copy is wanted and an engine is free for it; the mutex is held.
+// assign counts the place chosen for a demand, and one for a backup copy of its run where a copy
+// is wanted and an engine is free for it; the caller holds the mutex.
 func (g *Gateway) assign(now time.Time, d demand, x placement.Choice) assignment {
 	p := assignment{choice: x, reservation: g.reserveOrGrant(now, d, x.Server)}
 	if d.expectedLength == 0 || d.purpose != api.PlaceAskPurposeRun {
@@ -155,7 +156,7 @@
 }
 
 // reserveOrGrant counts the load of a demand: as a reservation of this entry VM, or as a grant
-// to a peer, where the result is nil. The mutex is held.
+// to a peer, where the result is nil. The caller holds the mutex.
 func (g *Gateway) reserveOrGrant(now time.Time, d demand, s roster.Server) *reservation {
 	if d.recipient != nil {
 		g.picker.EngineLoads.Grant(now, *d.recipient, s.Name, d.load())
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -141,7 +141,7 @@
 	return len(f.sends)
 }
 
-// open starts or resumes a run; the mutex is held.
+// open starts or resumes a run; the caller holds the mutex.
 func (f *fakeServers) open(ctx context.Context, a port.Attempt) (port.Answer, error) {
 	n, id := string(a.Server.Name), string(a.Request.ID)
 	r := f.runs[id]
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -13,8 +13,8 @@
 // take.
 const reportTimeout = 300 * time.Millisecond
 
-// localHolding is the report of what this entry VM holds in a failure domain; the mutex is
-// held.
+// localHolding is the report of what this entry VM holds in a failure domain; the caller holds
+// the mutex.
 func (g *Gateway) localHolding(d api.DomainName) api.Holding {
 	g.sequence++
 	last, open := g.placeRequests.State()
@@ -38,7 +38,8 @@
 	return h
 }
 
-// localLoads are the loads that this entry VM holds in a failure domain; the mutex is held.
+// localLoads are the loads that this entry VM holds in a failure domain; the caller holds the
+// mutex.
 func (g *Gateway) localLoads(d api.DomainName) placement.Loads {
 	return g.picker.EngineLoads.Local(func(n api.ServerName) bool {
 		m, ok := g.roster.Find(n)
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -49,7 +49,7 @@
 }
 
 // beginMove starts the steps of a move in the background and returns a channel that is closed
-// when they end; the run's mutex is held.
+// when they end; the caller holds the run's mutex.
 func (g *Gateway) beginMove(r *run, e *evacuate.Move) <-chan struct{} {
 	m := &mover{gateway: g, run: r, move: e, source: r.server}
 	done := make(chan struct{})
--- a/internal/gateway/obtain.go
+++ b/internal/gateway/obtain.go
@@ -199,7 +199,7 @@
 	return g.acceptAnswer(d, r)
 }
 
-// markUnreachable leaves an allocator out for a while; the mutex is held.
+// markUnreachable leaves an allocator out for a while; the caller holds the mutex.
 func (g *Gateway) markUnreachable(address string, err error) {
 	g.reachability.RecordFailure(time.Now(), address)
 	g.Log.Emit(event.AllocatorSilent, zap.String("address", address), zap.Error(err))
@@ -214,9 +214,9 @@
 	return int(n), g.localHolding(d)
 }
 
-// acceptAnswer turns an allocator's answer into an assignment. It reports false if this entry
-// VM does not know the assigned server, or knows that it accepts no requests. The mutex is
-// held.
+// acceptAnswer turns an allocator's answer into an assignment. It reports false if this entry VM
+// does not know the assigned server, or knows that it accepts no requests. The caller holds the
+// mutex.
 func (g *Gateway) acceptAnswer(d demand, r api.PlaceAnswer) (assignment, bool) {
 	if x := r.Refused; x != nil {
 		return assignment{
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -216,7 +216,7 @@
 	g.removeRun(n, r)
 }
 
-// removeRun unregisters a run from a server; the mutex is held.
+// removeRun unregisters a run from a server; the caller holds the mutex.
 func (g *Gateway) removeRun(n api.ServerName, r *run) {
 	delete(g.runs[n], r)
 	if len(g.runs[n]) == 0 {
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -130,12 +130,13 @@
 	return !ok || !m.AcceptsRequests()
 }
 
-// warmupBound is the bound on requests to the cold servers of a service; the mutex is held.
+// warmupBound is the bound on requests to the cold servers of a service; the caller holds the
+// mutex.
 func (g *Gateway) warmupBound(now time.Time, s *directory.Service) placement.Warmup {
 	return placement.Warmup{Rate: s.ColdRate, EntryVMs: g.picker.PlainLoads.EntryVMs(now)}
 }
 
-// reserve counts a load at a server until the reservation ends; the mutex is held.
+// reserve counts a load at a server until the reservation ends; the caller holds the mutex.
 func (g *Gateway) reserve(now time.Time, s roster.Server, engine bool, x api.ServerLoad) *reservation {
 	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, since: now}
 	if engine {
@@ -176,7 +177,7 @@
 	unreadAhead api.Tokens
 }
 
-// add adds to the load of the server; the mutex is held.
+// add adds to the load of the server; the caller holds the mutex.
 func (l *reservation) add(x api.ServerLoad) {
 	if l.engine {
 		l.gateway.picker.EngineLoads.Add(l.server, x)
@@ -206,7 +207,7 @@
 }
 
 // adjust adds to the load. A smaller load may make capacity for waiting requests, which are
-// admitted. The mutex is held.
+// admitted. The caller holds the mutex.
 func (l *reservation) adjust(x api.ServerLoad) {
 	if x == (api.ServerLoad{}) {
 		return
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -61,9 +61,9 @@
 // return.
 const noServerRetryAfter = 2 * time.Second
 
-// noCapacity is the refusal of a demand that can't be admitted in time; the mutex is held. A
-// service of which no server accepts requests is not overloaded: its first servers are still to
-// start, or operators have closed the failure domains of all.
+// noCapacity is the refusal of a demand that can't be admitted in time; the caller holds the
+// mutex. A service of which no server accepts requests is not overloaded: its first servers are
+// still to start, or operators have closed the failure domains of all.
 func (g *Gateway) noCapacity(now time.Time, a *admission, d demand) *fault.Error {
 	if !g.hasAvailableServer(d.service.Name) {
 		return fault.New(fault.NoServer, "no server of the service takes requests").After(noServerRetryAfter)
@@ -71,7 +71,8 @@
 	return fault.New(fault.QueueFull, "no server is expected to have capacity in time").After(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
 }
 
-// hasAvailableServer reports whether a server of a service accepts requests; the mutex is held.
+// hasAvailableServer reports whether a server of a service accepts requests; the caller holds
+// the mutex.
 func (g *Gateway) hasAvailableServer(n api.ServiceName) bool {
 	return slices.ContainsFunc(g.roster.Service(n), roster.Member.AcceptsRequests)
 }
@@ -126,8 +127,8 @@
 	return assignment{fault: g.noCapacity(time.Now(), a, w.demand)}
 }
 
-// admitWaiting assigns servers to waiting demands, as far as there is capacity; the mutex is
-// held.
+// admitWaiting assigns servers to waiting demands, as far as there is capacity; the caller holds
+// the mutex.
 func (g *Gateway) admitWaiting(now time.Time) {
 	for _, a := range g.admissions {
 		for a.backlog.Len() > 0 {
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -57,7 +57,7 @@
 }
 
 // arm starts the timer unless it runs already, or the number of streams requires none; the
-// mutex is held.
+// caller holds the mutex.
 func (w *watchdog) arm(d time.Duration) {
 	if n := len(w.monitors); w.armed || n == 0 || n > maxTimedStreams {
 		return
@@ -88,7 +88,7 @@
 }
 
 // check starts an inspection of each stream whose query is due, and returns the time until the
-// next query; the mutex is held.
+// next query; the caller holds the mutex.
 func (w *watchdog) check(now time.Time) time.Duration {
 	w.lastSweep = now
 	var next time.Duration
