--- a/internal/decide/throttle/pacer.go
+++ b/internal/decide/throttle/pacer.go
@@ -12,8 +12,7 @@
 type Share int
 
 // Whole, Standby and Alone add up to one and a half times the limit, which servers tolerate,
-// so the limit holds even while two entry VMs both pace a server for all others, neither
-// knowing of the other.
+// so the limit holds even while two entry VMs both act as the one that paces a server.
 const (
 	// Whole is the share of the entry VM that paces a server for all others.
 	Whole Share = iota
