--- a/internal/decide/backend/backend.go
+++ b/internal/decide/backend/backend.go
@@ -33,11 +33,11 @@
 }
 
 // announcementTTL is how long a server's announcement that it is leaving holds. Afterwards the
-// server is tried again if it is still declared: its next answer tells whether it is still
+// server is tried again if it is still declared: its next answer shows whether it is still
 // leaving, or a new incarnation serves under its name.
 const announcementTTL = time.Minute
 
-// unavailable reports whether the server is draining or leaving, and thus takes no new calls.
+// unavailable reports whether the server is draining or leaving, and thus accepts no new calls.
 func (x *serverState) unavailable(now time.Time) bool {
 	return x.draining || x.listedLeaving || x.announcesLeaving(now)
 }
@@ -82,9 +82,9 @@
 	}
 }
 
-// NoteLeaving notes that a server has announced in an answer that it is leaving, and reports
+// RecordLeaving records that a server has announced in an answer that it is leaving, and reports
 // whether that is new. here is set if the answer was to this entry VM, not to a peer.
-func (s *Servers) NoteLeaving(now time.Time, n api.ServerName, here bool) bool {
+func (s *Servers) RecordLeaving(now time.Time, n api.ServerName, here bool) bool {
 	x, ok := s.states[n]
 	if !ok || x.announcesLeaving(now) && x.announcedHere {
 		return false
@@ -113,7 +113,7 @@
 	return l
 }
 
-// SetBackoff notes that a server has requested a backoff: it gets no calls from this entry VM for
+// SetBackoff records that a server has requested a backoff: it gets no calls from this entry VM for
 // a time. A backoff that ends earlier than the present one has no effect.
 func (s *Servers) SetBackoff(now time.Time, n api.ServerName, d time.Duration) {
 	if x, ok := s.states[n]; ok && now.Add(d).After(x.backoffUntil) {
@@ -126,9 +126,9 @@
 	s.members.Observe(now, n)
 }
 
-// NoteLimit takes the rate limit, or its absence, in the answer to a call that was sent at sent,
-// and reports whether that is new.
-func (s *Servers) NoteLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
+// RecordLimit records the rate limit, or its absence, in the answer to a call that was sent at
+// sent, and reports whether that is new.
+func (s *Servers) RecordLimit(now, sent time.Time, n api.ServerName, l throttle.Limit) bool {
 	return s.limits.Record(now, sent, n, l)
 }
 
@@ -137,7 +137,7 @@
 	return s.limits.Reports(now)
 }
 
-// MergeLimit takes the rate limit that a server has named to a peer, and reports whether that is
+// MergeLimit records the rate limit that a server has named to a peer, and reports whether that is
 // new.
 func (s *Servers) MergeLimit(now time.Time, l api.ServerLimit) bool {
 	_, ok := s.states[l.Server]
@@ -146,9 +146,9 @@
 
 // Choice is the server for a call, or the time until there may be one.
 type Choice struct {
-	// Name is the chosen server; empty if none takes the call now.
+	// Name is the chosen server; empty if none accepts the call now.
 	Name api.ServerName
-	// Wait is the time until a server takes calls again; zero if none is expected to.
+	// Wait is the time until a server accepts calls again; zero if none is expected to.
 	Wait time.Duration
 }
 
--- a/internal/decide/gossip/relay.go
+++ b/internal/decide/gossip/relay.go
@@ -102,8 +102,8 @@
 }
 
 // BacksOff reports whether this entry VM waits longer before it calls the platform
-// again, after the given number of failed calls in a row. It does so while it hears
-// from a peer that comes before it, which calls the platform as well and relays the
+// again, after the given number of failed calls in a row. It does so while a
+// peer that ranks before it is live, which calls the platform as well and relays the
 // answer. A hub retries once without the longer wait. The first two leaders never back
 // off, since the platform may refuse only one of them.
 func (p *Peers) BacksOff(now time.Time, failures int) bool {
@@ -147,8 +147,8 @@
 	return l
 }
 
-// NoneInformed reports whether no live peer gets the changes on the platform.
-func (p *Peers) NoneInformed(now time.Time) bool {
+// NoPeerInformed reports whether no live peer receives the changes on the platform.
+func (p *Peers) NoPeerInformed(now time.Time) bool {
 	for _, x := range p.peers {
 		if p.alive(now, x) && x.Informed {
 			return false
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -25,25 +25,25 @@
 	// that delay, during which callers that retry at once would crash further servers.
 	immediateCrashes = 4
 	// quarantineTime is how long a content is quarantined, counted from its last crash so that
-	// entry VMs that learn of it later agree on the end. An operator can release it earlier; a
+	// entry VMs that receive it later agree on the end. An operator can release it earlier; a
 	// caller that was refused by mistake is admitted again afterwards.
 	quarantineTime = time.Hour
 	// failureRetention is how long a failure counts. Callers retry within their own deadlines,
 	// which are below a minute, or at their next scheduled run some minutes later.
 	failureRetention = 10 * time.Minute
-	// answerTrustTime is how long after a complete answer a failure is not held against a
+	// answerTrustTime is how long after a complete answer a failure does not count against a
 	// content. In a wave of crashes a popular content is on several of the servers, and some
 	// entry VM has just received an answer to it.
 	answerTrustTime = 10 * time.Second
 	// maxAnswers bounds the answered contents that are remembered in each of two maps, at some
 	// 100 bytes each.
 	maxAnswers = 2048
-	// crashMatchWindow is how far apart a failure and the end of its server may be for the
+	// crashMatchWindow is how far apart a failure and the crash of its server may be for the
 	// failure to count as confirmed: a server's entry lapses after three missed heartbeats,
 	// and the report of that takes a second or two to arrive.
 	crashMatchWindow = 10 * time.Second
 	// probeInterval is the time between two probes of a server, and maxProbes bounds their
-	// number. A crashed server accepts no connection from then on, and is back after some
+	// number. A crashed server accepts no connection from then on, and restarts after some
 	// seconds.
 	probeInterval = 300 * time.Millisecond
 	maxProbes     = 5
@@ -91,8 +91,9 @@
 // Table holds what one entry VM knows of contents that crash servers.
 type Table struct {
 	contents map[api.ContentHash]*content
-	// ended holds when servers were found to have ended without notice.
-	ended map[api.ServerName]time.Time
+	// crashed holds when servers were found to have crashed, that is, to have ended without
+	// notice.
+	crashed map[api.ServerName]time.Time
 	// stored holds the contents that the platform stores with the end of each quarantine, and
 	// platform how they differ from what is known here.
 	stored   map[api.ContentHash]time.Time
@@ -107,7 +108,7 @@
 
 // New creates an empty table.
 func New() *Table {
-	return &Table{contents: map[api.ContentHash]*content{}, ended: map[api.ServerName]time.Time{}, stored: map[api.ContentHash]time.Time{}, platform: newPlatformState(), answers: newAnswers()}
+	return &Table{contents: map[api.ContentHash]*content{}, crashed: map[api.ServerName]time.Time{}, stored: map[api.ContentHash]time.Time{}, platform: newPlatformState(), answers: newAnswers()}
 }
 
 // Empty reports whether no content is known.
@@ -157,7 +158,7 @@
 const (
 	// ConnectionLost means that the connection was closed during the run.
 	ConnectionLost FailureKind = iota
-	// NoAnswer means that the run was given up or its answer was invalid.
+	// NoAnswer means that the run was abandoned or its answer was invalid.
 	NoAnswer
 )
 
@@ -177,8 +178,8 @@
 	if _, ok := x.failures[s]; ok || x.trustedAt(at) {
 		return
 	}
-	end, ok := t.ended[s]
-	r := &failure{at: at, confirmed: ok && end.Sub(at).Abs() <= crashMatchWindow, noAnswer: e == NoAnswer}
+	crash, ok := t.crashed[s]
+	r := &failure{at: at, confirmed: ok && crash.Sub(at).Abs() <= crashMatchWindow, noAnswer: e == NoAnswer}
 	x.failures[s] = r
 	if r.reportable() {
 		t.markUpdated(now, x)
@@ -196,10 +197,10 @@
 	return r.confirmed || !r.noAnswer
 }
 
-// RecordServerEnd records that a server has ended without notice, and confirms the failures at
-// it within crashMatchWindow.
-func (t *Table) RecordServerEnd(now time.Time, s api.ServerName) {
-	t.ended[s] = now
+// RecordCrash records that a server has crashed, and confirms the failures at it within
+// crashMatchWindow.
+func (t *Table) RecordCrash(now time.Time, s api.ServerName) {
+	t.crashed[s] = now
 	for _, x := range t.contents {
 		if r, ok := x.failures[s]; ok && now.Sub(r.at) <= crashMatchWindow {
 			t.confirm(now, x, r)
@@ -215,7 +216,7 @@
 	}
 }
 
-// trustedAt reports whether a failure at a time is not held against a content, because of an
+// trustedAt reports whether a failure at a time does not count against a content, because of an
 // answer after it or at most answerTrustTime before it.
 func (x *content) trustedAt(at time.Time) bool {
 	return !x.lastAnswer.IsZero() && at.Sub(x.lastAnswer) <= answerTrustTime
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -16,7 +16,7 @@
 // recordCrash records that a content crashed a server at a time, with the crash confirmed at once.
 func recordCrash(t *quarantine.Table, ms int, c api.ContentHash, s api.ServerName) {
 	t.RecordFailure(at(ms), c, s, quarantine.ConnectionLost)
-	t.RecordServerEnd(at(ms), s)
+	t.RecordCrash(at(ms), s)
 }
 
 func TestQuarantined(t *testing.T) {
@@ -37,21 +37,21 @@
 			t.RecordFailure(at(0), "c", "a", quarantine.ConnectionLost)
 			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
 		}, false},
-		{"servers that ended long after the failures", func(t *quarantine.Table) {
+		{"servers that crashed long after the failures", func(t *quarantine.Table) {
 			t.RecordFailure(at(0), "c", "a", quarantine.ConnectionLost)
 			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
-			t.RecordServerEnd(at(30000), "a")
-			t.RecordServerEnd(at(30000), "b")
+			t.RecordCrash(at(30000), "a")
+			t.RecordCrash(at(30000), "b")
 		}, false},
-		{"two servers that did not answer and turn out to have ended", func(t *quarantine.Table) {
+		{"two servers that did not answer and turn out to have crashed", func(t *quarantine.Table) {
 			t.RecordFailure(at(0), "c", "a", quarantine.NoAnswer)
 			t.RecordFailure(at(10), "c", "b", quarantine.NoAnswer)
-			t.RecordServerEnd(at(4000), "a")
-			t.RecordServerEnd(at(4000), "b")
+			t.RecordCrash(at(4000), "a")
+			t.RecordCrash(at(4000), "b")
 		}, true},
-		{"server ends known before the failures", func(t *quarantine.Table) {
-			t.RecordServerEnd(at(0), "a")
-			t.RecordServerEnd(at(0), "b")
+		{"crashes known before the failures", func(t *quarantine.Table) {
+			t.RecordCrash(at(0), "a")
+			t.RecordCrash(at(0), "b")
 			t.RecordFailure(at(5), "c", "a", quarantine.ConnectionLost)
 			t.RecordFailure(at(10), "c", "b", quarantine.ConnectionLost)
 		}, true},
@@ -157,17 +157,17 @@
 	}
 }
 
-// Runs given up under load must not count against a content at peers, so they are reported
-// only once their server is known to have ended.
+// Runs abandoned under load must not count against a content at peers, so they are reported
+// only once their server is known to have crashed.
 func TestUnansweredRunsAreReportedOnceConfirmed(t *testing.T) {
 	q := quarantine.New()
 	q.RecordFailure(at(0), "c", "a", quarantine.NoAnswer)
 	if l := q.RecentReports(at(10)); len(l) != 0 {
 		t.Errorf("got %+v, want nothing to report", l)
 	}
-	q.RecordServerEnd(at(3000), "a")
+	q.RecordCrash(at(3000), "a")
 	if l := q.RecentReports(at(3010)); len(l) != 1 || !l[0].Ended {
-		t.Errorf("after the server ended: got %+v, want one confirmed crash", l)
+		t.Errorf("after the crash: got %+v, want one confirmed crash", l)
 	}
 }
 
@@ -224,7 +224,7 @@
 	if quarantined(q, 4000) {
 		t.Error("after operators released it: got the content quarantined, want it admitted")
 	}
-	// Another entry VM learns of the content from the platform only.
+	// Another entry VM gets the content from the platform only.
 	o := quarantine.New()
 	o.ApplySnapshot(at(0), 1, e)
 	// The quarantine lasts an hour from the last crash.
@@ -267,7 +267,7 @@
 		t.Errorf("after one failure: got %v to probe, want none", l)
 	}
 	q.RecordFailure(at(20), "c", "b", quarantine.ConnectionLost)
-	q.RecordServerEnd(at(30), "a")
+	q.RecordCrash(at(30), "a")
 	probed := 0
 	for ms := 40; ms < 5000; ms += 100 {
 		l := q.NextProbes(at(ms))
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -164,7 +164,7 @@
 		s.Contents.RecordFailure(c.contentHash, n, err)
 		s.explain(c.request, "failed", string(n)+": "+err.Error())
 		o := outcome(err)
-		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.takeRetry); m == decide.Fail {
+		if m, f := d.AttemptFailed(o, err, ctx.Err() != nil, s.allowRetry); m == decide.Fail {
 			return nil, f
 		}
 		if o == decide.Unsent && c.permit != nil {
@@ -197,8 +197,8 @@
 	return x
 }
 
-// takeRetry takes one retry out of the retry budget, and reports false if none is left.
-func (s *Server) takeRetry() bool {
+// allowRetry takes one retry out of the retry budget, and reports false if none is left.
+func (s *Server) allowRetry() bool {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
 	return s.retryBudget.Allow()
@@ -242,7 +242,7 @@
 }
 
 // clientFor returns the client for a call. The transport may repeat a request by itself on
-// a reused connection, so a call that is not repeatable gets a connection of its own.
+// a reused connection, so a call that is not repeatable gets a new connection.
 func (s *Server) clientFor(c *call) *http.Client {
 	if c.notRepeatable {
 		return s.SingleUseClient
@@ -257,7 +257,7 @@
 		return nil, wire.RoundTripFault(err)
 	}
 	defer func() { _ = a.Body.Close() }()
-	s.noteSignals(began, n, signalHeaders.Parse(a.StatusCode, a.Header))
+	s.recordSignals(began, n, signalHeaders.Parse(a.StatusCode, a.Header))
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, fault.Wrap(fault.BadAnswer, err, "the answer ended early")
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -11,17 +11,17 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// admission is the queue of one service, with what is learned of its servers.
+// admission is the queue of one service, with the observations of its servers.
 type admission struct {
-	backlog *backlog.Backlog[*waiter]
-	reading placement.PrefillRate
-	reserve placement.Reserve
+	backlog     *backlog.Backlog[*waiter]
+	prefillRate placement.PrefillRate
+	reserve     placement.Reserve
 	// shortage keeps backup copies out of memory that runs need.
 	shortage placement.Shortage
 }
 
-// admission returns the admission of a service, which it makes if there is none; the mutex is
-// held.
+// admission returns the admission of a service, which it makes if there is none; the caller
+// holds the mutex.
 func (g *Gateway) admission(n api.ServiceName) *admission {
 	a, ok := g.admissions[n]
 	if !ok {
@@ -31,8 +31,8 @@
 	return a
 }
 
-// forgetUnconfigured drops what was learned of routes and services that a configuration no
-// longer has.
+// forgetUnconfigured drops the records of routes and services that a configuration no longer
+// has.
 func (g *Gateway) forgetUnconfigured(d *directory.Directory) {
 	routes := make(map[string]bool, len(d.Routes))
 	for i := range d.Routes {
@@ -75,12 +75,12 @@
 	defer g.mutex.Unlock()
 	if n := l.load.Unread; n > 0 {
 		d := time.Since(l.since)
-		g.admission(q.service.Name).reading.Record(l.unreadAhead+n, d)
+		g.admission(q.service.Name).prefillRate.Record(l.unreadAhead+n, d)
 		g.observations.RecordPrefill(l.domain, q.service.Name, l.unreadAhead+n, d)
 	}
 }
 
-// countWaiting counts the requests in all queues; the mutex is held.
+// countWaiting counts the requests in all queues; the caller holds the mutex.
 func (g *Gateway) countWaiting() int {
 	n := 0
 	for _, a := range g.admissions {
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -10,16 +10,16 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// demand asks for a place at an engine, for this entry VM or for a peer.
+// demand is a request for a place at an engine, for this entry VM or for a peer.
 type demand struct {
 	service *directory.Service
 	purpose api.PlaceAskPurpose
-	// domain is the failure domain whose engines are asked for.
+	// domain is the failure domain whose engines are requested.
 	domain  api.DomainName
 	need    placement.Requirements
 	request backlog.Request
 	// route and timeout are the route of a new run and the timeout of its caller, by which the
-	// backlog tells a retry of a refused request from a first try.
+	// backlog distinguishes the retry of a refused request from a first attempt.
 	route   string
 	timeout time.Duration
 	// deadline is when the caller gives up.
@@ -46,7 +46,7 @@
 // enginePool is the pool that a demand is placed in: the engines of its failure domain, and
 // those of domains without a known allocator. For a new run, memory is reserved for the runs of
 // servers that leave, and the prompts that an engine has to read before it are bounded by the
-// latency target. The mutex is held.
+// latency target. The caller holds the mutex.
 func (g *Gateway) enginePool(now time.Time, d demand) placement.Pool {
 	l := placement.Pool{
 		Domain: d.domain, ExactLoads: d.exactLoads, ExcludeBackingOff: d.recipient == nil, Standby: d.standby || g.fleet.Partitioned(), Memory: d.service.Engine.Memory, Warmup: g.warmupBound(now, d.service),
@@ -60,7 +60,7 @@
 		if !d.short {
 			l.MaxMemoryShare = a.reserve.MaxMemoryShare(now)
 		}
-		l.MaxUnread = a.reading.MaxTokens(d.request.LatencyTarget)
+		l.MaxUnread = a.prefillRate.MaxTokens(d.request.LatencyTarget)
 	case api.PlaceAskPurposeMove:
 		l.PreferDomain = true
 	case api.PlaceAskPurposeCopy:
@@ -69,7 +69,8 @@
 	return l
 }
 
-// membersWhere lists the servers of a service that satisfy a condition; the mutex is held.
+// membersWhere lists the servers of a service that satisfy a condition; the caller holds the
+// mutex.
 func (g *Gateway) membersWhere(n api.ServiceName, want func(m roster.Member) bool) []roster.Member {
 	all := g.roster.Service(n)
 	l := make([]roster.Member, 0, len(all))
@@ -82,7 +83,7 @@
 }
 
 // pickEngine chooses an engine for a demand without waiting. A new run gets none while others
-// are ahead of it in the queue. The mutex is held.
+// are ahead of it in the queue. The caller holds the mutex.
 func (g *Gateway) pickEngine(now time.Time, d demand) (placement.Choice, bool) {
 	l := g.enginePool(now, d)
 	a := g.admission(d.service.Name)
@@ -105,7 +106,7 @@
 	return x, ok
 }
 
-// markLate notes whether a new run comes too late for its latency target. That is decided by
+// markLate records whether a new run comes too late for its latency target. That is decided by
 // the entry VM that places the run: it sees most requests of a route and so knows the usual
 // timeouts of its callers.
 func (g *Gateway) markLate(d *demand) {
@@ -126,8 +127,8 @@
 	return l
 }
 
-// backupDemand asks for a place for a backup copy of a run, at another server than the one that
-// runs it.
+// backupDemand returns the demand for a place for a backup copy of a run, at another server than
+// the one that runs it.
 func (d demand) backupDemand(at roster.Server) demand {
 	return demand{
 		service: d.service, purpose: api.PlaceAskPurposeCopy, domain: at.Domain, need: placement.Requirements{Tokens: d.need.Tokens},
@@ -135,8 +136,8 @@
 	}
 }
 
-// assign counts the place chosen for a demand, and one for a backup copy of its run where a
-// copy is wanted and an engine is free for it; the mutex is held.
+// assign counts the place chosen for a demand, and one for a backup copy of its run where a copy
+// is wanted and an engine is free for it; the caller holds the mutex.
 func (g *Gateway) assign(now time.Time, d demand, x placement.Choice) assignment {
 	p := assignment{choice: x, reservation: g.reserveOrGrant(now, d, x.Server)}
 	if d.expectedLength == 0 || d.purpose != api.PlaceAskPurposeRun {
@@ -155,7 +156,7 @@
 }
 
 // reserveOrGrant counts the load of a demand: as a reservation of this entry VM, or as a grant
-// to a peer, where the result is nil. The mutex is held.
+// to a peer, where the result is nil. The caller holds the mutex.
 func (g *Gateway) reserveOrGrant(now time.Time, d demand, s roster.Server) *reservation {
 	if d.recipient != nil {
 		g.picker.EngineLoads.Grant(now, *d.recipient, s.Name, d.load())
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -87,7 +87,7 @@
 	return l
 }
 
-func (p fleetPeers) Place(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
+func (p fleetPeers) RequestPlace(ctx context.Context, address string, a api.PlaceAsk) (api.PlaceAnswer, error) {
 	p.fleet.mutex.Lock()
 	p.fleet.placeRequests[address]++
 	p.fleet.mutex.Unlock()
@@ -97,13 +97,13 @@
 	}
 	x, err := g.Place(ctx, a)
 	if ctx.Err() != nil {
-		// The client has given up, so no answer reaches it.
+		// The client no longer waits, so that no answer reaches it.
 		return api.PlaceAnswer{}, fault.New(fault.OutcomeUnknown, "no answer in time")
 	}
 	return x, err
 }
 
-func (p fleetPeers) Permit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
+func (p fleetPeers) RequestPermit(ctx context.Context, address string, a api.PermitAsk) (api.PermitAnswer, error) {
 	g, err := p.fleet.reach(ctx, address)
 	if err != nil {
 		return api.PermitAnswer{}, err
@@ -111,7 +111,7 @@
 	return g.Permit(a), nil
 }
 
-func (p fleetPeers) Report(ctx context.Context, address string, h api.Holding) error {
+func (p fleetPeers) SendHolding(ctx context.Context, address string, h api.Holding) error {
 	g, err := p.fleet.reach(ctx, address)
 	if err != nil {
 		return err
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// playFleet plays a load against a number of entry VMs in virtual time, while during runs
-// alongside.
+// playFleet plays a load against a number of entry VMs in virtual time, and runs the function
+// during concurrently.
 func playFleet(t *testing.T, seed uint64, vms int, x float64, during func(f *fleetLoad)) []tally {
 	t.Helper()
 	var got []tally
@@ -221,7 +221,7 @@
 }
 
 // An allocator that forwards requests to a silent failure domain must still answer in time, or
-// its peers would take it for silent too and go to the standby.
+// its peers would consider it silent too and use the standby.
 func TestForwardToSilentDomainKeepsAllocatorInUse(t *testing.T) {
 	var first, second int
 	playFleet(t, 7, 40, 4, func(f *fleetLoad) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -192,8 +192,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestGateway(t, newFakeServers(), 0)
 		s := startStream(t, newFakeServers(), 60, 5)
-		a.NoteLeaving([]api.ServerName{api.ServerName(s.server), "unknown"})
-		s.NoteLeaving(a.Leaving())
+		a.MarkLeaving([]api.ServerName{api.ServerName(s.server), "unknown"})
+		s.MarkLeaving(a.AnnouncedLeaving())
 		s.checkWhole(t, s.server, other(s.server))
 	})
 }
@@ -257,8 +257,8 @@
 	})
 }
 
-// A server whose address now belongs to another one is gone; a request must not be sent there
-// every time.
+// A server whose address now belongs to another one no longer exists; only a few requests may be
+// sent to it.
 func TestServerWhoseAddressWasReusedIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeServers()
@@ -284,7 +284,7 @@
 			}
 		}
 		if limit := 6; got > limit {
-			t.Errorf("sends to the server that is gone in four seconds: got %d, want at most %d", got, limit)
+			t.Errorf("sends in four seconds to the server that no longer exists: got %d, want at most %d", got, limit)
 		}
 	})
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -20,7 +20,7 @@
 
 const (
 	// copyTimeout bounds one call that copies a run's memory: no server serves longer than
-	// this after it gave notice that it leaves.
+	// this after its notice that it is leaving.
 	copyTimeout = 3 * time.Second
 	// moveUnreadTokens is the length of the unread prompt that a run counts for at its target
 	// while it is moved, so that no long prompt is sent there that would delay the run.
@@ -49,7 +49,7 @@
 }
 
 // beginMove starts the steps of a move in the background and returns a channel that is closed
-// when they end; the run's mutex is held.
+// when they end; the caller holds the run's mutex.
 func (g *Gateway) beginMove(r *run, e *evacuate.Move) <-chan struct{} {
 	m := &mover{gateway: g, run: r, move: e, source: r.server}
 	done := make(chan struct{})
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -41,7 +41,7 @@
 	if !stopped {
 		g.recordOutcome(from, placement.Lost)
 		if r.startedRecently(began) {
-			g.noteBrokenRun(r.request, from, cause)
+			g.recordBrokenRun(r.request, from, cause)
 		}
 	}
 	c := r.takeCopy()
@@ -72,7 +72,7 @@
 
 // closedTargetGrace is the time after its stop in which a run that can't return to its source
 // may resume at its target although operators have closed the target's failure domain in the
-// meantime. It is far less than operators allow for requests that are on their way.
+// meantime. It is far less than the time that operators allow for requests in transit.
 const closedTargetGrace = 500 * time.Millisecond
 
 // returnToSource resumes a run that its target refused at the source that stopped it. The
@@ -106,7 +106,7 @@
 // the run there on success.
 func (g *Gateway) sendResume(ctx context.Context, r *run, c *kvCopy) (port.Stream, error) {
 	if !g.reserveResume(c.server) {
-		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has asked for a backoff")
+		return nil, fault.New(fault.ServerRefused, "the server that holds the copy has requested a backoff")
 	}
 	q := r.request
 	x := c.resume
@@ -154,7 +154,7 @@
 			return a, err
 		}
 		if port.ConnectionRefused(err) {
-			g.Contents.RecordServerEnd(t.Server.Name)
+			g.Contents.RecordCrash(t.Server.Name)
 		}
 		g.Log.Emit(event.AttemptFailed, zap.String("request", string(t.Request.ID)), zap.String("server", string(t.Server.Name)), zap.Error(err))
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/metric"
 )
 
-// UpdateServers takes the backend servers that the platform lists.
+// UpdateServers applies the platform's list of backend servers.
 func (g *Gateway) UpdateServers(s replica.Snapshot[roster.Server]) {
 	l := make([]roster.Server, 0, len(s.Items))
 	for _, o := range s.Items {
@@ -29,15 +29,15 @@
 	g.applyChanges(c)
 }
 
-// SetStoreDown notes whether the platform's store is down.
-func (g *Gateway) SetStoreDown(away bool) {
+// SetStoreDown records whether the platform's store is down.
+func (g *Gateway) SetStoreDown(down bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.roster.SetStoreDown(time.Now(), away)
+	g.roster.SetStoreDown(time.Now(), down)
 }
 
 // Maintain does the periodic work: it expires servers, closures and grants, drops the records
-// of servers that are gone, and divides the bound on retries by the number of entry VMs.
+// of servers that no longer exist, and divides the bound on retries by the number of entry VMs.
 func (g *Gateway) Maintain() {
 	now := time.Now()
 	g.mutex.Lock()
@@ -69,7 +69,7 @@
 	g.recordDepartures(l)
 	for _, m := range l {
 		if m.Unannounced() {
-			g.Contents.RecordServerEnd(m.Name)
+			g.Contents.RecordCrash(m.Name)
 		}
 		g.Log.Emit(event.ServerState, zap.String("server", string(m.Name)), zap.String("address", m.Address), zap.String("state", m.State.String()))
 	}
@@ -117,7 +117,7 @@
 }
 
 // evacuate moves a run off its server. A backup copy at a server that accepts no requests now
-// is given up first: the run could not be resumed from it.
+// is dropped first, since the run could not be resumed from it.
 func (g *Gateway) evacuate(r *run) {
 	r.dropBackup(func(s roster.Server) bool { return !g.acceptsRequests(s.Name) })
 	g.startMove(r)
@@ -130,12 +130,13 @@
 	return !ok || !m.AcceptsRequests()
 }
 
-// warmupBound is the bound on requests to the cold servers of a service; the mutex is held.
+// warmupBound is the bound on requests to the cold servers of a service; the caller holds the
+// mutex.
 func (g *Gateway) warmupBound(now time.Time, s *directory.Service) placement.Warmup {
 	return placement.Warmup{Rate: s.ColdRate, EntryVMs: g.picker.PlainLoads.EntryVMs(now)}
 }
 
-// reserve counts a load at a server until the reservation ends; the mutex is held.
+// reserve counts a load at a server until the reservation ends; the caller holds the mutex.
 func (g *Gateway) reserve(now time.Time, s roster.Server, engine bool, x api.ServerLoad) *reservation {
 	l := &reservation{gateway: g, server: s.Name, domain: s.Domain, engine: engine, load: x, since: now}
 	if engine {
@@ -176,7 +177,7 @@
 	unreadAhead api.Tokens
 }
 
-// add adds to the load of the server; the mutex is held.
+// add adds to the load of the server; the caller holds the mutex.
 func (l *reservation) add(x api.ServerLoad) {
 	if l.engine {
 		l.gateway.picker.EngineLoads.Add(l.server, x)
@@ -206,7 +207,7 @@
 }
 
 // adjust adds to the load. A smaller load may make capacity for waiting requests, which are
-// admitted. The mutex is held.
+// admitted. The caller holds the mutex.
 func (l *reservation) adjust(x api.ServerLoad) {
 	if x == (api.ServerLoad{}) {
 		return
@@ -224,7 +225,7 @@
 
 // recordOutcome records the outcome of a request at a server. For an engine it is also reported
 // to the allocator, and a bad outcome at once: an engine that accepts no connection has no
-// load, and looks best to an allocator that does not know.
+// load, so that an allocator without the report would prefer it.
 func (g *Gateway) recordOutcome(s roster.Server, o placement.Outcome) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -250,14 +251,14 @@
 	return ok && v.Engine != nil
 }
 
-// ReportLoads makes the report on the loads of plain servers for a peer.
+// ReportLoads returns the report on the loads of plain servers for a peer.
 func (g *Gateway) ReportLoads(vm api.VMName, r placement.Relation) placement.Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.picker.PlainLoads.Report(time.Now(), vm, r)
 }
 
-// UpdateLoads takes a peer's report on the loads of plain servers.
+// UpdateLoads records a peer's report on the loads of plain servers.
 func (g *Gateway) UpdateLoads(vm api.VMName, r placement.Relation, x placement.Report) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -61,9 +61,9 @@
 // return.
 const noServerRetryAfter = 2 * time.Second
 
-// noCapacity is the refusal of a demand that can't be admitted in time; the mutex is held. A
-// service of which no server accepts requests is not overloaded: its first servers are still to
-// start, or operators have closed the failure domains of all.
+// noCapacity is the refusal of a demand that can't be admitted in time; the caller holds the
+// mutex. A service of which no server accepts requests is not overloaded: its first servers are
+// still to start, or operators have closed the failure domains of all.
 func (g *Gateway) noCapacity(now time.Time, a *admission, d demand) *fault.Error {
 	if !g.hasAvailableServer(d.service.Name) {
 		return fault.New(fault.NoServer, "no server of the service takes requests").WithRetryAfter(noServerRetryAfter)
@@ -71,7 +71,8 @@
 	return fault.New(fault.QueueFull, "no server is expected to have capacity in time").WithRetryAfter(a.backlog.Refuse(now, d.request.Late, d.deadline.Sub(now)))
 }
 
-// hasAvailableServer reports whether a server of a service accepts requests; the mutex is held.
+// hasAvailableServer reports whether a server of a service accepts requests; the caller holds
+// the mutex.
 func (g *Gateway) hasAvailableServer(n api.ServiceName) bool {
 	return slices.ContainsFunc(g.roster.Service(n), roster.Member.AcceptsRequests)
 }
@@ -110,7 +111,7 @@
 }
 
 // withdraw takes a demand out of the queue. Its result is the server that it was given at the
-// last moment, or else a refusal, which is left out where the caller is gone.
+// last moment, or else a refusal, which is left out if the caller has left.
 func (g *Gateway) withdraw(a *admission, w *waiter, gone bool) assignment {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -126,8 +127,8 @@
 	return assignment{fault: g.noCapacity(time.Now(), a, w.demand)}
 }
 
-// admitWaiting gives servers to waiting demands, as far as there is capacity; the mutex is
-// held.
+// admitWaiting assigns servers to waiting demands, as far as there is capacity; the caller holds
+// the mutex.
 func (g *Gateway) admitWaiting(now time.Time) {
 	for _, a := range g.admissions {
 		for a.backlog.Len() > 0 {
@@ -155,8 +156,8 @@
 	g.reportDue()
 }
 
-// waitFields are the log fields of a refusal that tell how long the request waited and by which
-// forecast it was refused.
+// waitFields are the log fields of a refusal: how long the request waited and the forecast by
+// which it was refused.
 func (q *request) waitFields() []zap.Field {
 	l := []zap.Field{zap.Duration("waited", q.waited)}
 	if f := q.forecast; f.MaxWait > 0 {
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -24,14 +24,14 @@
 // callTimeout bounds one exchange or fetch.
 const callTimeout = 600 * time.Millisecond
 
-// Notices holds what entry VMs learn about backend servers outside the platform: which are
+// Notices holds what entry VMs find out about backend servers without the platform: which are
 // leaving, which limits they announce, which failure domains remain closed, and which contents
 // crash them.
 type Notices interface {
-	// Leaving lists the servers that have announced that they are leaving.
-	Leaving() []api.ServerName
-	// NoteLeaving adds the leaving servers that a peer knows of.
-	NoteLeaving(l []api.ServerName)
+	// AnnouncedLeaving lists the servers that have announced that they are leaving.
+	AnnouncedLeaving() []api.ServerName
+	// MarkLeaving marks the servers as leaving that a peer reports.
+	MarkLeaving(l []api.ServerName)
 	// RetainedClosures lists the failure domains that stay closed although the platform has
 	// lost their closures.
 	RetainedClosures() []api.KeptClosure
@@ -81,8 +81,8 @@
 	Permit(a api.PermitAsk) api.PermitAnswer
 }
 
-// Parts are the dependencies and settings of a Mesh.
-type Parts struct {
+// Options are the dependencies and settings of a Mesh.
+type Options struct {
 	VM      api.VMName
 	Self    gossip.Member
 	Seeds   []string
@@ -105,7 +105,7 @@
 
 // Mesh exchanges state with the peers of one entry VM.
 type Mesh struct {
-	Parts
+	Options
 
 	mutex sync.Mutex
 	peers *gossip.Peers
@@ -121,9 +121,9 @@
 }
 
 // New creates a mesh that knows only the seed addresses.
-func New(p Parts) *Mesh {
+func New(p Options) *Mesh {
 	return &Mesh{
-		Parts: p, peers: gossip.New(time.Now(), p.Self, p.Seeds, p.Hubs),
+		Options: p, peers: gossip.New(time.Now(), p.Self, p.Seeds, p.Hubs),
 		inProgress: map[string]bool{}, lag: map[string]*gossip.Lag[api.Version]{PathConfig: {}, PathServers: {}, PathClosures: {}, PathQuarantines: {}}, live: map[string]bool{},
 	}
 }
@@ -188,11 +188,11 @@
 	m.Metrics.Set(metric.MembersServing, int64(1+len(live)))
 }
 
-// NoPeerInformed reports whether no live peer gets the changes on the platform.
+// NoPeerInformed reports whether no live peer receives the changes on the platform.
 func (m *Mesh) NoPeerInformed() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.peers.NoneInformed(time.Now())
+	return m.peers.NoPeerInformed(time.Now())
 }
 
 // HasRelay reports whether a hub relays the changes on the platform to this entry VM.
@@ -238,7 +238,7 @@
 	e := api.Exchange{
 		Protocol: gossip.Protocol, VM: m.VM, ConfigAt: m.Config.ChangedAt(), ServersAt: m.Servers.ChangedAt(),
 		Direct: m.direct(), Relation: relationNames[r], Members: x.Members,
-		Leaving: m.Notices.Leaving(), Contents: m.Notices.ContentReports(), Limits: m.Notices.Limits(), ConfigNumber: m.Applied.AppliedNumber(),
+		Leaving: m.Notices.AnnouncedLeaving(), Contents: m.Notices.ContentReports(), Limits: m.Notices.Limits(), ConfigNumber: m.Applied.AppliedNumber(),
 	}
 	if m.Closures != nil {
 		e.ClosuresAt, e.KeptClosures = m.Closures.ChangedAt(), m.Notices.RetainedClosures()
@@ -321,7 +321,7 @@
 	}
 	m.Loads.UpdateLoads(e.VM, r, x)
 	m.updatePools(e, r)
-	m.Notices.NoteLeaving(e.Leaving)
+	m.Notices.MarkLeaving(e.Leaving)
 	m.Notices.MergeContentReports(e.Contents)
 	m.Notices.MergeLimits(e.Limits)
 	catchUp(m, e.Self.Address, PathConfig, e.ConfigAt, m.Config)
@@ -351,11 +351,11 @@
 // catchUp fetches a kind from a peer that has a newer version of it: at once if the mirror does
 // not follow the platform itself, and otherwise after a delay.
 func catchUp[T any](m *Mesh, address, path string, theirs api.Version, k *mirror.Mirror[T]) {
-	own, away := k.At(), k.Lost() || m.HasRelay()
+	local, notFollowing := k.At(), k.Lost() || m.HasRelay()
 	m.mutex.Lock()
-	ask := m.lag[path].ShouldFetch(time.Now(), own, theirs, away)
+	due := m.lag[path].ShouldFetch(time.Now(), local, theirs, notFollowing)
 	m.mutex.Unlock()
-	if ask {
+	if due {
 		fetch(m, address, path, k)
 	}
 }
@@ -363,11 +363,11 @@
 // catchUpApplied fetches the configuration that a peer has in force if it is newer than the local
 // one although the local replica of the platform's configuration is as new as the peer's.
 func (m *Mesh) catchUpApplied(e api.Exchange) {
-	own, at := m.Applied.AppliedNumber(), m.Config.At()
+	local, at := m.Applied.AppliedNumber(), m.Config.At()
 	m.mutex.Lock()
-	ask := at >= e.ConfigAt && m.appliedLag.ShouldFetch(time.Now(), own, e.ConfigNumber, false)
+	due := at >= e.ConfigAt && m.appliedLag.ShouldFetch(time.Now(), local, e.ConfigNumber, false)
 	m.mutex.Unlock()
-	if ask {
+	if due {
 		m.fetchApplied(e.Self.Address)
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -51,9 +51,9 @@
 	v := &vm{address: s.Listener.Addr().String(), table: gateway.New(gateway.Options{
 		Domain: "d", Group: g, Log: event.Discard(), Metrics: metric.New(), Retries: retry.NewWindows(time.Second, 0, 0),
 	})}
-	v.config = mirror.New(mirror.Parts[directory.Config]{OnSnapshot: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
-	v.servers = mirror.New(mirror.Parts[roster.Server]{OnSnapshot: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
-	v.Mesh = mesh.New(mesh.Parts{
+	v.config = mirror.New(mirror.Options[directory.Config]{OnSnapshot: func(replica.Snapshot[directory.Config]) {}, Metrics: metric.New(), Log: event.Discard()})
+	v.servers = mirror.New(mirror.Options[roster.Server]{OnSnapshot: func(replica.Snapshot[roster.Server]) {}, Metrics: metric.New(), Log: event.Discard()})
+	v.Mesh = mesh.New(mesh.Options{
 		VM: api.VMName(name), Self: gossip.Member{Address: v.address, Domain: "d"}, Seeds: seeds, Hubs: 2,
 		Client: c, Group: g, Log: event.Discard(), Metrics: metric.New(), Config: v.config, Servers: v.servers, Loads: v.table, Allocator: v.table, Notices: v.table, Applied: v.table,
 	})
@@ -105,8 +105,8 @@
 	e := api.Exchange{Protocol: 999, VM: "x", Self: api.MeshMember{Address: "127.0.0.1:1", Domain: "d"}, ConfigAt: 50, Relation: api.ExchangeRelationHub, Loads: map[string]api.ServerLoad{"s": {Requests: 5}}}
 	c, closer := wire.NewClient(time.Second, false)
 	defer closer()
-	var own api.Exchange
-	if err := wire.Call(t.Context(), c, http.MethodPost, "http://"+a.address+mesh.PathExchange, e, &own); err != nil {
+	var answer api.Exchange
+	if err := wire.Call(t.Context(), c, http.MethodPost, "http://"+a.address+mesh.PathExchange, e, &answer); err != nil {
 		t.Fatal(err)
 	}
 	if !a.NoPeerInformed() {
--- a/internal/node/hosted_start.go
+++ b/internal/node/hosted_start.go
@@ -48,7 +48,7 @@
 	h.cleanups.add(closer)
 	h.pool, closer = upstream.New(h.Machine.Dial)
 	h.cleanups.add(closer)
-	h.adapter = h.NewAdapter(AdapterDeps{Platform: p, Address: h.Settings.Platform.Address, Pool: h.pool, Log: h.Log})
+	h.adapter = h.NewAdapter(AdapterOptions{Platform: p, Address: h.Settings.Platform.Address, Pool: h.pool, Log: h.Log})
 	return nil
 }
 
@@ -88,29 +88,29 @@
 		return mirror.Timing{Wait: time.Duration(share * float64(apply)), Slack: time.Duration(answerTimeShare * float64(apply))}
 	}
 	d := h.listDelay()
-	h.config = mirror.New(mirror.Parts[directory.Config]{
+	h.config = mirror.New(mirror.Options[directory.Config]{
 		Name: "config", Source: h.adapter.Config, Log: h.Log, Metrics: h.Metrics, Timing: timing(configWaitShare), ListDelay: d,
-		OnSnapshot: h.applyConfig, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
+		OnSnapshot: h.applyConfig, HasRelay: h.hasRelay, BacksOff: h.backsOff, LostChanged: func(bool) {},
 	})
-	h.servers = mirror.New(mirror.Parts[roster.Server]{
+	h.servers = mirror.New(mirror.Options[roster.Server]{
 		Name: "servers", Source: h.adapter.Servers, Log: h.Log, Metrics: h.Metrics, Timing: timing(serverWaitShare), ListDelay: d,
-		OnSnapshot: h.applyServers, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: h.setPlatformLost,
+		OnSnapshot: h.applyServers, HasRelay: h.hasRelay, BacksOff: h.backsOff, LostChanged: h.setPlatformLost,
 	})
 	if c := s.CloseMS.Duration(); c > 0 {
-		h.closures = mirror.New(mirror.Parts[roster.Closure]{
+		h.closures = mirror.New(mirror.Options[roster.Closure]{
 			Name: "closures", Source: h.adapter.Closures, Log: h.Log, Metrics: h.Metrics, ListDelay: d,
 			Timing:     mirror.Timing{Wait: time.Duration(configWaitShare * float64(c)), Slack: time.Duration(answerTimeShare * float64(c))},
-			OnSnapshot: h.applyClosures, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
+			OnSnapshot: h.applyClosures, HasRelay: h.hasRelay, BacksOff: h.backsOff, LostChanged: func(bool) {},
 		})
 	}
 	if h.adapter.QuarantineSource != nil {
-		h.quarantines = mirror.New(mirror.Parts[quarantine.Entry]{
+		h.quarantines = mirror.New(mirror.Options[quarantine.Entry]{
 			Name: "quarantines", Source: h.adapter.QuarantineSource, Log: h.Log, Metrics: h.Metrics, ListDelay: firstListDelay,
 			Timing:     mirror.Timing{Wait: quarantineWatchWait, Slack: time.Duration(answerTimeShare * float64(quarantineWatchWait))},
-			OnSnapshot: h.applyQuarantines, HasRelay: h.hubRelays, BacksOff: h.hubQueriesPlatform, LostChanged: func(bool) {},
+			OnSnapshot: h.applyQuarantines, HasRelay: h.hasRelay, BacksOff: h.backsOff, LostChanged: func(bool) {},
 		})
 	}
-	h.mesh = mesh.New(mesh.Parts{
+	h.mesh = mesh.New(mesh.Options{
 		VM: h.Settings.Node.Name, Hubs: s.Hubs, Seeds: splitAddresses(s.Seeds),
 		Self: gossip.Member{
 			Address: h.Settings.Node.Control, Domain: h.Settings.Node.Domain, Capacity: gossip.Capacity(s.CpuShare, s.LinkMbps),
@@ -148,26 +148,26 @@
 	return a.hosted.mesh.Allocators(d)
 }
 
-func (a meshPeers) Place(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
+func (a meshPeers) RequestPlace(ctx context.Context, address string, x api.PlaceAsk) (api.PlaceAnswer, error) {
 	return a.hosted.mesh.RequestPlace(ctx, address, x)
 }
 
-func (a meshPeers) Permit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
+func (a meshPeers) RequestPermit(ctx context.Context, address string, x api.PermitAsk) (api.PermitAnswer, error) {
 	return a.hosted.mesh.RequestPermit(ctx, address, x)
 }
 
-func (a meshPeers) Report(ctx context.Context, address string, x api.Holding) error {
+func (a meshPeers) SendHolding(ctx context.Context, address string, x api.Holding) error {
 	return a.hosted.mesh.SendHolding(ctx, address, x)
 }
 
-// hubRelays reports whether a hub relays the platform's changes to this entry VM.
-func (h *HostedContext) hubRelays() bool {
+// hasRelay reports whether a hub relays the platform's changes to this entry VM.
+func (h *HostedContext) hasRelay() bool {
 	return h.mesh.HasRelay()
 }
 
-// hubQueriesPlatform reports whether a hub queries the platform for this entry VM, so
-// that after this number of failures in a row it may query less often.
-func (h *HostedContext) hubQueriesPlatform(failures int) bool {
+// backsOff reports whether this entry VM may query the platform less often after the given
+// number of failures in a row, since a hub queries it as well.
+func (h *HostedContext) backsOff(failures int) bool {
 	return h.mesh.BacksOff(failures)
 }
 
@@ -280,7 +280,7 @@
 	// unused; a run generates a few tokens in this time.
 	hostedTickInterval = 60 * time.Millisecond
 	// ticksPerRound is the number of ticks between rounds of periodic work. A round is due
-	// every sixth of the shortest notice that leaving servers give.
+	// every sixth of the shortest notice period of leaving servers.
 	ticksPerRound = 4
 	// roundsPerSweep is the number of rounds between sweeps that close idle connections.
 	roundsPerSweep = 4
--- a/spec/limit.go
+++ b/spec/limit.go
@@ -94,9 +94,9 @@
 		return l
 	}
 	// A removal is stored only if a limit was announced before it.
-	l.Record(limitAt(-100), limitAt(-100), limitServer, throttle.Limit{Named: true, Rate: 1})
+	l.Record(limitAt(-100), limitAt(-100), limitServer, throttle.Limit{Announced: true, Rate: 1})
 	if r.earliest == r.latest {
-		l.Record(limitAt(r.latest), limitAt(r.latest), limitServer, throttle.Limit{Named: r.named, Rate: 1})
+		l.Record(limitAt(r.latest), limitAt(r.latest), limitServer, throttle.Limit{Announced: r.named, Rate: 1})
 		return l
 	}
 	// Merge adds the maximum time in transit to the age of a peer's report.
@@ -171,7 +171,7 @@
 				sent = s.now + 1
 			}
 			l := s.records[requester].toLimits()
-			l.Record(limitAt(s.now), limitAt(sent), limitServer, throttle.Limit{Named: x.named, Rate: throttle.Rate(1)})
+			l.Record(limitAt(s.now), limitAt(sent), limitServer, throttle.Limit{Announced: x.named, Rate: throttle.Rate(1)})
 			n.records[requester] = fromLimits(l, s.now)
 			if x.named {
 				n.announced[requester] = x.changes
