--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -45,8 +45,8 @@
 	NoConfigRevert Property = "no-revert"
 	// Recovery: requests are served again after the last fault.
 	Recovery Property = "recovery"
-	// ProcessAlive: the processes of the entry VMs do not end or break by themselves, and
-	// the soak can do its own work.
+	// ProcessAlive: no process of an entry VM ends unexpectedly or logs a failure mark, and
+	// the soak itself has no errors.
 	ProcessAlive Property = "alive"
 	// CrashesContained: a request that keeps crashing servers no longer reaches them.
 	CrashesContained Property = "crashes"
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -167,8 +167,8 @@
 		all = append(all, CrashingRequest)
 	}
 	if seed >= firstRestoreSeed {
-		// Listed twice for a higher weight: what has to hold through a restore is the
-		// newest behavior.
+		// Listed twice for a higher weight, since the behavior that a restore checks is the
+		// newest.
 		all = append(all, StoreRestore, StoreRestore)
 	}
 	if seed >= firstSignalSeed {
--- a/internal/soak/shorten.go
+++ b/internal/soak/shorten.go
@@ -8,7 +8,7 @@
 )
 
 // shortenAttempts is how often each shortened plan is played: with two attempts, a failure
-// that occurs in half of the plays is still mostly found.
+// that occurs in half of the plays is still usually found.
 const shortenAttempts = 2
 
 // Shorten searches for a plan with fewer faults that violates the same property, and saves
--- a/internal/soak/testbed.go
+++ b/internal/soak/testbed.go
@@ -60,8 +60,8 @@
 	servers  []*server
 	recorder *recorder
 	cleanups []func()
-	// closureMutex allows only one closed failure domain at a time: the others have to
-	// serve.
+	// closureMutex allows only one closed failure domain at a time: the other
+	// domains have to serve.
 	closureMutex sync.Mutex
 
 	mutex sync.Mutex
