--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// advance executes one step and returns its duration: the rest of a freeze while frozen,
+// advance executes one step and returns its duration: the remaining freeze while frozen,
 // 0 when the engine is idle.
 func (e *Engine) advance(now time.Time) time.Duration {
 	e.mutex.Lock()
@@ -218,7 +218,7 @@
 		Loaded:      slices.Clone(e.loaded),
 		Fence:       e.fence,
 	})
-	// Keep the newest report that is at least ReportLag old and all later ones.
+	// Retain the newest report that is at least ReportLag old and all later ones.
 	cut := api.UnixMilliseconds(now.Add(-e.options.ReportLag))
 	for len(e.reports) > 1 && e.reports[1].TimeMS <= cut {
 		e.reports = e.reports[1:]
@@ -361,7 +361,7 @@
 	return ""
 }
 
-// Leave makes load reports say that the engine is leaving, and refuses new generations.
+// Leave makes load reports state that the engine is leaving, and refuses new generations.
 func (e *Engine) Leave() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -375,7 +375,7 @@
 	e.frozenUntil = time.Now().Add(d)
 }
 
-// DropStreams aborts n streams after their generations have made more than one token.
+// DropStreams aborts n streams after their generations have produced more than one token.
 func (e *Engine) DropStreams(n int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/standin/hosted/endpoint.go
+++ b/internal/standin/hosted/endpoint.go
@@ -43,8 +43,8 @@
 	return &Endpoint{store: s}
 }
 
-// SetOutcome sets the outcome of the following calls and the delay before it. Answered lets
-// the calls pass to the store.
+// SetOutcome sets the outcome of the following calls and the delay before it. Answered passes
+// the calls to the store.
 func (e *Endpoint) SetOutcome(o Outcome, slow time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/standin/hosted/server.go
+++ b/internal/standin/hosted/server.go
@@ -81,8 +81,8 @@
 	return s.fleet.Store.unregister(s.Server)
 }
 
-// AnnounceStop announces in the server's entry and reports that the server stops after a
-// time. The caller has to stop it then.
+// AnnounceStop announces in the server's entry and in its reports that the server stops after
+// a time. The caller has to stop it then.
 func (s *Server) AnnounceStop(after time.Duration) error {
 	s.mutex.Lock()
 	s.stopAt = time.Now().Add(after)
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -10,7 +10,7 @@
 	"github.com/wardridge/wardridge/internal/fault"
 )
 
-// maxChanges bounds the change history that watches are answered from.
+// maxChanges bounds the change history from which watches are answered.
 const maxChanges = 1000
 
 type key struct {
@@ -42,7 +42,7 @@
 	objects map[key]api.Object
 }
 
-// Backup copies the store, so that Restore can bring it back to this state.
+// Backup copies the store, so that Restore can return it to this state.
 func (s *Store) Backup() Backup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
