--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -33,7 +33,7 @@
 	gaps       []time.Duration
 	tokens     int
 	fault      *fault.Error
-	// violation says which guarantee an answer violated: a token missing, repeated,
+	// violation states which guarantee an answer violated: a token missing, repeated,
 	// out of order or of another generation, an answer to another request, or a call run
 	// more than once; empty if none.
 	violation string
@@ -46,7 +46,7 @@
 	model    string
 }
 
-// send sends one request. If an entry VM can't be reached or takes no requests, it tries
+// send sends one request. If an entry VM can't be reached or accepts no requests, it tries
 // the next, as a load balancer in front of them would.
 func (c *caller) send(ctx context.Context, a Arrival) result {
 	key := uuid.NewString()
