--- a/internal/measure/bench.go
+++ b/internal/measure/bench.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Faults says whether an engine crashes, another freezes and load reports are late for a
+// Faults sets whether an engine crashes, another freezes and load reports are late for a
 // time during a run.
 type Faults bool
 
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -29,7 +29,7 @@
 	}}
 }
 
-// Flood returns a Markdown table of what a steady workspace gets beside one that floods
+// Flood returns a Markdown table of what a steady workspace gets next to one that floods
 // the system, under the default policy, with one run for each seed.
 func Flood(s Size, seeds int) string {
 	m := flood()
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -57,7 +57,7 @@
 }
 
 // mixStats are the sampled figures of a mix from which capacity is computed. kvTokens is the
-// mean KV memory of a running generation, where longer generations count for longer.
+// mean KV memory of a running generation, weighted by the length of its output.
 type mixStats struct {
 	chatShare    float64
 	outputTokens float64
