--- a/internal/metric/bounded.go
+++ b/internal/metric/bounded.go
@@ -4,7 +4,7 @@
 	// maxNames bounds the names that have a value of their own; further names
 	// share the value of otherNames.
 	maxNames = 64
-	// otherNames is the shared name of what is beyond maxNames.
+	// otherNames is the shared name of all names beyond maxNames.
 	otherNames = "other"
 )
 
--- a/internal/metric/tally.go
+++ b/internal/metric/tally.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Label is the name of a tally, which says what its counts are grouped by.
+// Label is the name of a tally; it states by what the counts are grouped.
 type Label string
 
 // Labels of the tallies of a set.
