--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -12,7 +12,7 @@
 // Code is the number of a type of failure; numbers are never reused.
 type Code int
 
-// Codes of failures; the thousands group them by who has to act.
+// Codes of failures; the thousands digit groups them by who has to act.
 const (
 	MalformedJSON      Code = 1001
 	BodyTooLarge       Code = 1002
