--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -92,7 +92,7 @@
 }
 
 // explain returns the record of a request. It queries the peers for a request that
-// they handled, unless the query says alone=true.
+// they handled, unless the query contains alone=true.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	id := api.RequestID(chi.URLParam(r, "request"))
 	e, err := s.Explain.Find(id)
