--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -27,7 +27,7 @@
 	return "the engine refused: " + string(r.Reason)
 }
 
-// StreamError is a failure to open a stream; Cause says what is known of it.
+// StreamError is a failure to open a stream; Cause is what is known about it.
 type StreamError struct {
 	Cause answer.Cause
 	Err   error
@@ -128,7 +128,7 @@
 }
 
 // Cancel ends a generation. It fails with ServerRefused if the engine no longer
-// knows the generation, which is then as good as cancelled.
+// knows the generation, which has the same effect as a cancellation.
 func (c *Client) Cancel(ctx context.Context, address string, g api.GenerationID) error {
 	ctx, end := context.WithTimeout(ctx, c.timeout)
 	defer end()
