--- a/internal/dev/standins.go
+++ b/internal/dev/standins.go
@@ -26,7 +26,7 @@
 // Platform serves a stand-in of the platform until the context ends.
 func Platform(ctx context.Context, address string, s *platform.Server, l *event.Log) error {
 	logStarted(l, "platform", "platform", address)
-	// Watches may stay open for long, so a stop hardly waits for them.
+	// Watches may stay open for long, so a stop waits for them only briefly.
 	const limit = 100 * time.Millisecond
 	return wire.Serve(ctx, address, trace.Handler("platform", s.Handler()), limit)
 }
