--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -136,8 +136,8 @@
 }
 
 // resolveWrite determines the outcome of a write whose response was lost. A write that
-// has not taken effect is sent again; its condition on the version lets it take
-// effect only once.
+// has not taken effect is sent again; its condition on the version ensures
+// that it takes effect only once.
 func (c *Client) resolveWrite(ctx context.Context, o api.Object) (api.Object, error) {
 	n, err := c.Get(ctx, o.Kind, o.Name)
 	if fault.Has(err, fault.NotFound) {
