--- a/spec/answer.go
+++ b/spec/answer.go
@@ -8,7 +8,7 @@
 )
 
 // Sizes of the answer model: two generations of two tokens each, on engines that may fail or
-// forget a generation. Any event may be lost, late, duplicated or out of order.
+// lose a generation. Any event may be lost, late, duplicated or out of order.
 const (
 	generations = 2
 	tokens      = 2
@@ -61,7 +61,7 @@
 	case !repeatable && ran > 1:
 		return "a request that is not repeatable ran twice"
 	case s.failed && s.ran == api.RanNo && ran > 0:
-		return "the caller was told that a request that may have run did not"
+		return "a request that may have run was answered as not run"
 	}
 	return ""
 }
--- a/spec/claim.go
+++ b/spec/claim.go
@@ -43,7 +43,7 @@
 	// unsent attempts were recorded but not sent yet.
 	unsent
 	sent
-	// released attempts were given up unsent.
+	// released attempts were abandoned before they were sent.
 	released
 )
 
@@ -384,6 +384,6 @@
 	if a.progress == unsent {
 		a.progress = released
 	}
-	// Only the kind is kept, since the text of the answer has no effect anymore.
+	// Only the kind is stored, since the text of the answer has no effect anymore.
 	a.next = claim.Action{Kind: m.Kind}
 }
--- a/spec/incarnation.go
+++ b/spec/incarnation.go
@@ -7,7 +7,7 @@
 	"github.com/wardridge/wardridge/internal/decide/roster"
 )
 
-// Mutations of how two incarnations of a server are told apart.
+// Mutations of how two incarnations of a server are distinguished.
 const (
 	// mutateNoBirth leaves the times of birth out, so that both incarnations have the same name.
 	mutateNoBirth = "servers don't report their births"
--- a/spec/lease.go
+++ b/spec/lease.go
@@ -171,7 +171,7 @@
 }
 
 // candidateNext lists the steps of one candidate. A candidate is paused in runs in which the
-// clock advances and none of its steps is taken.
+// clock advances and it executes no step.
 func candidateNext(s leaseState, i int, b leaseBounds, mutation string) []step[leaseState] {
 	var l []step[leaseState]
 	add := func(what string, n leaseState) {
--- a/spec/move.go
+++ b/spec/move.go
@@ -10,7 +10,7 @@
 
 // Sizes of the move model: a run of three events on a source that is leaving, and two servers
 // that it may move to. Copies may be refused or get no answer, the answer to a stop may be lost,
-// servers die, connections break and the caller disconnects.
+// servers may crash, connections may break and the caller may disconnect.
 const (
 	moveEvents  = 3
 	moveServers = 3
@@ -95,7 +95,7 @@
 		if i < 2 && s.alive[i] {
 			n := s
 			n.alive[i], n.running[i] = false, false
-			add(sprintf("server %d dies", i), n)
+			add(sprintf("server %d crashes", i), n)
 		}
 	}
 	l = append(l, readNext(s, mutation)...)
