--- a/contract/address_test.go
+++ b/contract/address_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A connection of any test may take a port of 127.0.0.1 between the moment when an entry VM's
+// A connection of any test may use a port of 127.0.0.1 between the moment when an entry VM's
 // address is chosen and the moment when the VM listens there. The address must stay free.
 func TestEntryAddressIsNotTakenByConnections(t *testing.T) {
 	a := freeAddress(t)
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	if l, err := net.Listen("tcp", "127.0.0.1:"+p); err == nil {
-		// If listening failed, a connection has the port already, which serves the test as well.
+		// If listening failed, a connection uses the port already, which suits the test as well.
 		defer func() { _ = l.Close() }()
 	}
 	l, err := net.Listen("tcp", a)
--- a/contract/config_test.go
+++ b/contract/config_test.go
@@ -96,7 +96,7 @@
 	end.Store(true)
 }
 
-// An entry VM that cannot reach the platform takes a change from a peer.
+// An entry VM that cannot reach the platform gets a change from a peer.
 func TestChangeArrivesFromPeerWhenPlatformIsUnreachable(t *testing.T) {
 	b := newCluster(t)
 	b.startEngine("engine-1", nil, nil)
--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -71,11 +71,11 @@
 	return hostPort(s)
 }
 
-// addresses hands out the addresses of the entry VMs of all tests in this package.
+// addresses allocates the addresses of the entry VMs of all tests in this package.
 var addresses = loopback.New()
 
 // freeAddress returns an address for an entry VM to listen on later. It is returned once only,
-// and no outgoing connection takes it meanwhile.
+// and no outgoing connection uses it meanwhile.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	a, err := addresses.Free()
@@ -234,7 +234,7 @@
 	return v
 }
 
-// stop makes an entry VM shut down in order and waits for it.
+// stop performs a planned stop of an entry VM and waits for its end.
 func (v *vm) stop(t testing.TB) {
 	t.Helper()
 	v.cancel()
--- a/contract/notrepeatable_test.go
+++ b/contract/notrepeatable_test.go
@@ -21,7 +21,7 @@
 
 // TestNotRepeatableCallsRunAtMostOnce has several callers use each key at the same time through
 // three entry VMs, while the platform loses answers and has short outages, and the service loses,
-// cuts and swaps answers. The runs are those that the service counts itself.
+// cuts and swaps answers. The service itself counts the runs.
 func TestNotRepeatableCallsRunAtMostOnce(t *testing.T) {
 	b := newCluster(t)
 	s := b.startService("orders-1")
@@ -110,7 +110,7 @@
 	return true
 }
 
-// The owner of a claim is cut off from its peers and can't be asked to release it. The call may
+// The owner of a claim is cut off from its peers, so they can't request its release. The call may
 // have run, so it is not made again.
 func TestClaimOfUnreachableOwnerIsNotTakenOver(t *testing.T) {
 	b := newCluster(t)
--- a/contract/refusal_test.go
+++ b/contract/refusal_test.go
@@ -15,7 +15,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// startSlowEngine starts an engine whose generations take long.
+// startSlowEngine starts an engine whose generations last long.
 func startSlowEngine(b *cluster) *engine.Engine {
 	return b.startEngine("engine-1", nil, func(o *engine.Options) { o.Batch.StepBase = 5 * time.Millisecond })
 }
--- a/contract/service_test.go
+++ b/contract/service_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardridge/wardridge/internal/wire"
 )
 
-// TestServiceContract breaks a service in each way and checks how often the call ran.
+// TestServiceContract makes a service fail in every way and checks how often the call ran.
 func TestServiceContract(t *testing.T) {
 	plain := call{path: "/services/orders/look", key: sample.KeyField, headers: []string{wire.HeaderIdempotencyKey, "k"}}
 	tests := []struct {
