--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -132,8 +132,8 @@
 	})
 }
 
-// withShortAnswer changes a request to one with a short answer, for whose run no backup
-// copies are made as it grows.
+// withShortAnswer changes a request to one with an answer so short that no backup copies of
+// its run are made while it grows.
 func withShortAnswer(r *port.Request) *port.Request {
 	r.Prompt.MaxTokens, r.Prompt.ExpectedTokens = 100, 20
 	return r
@@ -170,8 +170,8 @@
 // run fail. No content may be quarantined for that.
 func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Each entry VM has two calls of the warm content, which are not repeated, in flight
-		// at a time. Both may be lost while those of other entry VMs are answered.
+		// Each entry VM has two calls with the content "warm", which are not repeated, in
+		// flight at a time. Both may be lost while those of other entry VMs are answered.
 		const n, hot, warm = 6, 48, 12
 		p := newPool(12, 12)
 		w := &crashWave{testbed: newHostedTestbed(t, n, p)}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -52,7 +52,7 @@
 
 func TestFailureDomainLost(t *testing.T) {
 	withFleet(t, 9, func(t *testing.T, b *testbed) {
-		// A third of the entry VMs loses the platform and all peers at once.
+		// A third of the entry VMs loses its connections to the platform and all peers at once.
 		var lost []*vm
 		for _, v := range b.vms {
 			if v.domain == "hall-0" {
--- a/fleet/signals_test.go
+++ b/fleet/signals_test.go
@@ -194,7 +194,7 @@
 	return time.Now()
 }
 
-// checkLimit checks that servers from to to-1 got no more requests than their limit allows.
+// checkLimit checks that the servers with indexes in [from, to) got no more requests than their limit allows.
 func (b *signalTestbed) checkLimit(from, to int, perSecond float64, since time.Time) {
 	b.t.Helper()
 	allowed := int(1.5*perSecond*limitSpan.Seconds()) + limitSlack
@@ -370,7 +370,7 @@
 const (
 	// backoffTime is the backoff that servers request, maxBackoffDelay how long after the
 	// request an entry VM may ignore it, and backoffSlack how many of its requests may reach the
-	// server during the rest of the backoff all the same.
+	// server during the remaining backoff nevertheless.
 	backoffTime     = 3 * time.Second
 	maxBackoffDelay = 500 * time.Millisecond
 	backoffSlack    = 2
--- a/fleet/store_restore_faults_test.go
+++ b/fleet/store_restore_faults_test.go
@@ -222,7 +222,7 @@
 
 // maxPropagation is how long an entry VM may not know that a server left, after the leave or
 // after the entry VM was disturbed: it has to notice an outage of the platform, and to query
-// the servers or hear from peers.
+// the servers or get a notice from a peer.
 const maxPropagation = 4 * time.Second
 
 // checkDepartedUnused checks that stable entry VMs send nothing to servers that left longer
