--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -62,7 +62,7 @@
 		}
 		for _, o := range l {
 			if o.Kind == "" || o.Kind == api.ResourceKindLease {
-				t.Errorf("got kind %q accepted", o.Kind)
+				t.Errorf("got kind %q accepted, want it rejected", o.Kind)
 			}
 		}
 	})
