--- a/contract/config_test.go
+++ b/contract/config_test.go
@@ -76,7 +76,7 @@
 			for _, x := range []*vm{v, w} {
 				s, err := b.status(x)
 				if err == nil && s.ConfigVersion < last[x.name] {
-					t.Errorf("%s: version went from %d to %d", x.name, last[x.name], s.ConfigVersion)
+					t.Errorf("%s: version went from %d to %d, want it not to decrease", x.name, last[x.name], s.ConfigVersion)
 				}
 				if err == nil {
 					last[x.name] = s.ConfigVersion
--- a/contract/engine_test.go
+++ b/contract/engine_test.go
@@ -88,7 +88,7 @@
 				t.Errorf("generations started: got %d, want %d", starts, c.starts)
 			}
 			if strings.HasSuffix(c.scripts[len(c.scripts)-1], "unknown-generation") && resumes != 1 {
-				t.Errorf("resumes of a forgotten generation: got %d, want 1", resumes)
+				t.Errorf("resumes of a generation that the engine lost: got %d, want 1", resumes)
 			}
 		})
 	}
--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -258,7 +258,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	b.t.Fatalf("waited too long for %s", what)
+	b.t.Fatalf("waiting for %s: got nothing within the maximum wait", what)
 }
 
 // status requests an entry VM's status.
--- a/contract/peer_test.go
+++ b/contract/peer_test.go
@@ -53,7 +53,7 @@
 		{"configuration", func() error {
 			l, err := c.Config(ctx, v.control)
 			if err == nil && len(l.Items) == 0 {
-				t.Errorf("configuration: got no object")
+				t.Errorf("configuration: got no object, want at least one")
 			}
 			return err
 		}, 0},
