--- a/fleet/requests_test.go
+++ b/fleet/requests_test.go
@@ -60,7 +60,7 @@
 	}
 	b.t.Logf("%d of %d requests complete, errors %v", r.Complete, r.Requests, r.Errors)
 	if len(r.Violations) > 0 {
-		b.t.Errorf("wrong answers: got %v, want none", r.Violations)
+		b.t.Errorf("answers that violate a guarantee: got %v, want none", r.Violations)
 	}
 	return r
 }
--- a/fleet/store_restore_test.go
+++ b/fleet/store_restore_test.go
@@ -450,7 +450,7 @@
 		check("after a VM started")
 		l, err := source.List(ctx)
 		if err != nil || len(l.Items) != 1 || l.Items[0].Value.Content != contentHash(deadly) {
-			t.Errorf("quarantines in the store: got %+v, %v, want only the content that crashes servers", l.Items, err)
+			t.Errorf("quarantined contents in the store: got %+v, %v, want only the content that crashes servers", l.Items, err)
 		}
 		if err := q.Delete(ctx, contentHash(deadly)); err != nil {
 			t.Fatal(err)
