--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -123,7 +123,7 @@
 	for i, x := range tokens {
 		g, _, _ := strings.Cut(tokens[0], ":")
 		if x != fmt.Sprintf("%s:%d", g, i) {
-			t.Fatalf("token at place %d: got %q, want %s:%d", i, x, g, i)
+			t.Fatalf("token at index %d: got %q, want %s:%d", i, x, g, i)
 		}
 	}
 }
@@ -350,7 +350,7 @@
 	s.putJSON("http://"+s.platform.listen+"/dev/faults", map[string]bool{"outage": true})
 	r := s.runLoad(150, 30, 9)
 	if len(r.Violations) != 0 {
-		t.Errorf("wrong answers: got %v, want none", r.Violations)
+		t.Errorf("answers that violate a guarantee: got %v, want none", r.Violations)
 	}
 	for _, e := range r.Errors {
 		if e.Type != "claim_unavailable" || e.Ran != api.RanNo {
--- a/e2e/policy_bench_test.go
+++ b/e2e/policy_bench_test.go
@@ -43,7 +43,7 @@
 						b.Fatal(err)
 					}
 					if len(r.Violations) > 0 {
-						b.Errorf("wrong answers: got %v, want none", r.Violations)
+						b.Errorf("answers that violate a guarantee: got %v, want none", r.Violations)
 					}
 					b.ReportMetric(r.All.StallTotalMS/1000, "stall-s")
 					b.ReportMetric(1000*float64(s.sumPreemptions())/float64(r.Requests), "preempted/1000")
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -390,6 +390,6 @@
 func checkComplete(t *testing.T, r load.Report) {
 	t.Helper()
 	if len(r.Violations) != 0 || r.Complete != r.Requests {
-		t.Errorf("answers: got %d complete of %d, wrong %v, errors %v; want all complete", r.Complete, r.Requests, r.Violations, r.Errors)
+		t.Errorf("answers: got %d complete of %d, violations %v, errors %v; want all complete", r.Complete, r.Requests, r.Violations, r.Errors)
 	}
 }
