--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -258,7 +258,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	b.t.Fatalf("waiting for %s: got nothing within the maximum wait", what)
+	b.t.Fatalf("waited too long for %s", what)
 }
 
 // status requests an entry VM's status.
